--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -4,6 +4,7 @@
 mod asking;
 pub mod booking;
 pub mod cloud;
+pub mod digest;
 mod direct;
 pub mod draining;
 mod events;
@@ -257,6 +258,8 @@
     quiet_at: u64,
     /// For how long a controller that has ended is away; drawn each time where it is not said.
     pub back_ms: Option<u64>,
+    /// Of everything that the controllers have sent.
+    pub digest: digest::OutputDigest,
 }
 
 /// Puts a controller among those that something ails, or takes it out.
@@ -363,6 +366,7 @@
             spread_ms: 0,
             quiet_at,
             back_ms: None,
+            digest: digest::OutputDigest::default(),
         };
         for i in 0..NODES {
             world.nodes.push(Node {
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -57,6 +57,7 @@
         let wall = booking::BEGAN - SKEW_MS + skew + now;
         let outputs = controller.handle(input, clock, wall);
         for output in outputs {
+            self.digest.add(now, i, &output);
             match output {
                 Output::Respond(conn, response) => {
                     self.hop();
@@ -150,6 +151,12 @@
         }
     }
 
+    /// Sends a request that no user of this world waits for: its answer only counts in the digest.
+    pub fn request(&mut self, node: usize, method: &str, path: &str, body: &str) {
+        let body = body.as_bytes().to_vec();
+        self.ask(node, method, path, body, Asked::Nobody);
+    }
+
     pub(crate) fn ask(
         &mut self,
         node: usize,
--- a/crates/world/src/state.rs
+++ b/crates/world/src/state.rs
@@ -371,4 +371,13 @@
             .map(|(k, v)| format!("{k}@{} {}", v.version, v.value))
             .collect()
     }
+
+    /// Every value that was ever written, as one JSON object each: its key, and the value as text.
+    pub fn dump_all(&self) -> Vec<String> {
+        let written = self.log.iter();
+        let written = written.filter_map(|(_, key, value)| Some((key, value.as_ref()?)));
+        written
+            .map(|(key, value)| json!({"key": key, "value": value}).to_string())
+            .collect()
+    }
 }
