--- a/crates/calendar/examples/admissions.rs
+++ b/crates/calendar/examples/admissions.rs
@@ -4,7 +4,7 @@
 use snowshelf_calendar::amount::Amount;
 use snowshelf_calendar::calendar::{Bounds, Calendar, Pool};
 use snowshelf_calendar::entry::{Name, Wanted};
-use snowshelf_model::ids::{Team, WallMs};
+use snowshelf_model::ids::{Team, WallClockMillis};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -39,7 +39,7 @@
         horizon_ms: 400 * 24 * HOUR,
         most_entries: usize::MAX,
     });
-    let mut calendar = Calendar::new(bounds, WallMs(0));
+    let mut calendar = Calendar::new(bounds, WallClockMillis(0));
     let before = resident_kb().unwrap_or(0);
     let mut x = 12345u64;
     let mut draw = |below: u64| {
@@ -51,7 +51,7 @@
     let (mut tried, mut moved, start) = (0u64, 0u64, Instant::now());
     let mut slowest = 0.0f64;
     while calendar.len() < entries {
-        let from = WallMs(draw(300 * 24) * HOUR);
+        let from = WallClockMillis(draw(300 * 24) * HOUR);
         let wanted = Wanted {
             team: Team::new(&format!("t{}", draw(4))),
             amount: cpus(50 + draw(2_000) as i64),
@@ -59,12 +59,12 @@
             types: None,
             spot: false,
             from,
-            until: WallMs(from.0 + (1 + draw(72)) * HOUR),
+            until: WallClockMillis(from.0 + (1 + draw(72)) * HOUR),
             movable: true,
         };
         tried += 1;
         let one = Instant::now();
-        if let Ok(taken) = calendar.admit(&wanted, WallMs(0)) {
+        if let Ok(taken) = calendar.admit(&wanted, WallClockMillis(0)) {
             moved += u64::from(taken.moved_from.is_some());
             let name = Name::parse(&format!("r{tried}")).expect("a sound name");
             calendar.set_reservation(&name, Some(Arc::new(taken)));
@@ -77,7 +77,7 @@
     let took = start.elapsed().as_secs_f64();
     let held = resident_kb().unwrap_or(0).saturating_sub(before);
     let again = Instant::now();
-    let mut copy = Calendar::new(calendar.bounds().clone(), WallMs(0));
+    let mut copy = Calendar::new(calendar.bounds().clone(), WallClockMillis(0));
     for (name, r) in calendar.reservations() {
         copy.set_reservation(name, Some(r.clone()));
     }
--- a/crates/calendar/src/admission.rs
+++ b/crates/calendar/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::entry::{Name, Reservation, Share, Wanted, When, Window};
 use crate::refusal::{Clash, Kind, Refusal, Short};
 use crate::timeline::Timeline;
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 
 /// Times at which a movable reservation is tried, at the most.
 const MOST_TRIES: usize = 2_000;
@@ -16,7 +16,7 @@
 impl Calendar {
     /// Where a reservation would be had, or why not; nothing is taken yet. For a change, ask the
     /// calendar without the old one.
-    pub fn admit(&self, wanted: &Wanted, now: WallMs) -> Result<Reservation, Refusal> {
+    pub fn admit(&self, wanted: &Wanted, now: WallClockMillis) -> Result<Reservation, Refusal> {
         let bounds = &self.bounds;
         let limit = bounds.limits.get(&wanted.team);
         let limit = *limit.ok_or(Refusal::UnknownTeam)?;
@@ -54,7 +54,7 @@
         if wanted.movable
             && let Some((from, pieces)) = found
         {
-            return Ok(taken(wanted, pieces, from, WallMs(from.0 + long)));
+            return Ok(taken(wanted, pieces, from, WallClockMillis(from.0 + long)));
         }
         let (short, lacks) = refusal;
         Err(Refusal::Clash {
@@ -76,7 +76,7 @@
     }
 
     /// What a pool has left throughout, if it is never closed.
-    fn free(&self, pool: &Pool, from: WallMs, until: WallMs) -> Amount {
+    fn free(&self, pool: &Pool, from: WallClockMillis, until: WallClockMillis) -> Amount {
         let shut = self.closed.get(pool);
         if shut.is_some_and(|line| line.peak(from, until).cpus > 0) {
             return Amount::ZERO;
@@ -91,8 +91,8 @@
         wanted: &Wanted,
         pools: &[&Pool],
         limit: Amount,
-        from: WallMs,
-        until: WallMs,
+        from: WallClockMillis,
+        until: WallClockMillis,
     ) -> Result<Pieces, (Short, Amount)> {
         let reserved = self
             .teams
@@ -119,7 +119,7 @@
             done = upto;
         }
         if done < WHOLE {
-            return Err((Short::Room, wanted.amount.piece(done, WHOLE)));
+            return Err((Short::Resources, wanted.amount.piece(done, WHOLE)));
         }
         Ok(pieces)
     }
@@ -130,7 +130,7 @@
         wanted: &Wanted,
         pools: &[&Pool],
         limit: Amount,
-    ) -> Option<(WallMs, Pieces)> {
+    ) -> Option<(WallClockMillis, Pieces)> {
         let long = wanted.until.0 - wanted.from.0;
         let lines: Vec<&Timeline> = pools
             .iter()
@@ -140,7 +140,7 @@
             .collect();
         let mut from = wanted.from;
         for _ in 0..MOST_TRIES {
-            let until = WallMs(from.0.checked_add(long)?);
+            let until = WallClockMillis(from.0.checked_add(long)?);
             if until > self.planned {
                 return None;
             }
@@ -166,9 +166,9 @@
         wanted: &Wanted,
         pools: &[&Pool],
         limit: Amount,
-        from: WallMs,
-        until: WallMs,
-    ) -> Option<WallMs> {
+        from: WallClockMillis,
+        until: WallClockMillis,
+    ) -> Option<WallClockMillis> {
         let team = self.teams.get(&wanted.team);
         let over = team.and_then(|l| l.first_over(from, until, limit.minus(wanted.amount)));
         if over.is_some() {
@@ -189,7 +189,7 @@
     /// Everything that overlaps what is wanted and takes of what is short.
     fn in_the_way(&self, wanted: &Wanted, pools: &[&Pool], short: Short) -> Vec<Clash> {
         let mut found = Vec::new();
-        if short == Short::Room {
+        if short == Short::Resources {
             for (name, closing) in &self.windows {
                 let here = |p: &&Pool| closing.window.concerns(&p.zone, &p.model);
                 if !pools.iter().any(here) {
@@ -222,7 +222,7 @@
         &self,
         window: &Window,
         force: bool,
-        now: WallMs,
+        now: WallClockMillis,
     ) -> Result<Vec<Clash>, Refusal> {
         // Another controller may have planned a little further when it took a reservation.
         let last = self.reservations.values().map(|r| r.until).max();
@@ -230,7 +230,10 @@
         let times = window.occurrences(now, planned, MOST_TIMES);
         let Some((first, _)) = times.first() else {
             return Err(
-                match window.occurrences(now, WallMs(u64::MAX), 1).is_empty() {
+                match window
+                    .occurrences(now, WallClockMillis(u64::MAX), 1)
+                    .is_empty()
+                {
                     true => Refusal::Past,
                     false => Refusal::TooFar(self.planned),
                 },
@@ -306,13 +309,17 @@
 }
 
 /// Of a window's times, which are all equally long and in order, those that overlap a span.
-fn overlapping(times: &[(WallMs, WallMs)], from: WallMs, until: WallMs) -> &[(WallMs, WallMs)] {
+fn overlapping(
+    times: &[(WallClockMillis, WallClockMillis)],
+    from: WallClockMillis,
+    until: WallClockMillis,
+) -> &[(WallClockMillis, WallClockMillis)] {
     let first = times.partition_point(|(_, end)| *end <= from);
     let after = times.partition_point(|(start, _)| *start < until);
     &times[first..after.max(first)]
 }
 
-fn clash(kind: Kind, name: &Name, from: WallMs, until: WallMs) -> Clash {
+fn clash(kind: Kind, name: &Name, from: WallClockMillis, until: WallClockMillis) -> Clash {
     Clash {
         kind,
         name: name.clone(),
@@ -321,7 +328,12 @@
     }
 }
 
-fn taken(wanted: &Wanted, pieces: Pieces, from: WallMs, until: WallMs) -> Reservation {
+fn taken(
+    wanted: &Wanted,
+    pieces: Pieces,
+    from: WallClockMillis,
+    until: WallClockMillis,
+) -> Reservation {
     Reservation {
         team: wanted.team.clone(),
         amount: wanted.amount,
--- a/crates/calendar/src/amount.rs
+++ b/crates/calendar/src/amount.rs
@@ -1,7 +1,7 @@
 //! Amounts as whole thousandths, so that what is added and taken away again leaves nothing over.
 
 use serde::{Deserialize, Serialize};
-use snowshelf_model::records::Room;
+use snowshelf_model::records::Resources;
 
 /// Thousandths of CPUs, GPUs and GB of memory.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
     };
 
     /// Rounded up to thousandths.
-    pub fn of(room: Room) -> Amount {
+    pub fn of(room: Resources) -> Amount {
         Amount {
             cpus: thousandths(room.cpus),
             gpus: thousandths(room.gpus),
@@ -50,8 +50,8 @@
         }
     }
 
-    pub fn room(self) -> Room {
-        Room {
+    pub fn room(self) -> Resources {
+        Resources {
             cpus: self.cpus as f64 / 1000.0,
             gpus: self.gpus as f64 / 1000.0,
             mem: self.mem as f64 / 1000.0,
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -8,7 +8,7 @@
 use crate::entry::{Name, Reservation, Window};
 use crate::timeline::Timeline;
 use imbl::OrdMap;
-use snowshelf_model::ids::{Team, WallMs};
+use snowshelf_model::ids::{Team, WallClockMillis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Closing {
     pub window: Arc<Window>,
-    pub times: Arc<Vec<(WallMs, WallMs)>>,
+    pub times: Arc<Vec<(WallClockMillis, WallClockMillis)>>,
 }
 
 const DAY_MS: u64 = 86_400_000;
@@ -58,7 +58,7 @@
 pub struct Calendar {
     pub(crate) bounds: Arc<Bounds>,
     /// Up to when recurring windows are worked out.
-    pub(crate) planned: WallMs,
+    pub(crate) planned: WallClockMillis,
     pub(crate) reservations: OrdMap<Name, Arc<Reservation>>,
     pub(crate) windows: OrdMap<Name, Closing>,
     pub(crate) booked: OrdMap<Pool, Timeline>,
@@ -75,26 +75,26 @@
 
 impl Calendar {
     /// An empty calendar, planned from `now` on.
-    pub fn new(bounds: Arc<Bounds>, now: WallMs) -> Calendar {
+    pub fn new(bounds: Arc<Bounds>, now: WallClockMillis) -> Calendar {
         Calendar {
-            planned: WallMs(now.0.saturating_add(bounds.horizon_ms)),
+            planned: WallClockMillis(now.0.saturating_add(bounds.horizon_ms)),
             bounds,
             ..Calendar::default()
         }
     }
 
     /// Whether it is planned as far as it should be, but for a day.
-    pub fn plans_ahead(&self, now: WallMs) -> bool {
+    pub fn plans_ahead(&self, now: WallClockMillis) -> bool {
         let ahead = self.planned.0.saturating_sub(now.0);
         ahead.saturating_add(DAY_MS) >= self.bounds.horizon_ms
     }
 
     /// Whether it is still right for these bounds.
-    pub fn serves(&self, bounds: &Bounds, now: WallMs) -> bool {
+    pub fn serves(&self, bounds: &Bounds, now: WallClockMillis) -> bool {
         *self.bounds == *bounds && self.plans_ahead(now)
     }
 
-    pub fn planned(&self) -> WallMs {
+    pub fn planned(&self) -> WallClockMillis {
         self.planned
     }
     pub fn bounds(&self) -> &Arc<Bounds> {
@@ -110,7 +110,9 @@
         self.reservations.iter()
     }
     /// Windows with their planned times.
-    pub fn windows(&self) -> impl Iterator<Item = (&Name, &Arc<Window>, &[(WallMs, WallMs)])> {
+    pub fn windows(
+        &self,
+    ) -> impl Iterator<Item = (&Name, &Arc<Window>, &[(WallClockMillis, WallClockMillis)])> {
         self.windows
             .iter()
             .map(|(n, c)| (n, &c.window, &c.times[..]))
@@ -150,13 +152,13 @@
     }
 
     /// Puts a window in, or takes it out, without asking whether it may be.
-    pub fn set_window(&mut self, name: &Name, new: Option<Arc<Window>>, now: WallMs) {
+    pub fn set_window(&mut self, name: &Name, new: Option<Arc<Window>>, now: WallClockMillis) {
         if let Some(old) = self.windows.remove(name) {
             self.close(&old, false);
         }
         if let Some(window) = new {
             // Guards against a reservation that began a moment ago, in a window that is just over.
-            let since = WallMs(now.0.saturating_sub(2 * ARRIVAL_MS));
+            let since = WallClockMillis(now.0.saturating_sub(2 * ARRIVAL_MS));
             let times = Arc::new(window.occurrences(since, self.planned, MOST_TIMES));
             let closing = Closing { window, times };
             self.close(&closing, true);
@@ -188,7 +190,7 @@
     // ---- what holds now and soon ----------------------------------------------------------
 
     /// What is reserved in a pool at a moment.
-    pub fn reserved_at(&self, pool: &Pool, at: WallMs) -> Amount {
+    pub fn reserved_at(&self, pool: &Pool, at: WallClockMillis) -> Amount {
         self.booked
             .get(pool)
             .map(|l| l.level(at))
@@ -196,7 +198,12 @@
     }
 
     /// Whether a pool is closed at any moment from `from` to before `until`.
-    pub fn closed_within(&self, pool: &Pool, from: WallMs, until: WallMs) -> bool {
+    pub fn closed_within(
+        &self,
+        pool: &Pool,
+        from: WallClockMillis,
+        until: WallClockMillis,
+    ) -> bool {
         let line = self.closed.get(pool);
         line.is_some_and(|line| line.peak(from, until).cpus > 0)
     }
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -6,8 +6,8 @@
 use jiff::Timestamp;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use snowshelf_model::ids::{Team, WallMs, is_word};
-use snowshelf_model::records::Room;
+use snowshelf_model::ids::{Team, WallClockMillis, is_valid_name};
+use snowshelf_model::records::Resources;
 use std::fmt;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 impl Name {
     /// Letters, digits, `.`, `_` and `-`, a letter or digit first, 64 bytes at the most.
     pub fn parse(text: &str) -> Option<Name> {
-        is_word(text, b"._-").then(|| Name(text.into()))
+        is_valid_name(text, b"._-").then(|| Name(text.into()))
     }
     pub fn as_str(&self) -> &str {
         &self.0
@@ -185,14 +185,14 @@
 }
 
 /// A moment as this process keeps it; before 1970 there is none.
-fn moment(field: &str, at: Timestamp) -> Result<WallMs, Malformed> {
+fn moment(field: &str, at: Timestamp) -> Result<WallClockMillis, Malformed> {
     let ms = u64::try_from(at.as_millisecond());
-    ms.map(WallMs)
+    ms.map(WallClockMillis)
         .map_err(|_| malformed(field, "lies before 1970"))
 }
 
 /// A moment as users read it.
-pub fn shown(at: WallMs) -> String {
+pub fn shown(at: WallClockMillis) -> String {
     let ms = i64::try_from(at.0).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(ms).map_or_else(|_| format!("{ms} ms"), |t| t.to_string())
 }
@@ -205,8 +205,8 @@
     pub zone: Option<String>,
     pub types: Option<Vec<String>>,
     pub spot: bool,
-    pub from: WallMs,
-    pub until: WallMs,
+    pub from: WallClockMillis,
+    pub until: WallClockMillis,
     pub movable: bool,
 }
 
@@ -221,7 +221,7 @@
     if until.0 < from.0.saturating_add(1000) {
         return Err(malformed("until", "must lie at least a second after from"));
     }
-    let room = Room {
+    let room = Resources {
         cpus: request.cpus,
         gpus: request.gpus,
         mem: request.mem_gb,
@@ -297,11 +297,11 @@
     pub types: Option<Vec<String>>,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
-    pub from: WallMs,
-    pub until: WallMs,
+    pub from: WallClockMillis,
+    pub until: WallClockMillis,
     /// When it was asked for, if it was moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub moved_from: Option<WallMs>,
+    pub moved_from: Option<WallClockMillis>,
     pub shares: Vec<Share>,
 }
 
@@ -323,7 +323,10 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum When {
-    Once { from: WallMs, until: WallMs },
+    Once {
+        from: WallClockMillis,
+        until: WallClockMillis,
+    },
     Again(Rule),
 }
 
@@ -340,7 +343,12 @@
 
 impl Window {
     /// Its occurrences that end after `from` and begin before `until`.
-    pub fn occurrences(&self, from: WallMs, until: WallMs, most: usize) -> Vec<(WallMs, WallMs)> {
+    pub fn occurrences(
+        &self,
+        from: WallClockMillis,
+        until: WallClockMillis,
+        most: usize,
+    ) -> Vec<(WallClockMillis, WallClockMillis)> {
         match &self.when {
             When::Once { from: a, until: b } => {
                 let inside = *b > from && *a < until;
--- a/crates/calendar/src/guard.rs
+++ b/crates/calendar/src/guard.rs
@@ -3,15 +3,15 @@
 use crate::amount::Amount;
 use crate::calendar::{Calendar, Pool};
 use crate::entry::Name;
-use snowshelf_model::ids::{Team, WallMs, seconds_to_ms};
+use snowshelf_model::ids::{Team, WallClockMillis, seconds_to_ms};
 use std::collections::BTreeMap;
 
 /// A closing of a pool, present or to come.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Closing {
     pub window: Name,
-    pub from: WallMs,
-    pub until: WallMs,
+    pub from: WallClockMillis,
+    pub until: WallClockMillis,
     /// How long before it nothing starts that would run into it; none: at any time.
     pub lead_ms: Option<u64>,
 }
@@ -24,8 +24,8 @@
     pub pool: Pool,
     pub amount: Amount,
     pub spot: bool,
-    pub from: WallMs,
-    pub until: WallMs,
+    pub from: WallClockMillis,
+    pub until: WallClockMillis,
 }
 
 /// The part of the calendar that matters for decisions taken now.
@@ -44,9 +44,9 @@
 
 impl Guard {
     /// What of the calendar lies between now and so long ahead.
-    pub fn of(calendar: &Calendar, now: WallMs, ahead_ms: u64, skew_ms: u64) -> Guard {
-        let until = WallMs(now.0.saturating_add(ahead_ms));
-        let since = WallMs(now.0.saturating_sub(2 * skew_ms));
+    pub fn of(calendar: &Calendar, now: WallClockMillis, ahead_ms: u64, skew_ms: u64) -> Guard {
+        let until = WallClockMillis(now.0.saturating_add(ahead_ms));
+        let since = WallClockMillis(now.0.saturating_sub(2 * skew_ms));
         let mut closings: BTreeMap<Pool, Vec<Closing>> = BTreeMap::new();
         for (name, window, times) in calendar.windows() {
             let first = times.partition_point(|(_, end)| *end <= since);
@@ -104,7 +104,12 @@
 
     /// The closing that forbids a task to start in a pool now, if one does. `run_ms`: how long it is
     /// taken to be there; none: until it is stopped, as a service.
-    pub fn forbids(&self, pool: &Pool, run_ms: Option<u64>, now: WallMs) -> Option<&Closing> {
+    pub fn forbids(
+        &self,
+        pool: &Pool,
+        run_ms: Option<u64>,
+        now: WallClockMillis,
+    ) -> Option<&Closing> {
         let latest = now.0.saturating_add(self.skew_ms);
         let mut list = self.closings_of(pool).iter();
         list.find(|c| {
@@ -124,7 +129,7 @@
 
     /// The closing for which a pool must be empty of tasks, or becoming so, now: `ahead_ms` is how
     /// long that takes.
-    pub fn empties(&self, pool: &Pool, now: WallMs, ahead_ms: u64) -> Option<&Closing> {
+    pub fn empties(&self, pool: &Pool, now: WallClockMillis, ahead_ms: u64) -> Option<&Closing> {
         let latest = now.0.saturating_add(self.skew_ms).saturating_add(ahead_ms);
         let mut list = self.closings_of(pool).iter();
         list.find(|c| latest >= c.from.0 && now.0 < c.until.0.saturating_add(self.skew_ms))
--- a/crates/calendar/src/recur.rs
+++ b/crates/calendar/src/recur.rs
@@ -8,7 +8,7 @@
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan};
 use serde::{Deserialize, Serialize};
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -144,18 +144,23 @@
     }
 
     /// When it begins on this date.
-    fn begins(&self, date: Date, zone: &TimeZone) -> Option<WallMs> {
+    fn begins(&self, date: Date, zone: &TimeZone) -> Option<WallClockMillis> {
         let zoned = date
             .to_datetime(self.at)
             .to_zoned_datetime(zone.clone())
             .ok()?;
         u64::try_from(zoned.timestamp().as_millisecond())
             .ok()
-            .map(WallMs)
+            .map(WallClockMillis)
     }
 
     /// The occurrences that end after `from` and begin before `until`, in order, at most `most`.
-    pub fn occurrences(&self, from: WallMs, until: WallMs, most: usize) -> Vec<(WallMs, WallMs)> {
+    pub fn occurrences(
+        &self,
+        from: WallClockMillis,
+        until: WallClockMillis,
+        most: usize,
+    ) -> Vec<(WallClockMillis, WallClockMillis)> {
         let mut found = Vec::new();
         let Ok(zone) = TimeZone::get(&self.zone) else {
             return found;
@@ -179,7 +184,7 @@
                 && let Some(at) = begins
                 && at.0 + long > from.0
             {
-                found.push((at, WallMs(at.0 + long)));
+                found.push((at, WallClockMillis(at.0 + long)));
             }
             let Ok(next) = date.checked_add(1.day()) else {
                 break;
--- a/crates/calendar/src/refusal.rs
+++ b/crates/calendar/src/refusal.rs
@@ -3,7 +3,7 @@
 use crate::amount::Amount;
 use crate::entry::{Name, shown};
 use serde_json::{Value, json};
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 use std::fmt;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -17,15 +17,15 @@
 pub struct Clash {
     pub kind: Kind,
     pub name: Name,
-    pub from: WallMs,
-    pub until: WallMs,
+    pub from: WallClockMillis,
+    pub until: WallClockMillis,
 }
 
 /// What runs short where there is a clash.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Short {
     /// Room in the places allowed.
-    Room,
+    Resources,
     /// The team's limit.
     Limit,
     /// What would be closed is reserved.
@@ -35,7 +35,7 @@
 #[derive(Clone, PartialEq, Debug)]
 pub enum Refusal {
     Past,
-    TooFar(WallMs),
+    TooFar(WallClockMillis),
     UnknownTeam,
     /// No machine type in the zones and types allowed.
     NoPlace,
@@ -54,7 +54,7 @@
         /// Everything in the way.
         clashes: Vec<Clash>,
         /// The first time at which it would fit, if one was found.
-        fits_from: Option<WallMs>,
+        fits_from: Option<WallClockMillis>,
     },
 }
 
@@ -130,7 +130,7 @@
             Refusal::Taken => f.write_str("another entry has this name"),
             Refusal::Clash { short, clashes, .. } => {
                 match short {
-                    Short::Room => f.write_str("there is no room for it then")?,
+                    Short::Resources => f.write_str("there is no room for it then")?,
                     Short::Limit => f.write_str("the team's limit is reserved by then")?,
                     Short::Reserved => f.write_str("what it would close is reserved")?,
                 }
--- a/crates/calendar/src/timeline.rs
+++ b/crates/calendar/src/timeline.rs
@@ -6,14 +6,14 @@
 //! keys alone (a treap whose priorities are hashes of the keys).
 
 use crate::amount::Amount;
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 use std::sync::Arc;
 
 type Link = Option<Arc<Node>>;
 
 #[derive(Debug)]
 struct Node {
-    at: WallMs,
+    at: WallClockMillis,
     change: Amount,
     below: Span,
     left: Link,
@@ -43,7 +43,7 @@
 }
 
 /// Spreads keys over priorities (the finalizer of splitmix64).
-fn priority(at: WallMs) -> u64 {
+fn priority(at: WallClockMillis) -> u64 {
     let mut x = at.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -54,7 +54,7 @@
     link.as_ref().map(|n| n.below).unwrap_or_default()
 }
 
-fn node(at: WallMs, change: Amount, left: Link, right: Link) -> Link {
+fn node(at: WallClockMillis, change: Amount, left: Link, right: Link) -> Link {
     let below = below(&left).then(Span::of(change)).then(below(&right));
     Some(Arc::new(Node {
         at,
@@ -66,7 +66,7 @@
 }
 
 /// Keys before `at`, and the others.
-fn split(link: &Link, at: WallMs) -> (Link, Link) {
+fn split(link: &Link, at: WallClockMillis) -> (Link, Link) {
     let Some(n) = link else {
         return (None, None);
     };
@@ -91,7 +91,7 @@
 }
 
 /// The run of changes after `from` and before `until`, where these are given.
-fn run(link: &Link, from: Option<WallMs>, until: Option<WallMs>) -> Span {
+fn run(link: &Link, from: Option<WallClockMillis>, until: Option<WallClockMillis>) -> Span {
     let Some(n) = link else {
         return Span::default();
     };
@@ -113,11 +113,11 @@
 /// fit any more; the level at the end otherwise.
 fn first_over(
     link: &Link,
-    from: Option<WallMs>,
-    until: Option<WallMs>,
+    from: Option<WallClockMillis>,
+    until: Option<WallClockMillis>,
     level: Amount,
     most: Amount,
-) -> Result<Amount, WallMs> {
+) -> Result<Amount, WallClockMillis> {
     let Some(n) = link else {
         return Ok(level);
     };
@@ -144,9 +144,9 @@
 }
 
 impl Timeline {
-    fn change(&self, at: WallMs, change: Amount) -> Timeline {
+    fn change(&self, at: WallClockMillis, change: Amount) -> Timeline {
         let (before, rest) = split(&self.root, at);
-        let (here, after) = split(&rest, WallMs(at.0.saturating_add(1)));
+        let (here, after) = split(&rest, WallClockMillis(at.0.saturating_add(1)));
         let change = here.map_or(Amount::ZERO, |n| n.change).plus(change);
         let here = match change.is_zero() {
             true => None,
@@ -158,29 +158,44 @@
     }
 
     /// With `amount` more from `from` to before `until`.
-    pub fn with(&self, from: WallMs, until: WallMs, amount: Amount) -> Timeline {
+    pub fn with(&self, from: WallClockMillis, until: WallClockMillis, amount: Amount) -> Timeline {
         self.change(from, amount)
             .change(until, Amount::ZERO.minus(amount))
     }
 
     /// Without what was put in by `with`.
-    pub fn without(&self, from: WallMs, until: WallMs, amount: Amount) -> Timeline {
+    pub fn without(
+        &self,
+        from: WallClockMillis,
+        until: WallClockMillis,
+        amount: Amount,
+    ) -> Timeline {
         self.with(from, until, Amount::ZERO.minus(amount))
     }
 
     /// What is booked at a moment.
-    pub fn level(&self, at: WallMs) -> Amount {
-        run(&self.root, None, Some(WallMs(at.0.saturating_add(1)))).sum
+    pub fn level(&self, at: WallClockMillis) -> Amount {
+        run(
+            &self.root,
+            None,
+            Some(WallClockMillis(at.0.saturating_add(1))),
+        )
+        .sum
     }
 
     /// The most that is booked of each resource from `from` to before `until`.
-    pub fn peak(&self, from: WallMs, until: WallMs) -> Amount {
+    pub fn peak(&self, from: WallClockMillis, until: WallClockMillis) -> Amount {
         let level = self.level(from);
         level.plus(run(&self.root, Some(from), Some(until)).peak)
     }
 
     /// The first moment from `from` to before `until` at which more than `most` is booked.
-    pub fn first_over(&self, from: WallMs, until: WallMs, most: Amount) -> Option<WallMs> {
+    pub fn first_over(
+        &self,
+        from: WallClockMillis,
+        until: WallClockMillis,
+        most: Amount,
+    ) -> Option<WallClockMillis> {
         let level = self.level(from);
         if !level.fits_in(most) {
             return Some(from);
@@ -189,7 +204,7 @@
     }
 
     /// The next moment after `at` at which the level changes.
-    pub fn next_change(&self, at: WallMs) -> Option<WallMs> {
+    pub fn next_change(&self, at: WallClockMillis) -> Option<WallClockMillis> {
         let (mut link, mut found) = (&self.root, None);
         while let Some(n) = link {
             link = if n.at > at {
--- a/crates/calendar/tests/entries.rs
+++ b/crates/calendar/tests/entries.rs
@@ -6,11 +6,11 @@
 use serde_json::{Value, json};
 use snowshelf_calendar::entry::{When, parse_reservation, parse_window, shown};
 use snowshelf_calendar::recur::Rule;
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 
-fn ms(text: &str) -> WallMs {
+fn ms(text: &str) -> WallClockMillis {
     let at: Timestamp = text.parse().unwrap();
-    WallMs(at.as_millisecond() as u64)
+    WallClockMillis(at.as_millisecond() as u64)
 }
 
 fn reservation() -> Value {
@@ -194,7 +194,7 @@
             "at": format!("{hour:02}:30"), "zone": "Europe/Lisbon", "first": "2027-01-15", "for_s": long}))
             .unwrap();
         let start = ms("2027-01-20T00:00:00Z");
-        let day = |n: u64| WallMs(start.0 + n * 86_400_000);
+        let day = |n: u64| WallClockMillis(start.0 + n * 86_400_000);
         let whole = rule.occurrences(start, day(90), 1_000);
         let mut parts = rule.occurrences(start, day(cut), 1_000);
         let rest = rule.occurrences(day(cut), day(90), 1_000);
@@ -229,23 +229,27 @@
         ..Bounds::default()
     });
     let guard = |lead_s| {
-        let mut calendar = Calendar::new(bounds.clone(), WallMs(0));
+        let mut calendar = Calendar::new(bounds.clone(), WallClockMillis(0));
         let window = Window {
             zone: "east".to_string(),
             types: None,
             when: When::Once {
-                from: WallMs(600_000),
-                until: WallMs(900_000),
+                from: WallClockMillis(600_000),
+                until: WallClockMillis(900_000),
             },
             lead_s,
         };
         let name = Name::parse("w").unwrap();
-        calendar.set_window(&name, Some(Arc::new(window)), WallMs(0));
-        Guard::of(&calendar, WallMs(0), 5_000_000, 1_000)
+        calendar.set_window(&name, Some(Arc::new(window)), WallClockMillis(0));
+        Guard::of(&calendar, WallClockMillis(0), 5_000_000, 1_000)
     };
     let at = |guard: &Guard, run_s: Option<u64>, now_s: u64| {
         guard
-            .forbids(&pool, run_s.map(|s| s * 1000), WallMs(now_s * 1000))
+            .forbids(
+                &pool,
+                run_s.map(|s| s * 1000),
+                WallClockMillis(now_s * 1000),
+            )
             .is_some()
     };
     let any = guard(None);
@@ -257,8 +261,14 @@
     let late = guard(Some(60.0));
     assert!(!at(&late, Some(500), 538) && at(&late, Some(500), 539));
     assert!(!at(&late, None, 538) && at(&late, None, 539));
-    let empties = |now_s: u64| any.empties(&pool, WallMs(now_s * 1000), 10_000).is_some();
+    let empties = |now_s: u64| {
+        any.empties(&pool, WallClockMillis(now_s * 1000), 10_000)
+            .is_some()
+    };
     assert!(!empties(588) && empties(589) && empties(900) && !empties(901));
     let elsewhere = Pool::new("west", "big");
-    assert!(any.forbids(&elsewhere, Some(1), WallMs(700_000)).is_none());
+    assert!(
+        any.forbids(&elsewhere, Some(1), WallClockMillis(700_000))
+            .is_none()
+    );
 }
--- a/crates/calendar/tests/model.rs
+++ b/crates/calendar/tests/model.rs
@@ -7,7 +7,7 @@
 use snowshelf_calendar::entry::{Name, Reservation, Wanted, When, Window};
 use snowshelf_calendar::refusal::{Kind, Refusal, Short};
 use snowshelf_calendar::timeline::Timeline;
-use snowshelf_model::ids::{Team, WallMs};
+use snowshelf_model::ids::{Team, WallClockMillis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -28,8 +28,8 @@
     }
 }
 
-fn at(minute: u64) -> WallMs {
-    WallMs(minute * MINUTE)
+fn at(minute: u64) -> WallClockMillis {
+    WallClockMillis(minute * MINUTE)
 }
 
 fn cpus(n: i64) -> Amount {
@@ -398,9 +398,9 @@
         let mut levels = vec![0i64; 130];
         let mut half = Vec::new();
         for (i, (from, long, n)) in puts.iter().enumerate() {
-            line = line.with(WallMs(*from), WallMs(from + long), cpus(*n));
+            line = line.with(WallClockMillis(*from), WallClockMillis(from + long), cpus(*n));
             if i % 3 == 0 {
-                line = line.without(WallMs(*from), WallMs(from + long), cpus(*n));
+                line = line.without(WallClockMillis(*from), WallClockMillis(from + long), cpus(*n));
             } else {
                 levels[*from as usize..(from + long) as usize].iter_mut().for_each(|l| *l += n);
             }
@@ -413,14 +413,14 @@
         for (line, levels) in half {
             for (from, long, most) in &asks {
                 let span = &levels[*from as usize..(from + long) as usize];
-                let (a, b) = (WallMs(*from), WallMs(from + long));
+                let (a, b) = (WallClockMillis(*from), WallClockMillis(from + long));
                 prop_assert_eq!(line.peak(a, b), cpus(*span.iter().max().unwrap()));
                 prop_assert_eq!(line.level(a), cpus(span[0]));
-                let over = span.iter().position(|l| l > most).map(|i| WallMs(from + i as u64));
+                let over = span.iter().position(|l| l > most).map(|i| WallClockMillis(from + i as u64));
                 prop_assert_eq!(line.first_over(a, b, cpus(*most)), over);
                 let here = levels[*from as usize];
                 let next = (*from as usize + 1..levels.len()).find(|i| levels[*i] != here);
-                let next = next.map(|i| WallMs(i as u64));
+                let next = next.map(|i| WallClockMillis(i as u64));
                 // Two changes at one moment may cancel out and be forgotten, never the other way.
                 prop_assert!(line.next_change(a) <= next || next.is_none());
             }
--- a/crates/doors/src/bounds.rs
+++ b/crates/connections/src/limits.rs
@@ -2,7 +2,7 @@
 
 /// What a process may use.
 #[derive(Clone, Copy, Debug)]
-pub struct Means {
+pub struct ProcessLimits {
     pub sockets: usize,
     pub mem_bytes: usize,
     /// Controllers, this one included.
@@ -33,7 +33,7 @@
 const PROBES: usize = 4;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Connections of workers, users and probes.
     pub most: usize,
     /// As many workers and users can never be crowded out by others.
@@ -50,8 +50,8 @@
     pub underway_bytes: usize,
 }
 
-impl Bounds {
-    pub fn of(means: Means) -> Bounds {
+impl ConnectionLimits {
+    pub fn of(means: ProcessLimits) -> ConnectionLimits {
         let peers = LIVES * means.nodes.max(1);
         let reserved = FILES + peers + means.nodes + means.own;
         let by_sockets = means.sockets.saturating_sub(reserved) * (100 - SPARE) / 100;
@@ -59,15 +59,15 @@
         let by_memory = memory / 2 / IDLE_BYTES;
         // A process that is given next to nothing serves a few all the same.
         let most = by_sockets.min(by_memory).max(16);
-        let part = |percent: usize| (most * percent / 100).max(1);
-        let (workers, users) = (part(WORKERS), part(USERS));
-        Bounds {
+        let percentage_of_most = |percent: usize| (most * percent / 100).max(1);
+        let (workers, users) = (percentage_of_most(WORKERS), percentage_of_most(USERS));
+        ConnectionLimits {
             most,
             workers,
             users,
             probes: PROBES,
             strangers: (most - workers - users).saturating_sub(PROBES).max(1),
-            pressed: part(PRESSED),
+            pressed: percentage_of_most(PRESSED),
             peers,
             underway_bytes: memory / 2,
         }
--- a/crates/doors/src/doors.rs
+++ b/crates/connections/src/table.rs
@@ -1,37 +1,42 @@
 //! Who is connected, what for, and since when nothing was asked: decides whom a newcomer takes the place of.
 
-use crate::bounds::Bounds;
+use crate::limits::ConnectionLimits;
 use serde::Serialize;
-use snowshelf_model::ids::Millis;
+use snowshelf_model::ids::MonotonicMillis;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
 /// What a connection is for, by the last thing that was asked on it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Kind {
+pub enum ClientKind {
     /// Nothing has been asked yet.
-    Stranger,
+    Unidentified,
     Probe,
     User,
     Worker,
 }
 
-const KINDS: [Kind; 4] = [Kind::Stranger, Kind::Probe, Kind::User, Kind::Worker];
+const KINDS: [ClientKind; 4] = [
+    ClientKind::Unidentified,
+    ClientKind::Probe,
+    ClientKind::User,
+    ClientKind::Worker,
+];
 
-impl Kind {
+impl ClientKind {
     /// By the path that is asked for.
-    pub fn of(path: &str) -> Kind {
+    pub fn of(path: &str) -> ClientKind {
         match path.split('?').next() {
-            Some("/checkin") => Kind::Worker,
-            Some("/ready") => Kind::Probe,
-            _ => Kind::User,
+            Some("/checkin") => ClientKind::Worker,
+            Some("/ready") => ClientKind::Probe,
+            _ => ClientKind::User,
         }
     }
 }
 
 /// What becomes of a connection that comes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Entry<I> {
+pub enum Admission<I> {
     In,
     /// It comes in and this one, which is idle, goes.
     InsteadOf(I),
@@ -39,17 +44,17 @@
     Refused,
 }
 
-struct Conn {
-    kind: Kind,
+struct Connection {
+    kind: ClientKind,
     /// When it last came to be idle.
-    since: Millis,
+    since: MonotonicMillis,
     /// Something that it asked for is being worked on.
     busy: bool,
 }
 
 /// What has been counted since the start, for the log and operators.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize)]
-pub struct Told {
+pub struct ConnectionStats {
     pub workers: usize,
     pub users: usize,
     pub strangers: usize,
@@ -63,23 +68,23 @@
     pub given_up: u64,
 }
 
-pub struct Doors<I> {
-    bounds: Bounds,
-    conns: HashMap<I, Conn>,
+pub struct ConnectionTable<I> {
+    bounds: ConnectionLimits,
+    conns: HashMap<I, Connection>,
     /// The idle ones of each kind, the longest idle first.
-    idle: [BTreeSet<(Millis, I)>; 4],
+    idle: [BTreeSet<(MonotonicMillis, I)>; 4],
     counts: [usize; 4],
-    told: Told,
+    stats: ConnectionStats,
 }
 
-impl<I: Copy + Ord + Hash> Doors<I> {
-    pub fn new(bounds: Bounds) -> Doors<I> {
-        Doors {
+impl<I: Copy + Ord + Hash> ConnectionTable<I> {
+    pub fn new(bounds: ConnectionLimits) -> ConnectionTable<I> {
+        ConnectionTable {
             bounds,
             conns: HashMap::new(),
             idle: Default::default(),
             counts: [0; 4],
-            told: Told::default(),
+            stats: ConnectionStats::default(),
         }
     }
 
@@ -91,21 +96,21 @@
         self.conns.is_empty()
     }
 
-    pub fn count(&self, kind: Kind) -> usize {
+    pub fn count(&self, kind: ClientKind) -> usize {
         self.counts[kind as usize]
     }
 
     /// As many of a kind are never let go of for others.
-    fn floor(&self, kind: Kind) -> usize {
+    fn floor(&self, kind: ClientKind) -> usize {
         match kind {
-            Kind::Stranger => 0,
-            Kind::Probe => self.bounds.probes,
-            Kind::User => self.bounds.users,
-            Kind::Worker => self.bounds.workers,
+            ClientKind::Unidentified => 0,
+            ClientKind::Probe => self.bounds.probes,
+            ClientKind::User => self.bounds.users,
+            ClientKind::Worker => self.bounds.workers,
         }
     }
 
-    fn longest_idle(&self, kind: Kind) -> Option<I> {
+    fn longest_idle(&self, kind: ClientKind) -> Option<I> {
         self.idle[kind as usize].first().map(|(_, id)| *id)
     }
 
@@ -114,43 +119,43 @@
     fn victim(&self) -> Option<I> {
         let above = KINDS
             .into_iter()
-            .filter(|k| *k != Kind::Stranger && !self.idle[*k as usize].is_empty())
+            .filter(|k| *k != ClientKind::Unidentified && !self.idle[*k as usize].is_empty())
             .map(|k| (self.count(k).saturating_sub(self.floor(k)), k))
             .filter(|(above, _)| *above > 0)
             .max();
         match above {
             Some((_, kind)) => self.longest_idle(kind),
-            None => self.longest_idle(Kind::Stranger),
+            None => self.longest_idle(ClientKind::Unidentified),
         }
     }
 
     /// A connection comes; whoever goes for it has left by this.
-    pub fn enter(&mut self, id: I, now: Millis) -> Entry<I> {
-        let crowd = self.count(Kind::Stranger) >= self.bounds.strangers;
+    pub fn enter(&mut self, id: I, now: MonotonicMillis) -> Admission<I> {
+        let crowd = self.count(ClientKind::Unidentified) >= self.bounds.strangers;
         let goes = if crowd {
             // Guards against connections that say nothing: they take one another's place only.
-            Some(self.longest_idle(Kind::Stranger))
+            Some(self.longest_idle(ClientKind::Unidentified))
         } else if self.len() >= self.bounds.most {
             Some(self.victim())
         } else {
             None
         };
         let entry = match goes {
-            None => Entry::In,
+            None => Admission::In,
             Some(Some(other)) => {
                 self.leaves(other);
-                self.told.let_go += 1;
-                Entry::InsteadOf(other)
+                self.stats.let_go += 1;
+                Admission::InsteadOf(other)
             }
             Some(None) => {
-                self.told.refused += 1;
-                return Entry::Refused;
+                self.stats.refused += 1;
+                return Admission::Refused;
             }
         };
-        self.counts[Kind::Stranger as usize] += 1;
-        self.idle[Kind::Stranger as usize].insert((now, id));
-        let conn = Conn {
-            kind: Kind::Stranger,
+        self.counts[ClientKind::Unidentified as usize] += 1;
+        self.idle[ClientKind::Unidentified as usize].insert((now, id));
+        let conn = Connection {
+            kind: ClientKind::Unidentified,
             since: now,
             busy: false,
         };
@@ -159,7 +164,7 @@
     }
 
     /// Something is asked on a connection.
-    pub fn asks(&mut self, id: I, kind: Kind) {
+    pub fn asks(&mut self, id: I, kind: ClientKind) {
         let Some(conn) = self.conns.get_mut(&id) else {
             return;
         };
@@ -172,14 +177,17 @@
     /// Whether the answer that follows should be the connection's last: it is a user's, and there is little
     /// room left. Users connect anew without harm, and go where there is more room.
     pub fn ends(&mut self, id: I) -> bool {
-        let user = self.conns.get(&id).is_some_and(|c| c.kind == Kind::User);
+        let user = self
+            .conns
+            .get(&id)
+            .is_some_and(|c| c.kind == ClientKind::User);
         let ends = user && self.len() >= self.bounds.pressed;
-        self.told.asked_anew += u64::from(ends);
+        self.stats.asked_anew += u64::from(ends);
         ends
     }
 
     /// What was asked for has been answered.
-    pub fn answered(&mut self, id: I, now: Millis) {
+    pub fn answered(&mut self, id: I, now: MonotonicMillis) {
         if let Some(conn) = self.conns.get_mut(&id).filter(|c| c.busy) {
             (conn.busy, conn.since) = (false, now);
             self.idle[conn.kind as usize].insert((now, id));
@@ -196,17 +204,17 @@
     /// Whether a request that has come in part only is given up on, with so many bytes of such underway.
     pub fn gives_up(&mut self, underway_bytes: usize) -> bool {
         let much = underway_bytes > self.bounds.underway_bytes;
-        self.told.given_up += u64::from(much);
+        self.stats.given_up += u64::from(much);
         much
     }
 
-    pub fn told(&self) -> Told {
-        Told {
-            workers: self.count(Kind::Worker),
-            users: self.count(Kind::User),
-            strangers: self.count(Kind::Stranger),
+    pub fn stats(&self) -> ConnectionStats {
+        ConnectionStats {
+            workers: self.count(ClientKind::Worker),
+            users: self.count(ClientKind::User),
+            strangers: self.count(ClientKind::Unidentified),
             most: self.bounds.most,
-            ..self.told
+            ..self.stats
         }
     }
 }
--- a/crates/doors/tests/doors.rs
+++ b/crates/connections/tests/connection_table.rs
@@ -1,13 +1,13 @@
 //! The doors against a plain model, for drawn orders of events, and the bounds for drawn means.
 
 use proptest::prelude::*;
-use snowshelf_doors::bounds::{Bounds, IDLE_BYTES, Means};
-use snowshelf_doors::doors::{Doors, Entry, Kind};
-use snowshelf_model::ids::Millis;
+use snowshelf_connections::limits::{ConnectionLimits, IDLE_BYTES, ProcessLimits};
+use snowshelf_connections::table::{Admission, ClientKind, ConnectionTable};
+use snowshelf_model::ids::MonotonicMillis;
 use std::collections::BTreeMap;
 
-fn bounds(most: usize) -> Bounds {
-    Bounds {
+fn bounds(most: usize) -> ConnectionLimits {
+    ConnectionLimits {
         most,
         workers: most / 2,
         users: most / 4,
@@ -22,16 +22,16 @@
 #[derive(Clone, Debug)]
 enum Event {
     Enter,
-    Asks(usize, Kind),
+    Asks(usize, ClientKind),
     Answered(usize),
     Leaves(usize),
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
+fn kind() -> impl Strategy<Value = ClientKind> {
     prop_oneof![
-        4 => Just(Kind::User),
-        4 => Just(Kind::Worker),
-        1 => Just(Kind::Probe),
+        4 => Just(ClientKind::User),
+        4 => Just(ClientKind::Worker),
+        1 => Just(ClientKind::Probe),
     ]
 }
 
@@ -45,9 +45,9 @@
 }
 
 /// The plain model of a connection: its kind, and whether it is being served.
-type Plain = BTreeMap<u32, (Kind, bool)>;
+type Plain = BTreeMap<u32, (ClientKind, bool)>;
 
-fn count(plain: &Plain, kind: Kind) -> usize {
+fn count(plain: &Plain, kind: ClientKind) -> usize {
     plain.values().filter(|(k, _)| *k == kind).count()
 }
 
@@ -60,41 +60,41 @@
         events in prop::collection::vec(event(), 0..400),
     ) {
         let bounds = bounds(most);
-        let mut doors: Doors<u32> = Doors::new(bounds);
+        let mut doors: ConnectionTable<u32> = ConnectionTable::new(bounds);
         let mut plain: Plain = BTreeMap::new();
         let pick = |plain: &Plain, at: usize| plain.keys().nth(at % plain.len().max(1)).copied();
         for (now, event) in events.into_iter().enumerate() {
-            let now = Millis(now as u64);
+            let now = MonotonicMillis(now as u64);
             match event {
                 Event::Enter => {
                     let id = now.0 as u32 + 1_000;
                     let before = plain.clone();
                     match doors.enter(id, now) {
-                        Entry::In => {
+                        Admission::In => {
                             prop_assert!(before.len() < most);
-                            plain.insert(id, (Kind::Stranger, false));
+                            plain.insert(id, (ClientKind::Unidentified, false));
                         }
-                        Entry::InsteadOf(other) => {
+                        Admission::InsteadOf(other) => {
                             let (kind, busy) = before[&other];
                             prop_assert!(!busy, "somebody who is being served was let go of");
                             let floor = match kind {
-                                Kind::Stranger => 0,
-                                Kind::Probe => bounds.probes,
-                                Kind::User => bounds.users,
-                                Kind::Worker => bounds.workers,
+                                ClientKind::Unidentified => 0,
+                                ClientKind::Probe => bounds.probes,
+                                ClientKind::User => bounds.users,
+                                ClientKind::Worker => bounds.workers,
                             };
                             prop_assert!(count(&before, kind) > floor, "{kind:?} below its floor");
                             plain.remove(&other);
-                            plain.insert(id, (Kind::Stranger, false));
+                            plain.insert(id, (ClientKind::Unidentified, false));
                         }
-                        Entry::Refused => {
+                        Admission::Refused => {
                             // Only if nobody who is idle may be let go of.
-                            let idle = |k: Kind| before.values().any(|(kind, busy)| *kind == k && !busy);
-                            prop_assert!(!idle(Kind::Stranger));
-                            if count(&before, Kind::Stranger) < bounds.strangers {
-                                let (users, workers) = (count(&before, Kind::User), count(&before, Kind::Worker));
-                                prop_assert!(users <= bounds.users || !idle(Kind::User));
-                                prop_assert!(workers <= bounds.workers || !idle(Kind::Worker));
+                            let idle = |k: ClientKind| before.values().any(|(kind, busy)| *kind == k && !busy);
+                            prop_assert!(!idle(ClientKind::Unidentified));
+                            if count(&before, ClientKind::Unidentified) < bounds.strangers {
+                                let (users, workers) = (count(&before, ClientKind::User), count(&before, ClientKind::Worker));
+                                prop_assert!(users <= bounds.users || !idle(ClientKind::User));
+                                prop_assert!(workers <= bounds.workers || !idle(ClientKind::Worker));
                             }
                         }
                     }
@@ -122,7 +122,7 @@
             }
             prop_assert!(doors.len() <= most);
             prop_assert_eq!(doors.len(), plain.len());
-            for kind in [Kind::Stranger, Kind::Probe, Kind::User, Kind::Worker] {
+            for kind in [ClientKind::Unidentified, ClientKind::Probe, ClientKind::User, ClientKind::Worker] {
                 prop_assert_eq!(doors.count(kind), count(&plain, kind));
             }
         }
@@ -134,7 +134,7 @@
         sockets in 32..20_000usize, mem_mb in 1..1_000usize, nodes in 1..64usize, own in 0..100usize,
     ) {
         let mem_bytes = mem_mb << 20;
-        let b = Bounds::of(Means { sockets, mem_bytes, nodes, own });
+        let b = ConnectionLimits::of(ProcessLimits { sockets, mem_bytes, nodes, own });
         let all = b.most + b.peers + nodes + own;
         prop_assert!(b.most == 16 || all < sockets, "{all} of {sockets}");
         prop_assert!(b.most == 16 || b.most * IDLE_BYTES + b.underway_bytes <= mem_bytes / 4);
@@ -146,16 +146,23 @@
 /// A flood of users cannot take workers' places, nor the other way round, and silent ones only each other's.
 #[test]
 fn floods_leave_the_others_their_floor() {
-    for (first, then) in [(Kind::Worker, Kind::User), (Kind::User, Kind::Worker)] {
+    for (first, then) in [
+        (ClientKind::Worker, ClientKind::User),
+        (ClientKind::User, ClientKind::Worker),
+    ] {
         let bounds = bounds(40);
-        let mut doors: Doors<u32> = Doors::new(bounds);
-        let mut come = |id: u32, kind: Option<Kind>| {
-            let entry = doors.enter(id, Millis(u64::from(id)));
-            if let Some(kind) = kind.filter(|_| entry != Entry::Refused) {
+        let mut doors: ConnectionTable<u32> = ConnectionTable::new(bounds);
+        let mut come = |id: u32, kind: Option<ClientKind>| {
+            let entry = doors.enter(id, MonotonicMillis(u64::from(id)));
+            if let Some(kind) = kind.filter(|_| entry != Admission::Refused) {
                 doors.asks(id, kind);
-                doors.answered(id, Millis(u64::from(id)));
+                doors.answered(id, MonotonicMillis(u64::from(id)));
             }
-            (entry, doors.count(Kind::Worker), doors.count(Kind::User))
+            (
+                entry,
+                doors.count(ClientKind::Worker),
+                doors.count(ClientKind::User),
+            )
         };
         // Alone, a kind may have everything.
         let (_, workers, users) = (0..40).map(|id| come(id, Some(first))).last().unwrap();
@@ -173,8 +180,8 @@
             "{workers}, {users}"
         );
         // And whoever comes then still gets in.
-        let (entry, ..) = come(1_000, Some(Kind::Probe));
-        assert!(matches!(entry, Entry::InsteadOf(_)), "{entry:?}");
+        let (entry, ..) = come(1_000, Some(ClientKind::Probe));
+        assert!(matches!(entry, Admission::InsteadOf(_)), "{entry:?}");
     }
 }
 
@@ -189,7 +196,7 @@
         (1_200, 72, 3, 624, 200),
     ] {
         let mem_bytes = mem_mb << 20;
-        let b = Bounds::of(Means {
+        let b = ConnectionLimits::of(ProcessLimits {
             sockets,
             mem_bytes,
             nodes,
--- a/crates/dag/src/plan.rs
+++ b/crates/dag/src/plan.rs
@@ -13,7 +13,7 @@
 
 /// Jobs of a run, and needs of all of them together, at the most.
 pub const MOST_JOBS: usize = 100_000;
-const MOST_NEEDS: usize = 400_000;
+const MAX_DEPENDENCIES: usize = 400_000;
 
 /// One job of a run, and what it was made from.
 #[derive(Clone, PartialEq, Debug)]
@@ -113,7 +113,7 @@
     // Where each step's copies stand.
     let mut copies_of: HashMap<&str, Vec<usize>> = HashMap::new();
     let mut ids: HashMap<JobId, usize> = HashMap::new();
-    let mut needs = 0;
+    let mut dependencies = 0;
     for step in order(graph).into_iter().map(|i| &graph.steps[i]) {
         let above = step.after.iter().filter_map(|a| copies_of.get(a.as_str()));
         let after: Vec<usize> = above.flatten().copied().collect();
@@ -129,7 +129,7 @@
                 .map(|(i, c)| (Some(i), c))
                 .collect(),
         };
-        needs += copies.len() * after.len();
+        dependencies += copies.len() * after.len();
         if plan.jobs.len() + copies.len() > MOST_JOBS {
             problems.add(
                 step.line,
@@ -138,8 +138,9 @@
             );
             break;
         }
-        if needs > MOST_NEEDS {
-            let what = format!("the run's jobs need one another in more than {MOST_NEEDS} ways");
+        if dependencies > MAX_DEPENDENCIES {
+            let what =
+                format!("the run's jobs need one another in more than {MAX_DEPENDENCIES} ways");
             problems.instead(step.line, &step.id, what, "put a step between two sweeps");
             break;
         }
@@ -211,7 +212,7 @@
 /// One copy's job, through the same reading as a user's submission.
 fn job(
     id: &JobId,
-    needs: &[JobId],
+    dependencies: &[JobId],
     fields: &JobFields,
     step: &Step,
     sweep: &BTreeMap<String, Value>,
@@ -271,7 +272,7 @@
         "MarcoS": amount("checkpoint_s", &fields.checkpoint_s, json!(0.0))?,
         "GuardaS": amount("save_s", &fields.save_s, json!(0.0))?,
         "PrazoS": amount("deadline_s", &fields.deadline_s, Value::Null)?,
-        "Aguarda": needs,
+        "Aguarda": dependencies,
     });
     parse_submission(body.to_string().as_bytes()).map_err(|e| e.to_string())
 }
--- a/crates/dag/tests/graphs.rs
+++ b/crates/dag/tests/graphs.rs
@@ -88,7 +88,7 @@
     for i in of("weigh") {
         let weigh = &plan.jobs[i];
         assert_eq!(
-            weigh.submission.needs,
+            weigh.submission.dependencies,
             std::slice::from_ref(&tally.submission.job)
         );
         assert_eq!(weigh.wave, 0);
@@ -102,11 +102,15 @@
     // What must wait however its steps above end is decided by the run, and what follows it too.
     let (sheet, mail) = (&plan.jobs[of("sheet")[0]], &plan.jobs[of("mail")[0]]);
     assert_eq!(
-        (sheet.wave, sheet.after.len(), sheet.submission.needs.len()),
+        (
+            sheet.wave,
+            sheet.after.len(),
+            sheet.submission.dependencies.len()
+        ),
         (1, 7, 0)
     );
     assert_eq!(
-        (mail.wave, &mail.submission.needs[..]),
+        (mail.wave, &mail.submission.dependencies[..]),
         (1, &[sheet.submission.job.clone()][..])
     );
     for job in &plan.jobs {
@@ -204,7 +208,7 @@
     let cpus: Vec<f64> = plan
         .jobs
         .iter()
-        .map(|j| j.submission.spec.room.cpus)
+        .map(|j| j.submission.spec.resources.cpus)
         .collect();
     assert_eq!(cpus, [1.0, 16.0]);
     assert_eq!(plan.jobs[1].submission.spec.image, "bash");
@@ -546,8 +550,8 @@
         for i in decision.submit {
             assert_eq!(seen[i], Seen::Not);
             // What it needs was submitted before.
-            let needs = &plan.jobs[i].submission.needs;
-            let aborted = needs.iter().any(|n| {
+            let dependencies = &plan.jobs[i].submission.dependencies;
+            let aborted = dependencies.iter().any(|n| {
                 let at = plan
                     .jobs
                     .iter()
@@ -564,7 +568,7 @@
         // Some job that may run ends, or fails for good.
         let ready = |i: &usize| {
             seen[*i] == Seen::Open
-                && plan.jobs[*i].submission.needs.iter().all(|n| {
+                && plan.jobs[*i].submission.dependencies.iter().all(|n| {
                     let at = plan
                         .jobs
                         .iter()
@@ -583,7 +587,7 @@
         }
         // Cancellations go down.
         for (i, job) in plan.jobs.iter().enumerate() {
-            let above = job.submission.needs.iter().any(|n| {
+            let above = job.submission.dependencies.iter().any(|n| {
                 let at = plan
                     .jobs
                     .iter()
@@ -772,13 +776,13 @@
                     let above: BTreeSet<usize> = step.after.iter().map(|a| place[a.as_str()]).collect();
                     prop_assert!(above.iter().all(|a| *a < i));
                     prop_assert_eq!(above, job.after.iter().copied().collect::<BTreeSet<_>>());
-                    for need in &job.submission.needs {
+                    for need in &job.submission.dependencies {
                         prop_assert!(job.after.iter().any(|a| plan.jobs[*a].submission.job == *need));
                     }
                     let wave = job.after.iter().map(|a| plan.jobs[*a].wave).max().unwrap_or(0);
                     let decided = step.trigger != Trigger::AllSuccess && !step.after.is_empty();
                     prop_assert_eq!(job.wave, wave + u32::from(decided));
-                    prop_assert_eq!(job.submission.needs.is_empty(), decided || step.after.is_empty());
+                    prop_assert_eq!(job.submission.dependencies.is_empty(), decided || step.after.is_empty());
                 }
             }
             Err(problems) => {
--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -9,7 +9,7 @@
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
-use snowshelf_model::ids::{JobId, MachineId, TaskNo, Version, WallMs};
+use snowshelf_model::ids::{JobId, MachineId, TaskIndex, Version, WallClockMillis};
 use std::fmt;
 
 /// How much of a team's work may be taken away on purpose.
@@ -88,7 +88,7 @@
     pub tasks: u32,
     /// These are the ones with this number or a higher one.
     #[serde(rename = "f")]
-    pub from: TaskNo,
+    pub from: TaskIndex,
     /// CPUs of each.
     #[serde(rename = "c")]
     pub cpus: f64,
@@ -100,7 +100,7 @@
 
 /// What was stopped up to some moment, as far as it had been seen by then.
 #[derive(Clone, Copy, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Past(pub WallMs, pub f64, pub u32);
+pub struct Past(pub WallClockMillis, pub f64, pub u32);
 
 /// A stretch is remembered in so many pieces: what falls out of it does so up to a piece late.
 const PIECES: u64 = 12;
@@ -165,7 +165,7 @@
 pub struct Ask {
     pub machine: MachineId,
     pub job: JobId,
-    pub there: Vec<TaskNo>,
+    pub there: Vec<TaskIndex>,
     /// The version of the share that has them there.
     pub version: Version,
     pub cpus: f64,
@@ -203,7 +203,7 @@
 /// stands started on a machine.
 pub struct Picture<'a> {
     pub seen: Version,
-    pub there: &'a dyn Fn(&MachineId, &JobId, TaskNo) -> bool,
+    pub there: &'a dyn Fn(&MachineId, &JobId, TaskIndex) -> bool,
     /// The version of the share that says so: an owner's own writes are known before the feed brings them.
     pub version: &'a dyn Fn(&MachineId, &JobId) -> Version,
 }
@@ -232,7 +232,7 @@
     /// What was stopped within a stretch of time before now, by any clock that is off by so much, or still
     /// may be: a charge counts until its end has been seen, and for a stretch from then on, as its tasks may
     /// have been stopped only then.
-    pub fn lately(&self, budget: &Budget, now: WallMs, skew_ms: u64) -> Amount {
+    pub fn lately(&self, budget: &Budget, now: WallClockMillis, skew_ms: u64) -> Amount {
         let from = now.0.saturating_sub(budget.stretch_ms() + 2 * skew_ms);
         let mut sum = Amount::default();
         for charge in &self.charges {
@@ -259,7 +259,7 @@
         ask: &Ask,
         facts: &Facts,
         picture: &Picture,
-        now: WallMs,
+        now: WallClockMillis,
         skew_ms: u64,
     ) -> Result<Ledger, Short> {
         let budget = self.budget(default);
@@ -345,11 +345,18 @@
         Ok(next)
     }
 
-    fn remember(&mut self, budget: &Budget, tasks: u32, cpus: f64, now: WallMs, skew_ms: u64) {
+    fn remember(
+        &mut self,
+        budget: &Budget,
+        tasks: u32,
+        cpus: f64,
+        now: WallClockMillis,
+        skew_ms: u64,
+    ) {
         let stretch_ms = budget.stretch_ms();
         let piece = (stretch_ms / PIECES).max(1);
         // A piece is as old as its last stop can be.
-        let until = WallMs((now.0 / piece + 1) * piece);
+        let until = WallClockMillis((now.0 / piece + 1) * piece);
         let oldest = now.0.saturating_sub(2 * stretch_ms + 4 * skew_ms);
         self.past.retain(|p| p.0.0 > oldest);
         match self.past.iter_mut().find(|p| p.0 == until) {
@@ -375,7 +382,7 @@
         default: &Budget,
         over: impl Fn(&Charge) -> bool,
         picture: &Picture,
-        now: WallMs,
+        now: WallClockMillis,
         skew_ms: u64,
     ) -> bool {
         let budget = self.budget(default);
--- a/crates/drain/src/entry.rs
+++ b/crates/drain/src/entry.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use snowshelf_calendar::entry::{Malformed, Name, shown};
-use snowshelf_model::ids::{MachineId, WallMs};
+use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::BTreeMap;
 
 /// Machines that a drain may name: its record is one small value.
@@ -135,7 +135,7 @@
     pub model: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spot: Option<bool>,
-    pub older_than: WallMs,
+    pub older_than: WallClockMillis,
 }
 
 /// How it is gone about.
@@ -152,7 +152,7 @@
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub any_zone: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub by: Option<WallMs>,
+    pub by: Option<WallClockMillis>,
     #[serde(default)]
     pub late: Late,
 }
@@ -204,7 +204,7 @@
     pub machines: Vec<MachineId>,
     pub stage: Stage,
     /// Since when it is at this stage.
-    pub since: WallMs,
+    pub since: WallClockMillis,
 }
 
 /// What a drain comes to, as of when it was worked out.
@@ -226,7 +226,7 @@
 pub struct Drain {
     pub which: Which,
     pub how: How,
-    pub asked: WallMs,
+    pub asked: WallClockMillis,
     pub state: State,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub step: Option<Step>,
@@ -244,17 +244,17 @@
     pub plan: Option<Plan>,
     /// When the last step was over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stepped: Option<WallMs>,
+    pub stepped: Option<WallClockMillis>,
     /// New machines are watched that were rented from here on.
-    pub watched: WallMs,
+    pub watched: WallClockMillis,
     /// Why it is halted, or was given up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
 }
 
-fn moment(field: &str, at: Timestamp) -> Result<WallMs, Malformed> {
+fn moment(field: &str, at: Timestamp) -> Result<WallClockMillis, Malformed> {
     let ms = u64::try_from(at.as_millisecond());
-    ms.map(WallMs).map_err(|_| Malformed {
+    ms.map(WallClockMillis).map_err(|_| Malformed {
         field: field.to_string(),
         why: "lies before 1970".to_string(),
     })
@@ -268,14 +268,14 @@
 }
 
 /// Reads a drain's request, asked for now.
-pub fn parse_drain(body: &[u8], now: WallMs) -> Result<(Name, Drain), Malformed> {
+pub fn parse_drain(body: &[u8], now: WallClockMillis) -> Result<(Name, Drain), Malformed> {
     let request: DrainRequest = snowshelf_calendar::entry::read(body)?;
     request.drain(now)
 }
 
 impl DrainRequest {
     /// The drain as it is kept when it is asked for now.
-    pub fn drain(&self, now: WallMs) -> Result<(Name, Drain), Malformed> {
+    pub fn drain(&self, now: WallClockMillis) -> Result<(Name, Drain), Malformed> {
         let name = Name::parse(&self.name).ok_or(malformed("name", "is no name"))?;
         let chosen = self.zone.is_some()
             || self.model.is_some()
@@ -365,7 +365,7 @@
 
     /// Paused, resumed or cancelled by an operator's word; `None` if that changes nothing, the reason
     /// if it cannot be.
-    pub fn told(&self, word: Word, now: WallMs) -> Result<Option<Drain>, &'static str> {
+    pub fn told(&self, word: Word, now: WallClockMillis) -> Result<Option<Drain>, &'static str> {
         let mut next = self.clone();
         match (word, self.state) {
             (Word::Cancel, State::Cancelled)
--- a/crates/drain/src/stepping.rs
+++ b/crates/drain/src/stepping.rs
@@ -2,7 +2,7 @@
 //! Every answer that changes something is the drain's next record.
 
 use crate::entry::{Drain, Late, MOST_AT_ONCE, Plan, Stage, State, Step, Then};
-use snowshelf_model::ids::{MachineId, WallMs};
+use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -12,7 +12,7 @@
     pub zone: String,
     pub model: String,
     pub spot: bool,
-    pub rented: WallMs,
+    pub rented: WallClockMillis,
     /// It is up, and some owner hears of it.
     pub up: bool,
     pub cpus: f64,
@@ -24,7 +24,7 @@
 
 /// What the leader sees.
 pub struct View<'a> {
-    pub now: WallMs,
+    pub now: WallClockMillis,
     /// All that the cloud lists and that are not returned.
     pub machines: &'a BTreeMap<MachineId, Seen>,
     /// Those that their owners say are empty, or have been returned a moment ago.
@@ -364,7 +364,7 @@
 /// Whether what takes a step's place has come up, or nothing is needed in its place: what was rented soon after
 /// it began counts for it, as its machines are no capacity any more from then on.
 fn brought(step: &Step, view: &View) -> Brought {
-    let until = WallMs(step.since.0 + PLANNED_MS);
+    let until = WallClockMillis(step.since.0 + PLANNED_MS);
     let new = || {
         let machines = view.machines.iter();
         machines.filter(move |(_, m)| step.since <= m.rented && m.rented <= until)
@@ -444,7 +444,7 @@
         return Next::Wait(Waits::Owners);
     }
     let now = view.now;
-    let proved = |at: WallMs| now.0 >= at.0 + drain.how.watch_ms;
+    let proved = |at: WallClockMillis| now.0 >= at.0 + drain.how.watch_ms;
     let canary = drain.steps == 1 && drain.how.canary > 0;
     if !late && canary && !drain.stepped.is_none_or(proved) {
         return Next::Wait(Waits::Watching);
--- a/crates/drain/tests/budget.rs
+++ b/crates/drain/tests/budget.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use snowshelf_drain::budget::{Amount, Ask, Budget, Facts, Ledger, Picture};
-use snowshelf_model::ids::{JobId, MachineId, TaskNo, Version, WallMs};
+use snowshelf_model::ids::{JobId, MachineId, TaskIndex, Version, WallClockMillis};
 use std::collections::BTreeMap;
 
 const PARTS: usize = 3;
@@ -43,13 +43,13 @@
 #[derive(Clone, Default)]
 struct Records {
     revision: u64,
-    started: BTreeMap<(usize, usize), Vec<TaskNo>>,
+    started: BTreeMap<(usize, usize), Vec<TaskIndex>>,
     /// By part and job.
     waiting: BTreeMap<(usize, usize), u32>,
 }
 
 impl Records {
-    fn there(&self, machine: usize, job: usize, from: TaskNo) -> bool {
+    fn there(&self, machine: usize, job: usize, from: TaskIndex) -> bool {
         let tasks = self.started.get(&(machine, job));
         tasks.is_some_and(|tasks| tasks.iter().any(|t| *t >= from))
     }
@@ -87,7 +87,7 @@
         revision,
         ..Records::default()
     };
-    for (number, task) in (0..).map(TaskNo).zip(tasks) {
+    for (number, task) in (0..).map(TaskIndex).zip(tasks) {
         match task.at {
             At::Runs(m) | At::Stopped(m) => {
                 let there = found.started.entry((m, task.job)).or_default();
@@ -166,7 +166,7 @@
                 Act::Wait(ms) => now += ms,
                 Act::Charge(which, job, old, skew) => {
                     // The ledger itself is the newest, or the write fails; what is on its own machine an owner knows.
-                    let there: Vec<(usize, Vec<TaskNo>)> = newest
+                    let there: Vec<(usize, Vec<TaskIndex>)> = newest
                         .started
                         .iter()
                         .filter(|((_, j), _)| *j == job)
@@ -197,7 +197,7 @@
                         standing: false,
                     };
                     let ask = Ask { machine: machine(at), job: job_id(job), there, version: Version(newest.revision), cpus: cpus(job), force: false };
-                    let wall = WallMs(now + skew - SKEW_MS);
+                    let wall = WallClockMillis(now + skew - SKEW_MS);
                     if let Ok(charged) = ledger.charge(&BUDGET, &ask, &facts, &picture, wall, SKEW_MS) {
                         ledger = charged;
                     }
@@ -208,7 +208,7 @@
                     }
                     let charge = &ledger.charges[which % ledger.charges.len()];
                     let (at, job) = (number(charge.machine.as_str()), number(charge.job.as_str()));
-                    for (number, task) in (0..).map(TaskNo).zip(&mut tasks) {
+                    for (number, task) in (0..).map(TaskIndex).zip(&mut tasks) {
                         if task.job == job && task.at == At::Runs(at) && number >= charge.from {
                             task.at = At::Stopped(at);
                             stops.push((now, cpus(job)));
@@ -257,7 +257,7 @@
 /// stopped that fits the budget by itself.
 #[test]
 fn a_budget_lets_something_pass() {
-    let look = |_: &MachineId, _: &JobId, _: TaskNo| true;
+    let look = |_: &MachineId, _: &JobId, _: TaskIndex| true;
     let picture = Picture {
         seen: Version(7),
         there: &look,
@@ -270,12 +270,12 @@
     let ask = |cpus: f64| Ask {
         machine: machine(0),
         job: job_id(0),
-        there: vec![TaskNo(0), TaskNo(1), TaskNo(2)],
+        there: vec![TaskIndex(0), TaskIndex(1), TaskIndex(2)],
         version: Version(7),
         cpus,
         force: false,
     };
-    let now = WallMs(1_000_000);
+    let now = WallClockMillis(1_000_000);
     let fresh = Ledger::default();
     let charged = fresh.charge(&BUDGET, &ask(12.0), &facts, &picture, now, 0);
     assert_eq!(charged.map(|l| l.charges[0].tasks), Ok(1));
@@ -287,7 +287,7 @@
 /// that, so that the picture has nothing of them on their machine.
 #[test]
 fn a_charge_stays_open_to_a_picture_from_before_its_tasks() {
-    let look = |_: &MachineId, _: &JobId, _: TaskNo| false;
+    let look = |_: &MachineId, _: &JobId, _: TaskIndex| false;
     let picture = |seen| Picture {
         seen: Version(seen),
         there: &look,
@@ -300,12 +300,12 @@
     let ask = Ask {
         machine: machine(0),
         job: job_id(0),
-        there: vec![TaskNo(0), TaskNo(1)],
+        there: vec![TaskIndex(0), TaskIndex(1)],
         version: Version(9),
         cpus: 1.0,
         force: false,
     };
-    let now = WallMs(1_000_000);
+    let now = WallClockMillis(1_000_000);
     let charged = Ledger::default().charge(&BUDGET, &ask, &facts, &picture(5), now, 0);
     let charged = charged.expect("within the budget");
     assert_eq!(charged.open(&picture(8)).tasks, 2);
--- a/crates/drain/tests/entry.rs
+++ b/crates/drain/tests/entry.rs
@@ -2,9 +2,9 @@
 
 use serde_json::{Value, json};
 use snowshelf_drain::entry::{Drain, Stage, State, Step, Word, parse_drain};
-use snowshelf_model::ids::{MachineId, WallMs};
+use snowshelf_model::ids::{MachineId, WallClockMillis};
 
-const NOW: WallMs = WallMs(1_800_000_000_000);
+const NOW: WallClockMillis = WallClockMillis(1_800_000_000_000);
 
 fn parse(body: &Value) -> Result<Drain, String> {
     let text = body.to_string();
@@ -52,7 +52,7 @@
     };
     let body = json!({"name": "d", "zone": "a", "then": "replace"});
     let first = read(&body, NOW);
-    let again = read(&body, WallMs(NOW.0 + 60_000));
+    let again = read(&body, WallClockMillis(NOW.0 + 60_000));
     assert!(first.answers(&again) && again.answers(&first));
     let mut other = body.clone();
     other["zone"] = json!("b");
--- a/crates/drain/tests/stepping.rs
+++ b/crates/drain/tests/stepping.rs
@@ -5,12 +5,12 @@
 use serde_json::json;
 use snowshelf_drain::entry::{Drain, Stage, State, Word, parse_drain};
 use snowshelf_drain::stepping::{Next, Seen, View, Waits, next};
-use snowshelf_model::ids::{MachineId, WallMs};
+use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn drain(body: serde_json::Value, now: u64) -> Drain {
     let body = body.to_string();
-    parse_drain(body.as_bytes(), WallMs(now))
+    parse_drain(body.as_bytes(), WallClockMillis(now))
         .expect("a sound drain")
         .1
 }
@@ -21,7 +21,7 @@
             zone: ["a", "b", "c"][*zone].to_string(),
             model: "s".to_string(),
             spot: i % 2 == 0,
-            rented: WallMs(rented),
+            rented: WallClockMillis(rented),
             up: true,
             cpus: 8.0,
             busy: (i % 5) as f64,
@@ -44,7 +44,7 @@
     fn next(&self, drain: &Drain) -> Next {
         let none = BTreeSet::new();
         let view = View {
-            now: WallMs(self.now),
+            now: WallClockMillis(self.now),
             machines: &self.machines,
             empty: &none,
             sick: &self.sick,
@@ -149,7 +149,7 @@
         assert_eq!((step.stage, step.machines.len()), (Stage::Bringing, 1));
         let new = MachineId::new("n-100000");
         let mut seen = look.machines.values().next().cloned().expect("a machine");
-        seen.rented = WallMs(look.now + 1_000);
+        seen.rented = WallClockMillis(look.now + 1_000);
         seen.up = sick;
         look.machines.insert(new.clone(), seen);
         look.now += 15_000;
@@ -181,7 +181,7 @@
         assert_eq!(look.next(&halted), Next::Wait(Waits::Word));
         look.now += 1_000;
         let resumed = halted
-            .told(Word::Resume, WallMs(look.now))
+            .told(Word::Resume, WallClockMillis(look.now))
             .expect("lawful")
             .expect("a change");
         assert!(written(look.next(&resumed)).step.is_some());
--- a/crates/policy/src/holding.rs
+++ b/crates/fair-share/src/backfill.rs
@@ -1,6 +1,6 @@
 //! Room held for a job that finds none: what large tasks need is only there if small ones leave it alone for a while.
 
-use snowshelf_model::records::Room;
+use snowshelf_model::records::Resources;
 
 /// A job of which nothing is on a machine after so long gets room held, in milliseconds. The users want every job to have
 /// begun within four minutes: that leaves time for tasks that have to end first, and for a second try elsewhere.
@@ -19,14 +19,14 @@
 
 /// A machine that may be held.
 #[derive(Clone, Copy, Debug)]
-pub struct Holdable {
-    pub free: Room,
+pub struct BackfillCandidate {
+    pub free: Resources,
     /// What will be free once all that ends by itself has ended.
-    pub in_time: Room,
+    pub in_time: Resources,
 }
 
 /// How much of what a task needs is free: the share of whatever is shortest, 1 at most.
-pub fn covered(task: Room, free: Room) -> f64 {
+pub fn covered(task: Resources, free: Resources) -> f64 {
     let share = |need: f64, free: f64| match need > 0.0 {
         true => (free / need).clamp(0.0, 1.0),
         false => 1.0,
@@ -37,7 +37,10 @@
 }
 
 /// Which of these machines is nearest to having room for a task, the first of equals; none if none ever has.
-pub fn nearest(task: Room, machines: impl Iterator<Item = Holdable>) -> Option<usize> {
+pub fn nearest(
+    task: Resources,
+    machines: impl Iterator<Item = BackfillCandidate>,
+) -> Option<usize> {
     let fit = machines
         .enumerate()
         .filter(|(_, m)| task.fits_in(m.in_time));
--- a/crates/policy/src/grants.rs
+++ b/crates/fair-share/src/grants.rs
@@ -1,21 +1,21 @@
 //! How a part asks for its share of a team's limit.
 
-use snowshelf_model::ids::PartId;
+use snowshelf_model::ids::ShardId;
 use snowshelf_model::records::{Grant, QuotaRecord};
 
 /// What a part lacks of a team's limit: for all that it could start, and for the smallest task of these.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Lack {
+pub struct QuotaShortfall {
     pub all: Grant,
     pub task: Grant,
 }
 
 /// A part's standing with a team.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Standing {
-    pub part: PartId,
+pub struct ShardDemand {
+    pub shard_id: ShardId,
     pub used: Grant,
-    pub lack: Option<Lack>,
+    pub lack: Option<QuotaShortfall>,
     /// Its share of the limit by demand, where another part lacks, too.
     pub even: Option<Grant>,
     /// Grants go up by this much at the least: every move is a write.
@@ -33,9 +33,10 @@
 /// The grants as a part would have them: what it lacks, and its share by demand where others lack, too. One that cannot
 /// have enough for a task keeps nothing beyond what it uses: guards against parts of which each has less than a task,
 /// and which all together start nothing.
-pub fn moved(record: &QuotaRecord, s: &Standing) -> QuotaRecord {
-    let held = record.grants.get(&s.part).copied().unwrap_or_default();
-    let wanted = |lack: Lack| each(s.used, each(lack.all, s.step, f64::max), |a, b| a + b);
+pub fn regrant_fairly(record: &QuotaRecord, s: &ShardDemand) -> QuotaRecord {
+    let held = record.grants.get(&s.shard_id).copied().unwrap_or_default();
+    let wanted =
+        |lack: QuotaShortfall| each(s.used, each(lack.all, s.step, f64::max), |a, b| a + b);
     let wish = match (s.even, s.lack) {
         (None, None) => held,
         (None, Some(lack)) => wanted(lack),
@@ -47,13 +48,13 @@
             each(s.used, each(fair, wanted(lack), f64::min), f64::max)
         }
     };
-    let next = record.regrant(s.part, wish, s.used, s.limit);
+    let next = record.regrant(s.shard_id, wish, s.used, s.limit);
     let Some(lack) = s.lack.filter(|_| s.even.is_some()) else {
         return next;
     };
-    let granted = next.grants.get(&s.part).copied().unwrap_or_default();
+    let granted = next.grants.get(&s.shard_id).copied().unwrap_or_default();
     match granted.covers(each(s.used, lack.task, |a, b| a + b)) {
         true => next,
-        false => record.regrant(s.part, s.used, s.used, s.limit),
+        false => record.regrant(s.shard_id, s.used, s.used, s.limit),
     }
 }
--- a/crates/policy/tests/holding.rs
+++ b/crates/fair-share/tests/backfill.rs
@@ -1,22 +1,22 @@
 //! Which machine is held for a task that finds no room.
 
 use proptest::prelude::*;
-use snowshelf_model::records::Room;
-use snowshelf_policy::holding::{Holdable, covered, most, nearest};
+use snowshelf_fair_share::backfill::{BackfillCandidate, covered, most, nearest};
+use snowshelf_model::records::Resources;
 
-fn room(most: f64) -> impl Strategy<Value = Room> {
-    (0.0..most, 0.0..most).prop_map(|(cpus, mem)| Room {
+fn room(most: f64) -> impl Strategy<Value = Resources> {
+    (0.0..most, 0.0..most).prop_map(|(cpus, mem)| Resources {
         cpus,
         gpus: 0.0,
         mem,
     })
 }
 
-fn machine() -> impl Strategy<Value = Holdable> {
+fn machine() -> impl Strategy<Value = BackfillCandidate> {
     (room(16.0), room(16.0)).prop_map(|(free, more)| {
         let mut in_time = free;
         in_time.add(more);
-        Holdable { free, in_time }
+        BackfillCandidate { free, in_time }
     })
 }
 
--- a/crates/policy/tests/grants.rs
+++ b/crates/fair-share/tests/grants.rs
@@ -1,9 +1,9 @@
 //! Parts that share a team's limit.
 
 use proptest::prelude::*;
-use snowshelf_model::ids::PartId;
+use snowshelf_fair_share::grants::{QuotaShortfall, ShardDemand, regrant_fairly};
+use snowshelf_model::ids::ShardId;
 use snowshelf_model::records::{Grant, QuotaRecord};
-use snowshelf_policy::grants::{Lack, Standing, moved};
 
 fn cpus(cpus: f64) -> Grant {
     Grant { cpus, gpus: 0.0 }
@@ -24,19 +24,19 @@
         let demand: u32 = parts.iter().map(|p| p.1).sum::<u32>() + 10 * busy;
         // One part is full and lacks nothing; the others have divided the rest somehow.
         let mut record = QuotaRecord::default();
-        record.grants.insert(PartId(0), cpus(f64::from(busy)));
+        record.grants.insert(ShardId(0), cpus(f64::from(busy)));
         let mut left = limit - f64::from(busy);
         for (n, (_, _, eighths)) in parts.iter().enumerate() {
             let has = (f64::from(*eighths) / 8.0).min(left);
             left -= has;
-            record.grants.insert(PartId(n as u32 + 1), cpus(has));
+            record.grants.insert(ShardId(n as u32 + 1), cpus(has));
         }
         let standing = |n: usize| {
             let (task, demanded, _) = parts[n];
-            Standing {
-                part: PartId(n as u32 + 1),
+            ShardDemand {
+                shard_id: ShardId(n as u32 + 1),
                 used: Grant::default(),
-                lack: Some(Lack {
+                lack: Some(QuotaShortfall {
                     all: cpus(f64::from(demanded.max(task))),
                     task: cpus(f64::from(task)),
                 }),
@@ -47,12 +47,12 @@
         };
         let order = turns.iter().map(|t| t.index(parts.len()));
         for n in order.chain(0..parts.len()).chain(0..parts.len()) {
-            record = moved(&record, &standing(n));
+            record = regrant_fairly(&record, &standing(n));
             prop_assert!(record.granted().cpus <= limit + 1e-6);
-            prop_assert_eq!(record.grants[&PartId(0)], cpus(f64::from(busy)));
+            prop_assert_eq!(record.grants[&ShardId(0)], cpus(f64::from(busy)));
         }
         let starts = |(n, p): (usize, &(u32, u32, u32))| {
-            record.grants[&PartId(n as u32 + 1)].cpus + 1e-6 >= f64::from(p.0)
+            record.grants[&ShardId(n as u32 + 1)].cpus + 1e-6 >= f64::from(p.0)
         };
         prop_assert!(parts.iter().enumerate().any(starts), "{record:?}");
     }
--- a/crates/policy/tests/shortage.rs
+++ b/crates/fair-share/tests/shortage.rs
@@ -1,7 +1,7 @@
 //! Properties of the order under shortage, and what it is for, on a plain machine.
 
 use proptest::prelude::*;
-use snowshelf_policy::shortage::Shortage;
+use snowshelf_fair_share::shortage::Shortage;
 
 fn job() -> impl Strategy<Value = (bool, f64)> {
     (any::<bool>(), 0.0..10_000.0f64)
--- a/crates/seating/src/fruitless.rs
+++ b/crates/machine-index/src/unplaceable.rs
@@ -1,21 +1,21 @@
 //! What has found no machine in this pass: room only shrinks within it, so that tasks of the same size,
 //! with the same machines open to them, need not look again.
 
-use crate::rooms::Allowed;
-use snowshelf_model::records::Room;
+use crate::capacity_index::AllowedClasses;
+use snowshelf_model::records::Resources;
 use std::collections::HashSet;
 
 /// Tasks that find the same machines.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Shape {
     room: [u64; 3],
-    allowed: Allowed,
+    allowed: AllowedClasses,
     /// Only machines that have this image, or are fetching it, count.
     image: Option<u32>,
 }
 
 impl Shape {
-    pub fn new(room: Room, allowed: Allowed, image: Option<u32>) -> Shape {
+    pub fn new(room: Resources, allowed: AllowedClasses, image: Option<u32>) -> Shape {
         let room = [room.cpus, room.gpus, room.mem].map(f64::to_bits);
         Shape {
             room,
@@ -26,9 +26,9 @@
 }
 
 #[derive(Default, Debug)]
-pub struct Fruitless(HashSet<Shape>);
+pub struct UnplaceableShapes(HashSet<Shape>);
 
-impl Fruitless {
+impl UnplaceableShapes {
     pub fn is(&self, shape: &Shape) -> bool {
         self.0.contains(shape)
     }
--- a/crates/seating/tests/model.rs
+++ b/crates/machine-index/tests/capacity_index.rs
@@ -1,24 +1,24 @@
 //! Rooms in groups against a plain scan of all machines, for drawn machines, jobs and orders of events.
 
 use proptest::prelude::*;
-use snowshelf_model::records::Room;
-use snowshelf_seating::fruitless::{Fruitless, Shape};
-use snowshelf_seating::rooms::Rooms;
+use snowshelf_machine_index::capacity_index::CapacityIndex;
+use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
+use snowshelf_model::records::Resources;
 
 /// A machine of the plain model: its sort, what is free, the images it has or fetches.
 #[derive(Clone, Debug)]
 struct Plain {
     sort: u8,
-    free: Room,
+    free: Resources,
     images: Vec<u32>,
 }
 
 /// A job that looks for room: the sorts it may use, its task, its image, whether it wants that there,
 /// how many tasks it starts, and a machine that it is barred from.
-type Look = (Vec<bool>, Room, u32, bool, usize, Option<usize>);
+type Look = (Vec<bool>, Resources, u32, bool, usize, Option<usize>);
 
-fn room(most: u32) -> impl Strategy<Value = Room> {
-    (0..=most, 0..2u32, 0..=most).prop_map(|(cpus, gpus, mem)| Room {
+fn room(most: u32) -> impl Strategy<Value = Resources> {
+    (0..=most, 0..2u32, 0..=most).prop_map(|(cpus, gpus, mem)| Resources {
         cpus: f64::from(cpus) / 2.0,
         gpus: f64::from(gpus),
         mem: f64::from(mem),
@@ -51,11 +51,11 @@
         looks in prop::collection::vec(look(), 0..60),
     ) {
         let mut plain = machines.clone();
-        let mut rooms: Rooms<u8, Vec<u32>> = Rooms::default();
+        let mut capacity_index: CapacityIndex<u8, Vec<u32>> = CapacityIndex::default();
         for m in machines {
-            rooms.push(|k| *k == m.sort, || m.sort, m.free, m.images);
+            capacity_index.push(|k| *k == m.sort, || m.sort, m.free, m.images);
         }
-        let mut fruitless = Fruitless::default();
+        let mut unplaceable = UnplaceableShapes::default();
         for (sorts, task, image, needs_image, tasks, barred) in looks {
             let expected: Vec<usize> = (0..plain.len())
                 .filter(|at| {
@@ -65,28 +65,28 @@
                     allowed && there && task.fits_in(m.free)
                 })
                 .collect();
-            let allowed = rooms.allowed(|sort| sorts[usize::from(*sort)]);
+            let allowed = capacity_index.allowed(|sort| sorts[usize::from(*sort)]);
             let shape = Shape::new(task, allowed.clone(), needs_image.then_some(image));
-            if allowed.none() || fruitless.is(&shape) {
+            if allowed.none() || unplaceable.is(&shape) {
                 prop_assert!(expected.is_empty(), "missed {expected:?}");
                 continue;
             }
-            let mut found = rooms.fitting(task, &allowed);
+            let mut found = capacity_index.fitting(task, &allowed);
             found.retain(|at| {
-                let there = rooms.entries()[*at].what.contains(&image);
+                let there = capacity_index.entries()[*at].what.contains(&image);
                 barred != Some(*at) && (!needs_image || there)
             });
             prop_assert_eq!(&found, &expected);
             if found.is_empty() && barred.is_none() {
-                fruitless.note(shape);
+                unplaceable.note(shape);
             }
             for at in found.into_iter().take(tasks) {
-                rooms.take(at, task);
+                capacity_index.take(at, task);
                 plain[at].free.sub(task);
                 if !plain[at].images.contains(&image) {
                     plain[at].images.push(image);
-                    rooms.entry(at).push(image);
-                    fruitless.comes(image);
+                    capacity_index.entry(at).push(image);
+                    unplaceable.comes(image);
                 }
             }
         }
@@ -98,17 +98,17 @@
         machines in prop::collection::vec(machine(), 0..20),
         image in 0..4u32,
     ) {
-        let mut rooms: Rooms<u8, Vec<u32>> = Rooms::default();
+        let mut capacity_index: CapacityIndex<u8, Vec<u32>> = CapacityIndex::default();
         let mut expected: Vec<(u8, bool)> = Vec::new();
         for m in machines {
             expected.push((m.sort, m.images.contains(&image)));
-            rooms.push(|k| *k == m.sort, || m.sort, m.free, m.images);
+            capacity_index.push(|k| *k == m.sort, || m.sort, m.free, m.images);
         }
-        let all = rooms.allowed(|_| true);
-        let sizes: Vec<(u8, usize)> = rooms.sizes(&all).map(|(k, n)| (*k, n)).collect();
-        let listed: Vec<(u8, usize)> = rooms.groups().map(|(k, m)| (*k, m.count())).collect();
+        let all = capacity_index.allowed(|_| true);
+        let sizes: Vec<(u8, usize)> = capacity_index.sizes(&all).map(|(k, n)| (*k, n)).collect();
+        let listed: Vec<(u8, usize)> = capacity_index.groups().map(|(k, m)| (*k, m.count())).collect();
         prop_assert_eq!(listed, sizes);
-        let found = rooms.groups().flat_map(|(k, m)| m.map(|e| (*k, e.what.contains(&image))));
+        let found = capacity_index.groups().flat_map(|(k, m)| m.map(|e| (*k, e.what.contains(&image))));
         let mut found: Vec<(u8, bool)> = found.collect();
         found.sort_unstable();
         expected.sort_unstable();
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -67,12 +67,12 @@
 
 number_type!(
     /// The number of a part of the fleet.
-    PartId,
+    ShardId,
     u32
 );
 number_type!(
     /// Who may command a part: the version at which `part/<p>` was taken.
-    Token,
+    FencingToken,
     u64
 );
 number_type!(
@@ -82,7 +82,7 @@
 );
 number_type!(
     /// The number of a task inside its job.
-    TaskNo,
+    TaskIndex,
     u32
 );
 number_type!(
@@ -92,7 +92,7 @@
 );
 number_type!(
     /// A worker's session; a new one means that all earlier tasks are gone.
-    Session,
+    AgentIncarnation,
     u64
 );
 number_type!(
@@ -102,7 +102,7 @@
 );
 number_type!(
     /// A user's or worker's request that waits for its answer.
-    ConnId,
+    ConnectionId,
     u64
 );
 number_type!(
@@ -113,15 +113,15 @@
 
 /// A point on this process's steady clock, in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
-pub struct Millis(pub u64);
+pub struct MonotonicMillis(pub u64);
 
-impl Millis {
+impl MonotonicMillis {
     /// The time that has passed since `earlier`, zero if that lies ahead.
-    pub fn since(self, earlier: Millis) -> u64 {
+    pub fn since(self, earlier: MonotonicMillis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
-    pub fn plus(self, ms: u64) -> Millis {
-        Millis(self.0.saturating_add(ms))
+    pub fn plus(self, ms: u64) -> MonotonicMillis {
+        MonotonicMillis(self.0.saturating_add(ms))
     }
 }
 
@@ -130,7 +130,7 @@
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct WallMs(pub u64);
+pub struct WallClockMillis(pub u64);
 
 /// Turns seconds from outside into milliseconds; never panics, never negative.
 pub fn seconds_to_ms(seconds: f64) -> u64 {
@@ -143,7 +143,7 @@
 
 /// Whether a name chosen by users is sound: 1 to 64 letters, digits and `marks`, a letter or digit first.
 /// Keys of the state service are made of such names.
-pub fn is_word(text: &str, marks: &[u8]) -> bool {
+pub fn is_valid_name(text: &str, marks: &[u8]) -> bool {
     (1..=64).contains(&text.len())
         && text
             .bytes()
@@ -152,7 +152,7 @@
 }
 
 /// The part that a machine belongs to: FNV-1a of its name.
-pub fn part_of(machine: &str, parts: u32) -> PartId {
+pub fn shard_of(machine: &str, shard_count: u32) -> ShardId {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in machine.bytes() {
         hash ^= u64::from(byte);
@@ -160,11 +160,11 @@
     }
     // The low bits of neighbouring names fall into few classes: fold the high ones in.
     hash ^= hash >> 29;
-    PartId((hash % u64::from(parts.max(1))) as u32)
+    ShardId((hash % u64::from(shard_count.max(1))) as u32)
 }
 
 number_type!(
     /// The number of a worker's report inside its session.
-    Seq,
+    HeartbeatSequence,
     u64
 );
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,4 +4,4 @@
 pub mod ids;
 pub mod protocol;
 pub mod records;
-pub mod spans;
+pub mod task_ranges;
--- a/crates/model/src/protocol/cloud.rs
+++ b/crates/model/src/protocol/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud: machine types, renting, returning, listing.
 
 use crate::ids::MachineId;
-use crate::records::Room;
+use crate::records::Resources;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -36,8 +36,8 @@
 }
 
 impl MachineType {
-    pub fn room(&self) -> Room {
-        Room {
+    pub fn room(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             mem: self.mem,
--- a/crates/model/src/protocol/peer.rs
+++ b/crates/model/src/protocol/peer.rs
@@ -7,16 +7,16 @@
 /// A message that is no hint. Its fields have numbers that hints never use: a controller of an earlier version
 /// reads it as a hint of nobody, and does not answer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Proof {
+pub struct PeerMessage {
     #[prost(message, optional, tag = "101")]
-    pub request: Option<AttestationRequest>,
+    pub request: Option<ConfirmationRequest>,
     #[prost(message, optional, tag = "102")]
-    pub attestation: Option<Attestation>,
+    pub attestation: Option<Confirmation>,
 }
 
 /// Asks which jobs were confirmed as cancelled to users lately.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct AttestationRequest {
+pub struct ConfirmationRequest {
     /// Who asks, in which life, and for which time.
     #[prost(string, tag = "1")]
     pub member: String,
@@ -31,7 +31,7 @@
 
 /// Says which those are.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Attestation {
+pub struct Confirmation {
     /// Who says it, and in which life.
     #[prost(string, tag = "1")]
     pub member: String,
@@ -51,7 +51,7 @@
 
 /// What a controller tells the others a few times a second.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Hint {
+pub struct PeerStatus {
     #[prost(string, tag = "1")]
     pub member: String,
     /// How long ago the state service last served this controller.
@@ -61,7 +61,7 @@
     #[prost(uint64, tag = "3")]
     pub up_ms: u64,
     #[prost(message, repeated, tag = "4")]
-    pub parts: Vec<PartHint>,
+    pub shards: Vec<ShardStatus>,
     /// Teams that this controller could start more of, had it more of their limit.
     #[prost(string, repeated, tag = "5")]
     pub short_of: Vec<String>,
@@ -76,15 +76,15 @@
     pub deaf: bool,
     /// Parts of others whose machines came here lately.
     #[prost(message, repeated, tag = "9")]
-    pub strangers: Vec<StrangersHint>,
+    pub strangers: Vec<ForeignHeartbeats>,
     /// What each drain waits for, said by the leader.
     #[prost(message, repeated, tag = "10")]
-    pub waits: Vec<WaitsHint>,
+    pub waits: Vec<DrainProgress>,
 }
 
 /// What a drain waits for, in words.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct WaitsHint {
+pub struct DrainProgress {
     #[prost(string, tag = "1")]
     pub drain: String,
     #[prost(string, tag = "2")]
@@ -96,18 +96,18 @@
 
 /// How many of a part's machines reported lately to a controller that does not own it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct StrangersHint {
+pub struct ForeignHeartbeats {
     #[prost(uint32, tag = "1")]
-    pub part: u32,
+    pub shard_id: u32,
     #[prost(uint32, tag = "2")]
     pub machines: u32,
 }
 
 /// What an owner says of its part.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PartHint {
+pub struct ShardStatus {
     #[prost(uint32, tag = "1")]
-    pub part: u32,
+    pub shard_id: u32,
     #[prost(double, tag = "2")]
     pub free_cpus: f64,
     #[prost(double, tag = "3")]
@@ -118,13 +118,13 @@
     pub capacity_cpus: f64,
     /// Its machines by zone and type; said only while something is reserved.
     #[prost(message, repeated, tag = "6")]
-    pub pools: Vec<PoolHint>,
+    pub pools: Vec<PoolSize>,
     /// What is kept for teams; not counted in `free_cpus`.
     #[prost(message, repeated, tag = "7")]
-    pub kept: Vec<KeptHint>,
+    pub kept: Vec<ReservedCpus>,
     /// Jobs of graphs' runs that fail there.
     #[prost(message, repeated, tag = "8")]
-    pub failing: Vec<FailingHint>,
+    pub failing: Vec<FailingJob>,
     /// Machines that a drain keeps empty and that are; said, as what follows, only while there are drains.
     #[prost(string, repeated, tag = "9")]
     pub empty: Vec<String>,
@@ -136,10 +136,10 @@
     pub held: Vec<String>,
     /// Tasks on machines that are silent or about to be taken.
     #[prost(message, repeated, tag = "12")]
-    pub lost: Vec<LostHint>,
+    pub lost: Vec<LostTasks>,
     /// Tasks that were tried before and run again.
     #[prost(message, repeated, tag = "13")]
-    pub again: Vec<AgainHint>,
+    pub again: Vec<RestartedTasks>,
     /// Jobs that wait there and that none of its machines could run, those that came first.
     #[prost(string, repeated, tag = "14")]
     pub stranded: Vec<String>,
@@ -150,7 +150,7 @@
 
 /// How many of a job's tasks that were tried before have been seen to run again.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct AgainHint {
+pub struct RestartedTasks {
     #[prost(string, tag = "1")]
     pub job: String,
     #[prost(uint32, tag = "2")]
@@ -159,7 +159,7 @@
 
 /// A team's tasks on machines that are silent or about to be taken.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct LostHint {
+pub struct LostTasks {
     #[prost(string, tag = "1")]
     pub team: String,
     #[prost(double, tag = "2")]
@@ -170,7 +170,7 @@
 
 /// How often the worst task of a job has failed.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct FailingHint {
+pub struct FailingJob {
     #[prost(string, tag = "1")]
     pub job: String,
     #[prost(uint32, tag = "2")]
@@ -179,7 +179,7 @@
 
 /// How many machines of a zone and type a part has.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct PoolHint {
+pub struct PoolSize {
     #[prost(string, tag = "1")]
     pub zone: String,
     #[prost(string, tag = "2")]
@@ -192,7 +192,7 @@
 
 /// CPUs of a part that are kept for a team's reservations and not used by the team.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct KeptHint {
+pub struct ReservedCpus {
     #[prost(string, tag = "1")]
     pub team: String,
     #[prost(double, tag = "2")]
--- a/crates/model/src/protocol/state.rs
+++ b/crates/model/src/protocol/state.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Condition {
+pub struct Comparison {
     #[serde(rename = "Path")]
     pub key: String,
     #[serde(rename = "Colheita")]
@@ -14,8 +14,8 @@
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(untagged)]
-pub enum Change {
-    Write {
+pub enum Mutation {
+    Put {
         #[serde(rename = "Write")]
         key: String,
         #[serde(rename = "Value")]
@@ -29,9 +29,9 @@
     },
 }
 
-impl Change {
-    pub fn write<T: Serialize>(key: String, value: &T) -> Change {
-        Change::Write {
+impl Mutation {
+    pub fn put<T: Serialize>(key: String, value: &T) -> Mutation {
+        Mutation::Put {
             key,
             value: serde_json::to_value(value).unwrap_or(Value::Null),
             lease: None,
@@ -39,44 +39,44 @@
     }
     pub fn key(&self) -> &str {
         match self {
-            Change::Write { key, .. } | Change::Delete { key } => key,
+            Mutation::Put { key, .. } | Mutation::Delete { key } => key,
         }
     }
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq, Default)]
-pub struct Txn {
+pub struct CompareAndSwap {
     #[serde(rename = "If")]
-    pub conditions: Vec<Condition>,
+    pub comparisons: Vec<Comparison>,
     /// Without any, the transaction only compares.
     #[serde(rename = "Apply", skip_serializing_if = "Vec::is_empty")]
-    pub changes: Vec<Change>,
+    pub mutations: Vec<Mutation>,
 }
 
-impl Txn {
-    pub fn when(mut self, key: String, version: Version) -> Txn {
-        self.conditions.push(Condition { key, version });
+impl CompareAndSwap {
+    pub fn compare(mut self, key: String, version: Version) -> CompareAndSwap {
+        self.comparisons.push(Comparison { key, version });
         self
     }
-    pub fn then(mut self, change: Change) -> Txn {
-        self.changes.push(change);
+    pub fn mutate(mut self, change: Mutation) -> CompareAndSwap {
+        self.mutations.push(change);
         self
     }
 }
 
 #[derive(Debug, Deserialize)]
-pub struct TxnOk {
+pub struct SwapApplied {
     #[serde(rename = "Safra")]
     pub revision: Version,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct TxnFailed {
+pub struct SwapConflict {
     pub failed: Vec<String>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     #[serde(rename = "Path")]
     pub key: String,
     #[serde(rename = "Value")]
@@ -86,15 +86,15 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Missing {
+pub struct KeyNotFound {
     #[serde(rename = "Safra")]
     pub revision: Version,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Page {
+pub struct RangePage {
     #[serde(rename = "Items")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     #[serde(rename = "More", default)]
     pub more: bool,
     #[serde(rename = "Safra")]
@@ -102,17 +102,17 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Changes {
+pub struct WatchEvents {
     #[serde(rename = "Safra")]
     pub revision: Version,
     #[serde(rename = "Log")]
-    pub log: Vec<Logged>,
+    pub log: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Deserialize)]
-pub struct Logged {
+pub struct WatchEvent {
     #[serde(rename = "Write", default)]
-    pub write: Option<String>,
+    pub put: Option<String>,
     #[serde(rename = "Delete", default)]
     pub delete: Option<String>,
     #[serde(rename = "Value", default)]
@@ -122,7 +122,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     #[serde(rename = "Arrendo")]
     pub lease: LeaseId,
 }
--- a/crates/model/src/protocol/user.rs
+++ b/crates/model/src/protocol/user.rs
@@ -1,7 +1,7 @@
 //! Users: submit, read and cancel jobs.
 
 use crate::ids::{JobId, Team};
-use crate::records::{JobSpec, JobState, Kind, Priority, Room};
+use crate::records::{JobKind, JobSpec, JobState, Priority, Resources};
 use serde_json::{Map, Value, json};
 
 /// Most tasks that one job may have.
@@ -31,14 +31,14 @@
     fn present(&self, field: &'static str) -> Option<&Value> {
         self.0.get(field).filter(|v| !v.is_null())
     }
-    fn need(&self, field: &'static str) -> Result<&Value, BadField> {
+    fn required(&self, field: &'static str) -> Result<&Value, BadField> {
         self.present(field).ok_or(BadField {
             field,
             why: "is missing",
         })
     }
     fn text(&self, field: &'static str) -> Result<&str, BadField> {
-        let text = self.need(field)?.as_str().ok_or(BadField {
+        let text = self.required(field)?.as_str().ok_or(BadField {
             field,
             why: "must be a string",
         })?;
@@ -60,10 +60,10 @@
         }
     }
     fn amount(&self, field: &'static str) -> Result<f64, BadField> {
-        Self::amount_of(field, self.need(field)?)
+        Self::amount_of(field, self.required(field)?)
     }
     fn flag(&self, field: &'static str) -> Result<bool, BadField> {
-        self.need(field)?.as_bool().ok_or(BadField {
+        self.required(field)?.as_bool().ok_or(BadField {
             field,
             why: "must be true or false",
         })
@@ -76,11 +76,11 @@
     pub job: JobId,
     pub spec: JobSpec,
     /// Jobs that must be done first, each once, sorted.
-    pub needs: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
 }
 
 /// The jobs that a submission names as needed.
-fn needs(f: &Fields) -> Result<Vec<JobId>, BadField> {
+fn dependencies(f: &Fields) -> Result<Vec<JobId>, BadField> {
     const WHY: BadField = BadField {
         field: "Aguarda",
         why: "must be a list of job ids or null",
@@ -126,8 +126,8 @@
         });
     }
     let kind = match f.text("Feitio")? {
-        "batch" => Kind::Batch,
-        "standing" => Kind::Standing,
+        "batch" => JobKind::Batch,
+        "standing" => JobKind::Service,
         _ => {
             return Err(BadField {
                 field: "Feitio",
@@ -147,7 +147,7 @@
             });
         }
     };
-    let tasks = match f.need("Tarefas")?.as_u64() {
+    let tasks = match f.required("Tarefas")?.as_u64() {
         Some(n) if (1..=MAX_TASKS).contains(&n) => n as u32,
         _ => {
             return Err(BadField {
@@ -185,7 +185,7 @@
         kind,
         priority,
         tasks,
-        room: Room {
+        resources: Resources {
             cpus: f.amount("Cpus")?,
             gpus: f.amount("Gpus")?,
             mem: f.amount("MemGb")?,
@@ -205,7 +205,7 @@
     Ok(Submission {
         job: JobId::new(id),
         spec,
-        needs: needs(&f)?,
+        dependencies: dependencies(&f)?,
     })
 }
 
@@ -213,8 +213,8 @@
 pub fn submission_body(submission: &Submission) -> Value {
     let spec = &submission.spec;
     let kind = match spec.kind {
-        Kind::Batch => "batch",
-        Kind::Standing => "standing",
+        JobKind::Batch => "batch",
+        JobKind::Service => "standing",
     };
     let priority = match spec.priority {
         Priority::Prod => "prod",
@@ -229,9 +229,9 @@
         "Feitio": kind,
         "Precedencia": priority,
         "Tarefas": spec.tasks,
-        "Cpus": spec.room.cpus,
-        "Gpus": spec.room.gpus,
-        "MemGb": spec.room.mem,
+        "Cpus": spec.resources.cpus,
+        "Gpus": spec.resources.gpus,
+        "MemGb": spec.resources.mem,
         "Matriz": spec.image,
         "PullGb": spec.pull_gb,
         "Modelos": spec.types,
@@ -243,7 +243,7 @@
         "MarcoS": spec.checkpoint_s,
         "GuardaS": spec.save_s,
         "PrazoS": spec.deadline_s,
-        "Aguarda": submission.needs,
+        "Aguarda": submission.dependencies,
     })
 }
 
--- a/crates/model/src/protocol/worker.rs
+++ b/crates/model/src/protocol/worker.rs
@@ -1,10 +1,12 @@
 //! Workers: reports in, commands out.
 
-use crate::ids::{Attempt, JobId, MachineId, Seq, Session, TaskNo, Token};
+use crate::ids::{
+    AgentIncarnation, Attempt, FencingToken, HeartbeatSequence, JobId, MachineId, TaskIndex,
+};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "Prensa")]
     pub machine: MachineId,
     /// Where it takes direct requests.
@@ -17,19 +19,19 @@
     #[serde(rename = "Avulsas", default)]
     pub spot: bool,
     #[serde(rename = "Jornada")]
-    pub session: Session,
+    pub incarnation: AgentIncarnation,
     #[serde(rename = "Contagem")]
-    pub seq: Seq,
+    pub sequence: HeartbeatSequence,
     #[serde(rename = "Selo", default)]
-    pub token: Token,
+    pub fencing_token: FencingToken,
     #[serde(rename = "AvisoS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "Tarefas", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "Tarefa")]
     pub task: TaskRef,
     #[serde(rename = "Tentativa")]
@@ -37,7 +39,7 @@
     #[serde(rename = "Estado")]
     pub state: TaskState,
     #[serde(rename = "Motivo", default)]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
@@ -51,7 +53,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -62,33 +64,34 @@
 
 /// Why a report cannot be a worker's.
 #[derive(Debug)]
-pub enum BadReport {
+pub enum InvalidHeartbeat {
     Malformed(serde_json::Error),
     /// Sessions and attempts begin at 1; tasks are numbered below what a job may have.
     Range(&'static str),
 }
 
-impl std::fmt::Display for BadReport {
+impl std::fmt::Display for InvalidHeartbeat {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadReport::Malformed(error) => error.fmt(f),
-            BadReport::Range(field) => write!(f, "{field} is out of range"),
+            InvalidHeartbeat::Malformed(error) => error.fmt(f),
+            InvalidHeartbeat::Range(field) => write!(f, "{field} is out of range"),
         }
     }
 }
 
-impl Report {
-    pub fn parse(body: &[u8]) -> Result<Report, BadReport> {
-        let report: Report = serde_json::from_slice(body).map_err(BadReport::Malformed)?;
-        if report.session == Session(0) {
-            return Err(BadReport::Range("Jornada"));
+impl Heartbeat {
+    pub fn parse(body: &[u8]) -> Result<Heartbeat, InvalidHeartbeat> {
+        let report: Heartbeat =
+            serde_json::from_slice(body).map_err(InvalidHeartbeat::Malformed)?;
+        if report.incarnation == AgentIncarnation(0) {
+            return Err(InvalidHeartbeat::Range("Jornada"));
         }
         if report.tasks.iter().any(|t| t.attempt == Attempt(0)) {
-            return Err(BadReport::Range("Tentativa"));
+            return Err(InvalidHeartbeat::Range("Tentativa"));
         }
-        let beyond = |t: &TaskReport| u64::from(t.task.task.0) >= super::user::MAX_TASKS;
+        let beyond = |t: &TaskStatus| u64::from(t.task.task.0) >= super::user::MAX_TASKS;
         if report.tasks.iter().any(beyond) {
-            return Err(BadReport::Range("Tarefa"));
+            return Err(InvalidHeartbeat::Range("Tarefa"));
         }
         Ok(report)
     }
@@ -99,7 +102,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct TaskRef {
     pub job: JobId,
-    pub task: TaskNo,
+    pub task: TaskIndex,
 }
 
 impl TryFrom<String> for TaskRef {
@@ -110,7 +113,7 @@
             .ok_or("a task has the form job/number")?;
         Ok(TaskRef {
             job: JobId::new(job),
-            task: TaskNo(task.parse().map_err(|_| "a task has the form job/number")?),
+            task: TaskIndex(task.parse().map_err(|_| "a task has the form job/number")?),
         })
     }
 }
@@ -147,9 +150,9 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize)]
-pub struct Answer {
+pub struct HeartbeatResponse {
     #[serde(rename = "Selo")]
-    pub token: Token,
+    pub fencing_token: FencingToken,
     #[serde(rename = "Ordens")]
     pub commands: Vec<Command>,
 }
--- a/crates/model/src/records/share.rs
+++ b/crates/model/src/records/allocation.rs
@@ -1,8 +1,8 @@
 //! A part's share of a job, and the steps by which its owner changes it.
 
 use super::packed;
-use crate::ids::{Attempt, MachineId, TaskNo};
-use crate::spans::Spans;
+use crate::ids::{Attempt, MachineId, TaskIndex};
+use crate::task_ranges::TaskRanges;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -10,16 +10,16 @@
 /// `alloc/<p>/<job>`: a part's share of a job.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(try_from = "Stored")]
-pub struct Alloc {
+pub struct ShardAllocation {
     /// Not started; the attempt is the next one to use.
-    #[serde(rename = "w", skip_serializing_if = "Spans::is_empty")]
-    pub waiting: Spans,
+    #[serde(rename = "w", skip_serializing_if = "TaskRanges::is_empty")]
+    pub waiting: TaskRanges,
     /// Possibly on a machine; the attempt is the one commanded.
     #[serde(rename = "s", skip_serializing_if = "BTreeMap::is_empty")]
-    pub started: BTreeMap<MachineId, Spans>,
+    pub started: BTreeMap<MachineId, TaskRanges>,
     /// In the wide format only the first of them.
-    #[serde(rename = "f", skip_serializing_if = "Spans::is_empty")]
-    pub finished: Spans,
+    #[serde(rename = "f", skip_serializing_if = "TaskRanges::is_empty")]
+    pub finished: TaskRanges,
 }
 
 /// A share as it may stand in the state service.
@@ -29,28 +29,28 @@
     Short(String),
     Plain {
         #[serde(default)]
-        w: Spans,
+        w: TaskRanges,
         #[serde(default)]
-        s: BTreeMap<MachineId, Spans>,
+        s: BTreeMap<MachineId, TaskRanges>,
         #[serde(default)]
-        f: Spans,
+        f: TaskRanges,
     },
 }
 
-impl TryFrom<Stored> for Alloc {
+impl TryFrom<Stored> for ShardAllocation {
     type Error = &'static str;
-    fn try_from(stored: Stored) -> Result<Alloc, Self::Error> {
+    fn try_from(stored: Stored) -> Result<ShardAllocation, Self::Error> {
         match stored {
             Stored::Short(text) => {
                 let (waiting, started, finished) =
                     packed::unpack(&text).ok_or("not a share's short form")?;
-                Ok(Alloc {
+                Ok(ShardAllocation {
                     waiting,
                     started,
                     finished,
                 })
             }
-            Stored::Plain { w, s, f } => Ok(Alloc {
+            Stored::Plain { w, s, f } => Ok(ShardAllocation {
                 waiting: w,
                 started: s,
                 finished: f,
@@ -61,15 +61,15 @@
 
 /// A change an owner makes to its share. Every step may be applied twice with the effect of once.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Step {
-    pub task: TaskNo,
+pub struct AllocationChange {
+    pub task: TaskIndex,
     pub attempt: Attempt,
     pub machine: MachineId,
-    pub what: StepKind,
+    pub what: AllocationChangeKind,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum StepKind {
+pub enum AllocationChangeKind {
     Start,
     Finish,
     /// Proven not to be on the machine; waits again, with the next attempt.
@@ -80,7 +80,7 @@
 /// and the gap that it leaves among those that wait or are finished.
 const STARTED_BYTES: usize = 50;
 
-impl Alloc {
+impl ShardAllocation {
     /// Most tasks that a share may have started at once, so that its record stays under the largest
     /// value: a larger one is refused, and every write of the part with it.
     pub fn most_started(value_bytes: usize) -> u32 {
@@ -95,19 +95,19 @@
         }
     }
 
-    pub fn started_on(&self, machine: &MachineId, task: TaskNo) -> Option<Attempt> {
+    pub fn started_on(&self, machine: &MachineId, task: TaskIndex) -> Option<Attempt> {
         self.started.get(machine)?.get(task)
     }
 
     pub fn started_count(&self) -> u32 {
-        self.started.values().map(Spans::len).sum()
+        self.started.values().map(TaskRanges::len).sum()
     }
 
     /// Applies a step; false if the record no longer allows it and it must be forgotten.
-    pub fn apply(&mut self, step: &Step) -> bool {
+    pub fn apply(&mut self, step: &AllocationChange) -> bool {
         let here = self.started_on(&step.machine, step.task) == Some(step.attempt);
         match step.what {
-            StepKind::Start => {
+            AllocationChangeKind::Start => {
                 if here {
                     return true;
                 }
@@ -121,7 +121,7 @@
                     .insert(step.task, step.attempt);
                 true
             }
-            StepKind::Finish | StepKind::Requeue => {
+            AllocationChangeKind::Finish | AllocationChangeKind::Requeue => {
                 if !here {
                     return false;
                 }
@@ -131,7 +131,7 @@
                         self.started.remove(&step.machine);
                     }
                 }
-                if step.what == StepKind::Finish {
+                if step.what == AllocationChangeKind::Finish {
                     self.finished.insert(step.task, Attempt(0));
                 } else {
                     self.waiting
--- a/crates/model/src/records/format.rs
+++ b/crates/model/src/records/format.rs
@@ -5,16 +5,16 @@
 
 /// How records are written. Both are read for ever.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
-pub enum Format {
+pub enum RecordFormat {
     /// As the version before pipelines reads and rewrites it without loss.
     #[default]
-    Narrow,
+    V1,
     /// Shares in their short form, jobs that need others. For good once every controller knows it.
-    Wide,
+    V2,
 }
 
-/// The first format number that means `Wide`.
-pub const WIDE: u32 = 2;
+/// The first format number that means `V2`.
+pub const FORMAT_V2: u32 = 2;
 
 /// What a controller can do beyond the format: a feature whose records every controller must know
 /// before any of them is written.
--- a/crates/model/src/records/job.rs
+++ b/crates/model/src/records/job.rs
@@ -1,8 +1,8 @@
 //! What the state service keeps of a job.
 
-use super::format::Format;
-use super::room::Room;
-use crate::ids::{JobId, PartId, Team, WallMs};
+use super::format::RecordFormat;
+use super::resources::Resources;
+use crate::ids::{JobId, ShardId, Team, WallClockMillis};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
@@ -14,19 +14,22 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     Batch,
-    Standing,
+    /// A service: runs until it is cancelled.
+    #[serde(rename = "Standing")]
+    Service,
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
     pub class: String,
     pub team: Team,
-    pub kind: Kind,
+    pub kind: JobKind,
     pub priority: Priority,
     pub tasks: u32,
-    pub room: Room,
+    #[serde(rename = "room")]
+    pub resources: Resources,
     pub image: String,
     pub pull_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -66,17 +69,17 @@
 pub struct JobRecord {
     pub state: JobState,
     pub tasks: u32,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub parts: Vec<PartId>,
-    pub submitted: WallMs,
+    #[serde(rename = "parts", default, skip_serializing_if = "Vec::is_empty")]
+    pub shards: Vec<ShardId>,
+    pub submitted: WallClockMillis,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// Jobs that must be done before any task of this one starts; only in the wide format.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<JobId>,
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<JobId>,
     /// So many values of their own hold what it needs, if that is too long for this one.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub needs_pieces: u32,
+    #[serde(rename = "needs_pieces", default, skip_serializing_if = "is_zero")]
+    pub dependency_chunks: u32,
     /// Whether a graph's run has submitted it: nobody else's job is ever a run's.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub run: bool,
@@ -85,7 +88,7 @@
     pub pause_ms: u64,
     /// When it was done or cancelled; only in the wide format, and on cancelled jobs not from the beginning.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<WallMs>,
+    pub ended: Option<WallClockMillis>,
 }
 
 fn is_zero(n: &u32) -> bool {
@@ -98,33 +101,38 @@
 
 impl JobRecord {
     /// Whether it needs other jobs.
-    pub fn has_needs(&self) -> bool {
-        !self.needs.is_empty() || self.needs_pieces > 0
+    pub fn has_dependencies(&self) -> bool {
+        !self.dependencies.is_empty() || self.dependency_chunks > 0
     }
     pub fn is_final(&self) -> bool {
         self.state != JobState::Open
     }
-    /// The record after `part` has nothing of the job any more.
-    pub fn without_part(&self, part: PartId, now: WallMs, format: Format) -> JobRecord {
+    /// The record after `shard_id` has nothing of the job any more.
+    pub fn without_shard(
+        &self,
+        shard_id: ShardId,
+        now: WallClockMillis,
+        format: RecordFormat,
+    ) -> JobRecord {
         let mut next = self.clone();
-        next.parts.retain(|p| *p != part);
-        if next.parts.is_empty() {
+        next.shards.retain(|p| *p != shard_id);
+        if next.shards.is_empty() {
             if next.state == JobState::Open {
                 next.state = JobState::Done;
-                next.ended = (format == Format::Wide).then_some(now);
+                next.ended = (format == RecordFormat::V2).then_some(now);
             }
             next.spec = None;
-            (next.needs, next.needs_pieces) = (Vec::new(), 0);
+            (next.dependencies, next.dependency_chunks) = (Vec::new(), 0);
         }
         next
     }
     /// The record after its cancellation.
-    pub fn cancelled(&self, now: WallMs, format: Format) -> JobRecord {
+    pub fn cancelled(&self, now: WallClockMillis, format: RecordFormat) -> JobRecord {
         let mut next = self.clone();
         next.state = JobState::Cancelled;
-        next.ended = (format == Format::Wide).then_some(now);
-        (next.needs, next.needs_pieces) = (Vec::new(), 0);
-        if next.parts.is_empty() {
+        next.ended = (format == RecordFormat::V2).then_some(now);
+        (next.dependencies, next.dependency_chunks) = (Vec::new(), 0);
+        if next.shards.is_empty() {
             next.spec = None;
         }
         next
--- a/crates/model/src/records/keys.rs
+++ b/crates/model/src/records/keys.rs
@@ -1,15 +1,15 @@
 //! The names of the records in the state service.
 
-use crate::ids::{JobId, Member, PartId, Team};
+use crate::ids::{JobId, Member, ShardId, Team};
 
 pub fn job_key(job: &JobId) -> String {
     format!("job/{job}")
 }
-pub fn alloc_key(part: PartId, job: &JobId) -> String {
-    format!("alloc/{part}/{job}")
+pub fn allocation_key(shard_id: ShardId, job: &JobId) -> String {
+    format!("alloc/{shard_id}/{job}")
 }
-pub fn part_key(part: PartId) -> String {
-    format!("part/{part}")
+pub fn shard_key(shard_id: ShardId) -> String {
+    format!("part/{shard_id}")
 }
 pub fn quota_key(team: &Team) -> String {
     format!("quota/{team}")
@@ -17,7 +17,7 @@
 pub fn member_key(member: &Member) -> String {
     format!("member/{member}")
 }
-pub fn needs_key(job: &JobId, piece: u32) -> String {
+pub fn dependency_chunk_key(job: &JobId, piece: u32) -> String {
     format!("needs/{job}/{piece}")
 }
 /// Every change of a reservation or a window changes this key too.
--- a/crates/model/src/records/owner.rs
+++ b/crates/model/src/records/lease_holder.rs
@@ -5,7 +5,7 @@
 
 /// `part/<p>`.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct PartRecord {
+pub struct LeaseHolder {
     pub owner: Member,
     pub lease: LeaseId,
 }
--- a/crates/model/src/records/mod.rs
+++ b/crates/model/src/records/mod.rs
@@ -1,27 +1,27 @@
 //! What the state service keeps, by matter.
 
+mod allocation;
 mod format;
 mod job;
 mod keys;
-mod owner;
+mod lease_holder;
 pub mod packed;
 mod quota;
-mod room;
+mod resources;
 mod run;
-mod share;
-mod terms;
+mod storage_limits;
 
-pub use format::{Capability, Format, FormatRecord, WIDE};
-pub use job::{JobRecord, JobSpec, JobState, Kind, Priority};
+pub use allocation::{AllocationChange, AllocationChangeKind, ShardAllocation};
+pub use format::{Capability, FORMAT_V2, FormatRecord, RecordFormat};
+pub use job::{JobKind, JobRecord, JobSpec, JobState, Priority};
 pub use keys::{
-    CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, alloc_key, job_key, member_key, needs_key, part_key,
-    quota_key,
+    CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, allocation_key, dependency_chunk_key, job_key,
+    member_key, quota_key, shard_key,
 };
-pub use owner::PartRecord;
+pub use lease_holder::LeaseHolder;
 pub use quota::{Grant, QuotaRecord};
-pub use room::Room;
+pub use resources::Resources;
 pub use run::{
     GraphRecord, RunId, RunRecord, RunState, definition_key, graph_key, plan_key, run_key, sound,
 };
-pub use share::{Alloc, Step, StepKind};
-pub use terms::Terms;
+pub use storage_limits::StorageLimits;
--- a/crates/model/src/records/packed.rs
+++ b/crates/model/src/records/packed.rs
@@ -7,7 +7,7 @@
 //! kept, as a sign that the job works.
 
 use crate::ids::MachineId;
-use crate::spans::{Span, Spans};
+use crate::task_ranges::{TaskRange, TaskRanges};
 use std::collections::BTreeMap;
 
 const BASE: u32 = 36;
@@ -42,7 +42,7 @@
     Before,
 }
 
-fn put_spans(out: &mut String, spans: &[Span], usual: Usual) {
+fn put_spans(out: &mut String, spans: &[TaskRange], usual: Usual) {
     let (mut end, mut attempt) = (0, 1);
     for (i, span) in spans.iter().enumerate() {
         if i > 0 {
@@ -68,7 +68,7 @@
     u32::from_str_radix(text, BASE).ok()
 }
 
-fn read_spans(text: &str, usual: Usual) -> Option<Spans> {
+fn read_spans(text: &str, usual: Usual) -> Option<TaskRanges> {
     let mut list = Vec::new();
     let (mut end, mut attempt) = (0u32, 1);
     for item in text.split(',').filter(|item| !item.is_empty()) {
@@ -86,9 +86,9 @@
         }
         let from = end.checked_add(from)?;
         end = from.checked_add(long)?;
-        list.push(Span(from, end, here));
+        list.push(TaskRange(from, end, here));
     }
-    Spans::try_from(list).ok()
+    TaskRanges::try_from(list).ok()
 }
 
 /// Whether a machine's name can stand in the short form.
@@ -101,9 +101,9 @@
 
 /// The short form; `None` if a machine's name does not allow it.
 pub fn pack(
-    waiting: &Spans,
-    started: &BTreeMap<MachineId, Spans>,
-    finished: &Spans,
+    waiting: &TaskRanges,
+    started: &BTreeMap<MachineId, TaskRanges>,
+    finished: &TaskRanges,
 ) -> Option<String> {
     let mut out = String::new();
     put_spans(&mut out, waiting.spans(), Usual::Before);
@@ -127,7 +127,7 @@
 }
 
 /// Reads the short form, waiting, started and finished tasks; `None` if it is not one.
-pub fn unpack(text: &str) -> Option<(Spans, BTreeMap<MachineId, Spans>, Spans)> {
+pub fn unpack(text: &str) -> Option<(TaskRanges, BTreeMap<MachineId, TaskRanges>, TaskRanges)> {
     let mut fields = text.split(';');
     let (waiting, machines, finished) = (fields.next()?, fields.next()?, fields.next()?);
     if fields.next().is_some() {
@@ -143,10 +143,10 @@
         started.insert(MachineId::new(name), spans);
     }
     let finished = match finished {
-        "" => Spans::default(),
+        "" => TaskRanges::default(),
         first => {
             let first = number(first)?;
-            Spans::range(first, first.checked_add(1)?, 0)
+            TaskRanges::range(first, first.checked_add(1)?, 0)
         }
     };
     Some((read_spans(waiting, Usual::Before)?, started, finished))
@@ -155,7 +155,7 @@
 /// The most bytes that the share's value may come to take, whatever ends and requeues follow, as
 /// long as nothing more is started: every started task counts as a range of its own, which it takes
 /// where it is or, with all waiting ones raised to one attempt, among those that wait.
-pub fn most_bytes(waiting: &Spans, started: &BTreeMap<MachineId, Spans>) -> usize {
+pub fn most_bytes(waiting: &TaskRanges, started: &BTreeMap<MachineId, TaskRanges>) -> usize {
     // Quotes, separators, one attempt for all that wait, and the finished task.
     let mut bytes = 2 + 2 + 8 + 7;
     let mut waiting = waiting.clone();
--- a/crates/model/src/records/quota.rs
+++ b/crates/model/src/records/quota.rs
@@ -1,14 +1,14 @@
 //! A team's limit as it is divided over parts.
 
-use super::room::{EPS, Room};
-use crate::ids::PartId;
+use super::resources::{EPS, Resources};
+use crate::ids::ShardId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// `quota/<team>`: what each part may use; the rest of the limit is free.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    pub grants: BTreeMap<PartId, Grant>,
+    pub grants: BTreeMap<ShardId, Grant>,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug, Default, Serialize, Deserialize)]
@@ -18,10 +18,10 @@
 }
 
 impl Grant {
-    pub fn of(room: Room) -> Grant {
+    pub fn of(resources: Resources) -> Grant {
         Grant {
-            cpus: room.cpus,
-            gpus: room.gpus,
+            cpus: resources.cpus,
+            gpus: resources.gpus,
         }
     }
     pub fn add(&mut self, more: Grant) {
@@ -41,11 +41,17 @@
         })
     }
 
-    /// Sets `part`'s grant as near to `wish` as the limit allows, never below `used`.
+    /// Sets `shard_id`'s grant as near to `wish` as the limit allows, never below `used`.
     /// Fails only if the record itself is already over the limit.
-    pub fn regrant(&self, part: PartId, wish: Grant, used: Grant, limit: Grant) -> QuotaRecord {
+    pub fn regrant(
+        &self,
+        shard_id: ShardId,
+        wish: Grant,
+        used: Grant,
+        limit: Grant,
+    ) -> QuotaRecord {
         let mut next = self.clone();
-        let mine = next.grants.remove(&part).unwrap_or_default();
+        let mine = next.grants.remove(&shard_id).unwrap_or_default();
         let others = next.granted();
         let free = Grant {
             cpus: (limit.cpus - others.cpus).max(0.0),
@@ -62,7 +68,7 @@
                 .max(used.gpus)
                 .min(free.gpus.max(mine.gpus.min(used.gpus))),
         };
-        next.grants.insert(part, grant);
+        next.grants.insert(shard_id, grant);
         next
     }
 }
--- a/crates/model/src/records/run.rs
+++ b/crates/model/src/records/run.rs
@@ -1,7 +1,7 @@
 //! What the state service keeps of a graph's run.
 
-use crate::ids::{WallMs, is_word};
-use crate::spans::Spans;
+use crate::ids::{WallClockMillis, is_valid_name};
+use crate::task_ranges::TaskRanges;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
 
 /// Whether a run or a graph may have this name.
 pub fn sound(name: &str) -> bool {
-    is_word(name, b"._:+-")
+    is_valid_name(name, b"._:+-")
 }
 
 impl RunId {
@@ -51,7 +51,7 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct RunRecord {
     pub state: RunState,
-    pub at: WallMs,
+    pub at: WallClockMillis,
     pub jobs: u32,
     pub hash: String,
     pub pieces: u32,
@@ -59,13 +59,13 @@
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancel: bool,
     /// Jobs that have failed for good, by their place in the plan.
-    #[serde(default, skip_serializing_if = "Spans::is_empty")]
-    pub failed: Spans,
+    #[serde(default, skip_serializing_if = "TaskRanges::is_empty")]
+    pub failed: TaskRanges,
     /// How many ended how, once it has ended.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub counts: BTreeMap<String, u32>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<WallMs>,
+    pub ended: Option<WallClockMillis>,
 }
 
 pub fn run_key(run: &RunId) -> String {
@@ -83,11 +83,11 @@
     pub hash: String,
     pub pieces: u32,
     /// When it was first kept.
-    pub at: WallMs,
+    pub at: WallClockMillis,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub paused: bool,
     /// Every interval that ended by then has its run, or was passed over.
-    pub since: WallMs,
+    pub since: WallClockMillis,
     /// Intervals passed over, as nobody caught up.
     #[serde(default)]
     pub missed: u64,
--- a/crates/recovery/src/squaring.rs
+++ b/crates/reconciliation/src/decision_table.rs
@@ -4,13 +4,13 @@
 //! the report. `docs/recovery.md` shows the table; a test holds it against this function.
 
 use serde::Serialize;
-use snowshelf_model::protocol::worker::{TaskState, Why};
-use snowshelf_model::records::StepKind;
+use snowshelf_model::protocol::worker::{ExitReason, TaskState};
+use snowshelf_model::records::AllocationChangeKind;
 
 /// What the records, and the owner's steps on their way into them, say of one attempt of a task and
 /// the machine that reports.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Stored {
+pub enum DesiredState {
     /// The task waits; no attempt of it is on any machine.
     Waiting,
     /// Its start here is on its way into the record.
@@ -33,70 +33,76 @@
     NotOurs,
 }
 
-pub const STORED: [Stored; 10] = [
-    Stored::Waiting,
-    Stored::Starting,
-    Stored::Here,
-    Stored::Ending,
-    Stored::Elsewhere,
-    Stored::OtherAttempt,
-    Stored::Finished,
-    Stored::Cancelled,
-    Stored::CancelledEnding,
-    Stored::NotOurs,
+pub const STORED: [DesiredState; 10] = [
+    DesiredState::Waiting,
+    DesiredState::Starting,
+    DesiredState::Here,
+    DesiredState::Ending,
+    DesiredState::Elsewhere,
+    DesiredState::OtherAttempt,
+    DesiredState::Finished,
+    DesiredState::Cancelled,
+    DesiredState::CancelledEnding,
+    DesiredState::NotOurs,
 ];
 
-impl Stored {
+impl DesiredState {
     /// Whether the owner's picture has the attempt on this machine.
     pub fn viewed_here(self) -> bool {
-        matches!(self, Stored::Starting | Stored::Here | Stored::Cancelled)
+        matches!(
+            self,
+            DesiredState::Starting | DesiredState::Here | DesiredState::Cancelled
+        )
     }
     /// Whether the record has it there.
     pub fn durable_here(self) -> bool {
-        use Stored::*;
+        use DesiredState::*;
         matches!(self, Here | Ending | Cancelled | CancelledEnding)
     }
     /// The same if the job turns out to be cancelled.
-    pub fn if_cancelled(self) -> Stored {
+    pub fn if_cancelled(self) -> DesiredState {
         match self {
-            Stored::Here => Stored::Cancelled,
-            Stored::Ending => Stored::CancelledEnding,
+            DesiredState::Here => DesiredState::Cancelled,
+            DesiredState::Ending => DesiredState::CancelledEnding,
             other => other,
         }
     }
     fn cancelled(self) -> bool {
-        matches!(self, Stored::Cancelled | Stored::CancelledEnding)
+        matches!(
+            self,
+            DesiredState::Cancelled | DesiredState::CancelledEnding
+        )
     }
 }
 
 /// What the machine's newest report says of that attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Reported {
+pub enum ObservedState {
     Absent,
-    Listed(TaskState, Option<Why>),
+    Listed(TaskState, Option<ExitReason>),
 }
 
 /// Every state that a report may tell, the reasons of an exit each by itself.
-pub const REPORTED: [Reported; 11] = {
-    use Reported::*;
+pub const REPORTED: [ObservedState; 11] = {
+    use ObservedState::*;
     [
         Absent,
         Listed(TaskState::Pulling, None),
         Listed(TaskState::Running, None),
         Listed(TaskState::Saving, None),
-        Listed(TaskState::Exited, Some(Why::Done)),
-        Listed(TaskState::Exited, Some(Why::Stopped)),
-        Listed(TaskState::Exited, Some(Why::Error)),
-        Listed(TaskState::Exited, Some(Why::Full)),
-        Listed(TaskState::Exited, Some(Why::InUse)),
-        Listed(TaskState::Exited, Some(Why::Unknown)),
+        Listed(TaskState::Exited, Some(ExitReason::Done)),
+        Listed(TaskState::Exited, Some(ExitReason::Stopped)),
+        Listed(TaskState::Exited, Some(ExitReason::Error)),
+        Listed(TaskState::Exited, Some(ExitReason::Full)),
+        Listed(TaskState::Exited, Some(ExitReason::InUse)),
+        Listed(TaskState::Exited, Some(ExitReason::Unknown)),
         Listed(TaskState::Exited, None),
     ]
 };
 
 /// The token that a report shows, against the reading owner's.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Shown {
+pub enum TokenState {
     /// An earlier owner may still command the machine.
     Behind,
     Equal,
@@ -106,30 +112,30 @@
 
 /// What comes with a report and decides how much it proves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Evidence {
-    pub shown: Shown,
+pub struct HeartbeatEvidence {
+    pub shown: TokenState,
     /// Not the machine's newest: late, or sent once more.
     pub late: bool,
     /// A higher session than before, so that everything of the earlier one is gone.
-    pub new_session: bool,
+    pub new_incarnation: bool,
     /// The machine's started tasks are an earlier owner's, and this is the first report that shows
     /// this owner's token.
     pub inherited: bool,
 }
 
-impl Evidence {
+impl HeartbeatEvidence {
     /// An ordinary report to an owner that has long been known to the machine.
-    pub const PLAIN: Evidence = Evidence {
-        shown: Shown::Equal,
+    pub const PLAIN: HeartbeatEvidence = HeartbeatEvidence {
+        shown: TokenState::Equal,
         late: false,
-        new_session: false,
+        new_incarnation: false,
         inherited: false,
     };
 }
 
 /// What is to become of the machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Leaving {
+pub enum MachineDisposition {
     Stays,
     /// The cloud takes it soon; `late`: now is when a task that saves has to begin.
     Noticed {
@@ -143,7 +149,7 @@
 
 /// What the task can do when it is stopped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Nature {
+pub struct TaskTraits {
     /// Runs until its job is cancelled, so that being done is no end of it.
     pub standing: bool,
     pub saves: bool,
@@ -172,7 +178,7 @@
 
 /// How often each finding was made, attempt by attempt and report by report.
 #[derive(Clone, Default, PartialEq, Eq, Debug, Serialize)]
-pub struct Squared {
+pub struct ReconciliationCounts {
     pub agree: u64,
     pub not_begun: u64,
     pub gone: u64,
@@ -181,7 +187,7 @@
     pub remnant: u64,
 }
 
-impl Squared {
+impl ReconciliationCounts {
     pub fn count(&mut self, finding: Finding) {
         let count = match finding {
             Finding::Nothing | Finding::Deposed => return,
@@ -197,7 +203,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Order {
+pub enum ReconcileAction {
     Run,
     /// At once.
     Kill,
@@ -208,7 +214,7 @@
 
 /// What a task's end says of its job and its machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Tells {
+pub enum OutcomeSignal {
     Nothing,
     /// Machine and job are sound.
     Works,
@@ -222,30 +228,30 @@
 
 /// One cell of the table: what is concluded, written and ordered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Cell {
+pub struct Reconciliation {
     pub finding: Finding,
-    pub write: Option<StepKind>,
-    pub order: Option<Order>,
-    pub tells: Tells,
+    pub write: Option<AllocationChangeKind>,
+    pub order: Option<ReconcileAction>,
+    pub tells: OutcomeSignal,
 }
 
-impl Cell {
-    const fn of(finding: Finding) -> Cell {
-        Cell {
+impl Reconciliation {
+    const fn of(finding: Finding) -> Reconciliation {
+        Reconciliation {
             finding,
             write: None,
             order: None,
-            tells: Tells::Nothing,
+            tells: OutcomeSignal::Nothing,
         }
     }
-    fn writes(self, step: StepKind) -> Cell {
-        Cell {
+    fn writes(self, step: AllocationChangeKind) -> Reconciliation {
+        Reconciliation {
             write: Some(step),
             ..self
         }
     }
-    fn orders(self, order: Order) -> Cell {
-        Cell {
+    fn orders(self, order: ReconcileAction) -> Reconciliation {
+        Reconciliation {
             order: Some(order),
             ..self
         }
@@ -253,86 +259,103 @@
 }
 
 /// Squares what is stored with what is reported.
-pub fn square(
-    stored: Stored,
-    reported: Reported,
-    evidence: Evidence,
-    machine: Leaving,
-    task: Nature,
-) -> Cell {
-    if evidence.shown == Shown::Ahead {
-        return Cell::of(Finding::Deposed);
+pub fn reconcile(
+    stored: DesiredState,
+    reported: ObservedState,
+    evidence: HeartbeatEvidence,
+    machine: MachineDisposition,
+    task: TaskTraits,
+) -> Reconciliation {
+    if evidence.shown == TokenState::Ahead {
+        return Reconciliation::of(Finding::Deposed);
     }
     // Before the token is shown an earlier owner's answer might still start or stop something. It
     // goes out with the answer, and the machine reports anew.
-    if evidence.late || evidence.shown == Shown::Behind {
-        return Cell::of(Finding::Nothing);
+    if evidence.late || evidence.shown == TokenState::Behind {
+        return Reconciliation::of(Finding::Nothing);
     }
     match reported {
-        Reported::Absent => absent(stored, evidence, machine),
-        Reported::Listed(TaskState::Exited, why) => exited(stored, why, task),
-        Reported::Listed(state, _) => alive(stored, state, machine, task),
+        ObservedState::Absent => absent(stored, evidence, machine),
+        ObservedState::Listed(TaskState::Exited, why) => exited(stored, why, task),
+        ObservedState::Listed(state, _) => alive(stored, state, machine, task),
     }
 }
 
 /// Not listed in a report that is newer than any answer which could have carried its command.
-fn absent(stored: Stored, evidence: Evidence, machine: Leaving) -> Cell {
+fn absent(
+    stored: DesiredState,
+    evidence: HeartbeatEvidence,
+    machine: MachineDisposition,
+) -> Reconciliation {
     if !stored.viewed_here() {
-        return Cell::of(Finding::Agrees);
+        return Reconciliation::of(Finding::Agrees);
     }
     if !stored.durable_here() {
         // Not commanded before its start is durable; that write may still fail.
-        return Cell::of(Finding::Agrees);
+        return Reconciliation::of(Finding::Agrees);
     }
     // What an earlier owner started is not commanded again: that owner may have known it to be gone and
     // have used its share of the team's limit for another start, the end not yet durable. Nor is what a
     // higher session has killed.
-    let over = evidence.inherited || evidence.new_session;
-    if over || stored.cancelled() || machine != Leaving::Stays {
-        return Cell::of(Finding::Gone).writes(StepKind::Requeue);
+    let over = evidence.inherited || evidence.new_incarnation;
+    if over || stored.cancelled() || machine != MachineDisposition::Stays {
+        return Reconciliation::of(Finding::Gone).writes(AllocationChangeKind::Requeue);
     }
-    Cell::of(Finding::NotBegun).orders(Order::Run)
+    Reconciliation::of(Finding::NotBegun).orders(ReconcileAction::Run)
 }
 
-fn exited(stored: Stored, why: Option<Why>, task: Nature) -> Cell {
+fn exited(stored: DesiredState, why: Option<ExitReason>, task: TaskTraits) -> Reconciliation {
     if !stored.viewed_here() {
         // Its end must be durable before its entry goes: a start repeated after that runs it again.
         return match stored.durable_here() {
-            true => Cell::of(Finding::Agrees),
-            false => Cell::of(Finding::Remnant).orders(Order::Reap),
+            true => Reconciliation::of(Finding::Agrees),
+            false => Reconciliation::of(Finding::Remnant).orders(ReconcileAction::Reap),
         };
     }
     let (tells, step) = match why {
-        Some(Why::Done) if task.standing => (Tells::Works, StepKind::Requeue),
-        Some(Why::Done) => (Tells::Works, StepKind::Finish),
-        Some(Why::Error) => (Tells::Fails, StepKind::Requeue),
-        Some(Why::Full | Why::InUse) => (Tells::Full, StepKind::Requeue),
-        Some(Why::Unknown) => (Tells::NoDescription, StepKind::Requeue),
-        Some(Why::Stopped) | None => (Tells::Nothing, StepKind::Requeue),
+        Some(ExitReason::Done) if task.standing => {
+            (OutcomeSignal::Works, AllocationChangeKind::Requeue)
+        }
+        Some(ExitReason::Done) => (OutcomeSignal::Works, AllocationChangeKind::Finish),
+        Some(ExitReason::Error) => (OutcomeSignal::Fails, AllocationChangeKind::Requeue),
+        Some(ExitReason::Full | ExitReason::InUse) => {
+            (OutcomeSignal::Full, AllocationChangeKind::Requeue)
+        }
+        Some(ExitReason::Unknown) => (OutcomeSignal::NoDescription, AllocationChangeKind::Requeue),
+        Some(ExitReason::Stopped) | None => (OutcomeSignal::Nothing, AllocationChangeKind::Requeue),
     };
-    Cell {
+    Reconciliation {
         tells,
-        ..Cell::of(Finding::Ended).writes(step)
+        ..Reconciliation::of(Finding::Ended).writes(step)
     }
 }
 
 /// Fetching its image, running or saving.
-fn alive(stored: Stored, state: TaskState, machine: Leaving, task: Nature) -> Cell {
+fn alive(
+    stored: DesiredState,
+    state: TaskState,
+    machine: MachineDisposition,
+    task: TaskTraits,
+) -> Reconciliation {
     if !stored.viewed_here() && !stored.durable_here() {
-        return Cell::of(Finding::Stray).orders(Order::Kill);
+        return Reconciliation::of(Finding::Stray).orders(ReconcileAction::Kill);
     }
     if stored.cancelled() {
-        return Cell::of(Finding::Stray).orders(Order::Kill);
+        return Reconciliation::of(Finding::Stray).orders(ReconcileAction::Kill);
     }
-    let cell = Cell::of(Finding::Agrees);
+    let cell = Reconciliation::of(Finding::Agrees);
     if state == TaskState::Saving {
         return cell;
     }
     match machine {
-        Leaving::Noticed { late } if state == TaskState::Pulling || (task.saves && late) => {
-            cell.orders(Order::Stop)
+        MachineDisposition::Noticed { late }
+            if state == TaskState::Pulling || (task.saves && late) =>
+        {
+            cell.orders(ReconcileAction::Stop)
         }
-        Leaving::Drained => cell.orders(Order::Stop),
-        Leaving::Stays | Leaving::Noticed { .. } | Leaving::Returning => cell,
+        MachineDisposition::Drained => cell.orders(ReconcileAction::Stop),
+        MachineDisposition::Stays
+        | MachineDisposition::Noticed { .. }
+        | MachineDisposition::Returning => cell,
     }
 }
--- a/crates/recovery/src/silence.rs
+++ b/crates/reconciliation/src/silence.rs
@@ -2,7 +2,7 @@
 //! off, or machines that are gone. Silence alone proves nothing, so this only decides when to ask others and
 //! when to give up waiting.
 
-use snowshelf_model::ids::Millis;
+use snowshelf_model::ids::MonotonicMillis;
 
 /// Fewer machines than this say nothing about the rest: each may have lost a message.
 const ENOUGH: u32 = 3;
@@ -13,16 +13,16 @@
 
 /// What an owner hears of its machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Hearing {
+pub struct HeartbeatSummary {
     /// Machines that have reported to this owner, or have tasks by the records that it took over.
     pub known: u32,
     /// When the last report of any of them came, or when the part was taken.
-    pub last: Millis,
+    pub last: MonotonicMillis,
 }
 
 /// Whether an owner hears none of its machines, though each should have reported by now: a
 /// report comes every `report_ms`, a quarter more at the most.
-pub fn deaf(hearing: Hearing, now: Millis, report_ms: u64) -> bool {
+pub fn deaf(hearing: HeartbeatSummary, now: MonotonicMillis, report_ms: u64) -> bool {
     hearing.known >= ENOUGH && now.since(hearing.last) > overdue_ms(report_ms)
 }
 
@@ -36,7 +36,12 @@
 
 /// Whether an owner that hears nobody should hand its part over: others are reached by its machines,
 /// which `elsewhere` counts. Where nobody hears them the machines are silent, and stay with their owner.
-pub fn hand_over(hearing: Hearing, elsewhere: u32, now: Millis, report_ms: u64) -> bool {
+pub fn hand_over(
+    hearing: HeartbeatSummary,
+    elsewhere: u32,
+    now: MonotonicMillis,
+    report_ms: u64,
+) -> bool {
     deaf(hearing, now, report_ms)
         && f64::from(elsewhere) >= HEARD_ELSEWHERE * f64::from(hearing.known)
 }
--- a/crates/recovery/src/reading.rs
+++ b/crates/reconciliation/src/startup_read.rs
@@ -23,14 +23,14 @@
 const JOBS: &str = "job/";
 /// Sorts after every job's key and before every other key that follows them.
 const BEYOND_JOBS: &str = "job0";
-const PARTS: &str = "part/";
+const SHARD_OWNERS: &str = "part/";
 
 /// How far a reading is.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub enum Stage {
     /// Who owns which part: enough to take parts and to answer workers.
     #[default]
-    Parts,
+    ShardOwners,
     /// Shares, the calendar's version, the format: all before the jobs' keys.
     Shares,
     /// Everything behind the jobs' keys: grants, members, machine types, the calendar, runs.
@@ -94,7 +94,7 @@
 impl Default for Reading {
     fn default() -> Reading {
         Reading {
-            stage: Stage::Parts,
+            stage: Stage::ShardOwners,
             after: String::new(),
             in_order: JOBS.to_string(),
             wanted: BTreeSet::new(),
@@ -167,7 +167,7 @@
             })
         };
         match self.stage {
-            Stage::Parts => page(PARTS, &self.after, MOST_A_PAGE),
+            Stage::ShardOwners => page(SHARD_OWNERS, &self.after, MOST_A_PAGE),
             Stage::Shares | Stage::Rest => page("", &self.after, MOST_A_PAGE),
             Stage::Jobs => match (self.look_back, self.wanted.first()) {
                 // The first page may settle it all: most deployments' jobs fit into a few.
@@ -215,7 +215,7 @@
             }
         }
         match self.stage {
-            Stage::Parts if to.is_none() => {
+            Stage::ShardOwners if to.is_none() => {
                 self.stage = Stage::Shares;
                 self.after = String::new();
             }
@@ -232,7 +232,7 @@
             Stage::Rest if to.is_none() => {
                 self.stage = Stage::Jobs;
             }
-            Stage::Parts | Stage::Shares | Stage::Rest => {
+            Stage::ShardOwners | Stage::Shares | Stage::Rest => {
                 self.after = to.unwrap_or_default().to_string();
             }
             Stage::Jobs => {
--- a/crates/recovery/tests/squaring.rs
+++ b/crates/reconciliation/tests/decision_table.rs
@@ -2,19 +2,25 @@
 //! order in which reports, answers, writes, ends, expired leases and a takeover can fall. All
 //! states are searched; nothing in the model knows of the table.
 
-use snowshelf_model::protocol::worker::{TaskState, Why};
-use snowshelf_model::records::StepKind;
-use snowshelf_recovery::squaring::{
-    Cell, Evidence, Finding, Leaving, Nature, Order, REPORTED, Reported, STORED, Shown, Stored,
-    square,
+use snowshelf_model::protocol::worker::{ExitReason, TaskState};
+use snowshelf_model::records::AllocationChangeKind;
+use snowshelf_reconciliation::decision_table::{
+    DesiredState, Finding, HeartbeatEvidence, MachineDisposition, ObservedState, REPORTED,
+    ReconcileAction, Reconciliation, STORED, TaskTraits, TokenState, reconcile,
 };
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-type Square = fn(Stored, Reported, Evidence, Leaving, Nature) -> Cell;
+type Square = fn(
+    DesiredState,
+    ObservedState,
+    HeartbeatEvidence,
+    MachineDisposition,
+    TaskTraits,
+) -> Reconciliation;
 
 /// Attempts are 1 and 2: the place in a list is the attempt less one.
 const ATTEMPTS: u8 = 2;
-type Listed = [Option<(TaskState, Option<Why>)>; ATTEMPTS as usize];
+type Listed = [Option<(TaskState, Option<ExitReason>)>; ATTEMPTS as usize];
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Record {
@@ -26,8 +32,8 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Report {
-    session: u8,
-    token: u8,
+    incarnation: u8,
+    fencing_token: u8,
     listed: Listed,
     /// A newer one has been taken in.
     old: bool,
@@ -35,14 +41,14 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Answer {
-    token: u8,
-    orders: Vec<(Order, u8)>,
+    fencing_token: u8,
+    orders: Vec<(ReconcileAction, u8)>,
 }
 
 /// What an owner has of the machine.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 struct Picture {
-    session: Option<u8>,
+    incarnation: Option<u8>,
     shown: bool,
     listed: Listed,
     inherited: bool,
@@ -61,8 +67,8 @@
     /// What the first owner had durably started here when the second took over: it may still say so.
     before: Option<u8>,
     picture: Picture,
-    session: u8,
-    token: u8,
+    incarnation: u8,
+    fencing_token: u8,
     listed: Listed,
     /// The report that the machine waits for an answer to, and one that it has given up.
     report: Option<Report>,
@@ -82,14 +88,14 @@
     owner: 1,
     before: None,
     picture: Picture {
-        session: None,
+        incarnation: None,
         shown: false,
         listed: [None; 2],
         inherited: false,
         asked: false,
     },
-    session: 1,
-    token: 0,
+    incarnation: 1,
+    fencing_token: 0,
     listed: [None; 2],
     report: None,
     late: None,
@@ -100,71 +106,83 @@
 };
 
 impl World {
-    fn stored(&self, attempt: u8) -> Stored {
+    fn stored(&self, attempt: u8) -> DesiredState {
         let (viewed, durable) = (
             self.view == Record::Here(attempt),
             self.record == Record::Here(attempt),
         );
         match (viewed, durable, self.cancelled, self.view) {
-            _ if self.closed => Stored::NotOurs,
-            (true, false, _, _) => Stored::Starting,
-            (true, true, false, _) => Stored::Here,
-            (true, true, true, _) => Stored::Cancelled,
-            (false, true, false, _) => Stored::Ending,
-            (false, true, true, _) => Stored::CancelledEnding,
-            (_, _, _, Record::Here(_)) => Stored::OtherAttempt,
-            (_, _, _, Record::Waiting(_)) => Stored::Waiting,
-            (_, _, _, Record::Finished) => Stored::Finished,
-            (_, _, _, Record::Elsewhere(_)) => Stored::Elsewhere,
+            _ if self.closed => DesiredState::NotOurs,
+            (true, false, _, _) => DesiredState::Starting,
+            (true, true, false, _) => DesiredState::Here,
+            (true, true, true, _) => DesiredState::Cancelled,
+            (false, true, false, _) => DesiredState::Ending,
+            (false, true, true, _) => DesiredState::CancelledEnding,
+            (_, _, _, Record::Here(_)) => DesiredState::OtherAttempt,
+            (_, _, _, Record::Waiting(_)) => DesiredState::Waiting,
+            (_, _, _, Record::Finished) => DesiredState::Finished,
+            (_, _, _, Record::Elsewhere(_)) => DesiredState::Elsewhere,
         }
     }
 
-    fn machine(&self) -> Leaving {
+    fn machine(&self) -> MachineDisposition {
         match self.leaving {
-            true => Leaving::Drained,
-            false => Leaving::Stays,
+            true => MachineDisposition::Drained,
+            false => MachineDisposition::Stays,
         }
     }
 
     /// Every cell that this picture needs, under `evidence`.
-    fn cells(&self, evidence: Evidence, square: Square, seen: &mut Seen) -> Vec<(u8, Cell)> {
+    fn cells(
+        &self,
+        evidence: HeartbeatEvidence,
+        reconcile: Square,
+        seen: &mut Seen,
+    ) -> Vec<(u8, Reconciliation)> {
         let mut cells = Vec::new();
         for attempt in 1..=ATTEMPTS {
             let reported = match self.picture.listed[attempt as usize - 1] {
-                Some((state, why)) => Reported::Listed(state, why),
-                None if self.view == Record::Here(attempt) => Reported::Absent,
+                Some((state, why)) => ObservedState::Listed(state, why),
+                None if self.view == Record::Here(attempt) => ObservedState::Absent,
                 None => continue,
             };
             let stored = self.stored(attempt);
-            let place = |r: &Reported| *r == reported;
+            let place = |r: &ObservedState| *r == reported;
             seen.insert((stored, REPORTED.iter().position(place).unwrap()));
-            let task = Nature::default();
-            let cell = square(stored, reported, evidence, self.machine(), task);
+            let task = TaskTraits::default();
+            let cell = reconcile(stored, reported, evidence, self.machine(), task);
             cells.push((attempt, cell));
         }
         cells
     }
 
-    fn take_in(&mut self, report: &Report, square: Square, seen: &mut Seen) {
+    fn take_in(&mut self, report: &Report, reconcile: Square, seen: &mut Seen) {
         if report.old {
             return;
         }
-        let shown = report.token == self.owner;
-        let evidence = Evidence {
-            shown: if shown { Shown::Equal } else { Shown::Behind },
+        let shown = report.fencing_token == self.owner;
+        let evidence = HeartbeatEvidence {
+            shown: if shown {
+                TokenState::Equal
+            } else {
+                TokenState::Behind
+            },
             late: false,
-            new_session: self.picture.session.is_some_and(|s| s < report.session),
+            new_incarnation: self
+                .picture
+                .incarnation
+                .is_some_and(|s| s < report.incarnation),
             inherited: shown && std::mem::take(&mut self.picture.inherited),
         };
-        self.picture.session = Some(report.session);
+        self.picture.incarnation = Some(report.incarnation);
         self.picture.shown = shown;
         self.picture.listed = report.listed;
         if let Some(late) = &mut self.late {
             late.old = true;
         }
-        for (attempt, cell) in self.cells(evidence, square, seen) {
+        for (attempt, cell) in self.cells(evidence, reconcile, seen) {
             match cell.write {
-                Some(StepKind::Finish) => self.view = Record::Finished,
+                Some(AllocationChangeKind::Finish) => self.view = Record::Finished,
                 Some(_) if self.view == Record::Here(attempt) => {
                     self.view = Record::Waiting(attempt + 1);
                 }
@@ -174,7 +192,7 @@
     }
 
     /// Every state that one event leads to.
-    fn next(&self, square: Square, seen: &mut Seen) -> Vec<World> {
+    fn next(&self, reconcile: Square, seen: &mut Seen) -> Vec<World> {
         let mut next = Vec::new();
         let mut event = |change: &mut dyn FnMut(&mut World) -> bool| {
             let mut world = self.clone();
@@ -185,8 +203,8 @@
         // The machine reports; gives the report up, which may still arrive; its lease ends.
         event(&mut |w| {
             let report = Report {
-                session: w.session,
-                token: w.token,
+                incarnation: w.incarnation,
+                fencing_token: w.fencing_token,
                 listed: w.listed,
                 old: false,
             };
@@ -201,30 +219,30 @@
             std::mem::take(&mut w.waits)
         });
         event(&mut |w| {
-            w.session += 1;
+            w.incarnation += 1;
             w.listed = [None; 2];
-            w.session <= 2
+            w.incarnation <= 2
         });
         // Its tasks go on.
         for i in 0..ATTEMPTS as usize {
-            let mut goes = |to: TaskState, why: Option<Why>| {
+            let mut goes = |to: TaskState, why: Option<ExitReason>| {
                 event(&mut |w| {
                     w.listed[i] = Some((to, why));
-                    w.completed |= why == Some(Why::Done);
+                    w.completed |= why == Some(ExitReason::Done);
                     true
                 });
             };
             match self.listed[i] {
                 Some((TaskState::Pulling, _)) => {
                     goes(TaskState::Running, None);
-                    goes(TaskState::Exited, Some(Why::Unknown));
-                    goes(TaskState::Exited, Some(Why::Full));
+                    goes(TaskState::Exited, Some(ExitReason::Unknown));
+                    goes(TaskState::Exited, Some(ExitReason::Full));
                 }
                 Some((TaskState::Running, _)) => {
-                    goes(TaskState::Exited, Some(Why::Done));
-                    goes(TaskState::Exited, Some(Why::Error));
+                    goes(TaskState::Exited, Some(ExitReason::Done));
+                    goes(TaskState::Exited, Some(ExitReason::Error));
                 }
-                Some((TaskState::Saving, _)) => goes(TaskState::Exited, Some(Why::Stopped)),
+                Some((TaskState::Saving, _)) => goes(TaskState::Exited, Some(ExitReason::Stopped)),
                 _ => {}
             }
         }
@@ -233,7 +251,7 @@
             let Some(report) = w.report.take() else {
                 return false;
             };
-            w.take_in(&report, square, seen);
+            w.take_in(&report, reconcile, seen);
             w.picture.asked = true;
             true
         });
@@ -241,25 +259,31 @@
             let Some(report) = w.late.take() else {
                 return false;
             };
-            w.take_in(&report, square, seen);
+            w.take_in(&report, reconcile, seen);
             true
         });
         event(&mut |w| {
             let asked = std::mem::take(&mut w.picture.asked) && w.waits && w.report.is_none();
             let mut orders = Vec::new();
             if w.picture.shown {
-                let cells = w.cells(Evidence::PLAIN, square, seen);
+                let cells = w.cells(HeartbeatEvidence::PLAIN, reconcile, seen);
                 orders.extend(cells.iter().filter_map(|(a, c)| Some((c.order?, *a))));
             }
-            let token = w.owner;
-            w.answer = Some(Answer { token, orders });
+            let fencing_token = w.owner;
+            w.answer = Some(Answer {
+                fencing_token,
+                orders,
+            });
             asked
         });
         // The first owner, which does not know that it is deposed, answers instead.
         event(&mut |w| {
-            let order = w.before.map(|attempt| (Order::Run, attempt));
+            let order = w.before.map(|attempt| (ReconcileAction::Run, attempt));
             let orders = order.into_iter().collect();
-            w.answer = Some(Answer { token: 1, orders });
+            w.answer = Some(Answer {
+                fencing_token: 1,
+                orders,
+            });
             w.owner == 2 && w.report.take().is_some()
         });
         event(&mut |w| {
@@ -267,8 +291,8 @@
                 return false;
             };
             w.waits = false;
-            if answer.token >= w.token {
-                w.token = answer.token;
+            if answer.fencing_token >= w.fencing_token {
+                w.fencing_token = answer.fencing_token;
                 for (order, attempt) in answer.orders {
                     w.execute(order, attempt);
                 }
@@ -338,24 +362,30 @@
         next
     }
 
-    fn execute(&mut self, order: Order, attempt: u8) {
+    fn execute(&mut self, order: ReconcileAction, attempt: u8) {
         let i = attempt as usize - 1;
         let other = self.listed[1 - i].is_some_and(|(state, _)| state != TaskState::Exited);
         self.listed[i] = match (order, self.listed[i]) {
-            (Order::Run, None) if other => Some((TaskState::Exited, Some(Why::InUse))),
-            (Order::Run, None) => Some((TaskState::Pulling, None)),
-            (Order::Stop, Some((TaskState::Running, _))) => Some((TaskState::Saving, None)),
-            (Order::Kill | Order::Stop, Some((state, _))) if state != TaskState::Exited => {
-                Some((TaskState::Exited, Some(Why::Stopped)))
+            (ReconcileAction::Run, None) if other => {
+                Some((TaskState::Exited, Some(ExitReason::InUse)))
+            }
+            (ReconcileAction::Run, None) => Some((TaskState::Pulling, None)),
+            (ReconcileAction::Stop, Some((TaskState::Running, _))) => {
+                Some((TaskState::Saving, None))
+            }
+            (ReconcileAction::Kill | ReconcileAction::Stop, Some((state, _)))
+                if state != TaskState::Exited =>
+            {
+                Some((TaskState::Exited, Some(ExitReason::Stopped)))
             }
-            (Order::Reap, Some((TaskState::Exited, _))) => None,
+            (ReconcileAction::Reap, Some((TaskState::Exited, _))) => None,
             (_, as_it_was) => as_it_was,
         };
     }
 
     /// Which promise is broken here, if any.
     fn broken(&self) -> Option<&'static str> {
-        let on = |entry: &Option<(TaskState, Option<Why>)>| {
+        let on = |entry: &Option<(TaskState, Option<ExitReason>)>| {
             entry.is_some_and(|(s, _)| matches!(s, TaskState::Running | TaskState::Saving))
         };
         let here = self.listed.iter().any(on);
@@ -368,10 +398,10 @@
     }
 }
 
-type Seen = BTreeSet<(Stored, usize)>;
+type Seen = BTreeSet<(DesiredState, usize)>;
 
 /// Searches all states; the first broken promise, or which cells were needed.
-fn search(square: Square) -> Result<Seen, &'static str> {
+fn search(reconcile: Square) -> Result<Seen, &'static str> {
     let mut seen = Seen::new();
     let mut known = HashSet::from([BEGIN]);
     let mut queue = VecDeque::from([BEGIN]);
@@ -379,7 +409,7 @@
         if let Some(broken) = world.broken() {
             return Err(broken);
         }
-        for next in world.next(square, &mut seen) {
+        for next in world.next(reconcile, &mut seen) {
             if known.insert(next.clone()) {
                 queue.push_back(next);
             }
@@ -401,13 +431,13 @@
     ("unknown", 9),
 ];
 
-fn show(stored: Stored, reported: Reported, reached: bool) -> String {
-    let cell = square(
+fn show(stored: DesiredState, reported: ObservedState, reached: bool) -> String {
+    let cell = reconcile(
         stored,
         reported,
-        Evidence::PLAIN,
-        Leaving::Stays,
-        Nature::default(),
+        HeartbeatEvidence::PLAIN,
+        MachineDisposition::Stays,
+        TaskTraits::default(),
     );
     let finding = match cell.finding {
         Finding::NotBegun => "not begun",
@@ -418,15 +448,15 @@
         Finding::Agrees | Finding::Nothing | Finding::Deposed => "agrees",
     };
     let write = match cell.write {
-        Some(StepKind::Finish) => ", write done",
+        Some(AllocationChangeKind::Finish) => ", write done",
         Some(_) => ", write waits",
         None => "",
     };
     let order = match cell.order {
-        Some(Order::Run) => ", run",
-        Some(Order::Kill) => ", kill",
-        Some(Order::Stop) => ", stop",
-        Some(Order::Reap) => ", reap",
+        Some(ReconcileAction::Run) => ", run",
+        Some(ReconcileAction::Kill) => ", kill",
+        Some(ReconcileAction::Stop) => ", stop",
+        Some(ReconcileAction::Reap) => ", reap",
         None => "",
     };
     let mark = if reached { "" } else { " *" };
@@ -437,7 +467,7 @@
 /// reaches although it is said that nobody does.
 #[test]
 fn no_order_of_events_breaks_a_promise() {
-    let seen = search(square).unwrap();
+    let seen = search(reconcile).unwrap();
     let heads = COLUMNS.map(|(name, _)| name).join(" | ");
     let mut table = format!("| stored | {heads} |\n|{}\n", " --- |".repeat(10));
     for stored in STORED {
@@ -453,20 +483,20 @@
 #[test]
 fn a_wrong_table_is_found_out() {
     let hasty: Square = |stored, reported, evidence, machine, task| {
-        let shown = evidence.shown.max(Shown::Equal);
-        square(
+        let shown = evidence.shown.max(TokenState::Equal);
+        reconcile(
             stored,
             reported,
-            Evidence { shown, ..evidence },
+            HeartbeatEvidence { shown, ..evidence },
             machine,
             task,
         )
     };
     assert_eq!(search(hasty), Err("ran_twice"));
     let kind: Square = |stored, reported, evidence, machine, task| {
-        let cell = square(stored, reported, evidence, machine, task);
-        let write = cell.write.map(|_| StepKind::Finish);
-        Cell { write, ..cell }
+        let cell = reconcile(stored, reported, evidence, machine, task);
+        let write = cell.write.map(|_| AllocationChangeKind::Finish);
+        Reconciliation { write, ..cell }
     };
     assert_eq!(search(kind), Err("not_done"));
 }
--- a/crates/recovery/tests/silence.rs
+++ b/crates/reconciliation/tests/silence.rs
@@ -1,7 +1,7 @@
 //! How long silence is waited for where cancelled tasks may be frozen.
 
 use proptest::prelude::*;
-use snowshelf_recovery::silence::{frozen_ms, overdue_ms};
+use snowshelf_reconciliation::silence::{frozen_ms, overdue_ms};
 
 proptest! {
     /// Guards against a return that is begun too late: an owner that has taken the part just before the moment waits
--- a/crates/world/examples/behaviour_digest.rs
+++ b/crates/simulation/examples/behaviour_digest.rs
@@ -1,7 +1,7 @@
 //! Plays seeded runs and prints a digest of all that the controllers send in each: every call, answer and message
 //! between controllers, in order, with its time. Two versions of the sources that behave alike print the same lines.
 //!
-//!     cargo run --release -p snowshelf-world --example behaviour_digest
+//!     cargo run --release -p snowshelf-simulation --example behaviour_digest
 //!
 //! With `--records FILE` the values that the state service holds are written to a file as well, one JSON object a
 //! line, as samples of stored data.
@@ -12,9 +12,11 @@
 use snowshelf_dag::graph::Graph;
 use snowshelf_dag::run::Asked;
 use snowshelf_drain::budget::Budget;
-use snowshelf_world::meetings::OVER_MS;
-use snowshelf_world::troubles::Trouble;
-use snowshelf_world::{NODES, Sabotage, Weather, World, meetings};
+use snowshelf_simulation::fault_combinations::OVER_MS;
+use snowshelf_simulation::faults::Fault;
+use snowshelf_simulation::{
+    DisabledSafeguards, NODES, NetworkConditions, Simulation, fault_combinations,
+};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::sync::Mutex;
@@ -23,34 +25,34 @@
 const END_MS: u64 = 160_000;
 
 /// Every kind of trouble, each of which gets a run of its own.
-const TROUBLES: [(Trouble, u64); 27] = [
-    (Trouble::LateWrites(0.1), 20_000),
-    (Trouble::LateReports(0.3), 30_000),
-    (Trouble::DeafMachines(0.3), 14_000),
-    (Trouble::HeldAnswers(0.3), 20_000),
-    (Trouble::DyingMachines(0.4), 2_000),
-    (Trouble::QuickBoots, 30_000),
-    (Trouble::SlowLinks(1_200), 30_000),
-    (Trouble::Refused(0), 14_000),
-    (Trouble::Outage, 16_000),
-    (Trouble::Slow(900), 25_000),
-    (Trouble::Cut("a"), 14_000),
-    (Trouble::Apart(1), 14_000),
-    (Trouble::Mute(2), 14_000),
-    (Trouble::Deaf(0), 14_000),
-    (Trouble::CloseLooks, 40_000),
-    (Trouble::CancelAtEnd(0.4), 40_000),
-    (Trouble::OddRequests, 40_000),
-    (Trouble::Crash(1), 1),
-    (Trouble::CrashAll(400), 1),
-    (Trouble::AnswersLost(0.1), 30_000),
-    (Trouble::KeptReports(0.3), 30_000),
-    (Trouble::MuteMachines(0.3), 25_000),
-    (Trouble::HungMachines(0.4), 30_000),
-    (Trouble::CancelNow(4, 20_000), 1),
-    (Trouble::ZoneCut("b", 0), 15_000),
-    (Trouble::AllDown, 9_000),
-    (Trouble::CancelNow(8, 0), 1),
+const FAULTS: [(Fault, u64); 27] = [
+    (Fault::LateWrites(0.1), 20_000),
+    (Fault::LateReports(0.3), 30_000),
+    (Fault::DeafMachines(0.3), 14_000),
+    (Fault::HeldAnswers(0.3), 20_000),
+    (Fault::DyingMachines(0.4), 2_000),
+    (Fault::QuickBoots, 30_000),
+    (Fault::SlowLinks(1_200), 30_000),
+    (Fault::Refused(0), 14_000),
+    (Fault::Outage, 16_000),
+    (Fault::Slow(900), 25_000),
+    (Fault::Cut("a"), 14_000),
+    (Fault::Apart(1), 14_000),
+    (Fault::Mute(2), 14_000),
+    (Fault::Deaf(0), 14_000),
+    (Fault::CloseLooks, 40_000),
+    (Fault::CancelAtEnd(0.4), 40_000),
+    (Fault::OddRequests, 40_000),
+    (Fault::Crash(1), 1),
+    (Fault::CrashAll(400), 1),
+    (Fault::AnswersLost(0.1), 30_000),
+    (Fault::KeptReports(0.3), 30_000),
+    (Fault::MuteMachines(0.3), 25_000),
+    (Fault::HungMachines(0.4), 30_000),
+    (Fault::CancelNow(4, 20_000), 1),
+    (Fault::ZoneCut("b", 0), 15_000),
+    (Fault::AllDown, 9_000),
+    (Fault::CancelNow(8, 0), 1),
 ];
 
 fn graph_run(run: &str) -> Asked {
@@ -77,49 +79,59 @@
     }
 }
 
-fn storm(seed: u64, weather: Weather) -> World {
-    let mut world = World::new(seed, weather, Sabotage::default(), 14, 90_000);
-    world.run(END_MS);
-    world
+fn storm(seed: u64, conditions: NetworkConditions) -> Simulation {
+    let mut simulation =
+        Simulation::new(seed, conditions, DisabledSafeguards::default(), 14, 90_000);
+    simulation.run(END_MS);
+    simulation
 }
 
-fn with_calendar(seed: u64, weather: Weather) -> World {
-    let weather = Weather {
+fn with_calendar(seed: u64, conditions: NetworkConditions) -> Simulation {
+    let conditions = NetworkConditions {
         calendar: true,
         short_estimates: true,
-        ..weather
+        ..conditions
     };
-    let mut world = World::new(seed, weather, Sabotage::default(), 14, 90_000);
-    world.draw_bookers(12);
-    world.run(END_MS);
-    world
+    let mut simulation =
+        Simulation::new(seed, conditions, DisabledSafeguards::default(), 14, 90_000);
+    simulation.draw_bookers(12);
+    simulation.run(END_MS);
+    simulation
 }
 
-fn with_graphs(seed: u64, weather: Weather) -> World {
-    let weather = Weather {
+fn with_graphs(seed: u64, conditions: NetworkConditions) -> Simulation {
+    let conditions = NetworkConditions {
         graphs: true,
-        ..weather
+        ..conditions
     };
-    let mut world = World::new(seed, weather, Sabotage::default(), 6, 90_000);
+    let mut simulation =
+        Simulation::new(seed, conditions, DisabledSafeguards::default(), 6, 90_000);
     for n in 0..3 {
-        let run = world.add_run(6_000 + 9_000 * n, &graph_run(&format!("r{n}")));
+        let run = simulation.add_run(6_000 + 9_000 * n, &graph_run(&format!("r{n}")));
         if n == 2 {
-            world.runners[run].cancel_at = Some(50_000);
+            simulation.runners[run].cancel_at = Some(50_000);
         }
     }
-    world.keep_graph(9_000, &graph_run("kept"));
-    world.run(END_MS);
-    world
+    simulation.keep_graph(9_000, &graph_run("kept"));
+    simulation.run(END_MS);
+    simulation
 }
 
-fn with_drains(seed: u64, weather: Weather) -> World {
-    let weather = Weather {
+fn with_drains(seed: u64, conditions: NetworkConditions) -> Simulation {
+    let conditions = NetworkConditions {
         drains: true,
-        ..weather
+        ..conditions
     };
     let size = (96.0, 6);
-    let mut world = World::sized(seed, weather, Sabotage::default(), 0, 150_000, size);
-    world.budget = Budget {
+    let mut simulation = Simulation::sized(
+        seed,
+        conditions,
+        DisabledSafeguards::default(),
+        0,
+        150_000,
+        size,
+    );
+    simulation.budget = Budget {
         cpus: 24.0,
         tasks: 12,
         stretch_s: 30.0,
@@ -128,101 +140,106 @@
         job_share: 0.5,
         replicas_up: 0.75,
     };
-    world.run_ms = 15_000;
-    (0..NODES).for_each(|node| world.again(node));
+    simulation.run_ms = 15_000;
+    (0..NODES).for_each(|node| simulation.again(node));
     for i in 0..36 {
         let team = ["red", "blue"][i as usize % 2];
         let spec = json!({"Cuadrilla": team, "Tarefas": 8, "Cpus": 2.0, "PrevisaoS": 15.0, "Avulsas": i % 3 == 0});
-        world.add_user(2_000 + i * 4_000, spec);
+        simulation.add_user(2_000 + i * 4_000, spec);
     }
-    let budget = world.budget;
-    world.set_budget(20_000, "red", budget);
-    world.add_drain(
+    let budget = simulation.budget;
+    simulation.set_budget(20_000, "red", budget);
+    simulation.add_drain(
         40_000,
         json!({"name": "all", "all": true, "then": "replace", "at_once": 6, "watch_s": 5.0, "patience_s": 3.0}),
     );
-    world.tell_drain(70_000, "all", "pause");
-    world.tell_drain(80_000, "all", "resume");
-    world.run(END_MS);
-    world
+    simulation.tell_drain(70_000, "all", "pause");
+    simulation.tell_drain(80_000, "all", "resume");
+    simulation.run(END_MS);
+    simulation
 }
 
-fn with_everything(seed: u64) -> World {
-    let weather = Weather {
+fn with_everything(seed: u64) -> Simulation {
+    let conditions = NetworkConditions {
         calendar: true,
         graphs: true,
         drains: true,
         roll: true,
-        ..Weather::STORM
+        ..NetworkConditions::STORM
     };
-    let mut world = World::new(seed, weather, Sabotage::default(), 14, 90_000);
-    world.draw_bookers(6);
-    world.add_run(12_000, &graph_run("r"));
-    world.add_drain(
+    let mut simulation =
+        Simulation::new(seed, conditions, DisabledSafeguards::default(), 14, 90_000);
+    simulation.draw_bookers(6);
+    simulation.add_run(12_000, &graph_run("r"));
+    simulation.add_drain(
         50_000,
         json!({"name": "zone", "zone": "a", "then": "replace", "at_once": 2}),
     );
-    world.run(END_MS);
-    world
+    simulation.run(END_MS);
+    simulation
 }
 
-fn with_trouble(seed: u64, trouble: Trouble, for_ms: u64) -> World {
+fn with_fault(seed: u64, fault: Fault, for_ms: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
     let at = rng.random_range(20_000..40_000u64);
-    meetings::play(seed, Sabotage::default(), &vec![(at, for_ms, trouble)])
+    fault_combinations::play(
+        seed,
+        DisabledSafeguards::default(),
+        &vec![(at, for_ms, fault)],
+    )
 }
 
-fn with_three_troubles(seed: u64) -> World {
+fn with_three_faults(seed: u64) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
-    let meeting = (0..3).map(|_| {
-        let (trouble, for_ms) = TROUBLES[rng.random_range(0..TROUBLES.len())];
+    let schedule = (0..3).map(|_| {
+        let (fault, for_ms) = FAULTS[rng.random_range(0..FAULTS.len())];
         (
             rng.random_range(15_000..OVER_MS - 45_000),
             for_ms.min(40_000),
-            trouble,
+            fault,
         )
     });
-    let meeting: meetings::Meeting = meeting.collect();
-    meetings::play(seed, Sabotage::default(), &meeting)
+    let schedule: fault_combinations::FaultSchedule = schedule.collect();
+    fault_combinations::play(seed, DisabledSafeguards::default(), &schedule)
 }
 
-type Play = Box<dyn Fn() -> World + Send + Sync>;
+type Play = Box<dyn Fn() -> Simulation + Send + Sync>;
 
 fn runs() -> Vec<(String, Play)> {
     let mut runs: Vec<(String, Play)> = Vec::new();
     let mut add = |name: String, play: Play| runs.push((name, play));
-    let roll = Weather {
+    let roll = NetworkConditions {
         roll: true,
-        ..Weather::STORM
+        ..NetworkConditions::STORM
     };
     for seed in 1..=2 {
         add(
             format!("calm {seed}"),
-            Box::new(move || storm(seed, Weather::CALM)),
+            Box::new(move || storm(seed, NetworkConditions::CALM)),
         );
         add(
             format!("calendar {seed}"),
-            Box::new(move || with_calendar(seed, Weather::CALM)),
+            Box::new(move || with_calendar(seed, NetworkConditions::CALM)),
         );
         add(
             format!("calendar, storm {seed}"),
-            Box::new(move || with_calendar(seed, Weather::STORM)),
+            Box::new(move || with_calendar(seed, NetworkConditions::STORM)),
         );
         add(
             format!("graphs {seed}"),
-            Box::new(move || with_graphs(seed, Weather::CALM)),
+            Box::new(move || with_graphs(seed, NetworkConditions::CALM)),
         );
         add(
             format!("graphs, storm {seed}"),
-            Box::new(move || with_graphs(seed, Weather::STORM)),
+            Box::new(move || with_graphs(seed, NetworkConditions::STORM)),
         );
         add(
             format!("drains {seed}"),
-            Box::new(move || with_drains(seed, Weather::CALM)),
+            Box::new(move || with_drains(seed, NetworkConditions::CALM)),
         );
         add(
             format!("drains, storm {seed}"),
-            Box::new(move || with_drains(seed, Weather::STORM)),
+            Box::new(move || with_drains(seed, NetworkConditions::STORM)),
         );
         add(
             format!("everything {seed}"),
@@ -232,18 +249,18 @@
     for seed in 1..=6 {
         add(
             format!("storm {seed}"),
-            Box::new(move || storm(seed, Weather::STORM)),
+            Box::new(move || storm(seed, NetworkConditions::STORM)),
         );
         add(format!("roll {seed}"), Box::new(move || storm(seed, roll)));
         add(
             format!("three troubles {seed}"),
-            Box::new(move || with_three_troubles(seed)),
+            Box::new(move || with_three_faults(seed)),
         );
     }
-    for (n, (trouble, for_ms)) in TROUBLES.into_iter().enumerate() {
+    for (n, (fault, for_ms)) in FAULTS.into_iter().enumerate() {
         add(
-            format!("{trouble:?}"),
-            Box::new(move || with_trouble(n as u64, trouble, for_ms)),
+            format!("{fault:?}"),
+            Box::new(move || with_fault(n as u64, fault, for_ms)),
         );
     }
     runs
@@ -289,18 +306,18 @@
 
 /// A line for a run, and the records that it left.
 fn play(name: &str, run: &Play) -> (String, Vec<String>) {
-    let mut world = run();
+    let mut simulation = run();
     for (method, path, body) in REQUESTS {
-        (0..NODES).for_each(|node| world.request(node, method, path, body));
+        (0..NODES).for_each(|node| simulation.request(node, method, path, body));
     }
-    let until = world.now + ANSWERS_MS;
-    world.run(until);
-    let digest = &world.digest;
+    let until = simulation.now + ANSWERS_MS;
+    simulation.run(until);
+    let digest = &simulation.digest;
     let (outputs, value) = (digest.outputs(), digest.value());
-    let broken = world.broken.len();
+    let broken = simulation.broken.len();
     (
         format!("{value:016x} {outputs:>7} outputs, {broken} broken: {name}"),
-        world.state.dump_all(),
+        simulation.state.dump_all(),
     )
 }
 
--- a/crates/world/examples/replacement.rs
+++ b/crates/simulation/examples/replacement.rs
@@ -8,33 +8,33 @@
 
 use serde_json::{Value, json};
 use snowshelf_drain::budget::Budget;
-use snowshelf_world::{NODES, Sabotage, Weather, World};
+use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
 
-fn world(seed: u64, pool: usize, budget: Budget) -> World {
-    let weather = Weather {
+fn simulation(seed: u64, pool: usize, budget: Budget) -> Simulation {
+    let conditions = NetworkConditions {
         drains: true,
-        ..Weather::CALM
+        ..NetworkConditions::CALM
     };
     let limit = 16.0 * pool as f64;
-    let mut world = World::sized(
+    let mut simulation = Simulation::sized(
         seed,
-        weather,
-        Sabotage::default(),
+        conditions,
+        DisabledSafeguards::default(),
         0,
         700_000,
         (limit, 2 * pool),
     );
-    world.budget = budget;
-    world.cloud.page = 500;
-    world.run_ms = 20_000;
-    (0..NODES).for_each(|node| world.again(node));
+    simulation.budget = budget;
+    simulation.cloud.page = 500;
+    simulation.run_ms = 20_000;
+    (0..NODES).for_each(|node| simulation.again(node));
     let jobs = 25 * pool as u64;
     for i in 0..jobs {
         let team = if i % 2 == 0 { "red" } else { "blue" };
         let spec = json!({"Cuadrilla": team, "Tarefas": 16, "Cpus": 2.0, "PrevisaoS": 20.0, "Avulsas": i % 3 == 0});
-        world.add_user(2_000 + i * 600_000 / jobs, spec);
+        simulation.add_user(2_000 + i * 600_000 / jobs, spec);
     }
-    world
+    simulation
 }
 
 fn main() {
@@ -81,20 +81,20 @@
         ("all at once, no budget", Some(all), boundless),
     ];
     for (way, body, budget) in ways {
-        let mut world = world(seed, pool, budget);
-        let drain = body.map(|body| world.add_drain(60_000, body));
-        world.run(60_000);
-        let machines = world.workers.len();
-        let writes = world.state.revision;
-        let mut ends = vec![None; world.users.len()];
+        let mut simulation = simulation(seed, pool, budget);
+        let drain = body.map(|body| simulation.add_drain(60_000, body));
+        simulation.run(60_000);
+        let machines = simulation.workers.len();
+        let writes = simulation.state.revision;
+        let mut ends = vec![None; simulation.users.len()];
         let mut over = None;
         for at in (60_000..1_000_000).step_by(1_000) {
-            world.run(at);
-            let done = drain.is_some_and(|d| world.operators[d].state() == "done");
+            simulation.run(at);
+            let done = drain.is_some_and(|d| simulation.operators[d].state() == "done");
             if done && over.is_none() {
                 over = Some((at - 60_000) / 1_000);
             }
-            for (end, user) in ends.iter_mut().zip(&world.users) {
+            for (end, user) in ends.iter_mut().zip(&simulation.users) {
                 if user.told_done && end.is_none() {
                     *end = Some(at.saturating_sub(user.submit_at));
                 }
@@ -104,12 +104,12 @@
         let mean = done.iter().sum::<u64>() as f64 / done.len().max(1) as f64 / 1_000.0;
         println!(
             "{way}; {machines}; {over:?}; {}; {}; {mean:.1} ({} of {}); {}; {:?}",
-            world.disrupted.stops(),
-            world.disrupted.most_away,
+            simulation.disrupted.stops(),
+            simulation.disrupted.most_away,
             done.len(),
             ends.len(),
-            world.state.revision - writes,
-            world.broken
+            simulation.state.revision - writes,
+            simulation.broken
         );
     }
 }
--- a/crates/world/src/asking.rs
+++ b/crates/simulation/src/asking.rs
@@ -3,7 +3,7 @@
 use super::histories::Question;
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn draw_user(&mut self, u: usize) -> User {
         let tasks = self.rng.random_range(1..12u32);
         let cpus = f64::from(self.rng.random_range(1..4u32));
@@ -24,14 +24,14 @@
             "Matriz": format!("img-{}", u % 3), "PullGb": 1.0, "Modelos": null, "Parcela": zone,
             "Together": bound == 0, "Apart": bound == 1 && zone.is_none(),
             "Avulsas": self.rng.random_bool(0.5),
-            "PrevisaoS": if self.weather.short_estimates { 0.5 } else { 5.0 }, "MarcoS": 0.0, "GuardaS": 0.0,
+            "PrevisaoS": if self.conditions.short_estimates { 0.5 } else { 5.0 }, "MarcoS": 0.0, "GuardaS": 0.0,
             "PrazoS": null});
         // Some jobs need earlier ones, mostly the last: chains, and fans of several.
-        let mut needs: Vec<usize> = Vec::new();
+        let mut dependencies: Vec<usize> = Vec::new();
         if u > 0 && self.rng.random_bool(0.5) {
-            needs.push(u - 1);
+            dependencies.push(u - 1);
             if self.rng.random_bool(0.3) {
-                needs.push(self.rng.random_range(0..u));
+                dependencies.push(self.rng.random_range(0..u));
             }
         }
         let submit_at = self.rng.random_range(2_000..40_000u64);
@@ -39,12 +39,15 @@
             .rng
             .random_bool(0.2)
             .then(|| submit_at + self.rng.random_range(500..40_000u64));
-        if !needs.is_empty() {
-            let names: Vec<String> = needs.iter().map(|n| format!("wk-{:06}", n + 1)).collect();
+        if !dependencies.is_empty() {
+            let names: Vec<String> = dependencies
+                .iter()
+                .map(|n| format!("wk-{:06}", n + 1))
+                .collect();
             spec["Aguarda"] = json!(names);
         }
         User {
-            needs,
+            dependencies,
             by_run: false,
             job,
             spec,
@@ -73,7 +76,7 @@
             whole[field] = value.clone();
         }
         self.users.push(User {
-            needs: Vec::new(),
+            dependencies: Vec::new(),
             job,
             tasks: whole["Tarefas"].as_u64().unwrap_or(1) as u32,
             cpus: whole["Cpus"].as_f64().unwrap_or(1.0),
@@ -94,14 +97,19 @@
     pub(crate) fn user_next(&mut self, u: usize) {
         let node = self.rng.random_range(0..NODES);
         let by_run = self.users[u].by_run;
-        if !by_run && self.users[u].needs.iter().any(|n| !self.users[*n].accepted) {
+        if !by_run
+            && self.users[u]
+                .dependencies
+                .iter()
+                .any(|n| !self.users[*n].accepted)
+        {
             // Users submit the jobs of a pipeline one after another.
             self.after(500, Event::UserNext(u));
             return;
         }
         let user = &mut self.users[u];
         let mut spec = user.spec.clone();
-        if self.sabotage.no_needs {
+        if self.safeguards.no_needs {
             spec["Aguarda"] = Value::Null;
         }
         if user.cancel_at.is_some_and(|at| at <= self.now) && user.accepted {
@@ -116,7 +124,7 @@
             Question::Poll
         };
         self.question(node, u, question, &spec);
-        if question == Question::Submit && self.ails.close_looks {
+        if question == Question::Submit && self.injected.close_looks {
             self.look_around(u);
         }
         self.ask_oddly(u);
@@ -227,7 +235,7 @@
     /// since when the first of them has been told that it is.
     pub(crate) fn cancelled_above(&self, u: usize) -> Option<Option<u64>> {
         let mut found: Option<Option<u64>> = None;
-        let mut queue = self.users[u].needs.clone();
+        let mut queue = self.users[u].dependencies.clone();
         while let Some(need) = queue.pop() {
             let user = &self.users[need];
             if user.wants_cancel {
@@ -235,7 +243,7 @@
                 let before = found.flatten();
                 found = Some(before.map_or(told, |b| Some(told.map_or(b, |t| t.min(b)))));
             }
-            queue.extend(&user.needs);
+            queue.extend(&user.dependencies);
         }
         found
     }
--- a/crates/world/src/booking.rs
+++ b/crates/simulation/src/booking.rs
@@ -1,11 +1,11 @@
 //! Users who reserve and who declare windows, and what must hold for them.
 
 use super::workers::WorkerTask;
-use super::{Asked, Event, NODES, TEAM_LIMIT, World};
+use super::{Asked, Event, NODES, Simulation, TEAM_LIMIT};
 use rand::RngExt;
 use serde_json::{Value, json};
 use snowshelf_calendar::entry::shown;
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The time of day at which the world begins, in milliseconds.
@@ -42,7 +42,7 @@
     on: BTreeSet<(String, u64)>,
 }
 
-impl World {
+impl Simulation {
     pub fn add_reservation(
         &mut self,
         at: u64,
@@ -54,14 +54,14 @@
     ) {
         let name = format!("r{}", self.bookers.len());
         let body = json!({"name": name, "team": team, "cpus": cpus, "zone": zone,
-            "from": shown(WallMs(BEGAN + from)), "until": shown(WallMs(BEGAN + until))});
+            "from": shown(WallClockMillis(BEGAN + from)), "until": shown(WallClockMillis(BEGAN + until))});
         self.add_booker(at, "/api/reservations", body, from, until);
     }
 
     pub fn add_window(&mut self, at: u64, zone: &str, from: u64, until: u64) {
         let name = format!("w{}", self.bookers.len());
         let body = json!({"name": name, "zone": zone,
-            "from": shown(WallMs(BEGAN + from)), "until": shown(WallMs(BEGAN + until))});
+            "from": shown(WallClockMillis(BEGAN + from)), "until": shown(WallClockMillis(BEGAN + until))});
         self.add_booker(at, "/api/windows", body, from, until);
     }
 
--- a/crates/world/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,6 +1,6 @@
 //! A digest of everything that the controllers send, to show that a change of the sources left their behaviour alone.
 
-use snowshelf::outbox::{Method, Output, Target};
+use snowshelf::effects::{Effect, Method, Target};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
@@ -15,15 +15,15 @@
 
 impl OutputDigest {
     /// Adds one output, which `node` sends at `now`.
-    pub fn add(&mut self, now: u64, node: usize, output: &Output) {
+    pub fn add(&mut self, now: u64, node: usize, output: &Effect) {
         self.outputs += 1;
         (now, node).hash(&mut self.hasher);
         match output {
-            Output::Respond(conn, response) => {
+            Effect::Respond(conn, response) => {
                 let answer = (response.status, &response.body, response.retry_after_s);
                 ("respond", conn.0, answer).hash(&mut self.hasher);
             }
-            Output::Call {
+            Effect::Call {
                 id,
                 target,
                 method,
@@ -42,11 +42,11 @@
                 };
                 ("call", id.0, target, method, path, body, timeout_ms).hash(&mut self.hasher);
             }
-            Output::Hint(member, hint) => {
+            Effect::PeerStatus(member, hint) => {
                 let bytes = prost::Message::encode_to_vec(hint);
                 ("status", member.as_str(), bytes).hash(&mut self.hasher);
             }
-            Output::Proof(member, proof) => {
+            Effect::PeerMessage(member, proof) => {
                 let bytes = prost::Message::encode_to_vec(proof);
                 ("message", member.as_str(), bytes).hash(&mut self.hasher);
             }
--- a/crates/world/src/direct.rs
+++ b/crates/simulation/src/direct.rs
@@ -9,7 +9,7 @@
     format!("10.1.{}.{}:1", number / 250, number % 250 + 1)
 }
 
-impl World {
+impl Simulation {
     /// The answer of the worker at this address, if it hears the call.
     pub(crate) fn direct(
         &mut self,
--- a/crates/world/src/draining.rs
+++ b/crates/simulation/src/draining.rs
@@ -1,11 +1,11 @@
 //! Operators who drain machines and set budgets, and what must hold: no budget is passed at any moment,
 //! by what really runs.
 
-use super::{Asked, Event, NODES, World};
+use super::{Asked, Event, NODES, Simulation};
 use rand::RngExt;
 use serde_json::{Value, json};
 use snowshelf_drain::budget::Budget;
-use snowshelf_model::records::Alloc;
+use snowshelf_model::records::ShardAllocation;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub struct Operator {
@@ -55,7 +55,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn add_drain(&mut self, at: u64, body: Value) -> usize {
         let name = body["name"].as_str().unwrap_or("").to_string();
         self.operator(at, "POST", "/api/drains".into(), body, Some(name))
@@ -149,7 +149,7 @@
             return;
         }
         let zone = worker.map(|w| w.zone.clone());
-        if !self.weather.drains || zone.is_none_or(|zone| self.closes(&zone)) {
+        if !self.conditions.drains || zone.is_none_or(|zone| self.closes(&zone)) {
             // For a window or a reservation, which do not wait for budgets.
             return;
         }
@@ -161,11 +161,11 @@
             if self.users[u].wants_cancel || self.cancelled_above(u).is_some() {
                 continue;
             }
-            let number = snowshelf_model::ids::TaskNo(number.parse().unwrap_or(0));
+            let number = snowshelf_model::ids::TaskIndex(number.parse().unwrap_or(0));
             let name = snowshelf_model::ids::MachineId::new(machine);
-            let part = snowshelf_model::ids::part_of(machine, NODES as u32);
-            let share = self.state.value(&format!("alloc/{part}/{job}"));
-            let share = share.and_then(|v| serde_json::from_value::<Alloc>(v).ok());
+            let shard_id = snowshelf_model::ids::shard_of(machine, NODES as u32);
+            let share = self.state.value(&format!("alloc/{shard_id}/{job}"));
+            let share = share.and_then(|v| serde_json::from_value::<ShardAllocation>(v).ok());
             let recorded = share.and_then(|a| a.started_on(&name, number));
             if recorded.is_none_or(|a| u64::from(a.0) != attempt) {
                 continue;
@@ -240,7 +240,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Lets the cloud take a machine back, `lead_ms` after it has said so.
     pub fn notice_at(&mut self, at: u64, name: &str, lead_ms: u64) {
         self.at(at, Event::Notice(name.to_string(), at + lead_ms));
