--- a/crates/world/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -18,9 +18,9 @@
         body: Vec<u8>,
         answered: bool,
     },
-    Answer(usize, u64, CallId, CallResult),
-    HintFor(usize, Hint),
-    ProofFor(usize, Proof),
+    Answer(usize, u64, CallId, CallOutcome),
+    StatusFor(usize, PeerStatus),
+    MessageFor(usize, PeerMessage),
     Crash(usize),
     /// Killed, to come back as the new version.
     Replace(usize),
@@ -28,7 +28,7 @@
     Restart(usize),
     Refuse(usize, bool),
     Unserved(usize, bool),
-    Ails(Trouble, bool),
+    InjectedFaults(Fault, bool),
     ZoneCut(&'static str, usize, bool),
     /// A user asks for a cancellation now.
     CallOff(usize),
@@ -41,7 +41,7 @@
     Mute(usize, bool),
     Cut(String, bool),
     Outage(bool),
-    Report(String),
+    Heartbeat(String),
     ReportTimeout(String, u64),
     WorkerWakes(String),
     Hang(String, u64),
@@ -58,12 +58,12 @@
     Notice(String, u64),
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(i, life) => {
                 if self.nodes[i].life == life && self.nodes[i].controller.is_some() {
-                    self.feed(i, Input::Tick);
+                    self.feed(i, ControllerEvent::Tick);
                     self.after(TICK_MS, Event::Tick(i, life));
                 }
             }
@@ -78,7 +78,7 @@
                 answered,
             } => {
                 let reply = match target {
-                    Target::State if self.ails.unserved.contains(&node) => None,
+                    Target::State if self.injected.unserved.contains(&node) => None,
                     Target::State => {
                         if self.outage || self.refused.contains(&node) {
                             Some((503, b"{}".to_vec()))
@@ -101,12 +101,15 @@
                 }
                 // A cut that began while the call was underway: it is given up like one that was sent later.
                 let lost = match target {
-                    Target::State => self.ails.unserved.contains(&node),
+                    Target::State => self.injected.unserved.contains(&node),
                     Target::Cloud => self.is_cut_off(node),
                     Target::Worker(_) => false,
                 };
                 if lost {
-                    self.after(GIVEN_UP_MS, Event::Answer(node, life, id, CallResult::Lost));
+                    self.after(
+                        GIVEN_UP_MS,
+                        Event::Answer(node, life, id, CallOutcome::Unanswered),
+                    );
                 }
                 if let Some((status, body)) = reply
                     && answered
@@ -114,7 +117,7 @@
                     let ms = self.hop();
                     self.after(
                         ms,
-                        Event::Answer(node, life, id, CallResult::Answer { status, body }),
+                        Event::Answer(node, life, id, CallOutcome::Response { status, body }),
                     );
                 }
                 self.wake_watchers();
@@ -122,11 +125,11 @@
             }
             Event::Answer(i, life, id, result) => {
                 if self.nodes[i].life == life {
-                    self.feed(i, Input::CallDone(id, result));
+                    self.feed(i, ControllerEvent::CallDone(id, result));
                 }
             }
-            Event::HintFor(i, hint) => self.feed(i, Input::Hint(hint)),
-            Event::ProofFor(i, proof) => self.feed(i, Input::Proof(proof)),
+            Event::StatusFor(i, hint) => self.feed(i, ControllerEvent::PeerStatus(hint)),
+            Event::MessageFor(i, proof) => self.feed(i, ControllerEvent::PeerMessage(proof)),
             Event::Crash(i) => {
                 if self.nodes[i].controller.is_none() {
                     return;
@@ -146,13 +149,13 @@
                 self.state.write_rate = Some(NEXT_RATE);
             }
             Event::Restart(i) => {
-                if self.nodes[i].controller.is_none() && !self.ails.all_down {
+                if self.nodes[i].controller.is_none() && !self.injected.all_down {
                     self.restart(i);
                 }
             }
             Event::Refuse(i, on) => switch(&mut self.refused, i, on),
-            Event::Unserved(i, on) => switch(&mut self.ails.unserved, i, on),
-            Event::Ails(trouble, on) => self.ail(trouble, on),
+            Event::Unserved(i, on) => switch(&mut self.injected.unserved, i, on),
+            Event::InjectedFaults(fault, on) => self.ail(fault, on),
             Event::ZoneCut(zone, node, on) => self.zone_cut(zone, node, on),
             Event::CallOff(u) => self.call_off(u),
             Event::Underway(node, name, number, body) => {
@@ -171,14 +174,14 @@
                 self.state.outage(self.now, on);
             }
             Event::Boot(name) => self.boot(&name),
-            Event::Report(name) => self.report(&name),
+            Event::Heartbeat(name) => self.report(&name),
             Event::ReportTimeout(name, number) => {
                 if let Some(w) = self.workers.get_mut(&name)
                     && w.in_flight == Some(number)
                 {
                     w.in_flight = None;
                     w.next_node(None);
-                    self.after(1_000, Event::Report(name));
+                    self.after(1_000, Event::Heartbeat(name));
                 }
             }
             Event::WorkerWakes(name) => self.worker_wakes(&name),
@@ -187,7 +190,7 @@
                 if let Some(w) = self.workers.get_mut(&name) {
                     w.hung_until = w.hung_until.max(until);
                     self.at(until, Event::WorkerWakes(name.clone()));
-                    self.at(until, Event::Report(name));
+                    self.at(until, Event::Heartbeat(name));
                 }
             }
             Event::UserNext(u) => self.user_next(u),
@@ -223,10 +226,10 @@
 
     /// A watch is answered, unless its controller is refused or cut off: then it hangs.
     pub(crate) fn watched(&mut self, node: usize, life: u64, call: u64, body: Vec<u8>, ms: u64) {
-        if self.refused.contains(&node) || self.ails.unserved.contains(&node) {
+        if self.refused.contains(&node) || self.injected.unserved.contains(&node) {
             return;
         }
-        let result = CallResult::Answer { status: 200, body };
+        let result = CallOutcome::Response { status: 200, body };
         self.after(ms, Event::Answer(node, life, CallId(call), result));
     }
 }
--- a/crates/world/src/troubles/apart.rs
+++ b/crates/simulation/src/faults/apart.rs
@@ -1,9 +1,9 @@
 //! Controllers that have lost the state service and the others, not their workers or users. What they send is
 //! lost, and what was on its way to them too.
 
-use crate::{Event, World};
+use crate::{Event, Simulation};
 
-impl World {
+impl Simulation {
     /// Cuts a controller off from the state service and the other controllers.
     pub fn apart_at(&mut self, from: u64, until: u64, node: usize) {
         self.mute_at(from, until, node);
--- a/crates/world/src/troubles/cancel_now.rs
+++ b/crates/simulation/src/faults/cancel_now.rs
@@ -1,6 +1,6 @@
 //! Many jobs that run are called off at once, and some of their machines hang at that moment.
 
-use crate::{Asked, Event, NODES, World};
+use crate::{Asked, Event, NODES, Simulation};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 /// Most machines that hang.
 const HANGING: usize = 8;
 
-impl World {
+impl Simulation {
     pub(crate) fn cancel_now(&mut self, count: usize, hang_ms: u64) {
         let job = |task: &str| task.split('/').next().unwrap_or("").to_string();
         let tasks = self.workers.values().flat_map(|w| &w.tasks);
--- a/crates/world/src/troubles/close_looks.rs
+++ b/crates/simulation/src/faults/close_looks.rs
@@ -2,7 +2,7 @@
 //! or confirmed as cancelled; and users who call a job off as it ends.
 
 use crate::histories::Question;
-use crate::{Event, NODES, World};
+use crate::{Event, NODES, Simulation};
 use rand::RngExt;
 
 /// Within so long after what happened.
@@ -10,10 +10,10 @@
 /// Share of the users who call a job off as soon as it is accepted.
 const AT_ONCE: f64 = 0.15;
 
-impl World {
+impl Simulation {
     /// Something was said of a job that no answer had said before.
     pub(crate) fn look_closely(&mut self, u: usize, accepted: bool) {
-        if !self.ails.close_looks {
+        if !self.injected.close_looks {
             return;
         }
         self.look_around(u);
@@ -61,9 +61,9 @@
         if self.finished.get(job).map_or(0, |f| f.len()) < all {
             return;
         }
-        let share = self.ails.cancel_at_end;
+        let share = self.injected.cancel_at_end;
         let off = share > 0.0 && self.rng.random_bool(share);
-        if !off && !self.ails.close_looks {
+        if !off && !self.injected.close_looks {
             return;
         }
         let moment = match self.rng.random_range(0..3u32) {
@@ -71,13 +71,13 @@
             1 => job,
             _ => machine,
         };
-        let met = self.ails.ends.entry(moment.to_string()).or_default();
+        let met = self.injected.ends.entry(moment.to_string()).or_default();
         met.push((u, off));
     }
 
     /// A machine has reported, or a job's end is being written: it is asked about and called off just now.
     pub(crate) fn end_met(&mut self, moment: &str) {
-        for (u, off) in self.ails.ends.remove(moment).unwrap_or_default() {
+        for (u, off) in self.injected.ends.remove(moment).unwrap_or_default() {
             self.look_around(u);
             if off {
                 self.call_off_within(u, 12);
@@ -87,14 +87,14 @@
 
     /// A controller has sent a transaction.
     pub(crate) fn ends_written(&mut self, body: &[u8]) {
-        if self.ails.ends.is_empty() {
+        if self.injected.ends.is_empty() {
             return;
         }
         let text = String::from_utf8_lossy(body);
         let ended = |job: &&String| {
             text.contains("\"Done\"") && text.contains(&format!("\"Write\":\"job/{job}\""))
         };
-        let ended: Vec<String> = self.ails.ends.keys().filter(ended).cloned().collect();
+        let ended: Vec<String> = self.injected.ends.keys().filter(ended).cloned().collect();
         for job in ended {
             self.end_met(&job);
         }
--- a/crates/world/src/troubles/kept_reports.rs
+++ b/crates/simulation/src/faults/kept_reports.rs
@@ -2,10 +2,10 @@
 //! the next owner of their machine's part begins, and once more when it has acted for seconds.
 
 use super::late_reports::forged;
-use crate::{Event, NODES, World};
+use crate::{Event, NODES, Simulation};
 use rand::RngExt;
-use snowshelf_model::ids::part_of;
-use snowshelf_model::records::part_key;
+use snowshelf_model::ids::shard_of;
+use snowshelf_model::records::shard_key;
 use std::collections::BTreeMap;
 
 /// Most copies that are kept for a part; of more, any.
@@ -22,17 +22,17 @@
     tokens: BTreeMap<String, u64>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn keep_reports(&mut self, share: f64) {
-        self.ails.kept.share = share;
-        self.ails.kept.tokens = self.state.tokens();
+        self.injected.kept.share = share;
+        self.injected.kept.tokens = self.state.tokens();
     }
 
     pub(crate) fn keep_report(&mut self, machine: &str, body: &[u8]) {
-        let share = self.ails.kept.share;
+        let share = self.injected.kept.share;
         if share > 0.0 && self.rng.random_bool(share) {
-            let part = part_key(part_of(machine, NODES as u32));
-            let kept = self.ails.kept.copies.entry(part).or_default();
+            let shard_id = shard_key(shard_of(machine, NODES as u32));
+            let kept = self.injected.kept.copies.entry(shard_id).or_default();
             if kept.len() >= MOST {
                 let any = self.rng.random_range(0..MOST);
                 kept.swap_remove(any);
@@ -43,17 +43,29 @@
 
     /// Sends what was kept for the owners that have just begun.
     pub(crate) fn owners_begin(&mut self) {
-        let kept = &self.ails.kept;
+        let kept = &self.injected.kept;
         if kept.share == 0.0 && kept.copies.is_empty() {
             return;
         }
-        for (part, token) in self.state.tokens() {
-            if self.ails.kept.tokens.insert(part.clone(), token) == Some(token) {
+        for (shard_id, fencing_token) in self.state.tokens() {
+            if self
+                .injected
+                .kept
+                .tokens
+                .insert(shard_id.clone(), fencing_token)
+                == Some(fencing_token)
+            {
                 continue;
             }
-            for body in self.ails.kept.copies.remove(&part).unwrap_or_default() {
+            for body in self
+                .injected
+                .kept
+                .copies
+                .remove(&shard_id)
+                .unwrap_or_default()
+            {
                 for (node, when) in (0..NODES).flat_map(|n| ARRIVE_MS.map(|when| (n, when))) {
-                    let copy = forged(&body, &self.sabotage, token);
+                    let copy = forged(&body, &self.safeguards, fencing_token);
                     let ms = self.rng.random_range(when);
                     self.after(ms, Event::Copy(node, copy));
                 }
--- a/crates/world/src/troubles/mod.rs
+++ b/crates/simulation/src/faults/mod.rs
@@ -18,13 +18,13 @@
 mod slow_links;
 mod zone_cut;
 
-use super::{Event, NODES, World};
+use super::{Event, NODES, Simulation};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One thing that goes wrong for a while.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// That share of the transactions is carried out late and unanswered.
     LateWrites(f64),
     /// Of that share of the reports a copy comes again.
@@ -80,7 +80,7 @@
 
 /// What ails the world just now, beside its nodes.
 #[derive(Default)]
-pub(crate) struct Ails {
+pub(crate) struct InjectedFaults {
     pub late_writes: f64,
     pub late_reports: f64,
     pub held_answers: f64,
@@ -106,58 +106,58 @@
     pub all_down: bool,
 }
 
-impl World {
+impl Simulation {
     /// Brings a trouble about, for so long.
-    pub fn bring(&mut self, at: u64, for_ms: u64, trouble: Trouble) {
+    pub fn bring(&mut self, at: u64, for_ms: u64, fault: Fault) {
         let until = at + for_ms;
-        match trouble {
-            Trouble::Refused(node) => self.refuse_at(at, until, node),
-            Trouble::Cut(zone) => self.cut_at(at, until, zone),
-            Trouble::Outage => self.outage_at(at, until),
-            Trouble::Apart(node) => self.apart_at(at, until, node),
-            Trouble::Mute(node) => self.mute_at(at, until, node),
-            Trouble::Deaf(node) => self.deaf_at(at, until, node),
-            Trouble::Crash(node) => self.crash_at(at, node),
-            Trouble::CrashAll(within_ms) => {
+        match fault {
+            Fault::Refused(node) => self.refuse_at(at, until, node),
+            Fault::Cut(zone) => self.cut_at(at, until, zone),
+            Fault::Outage => self.outage_at(at, until),
+            Fault::Apart(node) => self.apart_at(at, until, node),
+            Fault::Mute(node) => self.mute_at(at, until, node),
+            Fault::Deaf(node) => self.deaf_at(at, until, node),
+            Fault::Crash(node) => self.crash_at(at, node),
+            Fault::CrashAll(within_ms) => {
                 for node in 0..NODES {
                     let after = self.rng.random_range(0..=within_ms);
                     self.crash_at(at + after, node);
                 }
             }
-            Trouble::ZoneCut(zone, node) => self.zone_cut_at(at, until, zone, node),
+            Fault::ZoneCut(zone, node) => self.zone_cut_at(at, until, zone, node),
             _ => {
-                self.at(at, Event::Ails(trouble, true));
-                self.at(until, Event::Ails(trouble, false));
+                self.at(at, Event::InjectedFaults(fault, true));
+                self.at(until, Event::InjectedFaults(fault, false));
             }
         }
     }
 
-    pub(crate) fn ail(&mut self, trouble: Trouble, on: bool) {
+    pub(crate) fn ail(&mut self, fault: Fault, on: bool) {
         let now = |share: f64| if on { share } else { 0.0 };
-        match trouble {
-            Trouble::LateWrites(share) => self.ails.late_writes = now(share),
-            Trouble::LateReports(share) => self.ails.late_reports = now(share),
-            Trouble::HeldAnswers(share) => self.ails.held_answers = now(share),
-            Trouble::CloseLooks => {
-                self.ails.close_looks = on;
-                self.ails.overlap = true;
+        match fault {
+            Fault::LateWrites(share) => self.injected.late_writes = now(share),
+            Fault::LateReports(share) => self.injected.late_reports = now(share),
+            Fault::HeldAnswers(share) => self.injected.held_answers = now(share),
+            Fault::CloseLooks => {
+                self.injected.close_looks = on;
+                self.injected.overlap = true;
             }
-            Trouble::CancelAtEnd(share) => {
-                self.ails.cancel_at_end = now(share);
-                self.ails.overlap = true;
+            Fault::CancelAtEnd(share) => {
+                self.injected.cancel_at_end = now(share);
+                self.injected.overlap = true;
             }
-            Trouble::OddRequests => self.ails.odd_requests = on,
-            Trouble::Slow(ms) => self.ails.slow_ms = if on { ms } else { 0 },
-            Trouble::SlowLinks(ms) => self.ails.slow_links_ms = if on { ms } else { 0 },
-            Trouble::DyingMachines(share) => self.kill_machines(now(share)),
-            Trouble::QuickBoots => self.ails.quick_boots = on,
-            Trouble::DeafMachines(share) => self.deafen(now(share)),
-            Trouble::AnswersLost(share) => self.ails.answers_lost = now(share),
-            Trouble::KeptReports(share) => self.keep_reports(now(share)),
-            Trouble::MuteMachines(share) => self.silence_machines(now(share)),
-            Trouble::HungMachines(share) => self.hang_some(now(share)),
-            Trouble::CancelNow(count, hang_ms) if on => self.cancel_now(count, hang_ms),
-            Trouble::AllDown => self.all_down(on),
+            Fault::OddRequests => self.injected.odd_requests = on,
+            Fault::Slow(ms) => self.injected.slow_ms = if on { ms } else { 0 },
+            Fault::SlowLinks(ms) => self.injected.slow_links_ms = if on { ms } else { 0 },
+            Fault::DyingMachines(share) => self.kill_machines(now(share)),
+            Fault::QuickBoots => self.injected.quick_boots = on,
+            Fault::DeafMachines(share) => self.deafen(now(share)),
+            Fault::AnswersLost(share) => self.injected.answers_lost = now(share),
+            Fault::KeptReports(share) => self.keep_reports(now(share)),
+            Fault::MuteMachines(share) => self.silence_machines(now(share)),
+            Fault::HungMachines(share) => self.hang_some(now(share)),
+            Fault::CancelNow(count, hang_ms) if on => self.cancel_now(count, hang_ms),
+            Fault::AllDown => self.all_down(on),
             _ => {}
         }
     }
@@ -238,7 +238,7 @@
 
     pub(crate) fn draw_faults(&mut self) {
         let end = self.quiet_at;
-        if self.weather.roll {
+        if self.conditions.roll {
             let mut at = self.rng.random_range(4_000..45_000u64);
             for node in 0..NODES {
                 self.at(at, Event::Replace(node));
@@ -247,7 +247,7 @@
             at += self.rng.random_range(500..15_000u64);
             self.at(at, Event::Shrink);
         }
-        if self.weather.crashes {
+        if self.conditions.crashes {
             for _ in 0..4 {
                 let (at, node) = (
                     self.rng.random_range(5_000..end),
@@ -262,7 +262,7 @@
                 }
             }
         }
-        if self.weather.outages {
+        if self.conditions.outages {
             let at = self.rng.random_range(5_000..end);
             let long = self.rng.random_range(2_000..20_000u64);
             self.at(at, Event::Outage(true));
--- a/crates/world/src/troubles/odd_requests.rs
+++ b/crates/simulation/src/faults/odd_requests.rs
@@ -2,7 +2,7 @@
 //! cancellations of jobs that are done, reports that cannot be.
 
 use crate::histories::Question;
-use crate::{Asked, Event, NODES, World};
+use crate::{Asked, Event, NODES, Simulation};
 use rand::RngExt;
 use serde_json::{Value, json};
 
@@ -72,11 +72,11 @@
     spec
 }
 
-impl World {
+impl Simulation {
     /// A user who has just asked something sensible asks what is odd.
     pub(crate) fn ask_oddly(&mut self, u: usize) {
         let user = &self.users[u];
-        if !self.ails.odd_requests || user.by_run {
+        if !self.injected.odd_requests || user.by_run {
             return;
         }
         let (spec, accepted) = (user.spec.clone(), user.accepted);
@@ -102,8 +102,8 @@
 
     /// Submits a job that must be refused, to all controllers, and asks all about it.
     fn submit_odd(&mut self, spec: &Value) {
-        self.ails.odd_jobs += 1;
-        let job = format!("odd-{:06}", self.ails.odd_jobs);
+        self.injected.odd_jobs += 1;
+        let job = format!("odd-{:06}", self.injected.odd_jobs);
         let mut odd = with(spec, &json!({"Ref": job, "Aguarda": null}));
         let (never, malformed) = (never_runs(), malformed());
         let which = self.rng.random_range(0..never.len() + malformed.len());
@@ -118,7 +118,7 @@
                 (400, *field)
             }
         };
-        if self.sabotage.no_needs {
+        if self.safeguards.no_needs {
             odd["Aguarda"] = Value::Null;
         }
         for node in 0..NODES {
--- a/crates/world/src/troubles/slow_links.rs
+++ b/crates/simulation/src/faults/slow_links.rs
@@ -1,9 +1,9 @@
 //! Slow links between workers and controllers: reports and their answers are underway for long.
 
-use crate::{Event, World};
+use crate::{Event, Simulation};
 use rand::RngExt;
 
-impl World {
+impl Simulation {
     /// Sends a worker's report; whether it will arrive somewhere.
     pub(crate) fn send_report(
         &mut self,
@@ -23,7 +23,7 @@
 
     /// For how long a message between a worker and a controller is underway, if links are slow.
     pub(crate) fn link_ms(&mut self) -> Option<u64> {
-        let most = self.ails.slow_links_ms;
+        let most = self.injected.slow_links_ms;
         (most > 0).then(|| self.rng.random_range(most / 2..most))
     }
 }
--- a/crates/world/src/histories.rs
+++ b/crates/simulation/src/histories.rs
@@ -102,7 +102,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// A user's question about a job, as a request.
     pub(crate) fn question(&mut self, node: usize, u: usize, question: Question, spec: &Value) {
         let job = &self.users[u].job;
@@ -151,7 +151,7 @@
         if let Some(both) = user.history.contradicts(&answer) {
             self.contradictions.push(format!("{}: {both}", user.job));
         }
-        let (broken, first) = user.history.take(answer, self.ails.overlap);
+        let (broken, first) = user.history.take(answer, self.injected.overlap);
         let (job, last) = (&user.job, user.history.last());
         if let Some(rule) = broken {
             self.broken
@@ -184,7 +184,7 @@
             first.get_or_insert_with(|| (status, body.clone()));
         }
         match first {
-            Some(first) if node == 0 && self.sabotage.old_answers => first.clone(),
+            Some(first) if node == 0 && self.safeguards.old_answers => first.clone(),
             _ => (status, body),
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,34 +8,34 @@
 mod direct;
 pub mod draining;
 mod events;
+pub mod fault_combinations;
+pub mod faults;
 pub mod frozen;
 mod histories;
 mod machines;
-pub mod meetings;
 mod nodes;
 mod rules;
 pub mod running;
 pub mod state;
-pub mod troubles;
 mod waits;
 pub mod workers;
 
 use cloud::Cloud;
 use events::Event;
+use faults::Fault;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
 use snowshelf::coordination::controller::{Controller, TICK_MS};
+use snowshelf::effects::{CallOutcome, ControllerEvent, Effect, Method, Request, Target};
 use snowshelf::operator::{KnownCapacity, OperatorSettings};
-use snowshelf::outbox::{CallResult, Input, Method, Output, Request, Target};
 use snowshelf::settings::Settings;
 use snowshelf_drain::budget::Budget;
-use snowshelf_model::ids::{CallId, ConnId, Member, Millis};
-use snowshelf_model::protocol::peer::{Hint, Proof};
+use snowshelf_model::ids::{CallId, ConnectionId, Member, MonotonicMillis};
+use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
 use state::StateService;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
-use troubles::Trouble;
 use workers::{Worker, WorkerTask};
 
 pub const NODES: usize = 3;
@@ -58,7 +58,7 @@
 
 /// Safeguards of the surroundings that a test may switch off, to show that the checker can fail.
 #[derive(Clone, Copy, Default)]
-pub struct Sabotage {
+pub struct DisabledSafeguards {
     /// The state service ignores the conditions of transactions.
     pub no_conditions: bool,
     /// The cloud confirms returns that it does not carry out.
@@ -81,7 +81,7 @@
 
 /// How rough the network and the surroundings are.
 #[derive(Clone, Copy)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Share of calls whose answer is lost.
     pub lost: f64,
     /// Of those, the share that is carried out seconds later.
@@ -102,9 +102,9 @@
     pub roll: bool,
 }
 
-impl Weather {
+impl NetworkConditions {
     /// Nothing goes wrong.
-    pub const CALM: Weather = Weather {
+    pub const CALM: NetworkConditions = NetworkConditions {
         lost: 0.0,
         late: 0.0,
         crashes: false,
@@ -117,13 +117,13 @@
         roll: false,
     };
     /// Everything does.
-    pub const STORM: Weather = Weather {
+    pub const STORM: NetworkConditions = NetworkConditions {
         lost: 0.03,
         late: 0.5,
         crashes: true,
         outages: true,
         machine_faults: true,
-        ..Weather::CALM
+        ..NetworkConditions::CALM
     };
 }
 
@@ -137,7 +137,7 @@
 
 pub struct User {
     /// Users whose jobs this one's needs.
-    pub needs: Vec<usize>,
+    pub dependencies: Vec<usize>,
     pub job: String,
     pub spec: Value,
     /// A graph's run submits it.
@@ -188,7 +188,7 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub rng: StdRng,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
@@ -228,8 +228,8 @@
     pub empty_after: Option<u64>,
     asked: BTreeMap<(usize, u64, u64), Asked>,
     next_conn: u64,
-    weather: Weather,
-    pub sabotage: Sabotage,
+    conditions: NetworkConditions,
+    pub safeguards: DisabledSafeguards,
     /// Completed tasks, by job.
     pub finished: BTreeMap<String, BTreeSet<u32>>,
     pub broken: Vec<String>,
@@ -251,7 +251,7 @@
     /// A zone whose workers reach nobody.
     cut: Option<String>,
     outage: bool,
-    pub(crate) ails: troubles::Ails,
+    pub(crate) injected: faults::InjectedFaults,
     waits: waits::Waits,
     /// How much longer a job's second and third task run than the one before; the others like these.
     pub spread_ms: u64,
@@ -296,34 +296,41 @@
     Settings::parse(&text).expect("the world's settings are sound")
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         seed: u64,
-        weather: Weather,
-        sabotage: Sabotage,
+        conditions: NetworkConditions,
+        safeguards: DisabledSafeguards,
         jobs: usize,
         quiet_at: u64,
-    ) -> World {
-        World::sized(seed, weather, sabotage, jobs, quiet_at, (TEAM_LIMIT, 3))
+    ) -> Simulation {
+        Simulation::sized(
+            seed,
+            conditions,
+            safeguards,
+            jobs,
+            quiet_at,
+            (TEAM_LIMIT, 3),
+        )
     }
 
     /// With so many CPUs for each team, and so many machines in each pool.
     pub fn sized(
         seed: u64,
-        weather: Weather,
-        sabotage: Sabotage,
+        conditions: NetworkConditions,
+        safeguards: DisabledSafeguards,
         jobs: usize,
         quiet_at: u64,
         (team_limit, pool): (f64, usize),
-    ) -> World {
-        let mut world = World {
+    ) -> Simulation {
+        let mut simulation = Simulation {
             now: 1,
             rng: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: Vec::new(),
             order: 0,
             nodes: Vec::new(),
-            state: StateService::new(sabotage.no_conditions),
+            state: StateService::new(safeguards.no_conditions),
             cloud: Cloud::new(pool),
             expired: 0,
             team_limit,
@@ -346,8 +353,8 @@
             empty_after: None,
             asked: BTreeMap::new(),
             next_conn: 0,
-            weather,
-            sabotage,
+            conditions,
+            safeguards,
             finished: BTreeMap::new(),
             broken: Vec::new(),
             starts: 0,
@@ -361,7 +368,7 @@
             mute: BTreeSet::new(),
             cut: None,
             outage: false,
-            ails: troubles::Ails::default(),
+            injected: faults::InjectedFaults::default(),
             waits: waits::Waits::default(),
             spread_ms: 0,
             quiet_at,
@@ -369,22 +376,22 @@
             digest: digest::OutputDigest::default(),
         };
         for i in 0..NODES {
-            world.nodes.push(Node {
+            simulation.nodes.push(Node {
                 controller: None,
                 life: 0,
                 started: 0,
-                old: weather.roll,
+                old: conditions.roll,
             });
-            world.restart(i);
+            simulation.restart(i);
         }
         for u in 0..jobs {
-            let user = world.draw_user(u);
+            let user = simulation.draw_user(u);
             let at = user.submit_at;
-            world.users.push(user);
-            world.at(at, Event::UserNext(u));
+            simulation.users.push(user);
+            simulation.at(at, Event::UserNext(u));
         }
-        world.draw_faults();
-        world
+        simulation.draw_faults();
+        simulation
     }
 
     fn at(&mut self, time: u64, event: Event) {
--- a/crates/world/src/machines.rs
+++ b/crates/simulation/src/machines.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn cloud_call(&mut self, method: Method, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match (method, path.split('?').next().unwrap_or("")) {
@@ -21,7 +21,7 @@
                     let name = name.as_str().unwrap_or("").to_string();
                     self.touched = true;
                     self.cloud.release(self.now, &name);
-                    if !self.sabotage.false_returns {
+                    if !self.safeguards.false_returns {
                         let gone = self.workers.remove(&name);
                         self.expired += gone.map_or(0, |w| w.expired());
                     }
@@ -39,13 +39,13 @@
         let start = self.rng.random_range(0..NODES);
         let mut worker = Worker::new(name, &machine, start, self.now);
         worker.run_ms = self.run_ms;
-        worker.no_leases = self.sabotage.no_leases;
+        worker.no_leases = self.safeguards.no_leases;
         worker.spread_ms = self.spread_ms;
         worker.bad = self.bad_jobs.clone();
         worker.endless = self.endless.clone();
         self.workers.insert(name.to_string(), worker);
-        self.after(1, Event::Report(name.to_string()));
-        if self.weather.machine_faults && self.now < self.quiet_at {
+        self.after(1, Event::Heartbeat(name.to_string()));
+        if self.conditions.machine_faults && self.now < self.quiet_at {
             if self.rng.random_bool(0.3) {
                 let ms = self.rng.random_range(1_000..20_000u64);
                 let at = self.now + self.rng.random_range(3_000..40_000u64);
@@ -68,20 +68,20 @@
         }
         if now < w.next_report {
             let at = w.next_report;
-            self.at(at, Event::Report(name.to_string()));
+            self.at(at, Event::Heartbeat(name.to_string()));
             return;
         }
         self.touched |= w.expire(now);
         let (number, node, body) = w.begin_report(now);
         let zone = self.workers.get(name).map(|w| &w.zone);
-        let unheard = self.ails.mute_machines.contains(name)
+        let unheard = self.injected.mute_machines.contains(name)
             || zone.is_some_and(|zone| self.is_between(zone, node));
         self.keep_report(name, &body);
         if !unheard {
             self.copy_report(node, &body);
         }
         let sent = unheard || {
-            let lost = now < self.quiet_at && self.rng.random_bool(self.weather.lost);
+            let lost = now < self.quiet_at && self.rng.random_bool(self.conditions.lost);
             !lost && self.send_report(node, name, number, body)
         };
         self.end_met(name);
@@ -90,7 +90,7 @@
         } else if let Some(w) = self.workers.get_mut(name) {
             w.in_flight = None;
             w.next_node(None);
-            self.after(1_000, Event::Report(name.to_string()));
+            self.after(1_000, Event::Heartbeat(name.to_string()));
         }
     }
 
@@ -108,9 +108,9 @@
         let now = self.now;
         let deaf = |w: &Worker| self.is_between(&w.zone, w.node);
         let lost = self.workers.get(name).is_some_and(deaf)
-            || self.ails.deaf_machines.contains(name)
-            || (now < self.quiet_at && self.rng.random_bool(self.weather.lost));
-        let no_tokens = self.sabotage.no_tokens;
+            || self.injected.deaf_machines.contains(name)
+            || (now < self.quiet_at && self.rng.random_bool(self.conditions.lost));
+        let no_tokens = self.safeguards.no_tokens;
         let Some(w) = self.workers.get_mut(name) else {
             return;
         };
@@ -151,7 +151,7 @@
             }
             _ => w.next_node(None),
         }
-        self.after(next, Event::Report(name.to_string()));
+        self.after(next, Event::Heartbeat(name.to_string()));
         self.note_halted(name, halted);
         self.note_begun(&begun_now);
         self.worker_wakes(name);
@@ -194,7 +194,7 @@
             self.task_completed(name, &job);
         }
         if changed {
-            self.after(500, Event::Report(name.to_string()));
+            self.after(500, Event::Heartbeat(name.to_string()));
         }
         if let Some(at) = next {
             self.at(at, Event::WorkerWakes(name.to_string()));
--- a/crates/world/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Begins a controller anew with settings that were changed since the world began.
     pub fn again(&mut self, node: usize) {
         self.restart(node);
@@ -17,10 +17,10 @@
             hold_format: node.old,
             ..OperatorSettings::default()
         };
-        ops.drains.enabled = self.weather.drains && !node.old;
+        ops.drains.enabled = self.conditions.drains && !node.old;
         ops.drains.budget = self.budget;
-        ops.graphs.enabled = self.weather.graphs && !node.old;
-        if self.weather.calendar && !node.old {
+        ops.graphs.enabled = self.conditions.graphs && !node.old;
+        if self.conditions.calendar && !node.old {
             ops.calendar.enabled = true;
             ops.calendar.capacity = ["a", "b"]
                 .map(|zone| KnownCapacity {
@@ -30,26 +30,30 @@
                 })
                 .into();
         }
-        let told = if self.sabotage.half_limits { 0.5 } else { 1.0 };
+        let told = if self.safeguards.half_limits {
+            0.5
+        } else {
+            1.0
+        };
         node.controller = Some(Controller::new(
             settings(i, told * self.team_limit),
             ops,
-            Millis(1),
+            MonotonicMillis(1),
         ));
         let life = node.life;
         self.after(1, Event::Tick(i, life));
     }
 
-    pub(crate) fn feed(&mut self, i: usize, input: Input) {
+    pub(crate) fn feed(&mut self, i: usize, input: ControllerEvent) {
         let now = self.now;
         let node = &mut self.nodes[i];
         let life = node.life;
-        let clock = Millis(now - node.started + 1);
+        let clock = MonotonicMillis(now - node.started + 1);
         let Some(controller) = &mut node.controller else {
             return;
         };
         // One clock is slow, one right, one fast.
-        let skew = if self.weather.calendar || self.weather.graphs {
+        let skew = if self.conditions.calendar || self.conditions.graphs {
             SKEW_MS * i as u64
         } else {
             SKEW_MS
@@ -59,14 +63,14 @@
         for output in outputs {
             self.digest.add(now, i, &output);
             match output {
-                Output::Respond(conn, response) => {
+                Effect::Respond(conn, response) => {
                     self.hop();
                     let asked = self.asked.remove(&(i, life, conn.0));
                     if let Some(asked) = asked.filter(|a| a.is_heard(self.is_cut_off(i))) {
                         self.answered((i, conn.0), asked, response.status, response.body);
                     }
                 }
-                Output::Call {
+                Effect::Call {
                     id,
                     target,
                     method,
@@ -78,8 +82,8 @@
                         self.ends_written(&body);
                     }
                     let quiet = now >= self.quiet_at;
-                    let lost = !quiet && self.rng.random_bool(self.weather.lost);
-                    let late = lost && self.rng.random_bool(self.weather.late);
+                    let lost = !quiet && self.rng.random_bool(self.conditions.lost);
+                    let late = lost && self.rng.random_bool(self.conditions.late);
                     let held_ms = self.write_is_late(&path, &body);
                     let at_once = target == Target::State && self.answer_is_lost(&path, &body);
                     let aimed = held_ms.is_some() || at_once;
@@ -88,27 +92,28 @@
                     if late && !aimed {
                         ms += self.rng.random_range(1_000..15_000u64);
                     }
-                    let slow = self.ails.slow_ms > 0 && target == Target::State;
+                    let slow = self.injected.slow_ms > 0 && target == Target::State;
                     if slow {
-                        ms += self.rng.random_range(0..self.ails.slow_ms);
+                        ms += self.rng.random_range(0..self.injected.slow_ms);
                     }
                     // A watch, a call of a controller that is cut off or one to a worker may hang.
                     let hangs = match target {
                         Target::State => {
-                            slow || path.starts_with("/changes") || self.ails.unserved.contains(&i)
+                            slow || path.starts_with("/changes")
+                                || self.injected.unserved.contains(&i)
                         }
                         Target::Cloud => self.is_cut_off(i),
                         Target::Worker(_) => true,
                     };
-                    if at_once && self.sabotage.false_answers {
+                    if at_once && self.safeguards.false_answers {
                         let body = json!({"Safra": self.state.revision}).to_string();
                         let (status, body) = (200, body.into_bytes());
-                        let result = CallResult::Answer { status, body };
+                        let result = CallOutcome::Response { status, body };
                         self.after(ms, Event::Answer(i, life, id, result));
                         continue;
                     }
                     if lost || hangs {
-                        let result = CallResult::Lost;
+                        let result = CallOutcome::Unanswered;
                         self.after(timeout_ms, Event::Answer(i, life, id, result));
                     }
                     // Of the lost ones, some never arrive, some do, some much later.
@@ -128,11 +133,11 @@
                         );
                     }
                 }
-                Output::Hint(member, hint) => {
-                    self.send_to_peer(i, &member, |to| Event::HintFor(to, hint))
+                Effect::PeerStatus(member, hint) => {
+                    self.send_to_peer(i, &member, |to| Event::StatusFor(to, hint))
                 }
-                Output::Proof(member, proof) => {
-                    self.send_to_peer(i, &member, |to| Event::ProofFor(to, proof))
+                Effect::PeerMessage(member, proof) => {
+                    self.send_to_peer(i, &member, |to| Event::MessageFor(to, proof))
                 }
             }
         }
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Sends a request that no user of this world waits for: its answer only counts in the digest.
+    /// Sends a request that no simulated user waits for: its answer only counts in the digest.
     pub fn request(&mut self, node: usize, method: &str, path: &str, body: &str) {
         let body = body.as_bytes().to_vec();
         self.ask(node, method, path, body, Asked::Nobody);
@@ -177,7 +182,7 @@
             path: path.into(),
             body,
         };
-        self.feed(node, Input::Request(ConnId(conn), request));
+        self.feed(node, ControllerEvent::Request(ConnectionId(conn), request));
         true
     }
 }
--- a/crates/world/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn check(&mut self) {
         self.check_windows();
         for u in self.by_name.len()..self.users.len() {
@@ -22,7 +22,7 @@
                     broken.push(format!("{} belongs to no job", task.name));
                     continue;
                 };
-                for need in &user.needs {
+                for need in &user.dependencies {
                     let need = &self.users[*need];
                     let done = self.finished.get(&need.job).map_or(0, BTreeSet::len);
                     if done < need.tasks as usize {
--- a/crates/world/src/running.rs
+++ b/crates/simulation/src/running.rs
@@ -1,6 +1,6 @@
 //! Users who begin runs of graphs, and what must hold for them.
 
-use super::{Asked, Event, NODES, User, World};
+use super::{Asked, Event, NODES, Simulation, User};
 use rand::RngExt;
 use serde_json::{Value, json};
 use snowshelf_dag::packing;
@@ -37,7 +37,7 @@
     pub taken: bool,
 }
 
-impl World {
+impl Simulation {
     pub fn keep_graph(&mut self, at: u64, asked: &RunAsked) {
         self.keepers.push(Keeper {
             path: format!("/api/graphs/{}", asked.graph.name),
@@ -99,15 +99,15 @@
         let first = self.users.len();
         for job in &plan.jobs {
             let spec = snowshelf_model::protocol::user::submission_body(&job.submission);
-            let needs = job.submission.needs.iter().map(|n| {
+            let dependencies = job.submission.dependencies.iter().map(|n| {
                 let at = plan.jobs.iter().position(|j| j.submission.job == *n);
                 first + at.expect("a job of the plan")
             });
             let user = User {
-                needs: needs.collect(),
+                dependencies: dependencies.collect(),
                 job: job.submission.job.as_str().to_string(),
                 tasks: job.submission.spec.tasks,
-                cpus: job.submission.spec.room.cpus,
+                cpus: job.submission.spec.resources.cpus,
                 spec,
                 by_run: true,
                 accepted: false,
@@ -143,13 +143,13 @@
                 let done = self.finished.get(&user.job).map_or(0, |f| f.len());
                 done == user.tasks as usize
             };
-            let needs: Vec<usize> = self.users[first + i]
-                .needs
+            let dependencies: Vec<usize> = self.users[first + i]
+                .dependencies
                 .iter()
                 .copied()
                 .filter(|n| !met(n))
                 .collect();
-            self.users[first + i].needs = needs;
+            self.users[first + i].dependencies = dependencies;
         }
         next
     }
--- a/crates/world/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -2,7 +2,7 @@
 
 use super::frozen::survives;
 use serde_json::{Value, json};
-use snowshelf::outbox::Method;
+use snowshelf::effects::Method;
 use std::collections::BTreeMap;
 
 type Caller = (usize, u64, u64);
--- a/crates/world/src/waits.rs
+++ b/crates/simulation/src/waits.rs
@@ -34,7 +34,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// CPUs that a team's tasks take, from their command on.
     pub fn used_by(&self, team: &str) -> f64 {
         let tasks = self.workers.values().flat_map(|w| &w.tasks);
@@ -55,7 +55,8 @@
     }
 
     pub(crate) fn check_waits(&mut self) {
-        let pictured = !self.weather.calendar && !self.weather.drains && self.bad_jobs.is_empty();
+        let pictured =
+            !self.conditions.calendar && !self.conditions.drains && self.bad_jobs.is_empty();
         if !pictured || self.now < self.quiet_at.max(self.waits.looked.saturating_add(LOOK_MS)) {
             return;
         }
@@ -124,7 +125,7 @@
             || called_off
             || done(job) + begun >= user.tasks
             || (bound && begun > 0)
-            || !user.needs.iter().all(needed)
+            || !user.dependencies.iter().all(needed)
             || self.cancelled_above(u).is_some()
         {
             return false;
@@ -132,10 +133,11 @@
         let team = spec["Cuadrilla"].as_str().unwrap_or("");
         let used = waits.used.get(team).into_iter().flatten();
         let used = used.fold(0.0, |most: f64, used| most.max(*used));
-        let needs = [user.cpus, spec["MemGb"].as_f64().unwrap_or(0.0)];
+        let dependencies = [user.cpus, spec["MemGb"].as_f64().unwrap_or(0.0)];
         let lasting = |name: &String| {
             waits.free.get(name).is_some_and(|free| {
-                let fits = |free: &[f64; 2]| needs[0] <= free[0] && needs[1] <= free[1];
+                let fits =
+                    |free: &[f64; 2]| dependencies[0] <= free[0] && dependencies[1] <= free[1];
                 free.len() == LASTING && free.iter().all(fits)
             })
         };
--- a/crates/world/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -29,14 +29,14 @@
     pub zone: String,
     pub spot: bool,
     pub node: usize,
-    session: u64,
-    seq: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// From then on a higher token is reported at once.
     token_news_at: u64,
     lease_from: u64,
     sent: u64,
-    sent_session: u64,
+    sent_incarnation: u64,
     number: u64,
     /// When the cloud takes the machine back, once that has been noticed.
     pub taken_at: Option<u64>,
@@ -66,13 +66,13 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             node,
-            session: 1,
-            seq: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             token_news_at: 0,
             lease_from: now,
             sent: 0,
-            sent_session: 1,
+            sent_incarnation: 1,
             number: 0,
             taken_at: None,
             in_flight: None,
@@ -91,7 +91,7 @@
 
     /// How often its lease has run out.
     pub fn expired(&self) -> u64 {
-        self.session - 1
+        self.incarnation - 1
     }
 
     pub fn next_node(&mut self, to: Option<usize>) {
@@ -102,8 +102,8 @@
     pub fn expire(&mut self, now: u64) -> bool {
         if now > self.lease_from + LEASE_MS && !self.no_leases {
             self.tasks.clear();
-            self.session += 1;
-            self.seq = 0;
+            self.incarnation += 1;
+            self.sequence = 0;
             self.lease_from = now;
             return true;
         }
@@ -113,7 +113,7 @@
     pub fn begin_report(&mut self, now: u64) -> (u64, usize, Vec<u8>) {
         self.number += 1;
         self.sent = now;
-        self.sent_session = self.session;
+        self.sent_incarnation = self.incarnation;
         self.in_flight = Some(self.number);
         let body = self.next_listing(now).to_string().into_bytes();
         (self.number, self.node, body)
@@ -126,7 +126,7 @@
 
     /// What it reports now, with the next counter.
     pub fn next_listing(&mut self, now: u64) -> Value {
-        self.seq += 1;
+        self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
@@ -136,15 +136,17 @@
             })
             .collect();
         json!({"Prensa": self.name, "Address": super::direct::address(&self.name), "Modelo": self.model,
-            "Parcela": self.zone, "Avulsas": self.spot, "Jornada": self.session,
-            "Contagem": self.seq, "Selo": self.token, "AvisoS": self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1000.0), "Tarefas": tasks})
+            "Parcela": self.zone, "Avulsas": self.spot, "Jornada": self.incarnation,
+            "Contagem": self.sequence, "Selo": self.fencing_token, "AvisoS": self.taken_at.map(|at| at.saturating_sub(now) as f64 / 1000.0), "Tarefas": tasks})
     }
 
     /// Takes a 200 in; true if something changed.
     pub fn accept(&mut self, now: u64, body: &Value, no_tokens: bool) -> bool {
-        let token = body["Selo"].as_u64().unwrap_or(0);
+        let fencing_token = body["Selo"].as_u64().unwrap_or(0);
         self.expire(now);
-        if self.sent_session != self.session || (token < self.token && !no_tokens) {
+        if self.sent_incarnation != self.incarnation
+            || (fencing_token < self.fencing_token && !no_tokens)
+        {
             return false;
         }
         self.lease_from = self.sent;
@@ -153,10 +155,12 @@
 
     /// Takes commands in that were sent straight here; the status.
     pub fn ordered(&mut self, now: u64, body: &Value) -> u16 {
-        let (Some(token), Some(session)) = (body["Selo"].as_u64(), body["Jornada"].as_u64()) else {
+        let (Some(fencing_token), Some(incarnation)) =
+            (body["Selo"].as_u64(), body["Jornada"].as_u64())
+        else {
             return 400;
         };
-        if token < self.token || session != self.session {
+        if fencing_token < self.fencing_token || incarnation != self.incarnation {
             return 409;
         }
         self.obey(now, body);
@@ -164,13 +168,13 @@
     }
 
     fn obey(&mut self, now: u64, body: &Value) -> bool {
-        let token = body["Selo"].as_u64().unwrap_or(0);
+        let fencing_token = body["Selo"].as_u64().unwrap_or(0);
         // A higher token is news at most once in half of a lease.
-        let mut changed = token > self.token && now >= self.token_news_at;
+        let mut changed = fencing_token > self.fencing_token && now >= self.token_news_at;
         if changed {
             self.token_news_at = now + LEASE_MS / 2;
         }
-        self.token = self.token.max(token);
+        self.fencing_token = self.fencing_token.max(fencing_token);
         for order in body["Ordens"].as_array().into_iter().flatten() {
             let name = order["Tarefa"].as_str().unwrap_or("").to_string();
             let attempt = order["Tentativa"].as_u64().unwrap_or(0);
@@ -258,8 +262,8 @@
             self.zone,
             self.spot,
             self.node,
-            self.session,
-            self.token,
+            self.incarnation,
+            self.fencing_token,
             self.tasks.len()
         )
     }
--- a/crates/horizon/src/attesting.rs
+++ b/crates/watermark/src/confirmation_round.rs
@@ -5,7 +5,7 @@
 //! late, of another life or of a shorter count than asked for, and the round proves nothing.
 
 use crate::with_drift;
-use snowshelf_model::ids::{JobId, Member, Millis};
+use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
 use std::collections::BTreeSet;
 
 /// The least time between two rounds, and how long one is waited for.
@@ -16,7 +16,7 @@
 
 /// Which jobs have you confirmed as cancelled to users in the last `window_ms`?
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Question {
+pub struct ConfirmationQuery {
     pub incarnation: u64,
     pub sequence: u64,
     pub window_ms: u64,
@@ -24,7 +24,7 @@
 
 /// One controller's answer.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Answer {
+pub struct PeerConfirmation {
     pub from: Member,
     /// Of the question that it answers.
     pub incarnation: u64,
@@ -52,25 +52,25 @@
 #[derive(Clone, Debug)]
 struct Round {
     sequence: u64,
-    asked: Millis,
+    asked: MonotonicMillis,
     /// The horizon that it was asked from.
-    from: Millis,
+    from: MonotonicMillis,
     window_ms: u64,
     awaited: BTreeSet<Member>,
 }
 
 #[derive(Debug)]
-pub struct Attesting {
+pub struct ConfirmationRounds {
     /// Tells this life from others.
     incarnation: u64,
     sequence: u64,
-    asked: Option<Millis>,
+    asked: Option<MonotonicMillis>,
     round: Option<Round>,
 }
 
-impl Attesting {
-    pub fn new(incarnation: u64) -> Attesting {
-        Attesting {
+impl ConfirmationRounds {
+    pub fn new(incarnation: u64) -> ConfirmationRounds {
+        ConfirmationRounds {
             incarnation,
             sequence: 0,
             asked: None,
@@ -82,13 +82,13 @@
         self.incarnation
     }
 
-    /// Asks all others for a new round if one is due; what has been confirmed before `horizon` is known.
+    /// Asks all others for a new round if one is due; what has been confirmed before `watermark` is known.
     pub fn ask(
         &mut self,
-        now: Millis,
-        horizon: Millis,
+        now: MonotonicMillis,
+        watermark: MonotonicMillis,
         others: BTreeSet<Member>,
-    ) -> Option<Question> {
+    ) -> Option<ConfirmationQuery> {
         let pause = match self.round {
             Some(_) => WAIT_MS,
             None => GAP_MS,
@@ -98,15 +98,15 @@
         }
         self.asked = Some(now);
         self.sequence += 1;
-        let window_ms = with_drift(now.since(horizon) + UNDERWAY_MS);
+        let window_ms = with_drift(now.since(watermark) + UNDERWAY_MS);
         self.round = Some(Round {
             sequence: self.sequence,
             asked: now,
-            from: horizon,
+            from: watermark,
             window_ms,
             awaited: others,
         });
-        Some(Question {
+        Some(ConfirmationQuery {
             incarnation: self.incarnation,
             sequence: self.sequence,
             window_ms,
@@ -114,7 +114,11 @@
     }
 
     /// Takes an answer in: the moment up to which everything is known, once the round is complete.
-    pub fn take(&mut self, now: Millis, answer: &Answer) -> Result<Option<Millis>, Ignored> {
+    pub fn take(
+        &mut self,
+        now: MonotonicMillis,
+        answer: &PeerConfirmation,
+    ) -> Result<Option<MonotonicMillis>, Ignored> {
         if answer.incarnation != self.incarnation {
             return Err(Ignored::OtherIncarnation);
         }
--- a/crates/horizon/src/confirmed.rs
+++ b/crates/watermark/src/confirmed_cancellations.rs
@@ -1,27 +1,27 @@
 //! What this controller has told users to be cancelled, and since when it has kept count.
 
-use snowshelf_model::ids::{JobId, Millis};
+use snowshelf_model::ids::{JobId, MonotonicMillis};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most jobs kept; what was told before the oldest of them is no longer vouched for.
 const MOST: usize = 8_192;
 
 #[derive(Default, Debug)]
-pub struct Confirmed {
-    first: BTreeMap<JobId, Millis>,
-    order: VecDeque<(Millis, JobId)>,
+pub struct ConfirmedCancellations {
+    first: BTreeMap<JobId, MonotonicMillis>,
+    order: VecDeque<(MonotonicMillis, JobId)>,
     /// The count is complete from then on.
-    complete_from: Millis,
+    complete_from: MonotonicMillis,
 }
 
-impl Confirmed {
+impl ConfirmedCancellations {
     /// Begins to count when a process does: what an earlier life told is not known.
-    pub fn begin(&mut self, now: Millis) {
+    pub fn begin(&mut self, now: MonotonicMillis) {
         self.complete_from = now;
     }
 
     /// A user is told that a job is cancelled.
-    pub fn tell(&mut self, job: &JobId, now: Millis) {
+    pub fn tell(&mut self, job: &JobId, now: MonotonicMillis) {
         if self.first.contains_key(job) {
             return;
         }
@@ -36,8 +36,8 @@
     }
 
     /// All jobs told within the last `window_ms`; `None` if the count does not reach back so far.
-    pub fn within(&self, now: Millis, window_ms: u64) -> Option<Vec<&JobId>> {
-        let from = Millis(now.0.checked_sub(window_ms)?);
+    pub fn within(&self, now: MonotonicMillis, window_ms: u64) -> Option<Vec<&JobId>> {
+        let from = MonotonicMillis(now.0.checked_sub(window_ms)?);
         if from < self.complete_from {
             return None;
         }
--- a/crates/horizon/src/lib.rs
+++ b/crates/watermark/src/lib.rs
@@ -4,13 +4,13 @@
 //! An answer lets a worker's tasks live for another lease, counted from when the report was sent. So a task
 //! whose cancellation this controller does not know is gone in time if no answer is given to a report that
 //! came later than the horizon and what `cancel_s` leaves beside a lease, and every answer halts what is known
-//! to be cancelled ([`renewal::renewal`]).
+//! to be cancelled ([`renewal::authorize_renewal`]).
 
-pub mod attesting;
-pub mod confirmed;
+pub mod confirmation_round;
+pub mod confirmed_cancellations;
 pub mod renewal;
 
-use snowshelf_model::ids::Millis;
+use snowshelf_model::ids::MonotonicMillis;
 
 /// Steady clocks drift apart by 0.05% each way; rounded up for both.
 const DRIFT_PER_MILLE: u64 = 1;
@@ -30,26 +30,26 @@
 
 /// The moment up to which everything that any user was told is known.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Horizon {
+pub struct CancellationWatermark {
     /// When the newest request was sent whose answer left no gap in the mirror.
-    feed: Option<Millis>,
+    feed: Option<MonotonicMillis>,
     /// When the newest round was asked in which every other controller said what it has confirmed.
-    attested: Option<Millis>,
+    attested: Option<MonotonicMillis>,
 }
 
-impl Horizon {
-    pub fn at(self) -> Option<Millis> {
+impl CancellationWatermark {
+    pub fn at(self) -> Option<MonotonicMillis> {
         self.feed.max(self.attested)
     }
-    pub fn feed(self) -> Option<Millis> {
+    pub fn feed(self) -> Option<MonotonicMillis> {
         self.feed
     }
     /// The state service has answered a request sent at `sent`, and nothing before that is missing.
-    pub fn read(&mut self, sent: Millis) {
+    pub fn read(&mut self, sent: MonotonicMillis) {
         self.feed = self.feed.max(Some(sent));
     }
     /// All others have said what they have confirmed up to `asked`.
-    pub fn attest(&mut self, asked: Millis) {
+    pub fn attest(&mut self, asked: MonotonicMillis) {
         self.attested = self.attested.max(Some(asked));
     }
 }
--- a/crates/horizon/tests/horizon.rs
+++ b/crates/watermark/tests/watermark.rs
@@ -1,19 +1,21 @@
 //! What may be concluded from what was read and from what others say, each test named after the failure it guards against.
 
 use proptest::prelude::*;
-use snowshelf_horizon::attesting::{Answer, Attesting, Ignored};
-use snowshelf_horizon::confirmed::Confirmed;
-use snowshelf_horizon::renewal::{Basis, Known, Refusal, known, may_begin, renewal};
-use snowshelf_horizon::{Horizon, answering_ms, with_drift};
-use snowshelf_model::ids::{JobId, Member, Millis};
+use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
+use snowshelf_watermark::confirmation_round::{ConfirmationRounds, Ignored, PeerConfirmation};
+use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
+use snowshelf_watermark::renewal::{
+    JobKnowledge, RenewalRefusal, WatermarkSource, authorize_renewal, known, may_begin,
+};
+use snowshelf_watermark::{CancellationWatermark, answering_ms, with_drift};
 use std::collections::BTreeSet;
 
 fn others() -> BTreeSet<Member> {
     ["b", "c"].map(Member::new).into()
 }
 
-fn answer(from: &str, incarnation: u64, sequence: u64) -> Answer {
-    Answer {
+fn answer(from: &str, incarnation: u64, sequence: u64) -> PeerConfirmation {
+    PeerConfirmation {
         from: Member::new(from),
         incarnation,
         sequence,
@@ -35,24 +37,32 @@
     }
     // No room beside a lease: the safe side.
     assert_eq!(answering_ms(9_000, 10_000), 0);
-    let at = Some(Millis(5));
-    assert!(known(at, Millis(105), 100));
-    assert!(!known(at, Millis(106), 100));
-    assert!(!known(None, Millis(5), 100));
-    let idle = |basis, received| renewal::<u32>(basis, Millis(received), 100, [].into_iter());
-    for (basis, latest) in [(Basis::Read(at), 105), (Basis::Reading(Millis(5)), 105)] {
+    let at = Some(MonotonicMillis(5));
+    assert!(known(at, MonotonicMillis(105), 100));
+    assert!(!known(at, MonotonicMillis(106), 100));
+    assert!(!known(None, MonotonicMillis(5), 100));
+    let idle = |basis, received| {
+        authorize_renewal::<u32>(basis, MonotonicMillis(received), 100, [].into_iter())
+    };
+    for (basis, latest) in [
+        (WatermarkSource::Read(at), 105),
+        (WatermarkSource::Reading(MonotonicMillis(5)), 105),
+    ] {
         assert!(idle(basis, latest).is_ok());
-        assert_eq!(idle(basis, latest + 1), Err(Refusal::Behind));
+        assert_eq!(idle(basis, latest + 1), Err(RenewalRefusal::Behind));
     }
-    assert_eq!(idle(Basis::Read(None), 5), Err(Refusal::Behind));
+    assert_eq!(
+        idle(WatermarkSource::Read(None), 5),
+        Err(RenewalRefusal::Behind)
+    );
     // Neither source takes the horizon back.
-    let mut horizon = Horizon::default();
-    horizon.attest(Millis(9));
-    horizon.read(Millis(7));
-    horizon.attest(Millis(8));
+    let mut watermark = CancellationWatermark::default();
+    watermark.attest(MonotonicMillis(9));
+    watermark.read(MonotonicMillis(7));
+    watermark.attest(MonotonicMillis(8));
     assert_eq!(
-        (horizon.at(), horizon.feed()),
-        (Some(Millis(9)), Some(Millis(7)))
+        (watermark.at(), watermark.feed()),
+        (Some(MonotonicMillis(9)), Some(MonotonicMillis(7)))
     );
 }
 
@@ -60,31 +70,40 @@
 /// against one given before the jobs that the report lists have been read.
 #[test]
 fn an_answer_halts_what_is_cancelled_and_waits_for_what_is_unread() {
-    use Known::*;
-    let ask = |basis, listed: &[Known]| {
+    use JobKnowledge::*;
+    let ask = |basis, listed: &[JobKnowledge]| {
         let listed = listed.iter().copied().enumerate();
-        renewal(basis, Millis(50), 100, listed).map(|r| r.into_halts())
+        authorize_renewal(basis, MonotonicMillis(50), 100, listed).map(|r| r.into_halts())
     };
-    for basis in [Basis::Read(Some(Millis(5))), Basis::Reading(Millis(5))] {
+    for basis in [
+        WatermarkSource::Read(Some(MonotonicMillis(5))),
+        WatermarkSource::Reading(MonotonicMillis(5)),
+    ] {
         assert_eq!(ask(basis, &[Open, Open]), Ok(vec![]));
         assert_eq!(ask(basis, &[Cancelled, Open, Cancelled]), Ok(vec![0, 2]));
-        assert_eq!(ask(basis, &[Cancelled, Unread]), Err(Refusal::Unread));
+        assert_eq!(
+            ask(basis, &[Cancelled, Unread]),
+            Err(RenewalRefusal::Unread)
+        );
     }
-    assert!(may_begin(Some(Millis(5)), Millis(6_005)));
-    assert!(!may_begin(Some(Millis(5)), Millis(6_020)));
-    assert!(!may_begin(None, Millis(5)));
+    assert!(may_begin(Some(MonotonicMillis(5)), MonotonicMillis(6_005)));
+    assert!(!may_begin(Some(MonotonicMillis(5)), MonotonicMillis(6_020)));
+    assert!(!may_begin(None, MonotonicMillis(5)));
 }
 
 /// Guards against a horizon moved by words that do not prove it: each thing that can be missing.
 #[test]
 fn a_round_proves_nothing_unless_everybody_has_answered_it_in_full() {
-    let mut a = Attesting::new(7);
-    let asked = Millis(10_000);
-    let question = a.ask(asked, Millis(4_000), others()).unwrap();
+    let mut a = ConfirmationRounds::new(7);
+    let asked = MonotonicMillis(10_000);
+    let question = a.ask(asked, MonotonicMillis(4_000), others()).unwrap();
     assert_eq!((question.incarnation, question.sequence), (7, 1));
     assert!(question.window_ms >= 8_000);
     // One is missing.
-    assert_eq!(a.take(Millis(10_010), &answer("b", 7, 1)), Ok(None));
+    assert_eq!(
+        a.take(MonotonicMillis(10_010), &answer("b", 7, 1)),
+        Ok(None)
+    );
     // The same once more, somebody unknown, another life of the asker, another round.
     for (said, why) in [
         (answer("b", 7, 1), Ignored::NotAwaited),
@@ -93,54 +112,77 @@
         (answer("c", 7, 0), Ignored::OtherRound),
         (answer("c", 7, 2), Ignored::OtherRound),
     ] {
-        assert_eq!(a.take(Millis(10_010), &said), Err(why));
+        assert_eq!(a.take(MonotonicMillis(10_010), &said), Err(why));
     }
     // One that has started since, or told more than it can name.
-    let short = Answer {
+    let short = PeerConfirmation {
         complete: false,
         ..answer("c", 7, 1)
     };
-    assert_eq!(a.take(Millis(10_020), &short), Err(Ignored::Incomplete));
+    assert_eq!(
+        a.take(MonotonicMillis(10_020), &short),
+        Err(Ignored::Incomplete)
+    );
     // One that was underway for longer than its window reaches back beyond the horizon.
     assert_eq!(
-        a.take(Millis(12_100), &answer("c", 7, 1)),
+        a.take(MonotonicMillis(12_100), &answer("c", 7, 1)),
         Err(Ignored::TooLate)
     );
-    assert_eq!(a.take(Millis(10_030), &answer("c", 7, 1)), Ok(Some(asked)));
+    assert_eq!(
+        a.take(MonotonicMillis(10_030), &answer("c", 7, 1)),
+        Ok(Some(asked))
+    );
     // What comes after the round is over proves nothing for the next.
     assert_eq!(
-        a.take(Millis(10_040), &answer("c", 7, 1)),
+        a.take(MonotonicMillis(10_040), &answer("c", 7, 1)),
         Err(Ignored::OtherRound)
     );
-    assert_eq!(a.ask(Millis(10_500), asked, others()), None);
-    let next = a.ask(Millis(11_100), asked, others()).unwrap();
+    assert_eq!(a.ask(MonotonicMillis(10_500), asked, others()), None);
+    let next = a.ask(MonotonicMillis(11_100), asked, others()).unwrap();
     assert_eq!(next.sequence, 2);
     assert_eq!(
-        a.take(Millis(11_200), &answer("b", 7, 1)),
+        a.take(MonotonicMillis(11_200), &answer("b", 7, 1)),
         Err(Ignored::OtherRound)
     );
     // A round that is not answered is asked anew, from the same horizon.
-    assert_eq!(a.ask(Millis(12_500), asked, others()), None);
-    assert_eq!(a.ask(Millis(12_700), asked, others()).unwrap().sequence, 3);
+    assert_eq!(a.ask(MonotonicMillis(12_500), asked, others()), None);
+    assert_eq!(
+        a.ask(MonotonicMillis(12_700), asked, others())
+            .unwrap()
+            .sequence,
+        3
+    );
 }
 
 /// Guards against vouching for what an earlier life has told, or for more than is kept.
 #[test]
 fn a_count_that_does_not_reach_back_is_not_complete() {
-    let mut confirmed = Confirmed::default();
-    confirmed.begin(Millis(1_000));
+    let mut confirmed = ConfirmedCancellations::default();
+    confirmed.begin(MonotonicMillis(1_000));
     let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
-    confirmed.tell(&job(1), Millis(2_000));
-    confirmed.tell(&job(1), Millis(9_000));
-    assert_eq!(confirmed.within(Millis(9_000), 8_000), Some(vec![&job(1)]));
-    assert_eq!(confirmed.within(Millis(9_000), 8_001), None);
+    confirmed.tell(&job(1), MonotonicMillis(2_000));
+    confirmed.tell(&job(1), MonotonicMillis(9_000));
+    assert_eq!(
+        confirmed.within(MonotonicMillis(9_000), 8_000),
+        Some(vec![&job(1)])
+    );
+    assert_eq!(confirmed.within(MonotonicMillis(9_000), 8_001), None);
     // Only the first telling counts: the time for its end runs from there.
-    assert_eq!(confirmed.within(Millis(9_000), 6_000), Some(vec![]));
+    assert_eq!(
+        confirmed.within(MonotonicMillis(9_000), 6_000),
+        Some(vec![])
+    );
     for n in 2..10_000 {
-        confirmed.tell(&job(n), Millis(10_000 + n as u64));
+        confirmed.tell(&job(n), MonotonicMillis(10_000 + n as u64));
     }
-    assert_eq!(confirmed.within(Millis(20_000), 12_000), None);
-    assert!(confirmed.within(Millis(20_000), 2_000).unwrap().len() >= 2_000);
+    assert_eq!(confirmed.within(MonotonicMillis(20_000), 12_000), None);
+    assert!(
+        confirmed
+            .within(MonotonicMillis(20_000), 2_000)
+            .unwrap()
+            .len()
+            >= 2_000
+    );
 }
 
 proptest! {
@@ -153,33 +195,33 @@
         ends in prop::collection::vec((0..2usize, 0..60_000u64), 0..3),
         hops in prop::collection::vec((0..4_000u64, 0..4_000u64, 0..2u8), 60),
     ) {
-        let mut asker = Attesting::new(3);
-        let mut horizon = Millis(1_000);
+        let mut asker = ConfirmationRounds::new(3);
+        let mut watermark = MonotonicMillis(1_000);
         let mut known: BTreeSet<JobId> = BTreeSet::new();
         let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
         // Told before the first horizon: read from the state service.
         known.extend(tells.iter().enumerate().filter(|(_, (_, at))| *at < 1_000).map(|(n, _)| job(n)));
-        let mut underway: Vec<(u64, Answer)> = Vec::new();
+        let mut underway: Vec<(u64, PeerConfirmation)> = Vec::new();
         let mut drawn = hops.iter();
         for now in (1_000..60_000u64).step_by(50) {
-            if let Some(q) = asker.ask(Millis(now), horizon, others())
+            if let Some(q) = asker.ask(MonotonicMillis(now), watermark, others())
                 && let Some((to, back, lost)) = drawn.next()
             {
                 for (m, name) in ["b", "c"].into_iter().enumerate() {
                     // Mostly prompt.
                     let at = now + if *lost == 0 { to % 50 } else { *to };
                     let life = ends.iter().filter(|(who, end)| *who == m && *end <= at).map(|(_, end)| *end).max();
-                    let mut confirmed = Confirmed::default();
-                    confirmed.begin(Millis(life.unwrap_or(0)));
+                    let mut confirmed = ConfirmedCancellations::default();
+                    confirmed.begin(MonotonicMillis(life.unwrap_or(0)));
                     let mut mine: Vec<(u64, usize)> = tells.iter().enumerate()
                         .filter(|(_, (who, t))| *who == m && *t <= at && life.is_none_or(|l| *t > l))
                         .map(|(n, (_, t))| (*t, n)).collect();
                     mine.sort_unstable();
                     for (t, n) in mine {
-                        confirmed.tell(&job(n), Millis(t));
+                        confirmed.tell(&job(n), MonotonicMillis(t));
                     }
-                    let told = confirmed.within(Millis(at), q.window_ms);
-                    underway.push((at + if *lost == 0 { back % 50 } else { *back }, Answer {
+                    let told = confirmed.within(MonotonicMillis(at), q.window_ms);
+                    underway.push((at + if *lost == 0 { back % 50 } else { *back }, PeerConfirmation {
                         from: Member::new(name),
                         incarnation: q.incarnation,
                         sequence: q.sequence,
@@ -190,14 +232,14 @@
             }
             let (here, later) = underway.into_iter().partition(|(at, _)| *at <= now);
             underway = later;
-            for (_, said) in here as Vec<(u64, Answer)> {
-                if let Ok(complete) = asker.take(Millis(now), &said) {
+            for (_, said) in here as Vec<(u64, PeerConfirmation)> {
+                if let Ok(complete) = asker.take(MonotonicMillis(now), &said) {
                     known.extend(said.cancelled);
-                    horizon = complete.unwrap_or(horizon);
+                    watermark = complete.unwrap_or(watermark);
                 }
             }
             for (n, (_, at)) in tells.iter().enumerate() {
-                prop_assert!(Millis(*at) >= horizon || known.contains(&job(n)), "told at {at}, horizon {horizon:?}");
+                prop_assert!(MonotonicMillis(*at) >= watermark || known.contains(&job(n)), "told at {at}, horizon {watermark:?}");
             }
         }
     }
--- a/src/coordination/gateway/submitting.rs
+++ b/src/coordination/api/admission.rs
@@ -1,13 +1,13 @@
 //! A submission until it waits to be written: what is wrong with it, known of it, needed by it.
 
-use super::reading::{UNKNOWN_NEEDS, knows_confirmed};
-use super::{Accept, Gateway};
-use crate::bookkeeping::store::{Class, GetResult};
-use crate::coordination::env::{Env, ReadFor, Tag};
-use crate::outbox::Response;
-use snowshelf_model::ids::{ConnId, JobId};
+use super::job_status::{UNKNOWN_DEPENDENCIES, knows_confirmed};
+use super::{Accept, JobApi};
+use crate::coordination::context::{Context, ReadFor, Tag};
+use crate::effects::Response;
+use crate::storage::kv_client::{GetOutcome, RequestPriority};
+use snowshelf_model::ids::{ConnectionId, JobId};
 use snowshelf_model::protocol::user::{self, Submission};
-use snowshelf_model::records::{Format, Grant, JobSpec, Kind, job_key};
+use snowshelf_model::records::{Grant, JobKind, JobSpec, RecordFormat, job_key};
 use std::collections::BTreeSet;
 
 /// Most jobs that a submission may need and that are looked up for it; the change feed brings the
@@ -18,51 +18,56 @@
 /// Keys that accepting a job mostly writes: its own and one or two shares.
 const WRITES_A_JOB: usize = 3;
 
-impl Gateway {
-    pub fn submit(&mut self, conn: ConnId, body: &[u8], env: &mut Env) {
-        let Submission { job, spec, needs } = match user::parse_submission(body) {
+impl JobApi {
+    pub fn submit(&mut self, conn: ConnectionId, body: &[u8], context: &mut Context) {
+        let Submission {
+            job,
+            spec,
+            dependencies,
+        } = match user::parse_submission(body) {
             Ok(parsed) => parsed,
             Err(error) => {
-                tracing::info!(%error, "submission is malformed");
+                tracing::info!(%error, "submission rejected: malformed");
                 match user::named(body) {
                     // Guards against forgetting a job that was accepted: only the state service knows that it was not.
-                    Some(job) => self.read(conn, &job, ReadFor::Malformed(error), env),
+                    Some(job) => self.read(conn, &job, ReadFor::Malformed(error), context),
                     None => {
                         let refused = Response::error(400, &error.to_string());
-                        env.out.respond(conn, refused);
+                        context.effects.respond(conn, refused);
                     }
                 }
                 return;
             }
         };
-        if let Some(end) = env.mirror.final_of(&job) {
-            self.tell_final(conn, &job, end, ReadFor::Resubmit, env);
+        if let Some(end) = context.records.final_of(&job) {
+            self.tell_final(conn, &job, end, ReadFor::Resubmit, context);
             return;
         }
-        if env.types.is_empty() || !env.mirror.shares_read {
+        if context.types.is_empty() || !context.records.allocations_read {
             let later = Response::later(503, "not able to decide yet", 2);
-            env.out.respond(conn, later);
+            context.effects.respond(conn, later);
             return;
         }
         // A job already accepted is answered by its state, whatever the limits are now.
-        let known = env.mirror.jobs.contains_key(&job);
+        let known = context.records.jobs.contains_key(&job);
         if !known
-            && let Some(why) = never_runs(&spec, env).or_else(|| needs_badly(&job, &needs, env))
+            && let Some(why) = never_runs(&spec, context)
+                .or_else(|| unsatisfiable_dependency(&job, &dependencies, context))
         {
             // Guards against forgetting a job that was accepted under other limits: only the state
             // service knows that it was not.
-            self.read(conn, &job, ReadFor::Refuse(why), env);
+            self.read(conn, &job, ReadFor::Refuse(why), context);
             return;
         }
-        if !known && !needs.is_empty() && env.terms.format == Format::Narrow {
+        if !known && !dependencies.is_empty() && context.storage_limits.format == RecordFormat::V1 {
             let later = Response::later(503, "not every controller takes needs yet", 2);
-            env.out.respond(conn, later);
+            context.effects.respond(conn, later);
             return;
         }
-        if !known && !needs.is_empty() && !knows_confirmed(env) {
+        if !known && !dependencies.is_empty() && !knows_confirmed(context) {
             // What it needs may have been cancelled long ago.
-            let later = Response::later(503, UNKNOWN_NEEDS, 1);
-            env.out.respond(conn, later);
+            let later = Response::later(503, UNKNOWN_DEPENDENCIES, 1);
+            context.effects.respond(conn, later);
             return;
         }
         if let Some(same) = self.waiting().find(|a| a.job == job) {
@@ -71,24 +76,24 @@
         }
         // More than can be written within about a second is refused at once.
         let waiting = self.queue.len() * WRITES_A_JOB;
-        let per_second = env.store.write_rate();
+        let per_second = context.kv.write_rate();
         if waiting as f64 > 0.7 * per_second {
             let later = Response::later(503, "too many submissions", 2);
-            env.out.respond(conn, later);
+            context.effects.respond(conn, later);
             return;
         }
         let accept = Accept {
             conns: vec![conn],
             job,
             spec,
-            needs,
+            dependencies,
             pieces: 0,
-            since: env.now(),
+            since: context.now(),
             run: false,
             pause_ms: 0,
         };
-        if let Err(later) = self.take(accept, known, env) {
-            env.out.respond(conn, later);
+        if let Err(later) = self.take(accept, known, context) {
+            context.effects.respond(conn, later);
         }
     }
 
@@ -100,27 +105,29 @@
     }
 
     /// Takes a submission in: at once, or when the jobs that it needs have been looked up.
-    fn take(&mut self, accept: Accept, known: bool, env: &mut Env) -> Result<(), Response> {
+    fn take(&mut self, accept: Accept, known: bool, context: &mut Context) -> Result<(), Response> {
         let unknown: BTreeSet<JobId> = accept
-            .needs
+            .dependencies
             .iter()
-            .filter(|n| !known && !env.mirror.knows_job(n))
+            .filter(|n| !known && !context.records.knows_job(n))
             .cloned()
             .collect();
         if unknown.is_empty() {
             self.queue.push_back(accept);
             return Ok(());
         }
-        if unknown.len() > LOOKED_UP || !env.store.may(env.now(), Class::Accept, 0) {
+        if unknown.len() > LOOKED_UP || !context.kv.may(context.now(), RequestPriority::Accept, 0) {
             let why = "jobs that it needs are not known here yet";
             return Err(Response::later(503, why, 1));
         }
         // The mirror's silence proves nothing: a job accepted a moment ago has not come yet, and
         // one that ended long ago may have been dropped.
         self.next += 1;
-        for need in &unknown {
-            let tag = Tag::Needed(Some(self.next), need.clone());
-            env.store.get(env.out, tag, &job_key(need), 1_500);
+        for dependency in &unknown {
+            let tag = Tag::Needed(Some(self.next), dependency.clone());
+            context
+                .kv
+                .get(context.effects, tag, &job_key(dependency), 1_500);
         }
         self.checking.insert(self.next, (accept, unknown));
         Ok(())
@@ -128,14 +135,21 @@
 
     /// Takes a job of a graph's run, with room that users' submissions leave; false if not now. Once
     /// it is accepted the mirror has it; a try that fails is made again by the run.
-    pub fn submit_own(&mut self, submission: &Submission, pause_ms: u64, env: &mut Env) -> bool {
+    pub fn submit_own(
+        &mut self,
+        submission: &Submission,
+        pause_ms: u64,
+        context: &mut Context,
+    ) -> bool {
         let job = &submission.job;
         let waits = self.waiting().any(|a| a.job == *job);
         let mut sent = self.batches.values().flat_map(|b| &b.accepts);
         if waits
             || sent.any(|a| a.job == *job)
             || self.waiting().count() >= OWN_WAITING
-            || !env.store.may(env.now(), Class::Starts, WRITES_A_JOB)
+            || !context
+                .kv
+                .may(context.now(), RequestPriority::Starts, WRITES_A_JOB)
         {
             return false;
         }
@@ -143,30 +157,36 @@
             conns: Vec::new(),
             job: job.clone(),
             spec: submission.spec.clone(),
-            needs: submission.needs.clone(),
+            dependencies: submission.dependencies.clone(),
             pieces: 0,
-            since: env.now(),
+            since: context.now(),
             run: true,
             pause_ms,
         };
-        self.take(accept, false, env).is_ok()
+        self.take(accept, false, context).is_ok()
     }
 
     /// The answer about a job that the submission `id` needs; the mirror has it by now.
-    pub fn needed(&mut self, id: u64, need: &JobId, result: &GetResult, env: &mut Env) {
+    pub fn needed(
+        &mut self,
+        id: u64,
+        dependency: &JobId,
+        result: &GetOutcome,
+        context: &mut Context,
+    ) {
         let Some((accept, unknown)) = self.checking.get_mut(&id) else {
             return;
         };
-        unknown.remove(need);
+        unknown.remove(dependency);
         let why = match result {
-            GetResult::Found(_) => {
+            GetOutcome::Found(_) => {
                 if !unknown.is_empty() {
                     return;
                 }
-                needs_badly(&accept.job, &accept.needs, env)
+                unsatisfiable_dependency(&accept.job, &accept.dependencies, context)
             }
-            GetResult::Missing(_) => Some("it needs a job that was never accepted"),
-            GetResult::Failed => None,
+            GetOutcome::NotFound(_) => Some("it needs a job that was never accepted"),
+            GetOutcome::Failed => None,
         };
         let Some((accept, _)) = self.checking.remove(&id) else {
             return;
@@ -174,13 +194,13 @@
         match (result, why) {
             (_, Some(why)) => {
                 for conn in accept.conns {
-                    self.read(conn, &accept.job, ReadFor::Refuse(why), env);
+                    self.read(conn, &accept.job, ReadFor::Refuse(why), context);
                 }
             }
-            (GetResult::Failed, None) => {
+            (GetOutcome::Failed, None) => {
                 for conn in accept.conns {
                     let later = Response::later(503, "the state service did not answer", 1);
-                    env.out.respond(conn, later);
+                    context.effects.respond(conn, later);
                 }
             }
             (_, None) => self.queue.push_back(accept),
@@ -189,9 +209,9 @@
 }
 
 /// Why a job can never run here, if so.
-pub fn never_runs(spec: &JobSpec, env: &Env) -> Option<&'static str> {
-    let Some(team) = env
-        .cfg
+pub fn never_runs(spec: &JobSpec, context: &Context) -> Option<&'static str> {
+    let Some(team) = context
+        .config
         .settings
         .deployment
         .teams
@@ -200,23 +220,23 @@
     else {
         return Some("unknown team");
     };
-    let fits = env.types.values().any(|t| {
+    let fits = context.types.values().any(|t| {
         spec.types.as_ref().is_none_or(|l| l.contains(&t.label))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && spec.room.fits_in(t.room())
+            && spec.resources.fits_in(t.room())
     });
     if !fits {
         return Some("a task fits no allowed machine type");
     }
     let count = match spec.kind {
-        Kind::Batch => 1,
-        Kind::Standing => spec.tasks,
+        JobKind::Batch => 1,
+        JobKind::Service => spec.tasks,
     };
     let limit = Grant {
         cpus: team.cpus_max,
         gpus: team.gpus_max,
     };
-    if !limit.covers(Grant::of(spec.room.times(f64::from(count)))) {
+    if !limit.covers(Grant::of(spec.resources.times(f64::from(count)))) {
         return Some("the job needs more than the team's limit");
     }
     if spec.together && spec.apart && spec.tasks > 1 {
@@ -226,15 +246,19 @@
 }
 
 /// Why a submission's needs can never be met, if so, as far as the jobs are known here.
-fn needs_badly(job: &JobId, needs: &[JobId], env: &Env) -> Option<&'static str> {
-    let standing = |need: &JobId| {
-        let record = env.mirror.jobs.get(need).map(|v| &v.value);
+fn unsatisfiable_dependency(
+    job: &JobId,
+    dependencies: &[JobId],
+    context: &Context,
+) -> Option<&'static str> {
+    let standing = |dependency: &JobId| {
+        let record = context.records.jobs.get(dependency).map(|v| &v.value);
         let spec = record.and_then(|r| r.spec.as_ref());
-        spec.is_some_and(|s| s.kind == Kind::Standing)
+        spec.is_some_and(|s| s.kind == JobKind::Service)
     };
-    if needs.contains(job) {
+    if dependencies.contains(job) {
         Some("it needs itself")
-    } else if needs.iter().any(standing) {
+    } else if dependencies.iter().any(standing) {
         Some("it needs a service, which is never done")
     } else {
         None
--- a/src/coordination/gateway/cancelling.rs
+++ b/src/coordination/api/cancellation.rs
@@ -1,12 +1,12 @@
 //! Cancellations: by a user, and of jobs that need a cancelled one.
 
-use super::Gateway;
-use crate::bookkeeping::mirror::Final;
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::coordination::env::{Env, Tag};
-use crate::outbox::Response;
-use snowshelf_model::ids::{JobId, PartId};
-use snowshelf_model::protocol::state::{Change, Txn};
+use super::JobApi;
+use crate::coordination::context::{Context, Tag};
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::Final;
+use snowshelf_model::ids::{JobId, ShardId};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{JobState, job_key};
 use std::collections::BTreeSet;
 
@@ -17,14 +17,20 @@
 /// How long such a job is left alone after its cancellation met another write.
 const CASCADE_AGAIN_MS: u64 = 400;
 
-impl Gateway {
+impl JobApi {
     /// The answer to a cancellation; the job, if its key has changed.
-    pub fn cancelled(&mut self, id: u64, result: TxnResult, env: &mut Env) -> Option<JobId> {
+    pub fn cancelled(
+        &mut self,
+        id: u64,
+        result: SwapOutcome,
+        context: &mut Context,
+    ) -> Option<JobId> {
         let cancel = self.cancels.remove(&id)?;
         match result {
-            TxnResult::Done(revision) => {
-                tracing::info!(job = %cancel.job, "cancelled");
-                env.mirror
+            SwapOutcome::Done(revision) => {
+                tracing::info!(job = %cancel.job, "job cancelled");
+                context
+                    .records
                     .apply(&job_key(&cancel.job), Some(&cancel.next), revision);
                 let end = Final {
                     state: JobState::Cancelled,
@@ -32,17 +38,17 @@
                     ended: None,
                     run: false,
                 };
-                self.tell_final(cancel.conn, &cancel.job, end, cancel.why, env);
+                self.tell_final(cancel.conn, &cancel.job, end, cancel.why, context);
                 Some(cancel.job)
             }
-            TxnResult::Conflict(_) if cancel.tries < CANCEL_TRIES => {
+            SwapOutcome::Conflict(_) if cancel.tries < CANCEL_TRIES => {
                 self.cancel_tries.insert(cancel.conn, cancel.tries + 1);
-                self.read(cancel.conn, &cancel.job, cancel.why, env);
+                self.read(cancel.conn, &cancel.job, cancel.why, context);
                 None
             }
             _ => {
                 let later = Response::later(503, "could not be settled yet", 1);
-                env.out.respond(cancel.conn, later);
+                context.effects.respond(cancel.conn, later);
                 None
             }
         }
@@ -50,65 +56,83 @@
 
     /// Cancels jobs that need a cancelled one: those whose first part this controller owns, as many
     /// as go into a transaction. Compares levels, not events, so nothing is ever missed.
-    pub fn cascade(&mut self, mine: &BTreeSet<PartId>, env: &mut Env) {
-        let now = env.now();
+    pub fn cascade(&mut self, mine: &BTreeSet<ShardId>, context: &mut Context) {
+        let now = context.now();
         if now.since(self.cascade_at) < CASCADE_MS || !self.cascades.is_empty() {
             return;
         }
         self.cascade_at = now;
         self.left_alone.retain(|_, until| *until > now);
-        let most = env.terms.txn_ops.min(env.store.room(now, Class::Accept));
-        let mut txn = Txn::default();
+        let most = context
+            .storage_limits
+            .txn_ops
+            .min(context.kv.room(now, RequestPriority::Accept));
+        let mut swap = CompareAndSwap::default();
         let mut batch = Vec::new();
         self.own_cancels.retain(|job| {
-            let known = env.mirror.jobs.get(job);
+            let known = context.records.jobs.get(job);
             known.is_some_and(|v| !v.value.is_final())
         });
-        for job in env.graph.doomed.iter().chain(&self.own_cancels) {
-            if txn.changes.len() >= most {
+        for job in context
+            .dependency_graph
+            .doomed
+            .iter()
+            .chain(&self.own_cancels)
+        {
+            if swap.mutations.len() >= most {
                 break;
             }
-            let Some(v) = env.mirror.jobs.get(job) else {
+            let Some(v) = context.records.jobs.get(job) else {
                 continue;
             };
             let own = self.own_cancels.contains(job) && v.value.run;
-            let ours = own || v.value.parts.first().is_some_and(|p| mine.contains(p));
+            let ours = own || v.value.shards.first().is_some_and(|p| mine.contains(p));
             if v.value.is_final() || !ours || self.left_alone.contains_key(job) {
                 continue;
             }
-            let Some(value) = env.job_value(&env.cancelled(&v.value)) else {
+            let Some(value) = context.job_value(&context.cancelled(&v.value)) else {
                 continue;
             };
-            let change = Change::write(job_key(job), &value);
-            txn = txn.when(job_key(job), v.version).then(change);
+            let change = Mutation::put(job_key(job), &value);
+            swap = swap.compare(job_key(job), v.version).mutate(change);
             batch.push((job.clone(), value));
         }
-        if batch.is_empty() || !env.store.may(now, Class::Accept, txn.changes.len()) {
+        if batch.is_empty()
+            || !context
+                .kv
+                .may(now, RequestPriority::Accept, swap.mutations.len())
+        {
             return;
         }
         self.next += 1;
         self.cascades.insert(self.next, batch);
-        env.store.txn(env.out, Tag::Cascade(self.next), &txn);
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::Cascade(self.next), &swap);
     }
 
     /// The answer to a cascade; the jobs whose keys have changed.
-    pub fn cascaded(&mut self, id: u64, result: TxnResult, env: &mut Env) -> Vec<JobId> {
+    pub fn cascaded(&mut self, id: u64, result: SwapOutcome, context: &mut Context) -> Vec<JobId> {
         let batch = self.cascades.remove(&id).unwrap_or_default();
-        let again = env.now().plus(CASCADE_AGAIN_MS);
+        let again = context.now().plus(CASCADE_AGAIN_MS);
         match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 for (job, value) in &batch {
-                    tracing::info!(job = %job, "cancelled, as a job that it needs is, or its run says");
-                    env.mirror.apply(&job_key(job), Some(value), revision);
+                    tracing::info!(job = %job, "job cancelled: dependency or run cancelled");
+                    context.records.apply(&job_key(job), Some(value), revision);
                 }
                 return batch.into_iter().map(|(job, _)| job).collect();
             }
-            TxnResult::Conflict(keys) => {
+            SwapOutcome::Conflict(keys) => {
                 for (job, _) in batch {
                     let key = job_key(&job);
                     if keys.contains(&key) {
-                        env.store
-                            .get(env.out, Tag::Needed(None, job.clone()), &key, 1_500);
+                        context.kv.get(
+                            context.effects,
+                            Tag::Needed(None, job.clone()),
+                            &key,
+                            1_500,
+                        );
                         self.left_alone.insert(job, again);
                     }
                 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -6,16 +6,16 @@
 
 pub use planning::{Have, Pool, Want, plan};
 
-use super::env::{CloudClient, CloudTag, Env};
+use super::context::{CloudClient, CloudTag, Context};
 use super::placement::patience_s;
-use super::shard::keeping::stay_ms;
-use crate::outbox::{CallResult, Method, Outbox};
+use super::shard::reservations::stay_ms;
+use crate::effects::{CallOutcome, Effects, Method};
 use reserving::{reserved, shut};
-use snowshelf_model::ids::{MachineId, Millis, Token, seconds_to_ms};
+use snowshelf_model::ids::{FencingToken, MachineId, MonotonicMillis, seconds_to_ms};
 use snowshelf_model::protocol::cloud::{
     ListAnswer, Listed, ListedState, MachineType, RentAnswer, TypesAnswer, rent_body,
 };
-use snowshelf_model::records::{JobState, Room};
+use snowshelf_model::records::{JobState, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Rent {
@@ -23,38 +23,38 @@
     number: u32,
     body: Vec<u8>,
     underway: bool,
-    retry_at: Millis,
+    retry_at: MonotonicMillis,
     failures: u32,
 }
 
 struct Rented {
     pool: Pool,
-    at: Millis,
+    at: MonotonicMillis,
 }
 
-pub struct Fleet {
-    pub token: Token,
+pub struct Autoscaler {
+    pub fencing_token: FencingToken,
     cloud: CloudClient,
     next_name: u64,
-    types_at: Option<Millis>,
-    list_at: Option<Millis>,
+    types_at: Option<MonotonicMillis>,
+    list_at: Option<MonotonicMillis>,
     listing: Option<(String, Vec<Listed>)>,
     listed: BTreeMap<MachineId, Listed>,
     /// Answered by a rental, not listed yet.
     rented: BTreeMap<MachineId, Rented>,
-    returned: BTreeMap<MachineId, Millis>,
+    returned: BTreeMap<MachineId, MonotonicMillis>,
     rents: BTreeMap<String, Rent>,
-    refused: BTreeMap<Pool, Millis>,
-    plan_at: Millis,
-    heard: BTreeMap<String, Millis>,
-    heard_at: Millis,
-    since: Millis,
+    refused: BTreeMap<Pool, MonotonicMillis>,
+    plan_at: MonotonicMillis,
+    heard: BTreeMap<String, MonotonicMillis>,
+    heard_at: MonotonicMillis,
+    since: MonotonicMillis,
     releasing: bool,
     have_list: bool,
     /// The time of day at which the list came.
     listed_wall: u64,
     /// Listed once and not in the newest list, or listed as failed.
-    pub missing: BTreeMap<MachineId, Millis>,
+    pub missing: BTreeMap<MachineId, MonotonicMillis>,
 }
 
 /// Most machines that one request may rent.
@@ -62,10 +62,10 @@
 /// How often the leader notes which machines report.
 const HEARD_GAP_MS: u64 = 500;
 
-impl Fleet {
-    pub fn new(token: Token, rps: f64, now: Millis) -> Fleet {
-        Fleet {
-            token,
+impl Autoscaler {
+    pub fn new(fencing_token: FencingToken, rps: f64, now: MonotonicMillis) -> Autoscaler {
+        Autoscaler {
+            fencing_token,
             cloud: CloudClient::new(rps),
             next_name: 0,
             types_at: None,
@@ -76,9 +76,9 @@
             returned: BTreeMap::new(),
             rents: BTreeMap::new(),
             refused: BTreeMap::new(),
-            plan_at: Millis(0),
+            plan_at: MonotonicMillis(0),
             heard: BTreeMap::new(),
-            heard_at: Millis(0),
+            heard_at: MonotonicMillis(0),
             since: now,
             releasing: false,
             have_list: false,
@@ -88,34 +88,39 @@
     }
 
     /// Whether it is time to hear again which machines report.
-    pub fn wants_heard(&self, now: Millis) -> bool {
+    pub fn wants_heard(&self, now: MonotonicMillis) -> bool {
         now.since(self.heard_at) >= HEARD_GAP_MS
     }
 
-    pub fn note_heard(&mut self, now: Millis, names: impl Iterator<Item = String>) {
+    pub fn note_heard(&mut self, now: MonotonicMillis, names: impl Iterator<Item = String>) {
         self.heard_at = now;
         for name in names {
             self.heard.insert(name, now);
         }
     }
 
-    pub fn tick(&mut self, owned: bool, env: &mut Env) {
-        let now = env.now();
+    pub fn tick(&mut self, owned: bool, context: &mut Context) {
+        let now = context.now();
         let types_due = self.types_at.is_none_or(|at| now.since(at) > 30_000)
-            || (env.types.is_empty() && self.types_at.is_none_or(|at| now.since(at) > 4_500));
+            || (context.types.is_empty() && self.types_at.is_none_or(|at| now.since(at) > 4_500));
         if types_due && self.cloud.may(now) {
             self.types_at = Some(now);
             let path = "/machine_types".to_string();
-            self.cloud
-                .call(env.out, CloudTag::Types, Method::Get, path, Vec::new());
+            self.cloud.call(
+                context.effects,
+                CloudTag::Types,
+                Method::Get,
+                path,
+                Vec::new(),
+            );
         }
-        let lag = seconds_to_ms(env.cfg.settings.deployment.cloud.list_lag_s).max(2_000);
+        let lag = seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s).max(2_000);
         let list_due = self.list_at.is_none_or(|at| now.since(at) > lag)
             || (self.listing.is_some() && self.list_at.is_some_and(|at| now.since(at) > 4_500));
         if list_due && self.cloud.may(now) {
             self.list_at = Some(now);
             self.listing = Some((String::new(), Vec::new()));
-            self.list_page(env);
+            self.list_page(context);
         }
         let again: Vec<String> = self
             .rents
@@ -125,19 +130,19 @@
             .collect();
         for name in again {
             if self.cloud.may(now) {
-                self.order(&name, env);
+                self.order(&name, context);
             }
         }
-        if self.have_list && now.since(self.plan_at) >= 500 && !env.types.is_empty() {
+        if self.have_list && now.since(self.plan_at) >= 500 && !context.types.is_empty() {
             self.plan_at = now;
             if self.cloud.may(now) {
-                self.rent(env);
+                self.rent(context);
             }
-            self.give_back(owned, env);
+            self.give_back(owned, context);
         }
     }
 
-    fn list_page(&mut self, env: &mut Env) {
+    fn list_page(&mut self, context: &mut Context) {
         let after = self
             .listing
             .as_ref()
@@ -148,39 +153,44 @@
         } else {
             format!("/hosts?After={after}&Limit=500")
         };
-        self.cloud
-            .call(env.out, CloudTag::List, Method::Get, path, Vec::new());
+        self.cloud.call(
+            context.effects,
+            CloudTag::List,
+            Method::Get,
+            path,
+            Vec::new(),
+        );
     }
 
     /// Takes an answer of the cloud in; types that the others should know, if they changed.
     pub fn cloud_done(
         &mut self,
         id: snowshelf_model::ids::CallId,
-        result: &CallResult,
-        env: &mut Env,
+        result: &CallOutcome,
+        context: &mut Context,
     ) -> Option<Option<Vec<MachineType>>> {
         let tag = self.cloud.done(id, result)?;
-        let now = env.now();
+        let now = context.now();
         let (status, body): (u16, &[u8]) = match result {
-            CallResult::Answer { status, body } => (*status, body),
-            CallResult::NotSent => (503, b""),
-            CallResult::Lost => (0, b""),
+            CallOutcome::Response { status, body } => (*status, body),
+            CallOutcome::NotSent => (503, b""),
+            CallOutcome::Unanswered => (0, b""),
         };
         match tag {
             CloudTag::Types if status == 200 => match serde_json::from_slice::<TypesAnswer>(body) {
                 Ok(answer) => return Some(Some(answer.types)),
-                Err(error) => tracing::error!(%error, "odd list of machine types"),
+                Err(error) => tracing::error!(%error, "machine types response unreadable"),
             },
             CloudTag::List if status == 200 => match serde_json::from_slice::<ListAnswer>(body) {
-                Ok(answer) => self.list_done(answer, env),
+                Ok(answer) => self.list_done(answer, context),
                 Err(error) => {
-                    tracing::error!(%error, "odd list of machines");
+                    tracing::error!(%error, "machine list response unreadable");
                     self.listing = None;
                 }
             },
             CloudTag::List => self.listing = None,
-            CloudTag::Rent(name) => self.rent_done(&name, status, body, env.out),
-            CloudTag::FleetRelease(names) => {
+            CloudTag::Rent(name) => self.rent_done(&name, status, body, context.effects),
+            CloudTag::LeaderScaleIn(names) => {
                 self.releasing = false;
                 if status == 200 {
                     for name in names {
@@ -192,12 +202,12 @@
                     }
                 }
             }
-            CloudTag::Types | CloudTag::PartRelease(..) => {}
+            CloudTag::Types | CloudTag::ShardScaleIn(..) => {}
         }
         Some(None)
     }
 
-    fn list_done(&mut self, answer: ListAnswer, env: &mut Env) {
+    fn list_done(&mut self, answer: ListAnswer, context: &mut Context) {
         let Some((after, found)) = &mut self.listing else {
             return;
         };
@@ -207,12 +217,12 @@
         let more = answer.more && !answer.machines.is_empty();
         found.extend(answer.machines);
         if more {
-            self.list_page(env);
+            self.list_page(context);
             return;
         }
-        let now = env.now();
+        let now = context.now();
         let found = self.listing.take().map(|l| l.1).unwrap_or_default();
-        let lag = 2 * seconds_to_ms(env.cfg.settings.deployment.cloud.list_lag_s) + 3_000;
+        let lag = 2 * seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s) + 3_000;
         self.returned.retain(|_, at| now.since(*at) < 10 * lag);
         let seen: BTreeSet<&MachineId> = found
             .iter()
@@ -226,9 +236,9 @@
         }
         // What records have on a machine that is in no list and that nobody hears of is gone as well,
         // though it was listed before this leader's time.
-        let started = env
-            .mirror
-            .allocs
+        let started = context
+            .records
+            .allocations
             .values()
             .flat_map(|a| a.value.started.keys());
         let recorded: BTreeSet<&MachineId> = started.collect();
@@ -249,11 +259,11 @@
         self.rented
             .retain(|name, r| !listed.contains_key(name) && now.since(r.at) < 2 * lag);
         self.have_list = true;
-        self.listed_wall = env.out.wall_ms;
+        self.listed_wall = context.effects.wall_ms;
     }
 
-    fn rent_done(&mut self, name: &str, status: u16, body: &[u8], out: &mut Outbox) {
-        let now = out.now;
+    fn rent_done(&mut self, name: &str, status: u16, body: &[u8], effects: &mut Effects) {
+        let now = effects.now;
         let Some(rent) = self.rents.get_mut(name) else {
             return;
         };
@@ -266,7 +276,7 @@
                 match answer {
                     Ok(answer) => {
                         tracing::info!(request = name, model = %pool.model, zone = %pool.zone, spot = pool.spot,
-                            asked = number, got = answer.machines.len(), "rented");
+                            asked = number, got = answer.machines.len(), "machines scaled out");
                         if (answer.machines.len() as u32) < number {
                             self.refused.insert(pool.clone(), now.plus(8_000));
                         }
@@ -275,7 +285,7 @@
                             self.rented.insert(machine, Rented { pool, at: now });
                         }
                     }
-                    Err(error) => tracing::error!(%error, "odd answer to a rental"),
+                    Err(error) => tracing::error!(%error, "scale-out response unreadable"),
                 }
                 self.rents.remove(name);
             }
@@ -284,56 +294,56 @@
                 self.rents.remove(name);
             }
             400 => {
-                tracing::error!(request = name, body = %String::from_utf8_lossy(body), "rental refused as malformed");
+                tracing::error!(request = name, body = %String::from_utf8_lossy(body), "scale-out request rejected as malformed");
                 self.refused.insert(rent.pool.clone(), now.plus(60_000));
                 self.rents.remove(name);
             }
             // Repeated under the same name: carried out or not, it rents once.
             _ => {
-                rent.retry_at = out.retry_at(1_000, rent.failures);
+                rent.retry_at = effects.retry_at(1_000, rent.failures);
                 rent.failures += 1;
             }
         }
     }
 
-    fn rent(&mut self, env: &mut Env) {
-        let now = env.now();
+    fn rent(&mut self, context: &mut Context) {
+        let now = context.now();
         let mut wants = Vec::new();
         let mut demand = Vec::new();
-        let factor = env.cfg.ops.capacity_factor;
-        let mut teams: BTreeMap<&str, Room> = BTreeMap::new();
-        for limits in &env.cfg.settings.deployment.teams {
-            let limit = Room {
+        let factor = context.config.ops.capacity_factor;
+        let mut teams: BTreeMap<&str, Resources> = BTreeMap::new();
+        for limits in &context.config.settings.deployment.teams {
+            let limit = Resources {
                 cpus: limits.cpus_max,
                 gpus: limits.gpus_max,
                 mem: f64::MAX / 4.0,
             };
             teams.insert(&limits.name, limit);
         }
-        for (id, record) in &env.mirror.jobs {
+        for (id, record) in &context.records.jobs {
             let (Some(spec), JobState::Open) = (&record.value.spec, record.value.state) else {
                 continue;
             };
-            if !env.graph.is_ready(id, &record.value) {
+            if !context.dependency_graph.is_ready(id, &record.value) {
                 continue;
             }
-            let waited_s = env.graph.waited_s(id, &record.value);
+            let waited_s = context.dependency_graph.waited_s(id, &record.value);
             let mut tasks = 0;
-            for part in &record.value.parts {
-                if let Some(a) = env.mirror.allocs.get(&(*part, id.clone())) {
+            for shard_id in &record.value.shards {
+                if let Some(a) = context.records.allocations.get(&(*shard_id, id.clone())) {
                     tasks += a.value.waiting.len() + a.value.started_count();
                 }
             }
             // A team cannot use more than its limit, so no more is rented for it.
             let whole = tasks;
             if let Some(left) = teams.get_mut(spec.team.as_str()) {
-                tasks = tasks.min(spec.room.count_in(*left));
-                left.sub(spec.room.times(f64::from(tasks)));
+                tasks = tasks.min(spec.resources.count_in(*left));
+                left.sub(spec.resources.times(f64::from(tasks)));
             }
             let estimate_s =
-                crate::coordination::placement::estimate(spec, env.cfg.ops.default_run_s);
+                crate::coordination::placement::estimate(spec, context.config.ops.default_run_s);
             if whole > 0 {
-                let cpus = f64::from(whole) * spec.room.cpus;
+                let cpus = f64::from(whole) * spec.resources.cpus;
                 demand.push((
                     spec.team.clone(),
                     spec.zone.clone(),
@@ -341,23 +351,27 @@
                     cpus,
                 ));
                 wants.push(Want {
-                    room: spec.room,
+                    resources: spec.resources,
                     tasks: (f64::from(tasks) * factor).ceil() as u32,
-                    beyond: f64::from(whole - tasks) * spec.room.cpus * estimate_s,
+                    beyond: f64::from(whole - tasks) * spec.resources.cpus * estimate_s,
                     types: spec.types.clone(),
                     zone: spec.zone.clone(),
                     spot: spec.spot,
                     estimate_s,
-                    patience_s: env.cfg.ops.dear_patience
-                        * patience_s(spec, &env.cfg.settings.deployment.objectives, waited_s),
-                    shut: shut(stay_ms(spec, env), env),
+                    patience_s: context.config.ops.dear_patience
+                        * patience_s(
+                            spec,
+                            &context.config.settings.deployment.objectives,
+                            waited_s,
+                        ),
+                    shut: shut(stay_ms(spec, context), context),
                 });
             }
         }
-        wants.extend(reserved(demand, env));
+        wants.extend(reserved(demand, context));
         let mut have = Vec::new();
         let mut add = |pool: Pool| {
-            if let Some(t) = env.types.get(&pool.model) {
+            if let Some(t) = context.types.get(&pool.model) {
                 have.push(Have {
                     pool,
                     free: t.room(),
@@ -366,7 +380,7 @@
         };
         for l in self.listed.values() {
             // What a drain empties is replaced while it still serves, and not counted twice.
-            if l.state != ListedState::Failed && !env.drains.leaving.contains(&l.machine) {
+            if l.state != ListedState::Failed && !context.drains.leaving.contains(&l.machine) {
                 add(Pool {
                     model: l.model.clone(),
                     zone: l.zone.clone(),
@@ -389,8 +403,8 @@
             .cloned()
             .chain(self.rents.values().map(|r| r.pool.clone()))
             .collect();
-        let cpus = |pool: &Pool| env.types.get(&pool.model).map_or(0.0, |t| t.cpus);
-        let mut orders: Vec<(Pool, u32)> = plan(&wants, have, env.types, &refused)
+        let cpus = |pool: &Pool| context.types.get(&pool.model).map_or(0.0, |t| t.cpus);
+        let mut orders: Vec<(Pool, u32)> = plan(&wants, have, context.types, &refused)
             .into_iter()
             .map(|(pool, number)| (pool, number.min(MOST_A_CALL)))
             .collect();
@@ -406,7 +420,7 @@
             }
             self.next_name += 1;
             // The name holds the leadership's token, so no other leader ever uses it.
-            let name = format!("r-{}-{}", self.token, self.next_name);
+            let name = format!("r-{}-{}", self.fencing_token, self.next_name);
             let body = rent_body(&name, &pool.model, &pool.zone, pool.spot, number);
             let rent = Rent {
                 pool,
@@ -417,30 +431,30 @@
                 failures: 0,
             };
             self.rents.insert(name.clone(), rent);
-            self.order(&name, env);
+            self.order(&name, context);
         }
     }
 
     /// Sends a rental request.
-    fn order(&mut self, name: &str, env: &mut Env) {
+    fn order(&mut self, name: &str, context: &mut Context) {
         if let Some(rent) = self.rents.get_mut(name) {
             rent.underway = true;
             let body = rent.body.clone();
             let tag = CloudTag::Rent(name.to_string());
             self.cloud
-                .call(env.out, tag, Method::Post, "/hosts".into(), body);
+                .call(context.effects, tag, Method::Post, "/hosts".into(), body);
         }
     }
 
-    fn give_back(&mut self, owned: bool, env: &mut Env) {
-        let now = env.now();
+    fn give_back(&mut self, owned: bool, context: &mut Context) {
+        let now = context.now();
         if self.releasing {
             return;
         }
-        let lease_s = env.cfg.settings.deployment.workers.lease_s;
+        let lease_s = context.config.settings.deployment.workers.lease_s;
         let mut back = Vec::new();
         for l in self.listed.values() {
-            let ready_s = env.types.get(&l.model).map_or(60.0, |t| t.ready_s);
+            let ready_s = context.types.get(&l.model).map_or(60.0, |t| t.ready_s);
             let heard = self.heard.get(l.machine.as_str()).copied();
             let stale = match l.state {
                 ListedState::Failed => true,
@@ -454,15 +468,18 @@
                 }
             };
             if stale {
-                tracing::info!(machine = %l.machine, state = ?l.state, age_s = l.age_s, "returned by the leader");
+                tracing::info!(machine = %l.machine, state = ?l.state, age_s = l.age_s, "machine scaled in by the leader");
                 back.push(l.machine.clone());
             }
         }
         back.truncate(100);
         if !back.is_empty() && self.cloud.may(now) {
             self.releasing = true;
-            self.cloud
-                .release(env.out, CloudTag::FleetRelease(back.clone()), &back);
+            self.cloud.release(
+                context.effects,
+                CloudTag::LeaderScaleIn(back.clone()),
+                &back,
+            );
         }
     }
 }
--- a/src/coordination/fleet/planning.rs
+++ b/src/coordination/autoscaler/planning.rs
@@ -1,8 +1,8 @@
 //! What to rent so that what waits finds room where a task is cheapest: pure.
 
+use snowshelf_machine_index::capacity_index::CapacityIndex;
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::records::Room;
-use snowshelf_seating::rooms::Rooms;
+use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A kind of machine in a place: what one rental request asks for.
@@ -16,7 +16,7 @@
 /// A group of equal tasks that want room.
 #[derive(Clone, Debug)]
 pub struct Want {
-    pub room: Room,
+    pub resources: Resources,
     pub tasks: u32,
     pub types: Option<Vec<String>>,
     pub zone: Option<String>,
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Have {
     pub pool: Pool,
-    pub free: Room,
+    pub free: Resources,
 }
 
 fn allows(want: &Want, pool: &Pool) -> bool {
@@ -52,7 +52,7 @@
 
 /// What a full machine costs for each task of `want`.
 fn unit_price(want: &Want, t: &MachineType, spot: bool) -> Option<f64> {
-    match want.room.count_in(t.room()) {
+    match want.resources.count_in(t.room()) {
         0 => None,
         per => Some(t.price(spot) / f64::from(per)),
     }
@@ -89,24 +89,27 @@
     order.sort_by_key(|w| (w.spot, w.types.is_none(), w.zone.is_none()));
     // Jobs that may use spot machines leave the ordinary ones to those that may not.
     have.sort_by_key(|h| !h.pool.spot);
-    let mut rooms: Rooms<Pool, ()> = Rooms::default();
+    let mut capacity_index: CapacityIndex<Pool, ()> = CapacityIndex::default();
     for h in have {
-        rooms.push(|pool| *pool == h.pool, || h.pool.clone(), h.free, ());
+        capacity_index.push(|pool| *pool == h.pool, || h.pool.clone(), h.free, ());
     }
     // What fits nowhere at once and waits for room, in CPU seconds.
     let mut backlog = 0.0;
     for want in order {
         let mut left = want.tasks;
-        let allowed = rooms.allowed(|pool| allows(want, pool));
+        let allowed = capacity_index.allowed(|pool| allows(want, pool));
         if left > 0 {
-            for at in rooms.fitting(want.room, &allowed) {
-                let n = want.room.count_in(rooms.entries()[at].free).min(left);
-                rooms.take(at, want.room.times(f64::from(n)));
+            for at in capacity_index.fitting(want.resources, &allowed) {
+                let n = want
+                    .resources
+                    .count_in(capacity_index.entries()[at].free)
+                    .min(left);
+                capacity_index.take(at, want.resources.times(f64::from(n)));
                 left -= n;
             }
         }
         let cpus = |pool: &Pool| types.get(&pool.model).map_or(0.0, |t| t.cpus);
-        let sizes = rooms.sizes(&allowed);
+        let sizes = capacity_index.sizes(&allowed);
         let mut reach: f64 = sizes.map(|(pool, n)| n as f64 * cpus(pool)).sum();
         let cheapest = types
             .values()
@@ -118,7 +121,7 @@
             .filter(|p| left > 0 && allows(want, p))
             .filter_map(|p| {
                 let t = types.get(&p.model)?;
-                let per = want.room.count_in(t.room());
+                let per = want.resources.count_in(t.room());
                 (per > 0).then_some((p, t, per))
             })
             .collect();
@@ -138,20 +141,20 @@
             if dear {
                 // Dear machines are rented only for what would wait too long for the others.
                 let work =
-                    backlog + want.beyond + f64::from(left) * want.room.cpus * want.estimate_s;
+                    backlog + want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
                 if want.patience_s > 0.0 && work <= reach * want.patience_s {
                     break;
                 }
             }
             let n = per.min(left);
             let mut free = t.room();
-            free.sub(want.room.times(f64::from(n)));
+            free.sub(want.resources.times(f64::from(n)));
             reach += t.cpus;
-            rooms.push(|p| p == pool, || pool.clone(), free, ());
+            capacity_index.push(|p| p == pool, || pool.clone(), free, ());
             left -= n;
             *rent.entry(pool.clone()).or_default() += 1;
         }
-        backlog += want.beyond + f64::from(left) * want.room.cpus * want.estimate_s;
+        backlog += want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
     }
     rent
 }
--- a/src/coordination/fleet/reserving.rs
+++ b/src/coordination/autoscaler/reserving.rs
@@ -2,19 +2,19 @@
 //! reserved.
 
 use super::planning::Want;
-use crate::coordination::env::Env;
-use crate::coordination::shard::keeping::rented_ahead_ms;
-use snowshelf_model::ids::{Team, WallMs, seconds_to_ms};
+use crate::coordination::context::Context;
+use crate::coordination::shard::reservations::rented_ahead_ms;
+use snowshelf_model::ids::{Team, WallClockMillis, seconds_to_ms};
 
 /// Zones and types for which nothing is rented that is to run for so long once it is up.
-pub(super) fn shut(stay_ms: Option<u64>, env: &Env) -> Vec<(String, String)> {
-    let now = WallMs(env.out.wall_ms);
-    let pools = env.guard.closings.keys();
+pub(super) fn shut(stay_ms: Option<u64>, context: &Context) -> Vec<(String, String)> {
+    let now = WallClockMillis(context.effects.wall_ms);
+    let pools = context.guard.closings.keys();
     pools
         .filter(|pool| {
-            let ready_s = env.types.get(&*pool.model).map_or(0.0, |t| t.ready_s);
+            let ready_s = context.types.get(&*pool.model).map_or(0.0, |t| t.ready_s);
             let stay = stay_ms.map(|ms| ms.saturating_add(seconds_to_ms(ready_s)));
-            env.guard.forbids(pool, stay, now).is_some()
+            context.guard.forbids(pool, stay, now).is_some()
         })
         .map(|pool| (pool.zone.to_string(), pool.model.to_string()))
         .collect()
@@ -25,16 +25,17 @@
 
 /// Machines for what is reserved now, or so soon that they must be rented: beyond what the team's jobs
 /// ask for themselves there.
-pub(super) fn reserved(mut demand: Vec<Demand>, env: &Env) -> Vec<Want> {
-    let now = WallMs(env.out.wall_ms);
-    let ahead = rented_ahead_ms(env);
+pub(super) fn reserved(mut demand: Vec<Demand>, context: &Context) -> Vec<Want> {
+    let now = WallClockMillis(context.effects.wall_ms);
+    let ahead = rented_ahead_ms(context);
     let mut wants = Vec::new();
-    for hold in &env.guard.holds {
+    for hold in &context.guard.holds {
         let opens = hold.from.0.saturating_sub(ahead);
-        let Some(kind) = env.types.get(&*hold.pool.model) else {
+        let Some(kind) = context.types.get(&*hold.pool.model) else {
             continue;
         };
-        if now.0 < opens || now >= hold.until || env.guard.empties(&hold.pool, now, 0).is_some() {
+        if now.0 < opens || now >= hold.until || context.guard.empties(&hold.pool, now, 0).is_some()
+        {
             continue;
         }
         let mut room = hold.amount.room();
@@ -58,12 +59,12 @@
         ];
         let machines = machines
             .into_iter()
-            .filter(|(need, have)| *need > 0.0 && *have > 0.0)
-            .map(|(need, have)| (need / have).ceil())
+            .filter(|(requested, available)| *requested > 0.0 && *available > 0.0)
+            .map(|(requested, available)| (requested / available).ceil())
             .fold(0.0, f64::max);
         if machines > 0.0 {
             wants.push(Want {
-                room: whole,
+                resources: whole,
                 tasks: machines.min(f64::from(u32::MAX)) as u32,
                 types: Some(vec![hold.pool.model.to_string()]),
                 zone: Some(hold.pool.zone.to_string()),
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,37 +1,37 @@
 //! One controller: routes inputs and answers to the actors that own the matter.
 
-mod answers;
-mod draining;
-mod horizon;
-mod regular;
-mod requests;
+mod drains;
+mod responses;
+mod routes;
+mod tick;
+mod watermark;
 
-use super::bookings::Bookings;
+use super::api::JobApi;
+use super::autoscaler::Autoscaler;
+use super::context::{CloudClient, Config, Context, Role, Tag};
+use super::dag_runs::DagRuns;
+use super::dependencies::DependencyGraph;
 use super::drains::{Draining, Drains};
-use super::env::{Claim, CloudClient, Config, Env, Tag};
-use super::fleet::Fleet;
-use super::gateway::Gateway;
-use super::graph::Graph;
-use super::hearing::Hearing;
-use super::ownership::Ownership;
-use super::peers::{Peers, Turns};
-use super::reader::Reader;
-use super::runs::Runs;
+use super::format_migration::{FormatMigration, storage_limits};
+use super::gossip::{Gossip, RoundRobinNames};
+use super::leases::Leases;
+use super::list_watch::ListWatch;
+use super::reachability::Reachability;
+use super::reservations::Reservations;
 use super::shard::Shard;
-use super::upgrade::{Upgrade, terms};
-use crate::bookkeeping::mirror::Mirror;
-use crate::bookkeeping::store::Store;
+use crate::effects::{ControllerEvent, Effect, Effects};
 use crate::operator::OperatorSettings;
-use crate::outbox::{Input, Outbox, Output};
 use crate::settings::Settings;
+use crate::storage::kv_client::KvClient;
+use crate::storage::record_cache::RecordCache;
 use snowshelf_calendar::guard::Guard;
-use snowshelf_doors::doors::Told;
-use snowshelf_horizon::Horizon;
-use snowshelf_horizon::attesting::Attesting;
-use snowshelf_model::ids::{ConnId, JobId, Member, Millis, PartId};
+use snowshelf_connections::table::ConnectionStats;
+use snowshelf_model::ids::{ConnectionId, JobId, Member, MonotonicMillis, ShardId};
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::protocol::worker::Report;
-use snowshelf_model::records::{Format, Terms};
+use snowshelf_model::protocol::worker::Heartbeat;
+use snowshelf_model::records::{RecordFormat, StorageLimits};
+use snowshelf_watermark::CancellationWatermark;
+use snowshelf_watermark::confirmation_round::ConfirmationRounds;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often the regular work is done.
@@ -51,126 +51,126 @@
 
 /// One controller's share of the requests and writes a second, with so many of the parts. The shares of all make up
 /// the whole, since no part has two owners.
-pub fn own_rates(terms: &Terms, nodes: u32, parts: usize) -> (f64, f64) {
+pub fn own_rates(storage_limits: &StorageLimits, nodes: u32, shards: usize) -> (f64, f64) {
     let nodes = f64::from(nodes);
-    let share = EQUAL / nodes + (1.0 - EQUAL) * parts as f64 / nodes;
+    let share = EQUAL / nodes + (1.0 - EQUAL) * shards as f64 / nodes;
     (
-        BUDGET * terms.rps * share,
-        WRITES_BUDGET * terms.write_rps * share,
+        BUDGET * storage_limits.rps * share,
+        WRITES_BUDGET * storage_limits.write_rps * share,
     )
 }
 
 pub struct Controller {
-    cfg: Config,
-    out: Outbox,
-    store: Store<Tag>,
+    config: Config,
+    effects: Effects,
+    kv: KvClient<Tag>,
     cloud: CloudClient,
-    mirror: Mirror,
+    records: RecordCache,
     types: BTreeMap<String, MachineType>,
-    own: Ownership,
-    reader: Reader,
-    shards: BTreeMap<PartId, Shard>,
-    gateway: Gateway,
-    bookings: Bookings,
-    runs: Runs,
+    leases: Leases,
+    list_watch: ListWatch,
+    shards: BTreeMap<ShardId, Shard>,
+    job_api: JobApi,
+    reservations: Reservations,
+    dag_runs: DagRuns,
     drains: Drains,
     /// What placement, renting and returning keep to of the drains, and of which changes of theirs.
-    draining: Draining,
+    drain_state: Draining,
     draining_of: u64,
-    draining_at: Millis,
+    draining_at: MonotonicMillis,
     /// What placement and renting keep to of the calendar.
     guard: Guard,
-    fleet: Option<Fleet>,
-    peers: Peers,
-    heard_turns: Turns,
-    missing_turns: Turns,
-    hearing: Hearing,
-    doors: Told,
+    autoscaler: Option<Autoscaler>,
+    gossip: Gossip,
+    heard_turns: RoundRobinNames,
+    missing_turns: RoundRobinNames,
+    reachability: Reachability,
+    connections: ConnectionStats,
     /// Reports of workers that wait for this controller to own their part, or to read of their jobs, and when they
     /// came.
-    at_door: Vec<(ConnId, Report, Millis)>,
+    at_door: Vec<(ConnectionId, Heartbeat, MonotonicMillis)>,
     /// Jobs that are being read by themselves because waiting reports list them, and when they were asked for; those
     /// that were not there.
-    listed_asked: BTreeMap<JobId, Millis>,
+    listed_asked: BTreeMap<JobId, MonotonicMillis>,
     listed_absent: BTreeSet<JobId>,
-    hint_at: Millis,
-    pools_at: Millis,
-    started: Millis,
+    hint_at: MonotonicMillis,
+    pools_at: MonotonicMillis,
+    started: MonotonicMillis,
     publishing: bool,
-    upgrade: Upgrade,
-    terms: Terms,
-    graph: Graph,
+    format_migration: FormatMigration,
+    storage_limits: StorageLimits,
+    dependency_graph: DependencyGraph,
     /// The jobs' changes that the graph has seen, and when it was worked out.
     graph_of: u64,
-    graph_at: Millis,
-    looked_up: Millis,
+    graph_at: MonotonicMillis,
+    looked_up: MonotonicMillis,
     /// Up to when it is known what users were told, by the state service or by all others.
-    horizon: Horizon,
+    watermark: CancellationWatermark,
     /// Set with the first input, which tells the time of day: lives differ by that.
-    attesting: Attesting,
+    confirmation_rounds: ConfirmationRounds,
     /// Jobs that others have said to have confirmed as cancelled, and when they said so.
-    attested: BTreeMap<JobId, Millis>,
+    attested: BTreeMap<JobId, MonotonicMillis>,
     /// Workers are not answered for want of knowledge.
     lets_go: bool,
 }
 
 impl Controller {
-    pub fn new(settings: Settings, ops: OperatorSettings, now: Millis) -> Controller {
-        let terms = terms(Format::Narrow, false, &settings.deployment.state);
-        let (rps, write_rps) = own_rates(&terms, settings.deployment.nodes, 1);
-        let store = Store::new(rps, write_rps);
+    pub fn new(settings: Settings, ops: OperatorSettings, now: MonotonicMillis) -> Controller {
+        let storage_limits = storage_limits(RecordFormat::V1, false, &settings.deployment.state);
+        let (rps, write_rps) = own_rates(&storage_limits, settings.deployment.nodes, 1);
+        let kv = KvClient::new(rps, write_rps);
         let cloud = CloudClient::new(OWNER_CLOUD * settings.deployment.cloud.rps);
         let seed = settings
             .member
             .bytes()
             .fold(now.0, |a, b| a.wrapping_mul(31) + u64::from(b));
-        let cfg = Config {
+        let config = Config {
             me: Member::new(&settings.member),
             members: settings.members(),
-            parts: settings.deployment.nodes,
+            shard_count: settings.deployment.nodes,
             can: ops.can(),
             settings,
             ops,
         };
         let controller = Controller {
-            cfg,
-            out: Outbox::new(seed),
-            store,
+            config,
+            effects: Effects::new(seed),
+            kv,
             cloud,
-            mirror: Mirror::default(),
+            records: RecordCache::default(),
             types: BTreeMap::new(),
-            own: Ownership::default(),
-            reader: Reader::default(),
+            leases: Leases::default(),
+            list_watch: ListWatch::default(),
             shards: BTreeMap::new(),
-            gateway: Gateway::begun(now),
-            bookings: Bookings::default(),
-            runs: Runs::default(),
+            job_api: JobApi::begun(now),
+            reservations: Reservations::default(),
+            dag_runs: DagRuns::default(),
             drains: Drains::default(),
-            draining: Draining::default(),
+            drain_state: Draining::default(),
             draining_of: 0,
-            draining_at: Millis(0),
+            draining_at: MonotonicMillis(0),
             guard: Guard::default(),
-            fleet: None,
-            peers: Peers::default(),
-            heard_turns: Turns::default(),
-            missing_turns: Turns::default(),
-            hearing: Hearing::default(),
-            doors: Told::default(),
+            autoscaler: None,
+            gossip: Gossip::default(),
+            heard_turns: RoundRobinNames::default(),
+            missing_turns: RoundRobinNames::default(),
+            reachability: Reachability::default(),
+            connections: ConnectionStats::default(),
             at_door: Vec::new(),
             listed_asked: BTreeMap::new(),
             listed_absent: BTreeSet::new(),
-            hint_at: Millis(0),
-            pools_at: Millis(0),
+            hint_at: MonotonicMillis(0),
+            pools_at: MonotonicMillis(0),
             started: now,
             publishing: false,
-            upgrade: Upgrade::default(),
-            terms,
-            graph: Graph::default(),
+            format_migration: FormatMigration::default(),
+            storage_limits,
+            dependency_graph: DependencyGraph::default(),
             graph_of: 0,
-            graph_at: Millis(0),
-            looked_up: Millis(0),
-            horizon: Horizon::default(),
-            attesting: Attesting::new(0),
+            graph_at: MonotonicMillis(0),
+            looked_up: MonotonicMillis(0),
+            watermark: CancellationWatermark::default(),
+            confirmation_rounds: ConfirmationRounds::new(0),
             attested: BTreeMap::new(),
             lets_go: false,
         };
@@ -179,95 +179,100 @@
     }
 
     /// Handles one input at `now` and returns what is to be done about it.
-    pub fn handle(&mut self, input: Input, now: Millis, wall_ms: u64) -> Vec<Output> {
-        self.out.now = now;
-        self.out.wall_ms = wall_ms;
-        if self.attesting.incarnation() == 0 {
-            self.attesting = Attesting::new(wall_ms.max(1));
+    pub fn handle(
+        &mut self,
+        input: ControllerEvent,
+        now: MonotonicMillis,
+        wall_ms: u64,
+    ) -> Vec<Effect> {
+        self.effects.now = now;
+        self.effects.wall_ms = wall_ms;
+        if self.confirmation_rounds.incarnation() == 0 {
+            self.confirmation_rounds = ConfirmationRounds::new(wall_ms.max(1));
         }
         match input {
-            Input::Request(conn, request) => self.request(conn, request),
-            Input::CallDone(id, result) => self.call_done(id, &result),
-            Input::Hint(hint) => self.peers.take(now, hint, &self.cfg),
-            Input::Proof(proof) => self.proof(proof),
-            Input::Doors(told) => self.doors = told,
-            Input::Tick => self.tick(),
+            ControllerEvent::Request(conn, request) => self.request(conn, request),
+            ControllerEvent::CallDone(id, result) => self.call_done(id, &result),
+            ControllerEvent::PeerStatus(hint) => self.gossip.take(now, hint, &self.config),
+            ControllerEvent::PeerMessage(proof) => self.proof(proof),
+            ControllerEvent::ConnectionTable(stats) => self.connections = stats,
+            ControllerEvent::Tick => self.tick(),
         }
-        std::mem::take(&mut self.out.outputs)
+        std::mem::take(&mut self.effects.outputs)
     }
 
     /// Runs `f` with one actor's environment.
-    fn env(&mut self) -> Env<'_> {
-        Env {
-            out: &mut self.out,
-            store: &mut self.store,
+    fn context(&mut self) -> Context<'_> {
+        Context {
+            effects: &mut self.effects,
+            kv: &mut self.kv,
             cloud: &mut self.cloud,
-            mirror: &mut self.mirror,
-            cfg: &self.cfg,
+            records: &mut self.records,
+            config: &self.config,
             types: &self.types,
-            terms: &self.terms,
-            graph: &self.graph,
+            storage_limits: &self.storage_limits,
+            dependency_graph: &self.dependency_graph,
             guard: &self.guard,
-            drains: &mut self.draining,
+            drains: &mut self.drain_state,
             began: self.started,
             absent: &self.listed_absent,
-            horizon: self.horizon.at(),
+            watermark: self.watermark.at(),
             attested: &self.attested,
         }
     }
 
     fn state_silent_ms(&self) -> u64 {
-        let last = self.store.served.unwrap_or(self.started);
-        self.out.now.since(last)
+        let last = self.kv.served.unwrap_or(self.started);
+        self.effects.now.since(last)
     }
 
     fn outage(&self) -> bool {
-        let unserved = self.peers.unserved(self.out.now, UNSERVED_MS);
-        self.state_silent_ms() >= UNSERVED_MS && 2 * unserved > self.cfg.members.len()
+        let unserved = self.gossip.unserved(self.effects.now, UNSERVED_MS);
+        self.state_silent_ms() >= UNSERVED_MS && 2 * unserved > self.config.members.len()
     }
 
-    fn with_gateway<T>(&mut self, f: impl FnOnce(&mut Gateway, &mut Env) -> T) -> T {
-        let mut gateway = std::mem::take(&mut self.gateway);
-        let result = f(&mut gateway, &mut self.env());
-        self.gateway = gateway;
+    fn with_job_api<T>(&mut self, f: impl FnOnce(&mut JobApi, &mut Context) -> T) -> T {
+        let mut job_api = std::mem::take(&mut self.job_api);
+        let result = f(&mut job_api, &mut self.context());
+        self.job_api = job_api;
         result
     }
 
-    fn with_bookings<T>(&mut self, f: impl FnOnce(&mut Bookings, &mut Env) -> T) -> T {
-        let mut bookings = std::mem::take(&mut self.bookings);
-        let result = f(&mut bookings, &mut self.env());
-        self.bookings = bookings;
+    fn with_reservations<T>(&mut self, f: impl FnOnce(&mut Reservations, &mut Context) -> T) -> T {
+        let mut reservations = std::mem::take(&mut self.reservations);
+        let result = f(&mut reservations, &mut self.context());
+        self.reservations = reservations;
         result
     }
 
-    fn with_drains<T>(&mut self, f: impl FnOnce(&mut Drains, &mut Env) -> T) -> T {
+    fn with_drains<T>(&mut self, f: impl FnOnce(&mut Drains, &mut Context) -> T) -> T {
         let mut drains = std::mem::take(&mut self.drains);
-        let result = f(&mut drains, &mut self.env());
+        let result = f(&mut drains, &mut self.context());
         self.drains = drains;
         result
     }
 
-    fn with_runs<T>(&mut self, f: impl FnOnce(&mut Runs, &mut Env) -> T) -> T {
-        let mut runs = std::mem::take(&mut self.runs);
-        let result = f(&mut runs, &mut self.env());
-        self.runs = runs;
+    fn with_dag_runs<T>(&mut self, f: impl FnOnce(&mut DagRuns, &mut Context) -> T) -> T {
+        let mut dag_runs = std::mem::take(&mut self.dag_runs);
+        let result = f(&mut dag_runs, &mut self.context());
+        self.dag_runs = dag_runs;
         result
     }
 
-    fn with_shard(&mut self, part: PartId, f: impl FnOnce(&mut Shard, &mut Env)) {
-        let Some(mut shard) = self.shards.remove(&part) else {
+    fn with_shard(&mut self, shard_id: ShardId, f: impl FnOnce(&mut Shard, &mut Context)) {
+        let Some(mut shard) = self.shards.remove(&shard_id) else {
             return;
         };
-        f(&mut shard, &mut self.env());
+        f(&mut shard, &mut self.context());
         if shard.deposed {
-            shard.drop_held(&mut self.env());
-            if self.own.token(part) == Some(shard.token) {
-                tracing::info!(part = %part, token = %shard.token, "lets the part go");
-                let now = self.out.now;
-                self.own.lose(Claim::Part(part), now);
+            shard.drop_held(&mut self.context());
+            if self.leases.fencing_token(shard_id) == Some(shard.fencing_token) {
+                tracing::info!(shard = %shard_id, fencing_token = %shard.fencing_token, "shard released");
+                let now = self.effects.now;
+                self.leases.lose(Role::ShardLeader(shard_id), now);
             }
         } else {
-            self.shards.insert(part, shard);
+            self.shards.insert(shard_id, shard);
         }
     }
 }
--- a/src/coordination/runs/beginning.rs
+++ b/src/coordination/dag_runs/beginning.rs
@@ -2,18 +2,18 @@
 //! count, and only then is anybody told.
 
 use super::living::asked_of;
-use super::{Runs, brief};
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::coordination::env::{Env, Tag};
-use crate::coordination::gateway::never_runs;
-use crate::outbox::Response;
+use super::{DagRuns, brief};
+use crate::coordination::api::never_runs;
+use crate::coordination::context::{Context, Tag};
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use serde::Serialize;
 use serde_json::{Value, json};
 use snowshelf_dag::packing;
 use snowshelf_dag::plan::{Plan, expand};
 use snowshelf_dag::run::Asked;
-use snowshelf_model::ids::{ConnId, Millis, Version, WallMs};
-use snowshelf_model::protocol::state::{Change, Txn};
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version, WallClockMillis};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{RunId, RunRecord, RunState, plan_key, run_key};
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 /// A run or a graph that is being written.
 pub(super) struct Beginning {
     /// Whom to tell; a schedule's run is nobody's.
-    pub conn: Option<ConnId>,
+    pub conn: Option<ConnectionId>,
     /// The record that makes the pieces count, and the version of it that is replaced.
     pub key: String,
     pub version: Version,
@@ -36,7 +36,7 @@
     pub pieces: Vec<(String, String)>,
     pub written: usize,
     pub underway: usize,
-    pub since: Millis,
+    pub since: MonotonicMillis,
 }
 
 impl Beginning {
@@ -47,7 +47,7 @@
         record: &impl Serialize,
         pieces: Vec<String>,
         piece_key: impl Fn(u32) -> String,
-        env: &Env,
+        context: &Context,
     ) -> Beginning {
         Beginning {
             conn: None,
@@ -58,22 +58,28 @@
             pieces: (0..).map(piece_key).zip(pieces).collect(),
             written: 0,
             underway: 0,
-            since: env.out.now,
+            since: context.effects.now,
         }
     }
 }
 
 /// A text in pieces that are small enough to be values.
-pub(super) fn pieces(text: &str, env: &Env) -> Vec<String> {
-    packing::pieces(text, env.terms.value_bytes.saturating_sub(SPARE_BYTES))
+pub(super) fn pieces(text: &str, context: &Context) -> Vec<String> {
+    packing::pieces(
+        text,
+        context
+            .storage_limits
+            .value_bytes
+            .saturating_sub(SPARE_BYTES),
+    )
 }
 
 /// A run's record as it begins, to be written with what it was asked for.
-pub(super) fn beginning_of(id: &RunId, jobs: usize, text: &str, env: &Env) -> Beginning {
-    let pieces = pieces(text, env);
+pub(super) fn beginning_of(id: &RunId, jobs: usize, text: &str, context: &Context) -> Beginning {
+    let pieces = pieces(text, context);
     let record = RunRecord {
         state: RunState::Open,
-        at: WallMs(env.out.wall_ms),
+        at: WallClockMillis(context.effects.wall_ms),
         jobs: jobs as u32,
         hash: packing::hash(text),
         pieces: pieces.len() as u32,
@@ -85,18 +91,18 @@
     let keyed = |i| plan_key(id, &record.hash, i);
     Beginning {
         body: brief(id, &record),
-        ..Beginning::new(run_key(id), Version(0), &record, pieces, keyed, env)
+        ..Beginning::new(run_key(id), Version(0), &record, pieces, keyed, context)
     }
 }
 
 /// Whether there is no room for another run of a graph, and why.
-pub(super) fn full(graph: &str, active: Option<u32>, env: &Env) -> Option<&'static str> {
-    let runs = env.mirror.runs.iter();
+pub(super) fn full(graph: &str, active: Option<u32>, context: &Context) -> Option<&'static str> {
+    let runs = context.records.runs.iter();
     let open = runs.filter(|(_, v)| v.value.state == RunState::Open);
     let of_graph = open.clone().filter(|(id, _)| id.graph == graph).count();
     if active.is_some_and(|n| of_graph >= n as usize) {
         Some("the graph has as many active runs as it may")
-    } else if open.count() >= env.cfg.ops.graphs.most_runs {
+    } else if open.count() >= context.config.ops.graphs.most_runs {
         Some("too many runs")
     } else {
         None
@@ -104,142 +110,167 @@
 }
 
 /// The plan of what is asked for, if it can run here; what to answer otherwise.
-pub(super) fn planned(asked: &Asked, env: &Env) -> Result<Plan, Value> {
+pub(super) fn planned(asked: &Asked, context: &Context) -> Result<Plan, Value> {
     let plan = expand(&asked.graph, &asked.mapping, &asked.facts(), "graph");
     let plan = plan.map_err(|list| json!({"error": "the graph cannot run", "problems": list}))?;
-    let most = env.cfg.ops.graphs.most_jobs;
+    let most = context.config.ops.graphs.most_jobs;
     if plan.jobs.len() > most {
         return Err(json!({"error": format!("the run has more than {most} jobs")}));
     }
     let mut jobs = plan.jobs.iter();
-    match jobs.find_map(|j| Some((j, never_runs(&j.submission.spec, env)?))) {
+    match jobs.find_map(|j| Some((j, never_runs(&j.submission.spec, context)?))) {
         Some((job, why)) => Err(json!({"error": format!("{}: {why}", job.step)})),
         None => Ok(plan),
     }
 }
 
-impl Runs {
+impl DagRuns {
     pub(super) fn begin(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         id: RunId,
         asked: &Asked,
         text: &str,
-        env: &mut Env,
+        context: &mut Context,
     ) {
-        if let Some(v) = env.mirror.runs.get(&id) {
+        if let Some(v) = context.records.runs.get(&id) {
             // By run and not by what it was asked for: a retry may be written otherwise.
             let body = brief(&id, &v.value);
-            env.out.respond(conn, Response::json(200, &body));
+            context.effects.respond(conn, Response::json(200, &body));
             return;
         }
-        let why = full(&id.graph, asked.graph.max_active_runs, env);
+        let why = full(&id.graph, asked.graph.max_active_runs, context);
         if why.is_some() || self.beginning.len() >= MOST_WAITING {
             let later = Response::later(503, why.unwrap_or("too many runs"), 5);
-            env.out.respond(conn, later);
+            context.effects.respond(conn, later);
             return;
         }
-        match planned(asked, env) {
+        match planned(asked, context) {
             Ok(plan) => {
-                let begin = beginning_of(&id, plan.jobs.len(), text, env);
+                let begin = beginning_of(&id, plan.jobs.len(), text, context);
                 self.beginning.push_back(Beginning {
                     conn: Some(conn),
                     ..begin
                 });
             }
-            Err(body) => env.out.respond(conn, Response::json(422, &body)),
+            Err(body) => context.effects.respond(conn, Response::json(422, &body)),
         }
     }
 
     /// Begins a run of what did not succeed in an ended one.
-    pub(super) fn rerun(&mut self, conn: ConnId, id: &RunId, next: String, env: &mut Env) {
-        let told = |env: &mut Env, status: u16, why: &str| {
-            env.out.respond(conn, Response::error(status, why));
+    pub(super) fn rerun(
+        &mut self,
+        conn: ConnectionId,
+        id: &RunId,
+        next: String,
+        context: &mut Context,
+    ) {
+        let told = |context: &mut Context, status: u16, why: &str| {
+            context.effects.respond(conn, Response::error(status, why));
         };
-        let Some(record) = env.mirror.runs.get(id).map(|v| v.value.clone()) else {
-            told(env, 404, "no such run");
+        let Some(record) = context.records.runs.get(id).map(|v| v.value.clone()) else {
+            told(context, 404, "no such run");
             return;
         };
         if record.state == RunState::Open {
-            told(env, 409, "the run has not ended");
+            told(context, 409, "the run has not ended");
             return;
         }
-        let Some(Ok(mut asked)) = asked_of(id, &record, env) else {
-            told(env, 409, "what the run was asked for is not kept any more");
+        let Some(Ok(mut asked)) = asked_of(id, &record, context) else {
+            told(
+                context,
+                409,
+                "what the run was asked for is not kept any more",
+            );
             return;
         };
         asked.after.push(std::mem::replace(&mut asked.run, next));
         if let Some(id) = RunId::new(&id.graph, &asked.run) {
             let text = packing::pack(&asked);
-            self.begin(conn, id, &asked, &text, env);
+            self.begin(conn, id, &asked, &text, context);
         }
     }
 
-    fn give_up(&mut self, why: &str, after_s: u64, env: &mut Env) {
+    fn give_up(&mut self, why: &str, after_s: u64, context: &mut Context) {
         if let Some(lost) = self.beginning.pop_front()
             && let Some(conn) = lost.conn
         {
-            env.out.respond(conn, Response::later(503, why, after_s));
+            context
+                .effects
+                .respond(conn, Response::later(503, why, after_s));
         }
     }
 
     /// Writes what the first of those that begin still lacks, and then its record.
-    pub(super) fn write_beginning(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn write_beginning(&mut self, context: &mut Context) {
+        let now = context.now();
         while let Some(first) = self.beginning.front()
             && first.underway == 0
             && now.since(first.since) > PATIENCE_MS
         {
-            self.give_up("could not be written yet", 2, env);
+            self.give_up("could not be written yet", 2, context);
         }
         let Some(first) = self.beginning.front_mut().filter(|b| b.underway == 0) else {
             return;
         };
-        let mut txn = Txn::default().when(first.key.clone(), first.version);
-        let room = env.store.room(now, Class::Accept).min(env.terms.txn_ops);
+        let mut swap = CompareAndSwap::default().compare(first.key.clone(), first.version);
+        let room = context
+            .kv
+            .room(now, RequestPriority::Accept)
+            .min(context.storage_limits.txn_ops);
         for (key, piece) in first.pieces.iter().skip(first.written).take(room) {
-            txn = txn.then(Change::write(key.clone(), piece));
+            swap = swap.mutate(Mutation::put(key.clone(), piece));
         }
         if first.written == first.pieces.len() {
-            txn = txn.then(Change::write(first.key.clone(), &first.record));
+            swap = swap.mutate(Mutation::put(first.key.clone(), &first.record));
         }
-        if txn.changes.is_empty() || !env.store.may(now, Class::Accept, txn.changes.len()) {
+        if swap.mutations.is_empty()
+            || !context
+                .kv
+                .may(now, RequestPriority::Accept, swap.mutations.len())
+        {
             return;
         }
-        first.underway = txn.changes.len();
-        env.store.txn(env.out, Tag::RunBegin, &txn);
+        first.underway = swap.mutations.len();
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::RunBegin, &swap);
     }
 
     /// The answer to a part of a beginning.
-    pub fn begun(&mut self, result: TxnResult, env: &mut Env) {
+    pub fn begun(&mut self, result: SwapOutcome, context: &mut Context) {
         let Some(first) = self.beginning.front_mut() else {
             return;
         };
         let underway = std::mem::take(&mut first.underway);
         match result {
-            TxnResult::Done(_) if first.written < first.pieces.len() => {
+            SwapOutcome::Done(_) if first.written < first.pieces.len() => {
                 first.written += underway;
-                first.since = env.out.now;
+                first.since = context.effects.now;
             }
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 if let Some(done) = self.beginning.pop_front() {
-                    env.mirror.apply(&done.key, Some(&done.record), revision);
-                    tracing::info!(key = done.key, "a run or a graph is taken");
+                    context
+                        .records
+                        .apply(&done.key, Some(&done.record), revision);
+                    tracing::info!(key = done.key, "DAG run or graph accepted");
                     let status = if done.version == Version(0) { 201 } else { 200 };
                     if let Some(conn) = done.conn {
-                        env.out.respond(conn, Response::json(status, &done.body));
+                        context
+                            .effects
+                            .respond(conn, Response::json(status, &done.body));
                     }
                 }
             }
             // A retry finds it, or writes the same pieces again.
-            _ => self.give_up("the state service did not answer", 1, env),
+            _ => self.give_up("the state service did not answer", 1, context),
         }
     }
 
     /// Sends everybody who waits away: the state service does not serve.
-    pub fn refuse_all(&mut self, env: &mut Env) {
+    pub fn refuse_all(&mut self, context: &mut Context) {
         while !self.beginning.is_empty() {
-            self.give_up("the state service is away", 2, env);
+            self.give_up("the state service is away", 2, context);
         }
     }
 
--- a/src/coordination/runs/living.rs
+++ b/src/coordination/dag_runs/living.rs
@@ -1,10 +1,10 @@
 //! A run that is open, as this controller pictures it.
 
-use crate::coordination::env::Env;
+use crate::coordination::context::Context;
 use snowshelf_dag::packing;
 use snowshelf_dag::plan::{Plan, expand, job_id};
 use snowshelf_dag::run::{Asked, Decision, Seen, decide};
-use snowshelf_model::ids::{JobId, Millis};
+use snowshelf_model::ids::{JobId, MonotonicMillis};
 use snowshelf_model::protocol::user::Submission;
 use snowshelf_model::records::{JobState, RunId, RunRecord};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,26 +19,34 @@
     earlier: Vec<Vec<JobId>>,
     inherited: Vec<bool>,
     /// Since when a job with a timeout has run.
-    running: BTreeMap<usize, Millis>,
-    pub looked_at: Millis,
+    running: BTreeMap<usize, MonotonicMillis>,
+    pub looked_at: MonotonicMillis,
     /// When it was last driven on, and as of which changes of jobs. Guards against a run that stands
     /// still because somebody asks about it all the time.
-    pub driven_at: Millis,
+    pub driven_at: MonotonicMillis,
     pub driven_of: u64,
 }
 
 /// What a run was asked for, once all its pieces are there.
-pub(super) fn asked_of(id: &RunId, record: &RunRecord, env: &Env) -> Option<Result<Asked, String>> {
+pub(super) fn asked_of(
+    id: &RunId,
+    record: &RunRecord,
+    context: &Context,
+) -> Option<Result<Asked, String>> {
     packing::unpack_pieces(record.pieces, |piece| {
         let key = (id.clone(), record.hash.clone(), piece);
-        env.mirror.plans.get(&key).map(|text| text.as_str())
+        context.records.plans.get(&key).map(|text| text.as_str())
     })
 }
 
 impl Live {
     /// From its pieces, once all are there; an error if they are none that can be expanded.
-    pub fn build(id: &RunId, record: &RunRecord, env: &Env) -> Option<Result<Live, String>> {
-        let asked = match asked_of(id, record, env)? {
+    pub fn build(
+        id: &RunId,
+        record: &RunRecord,
+        context: &Context,
+    ) -> Option<Result<Live, String>> {
+        let asked = match asked_of(id, record, context)? {
             Ok(asked) => asked,
             Err(why) => return Some(Err(why)),
         };
@@ -59,8 +67,8 @@
                 active: asked.graph.max_active_tasks.map(|n| n as usize),
                 plan,
                 running: BTreeMap::new(),
-                looked_at: Millis(0),
-                driven_at: Millis(0),
+                looked_at: MonotonicMillis(0),
+                driven_at: MonotonicMillis(0),
                 driven_of: 0,
             }),
             Err(problems) => Err(problems
@@ -72,10 +80,10 @@
     }
 
     /// Looks up what became of jobs in earlier runs; the ids of some that must be read first, if any.
-    pub fn inherit(&mut self, most: usize, env: &Env) -> Vec<JobId> {
+    pub fn inherit(&mut self, most: usize, context: &Context) -> Vec<JobId> {
         let mut unknown = Vec::new();
         for (i, ids) in self.earlier.iter_mut().enumerate() {
-            ids.retain(|id| match env.mirror.final_of(id) {
+            ids.retain(|id| match context.records.final_of(id) {
                 Some(end) => {
                     self.inherited[i] |= end.run && end.state == JobState::Done;
                     false
@@ -113,19 +121,19 @@
             let mut above = job.after.iter();
             above.any(|a| self.inherited[*a] && self.plan.jobs[*a].submission.job == *id)
         };
-        submission.needs.retain(|id| !met(id));
+        submission.dependencies.retain(|id| !met(id));
         submission
     }
 
     /// Looks at all jobs anew, and decides.
-    pub fn look(&mut self, record: &RunRecord, most: usize, env: &Env) -> Decision {
-        self.looked_at = env.out.now;
+    pub fn look(&mut self, record: &RunRecord, most: usize, context: &Context) -> Decision {
+        self.looked_at = context.effects.now;
         for (seen, job) in self.seen.iter_mut().zip(&self.plan.jobs) {
             if matches!(*seen, Seen::Done | Seen::Aborted | Seen::Foreign) {
                 continue;
             }
             let id = &job.submission.job;
-            let state = match (env.mirror.final_of(id), env.mirror.jobs.get(id)) {
+            let state = match (context.records.final_of(id), context.records.jobs.get(id)) {
                 (Some(end), _) => Some((end.state, end.run)),
                 (None, Some(v)) => Some((v.value.state, v.value.run)),
                 (None, None) => None,
@@ -151,7 +159,7 @@
 
     /// Open jobs that have failed for good: too often, or for too long. `errors` is how often the worst
     /// task of a job has failed.
-    pub fn failing(&mut self, errors: &BTreeMap<JobId, u32>, env: &Env) -> Vec<u32> {
+    pub fn failing(&mut self, errors: &BTreeMap<JobId, u32>, context: &Context) -> Vec<u32> {
         let mut failing = Vec::new();
         for (i, job) in self.plan.jobs.iter().enumerate() {
             if self.seen[i] != Seen::Open {
@@ -161,14 +169,14 @@
             let id = &job.submission.job;
             let often = errors.get(id).is_some_and(|n| *n > job.retries);
             let long = job.timeout_s.is_some_and(|timeout_s| {
-                let record = env.mirror.jobs.get(id).map(|v| &v.value);
-                let counts = record.map(|r| env.mirror.counts(id, &r.parts, r.tasks));
+                let record = context.records.jobs.get(id).map(|v| &v.value);
+                let counts = record.map(|r| context.records.counts(id, &r.shards, r.tasks));
                 if counts.is_none_or(|(_, running)| running == 0) {
                     self.running.remove(&i);
                     return false;
                 }
-                let since = *self.running.entry(i).or_insert(env.out.now);
-                env.out.now.since(since) as f64 > timeout_s * 1000.0
+                let since = *self.running.entry(i).or_insert(context.effects.now);
+                context.effects.now.since(since) as f64 > timeout_s * 1000.0
             });
             if often || long {
                 failing.push(i as u32);
--- a/src/coordination/runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -12,22 +12,23 @@
 
 pub use asking::{Ask, Read, read};
 
-use super::env::{Env, Tag};
-use super::gateway::Gateway;
-use super::ownership::Ownership;
-use crate::bookkeeping::mirror::Mirror;
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::outbox::Response;
+use super::api::JobApi;
+use super::context::{Context, Tag};
+use super::leases::Leases;
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::RecordCache;
 use beginning::Beginning;
 use living::Live;
 use serde_json::{Value, json};
 use snowshelf_dag::run::{Decision, End, Stand};
 use snowshelf_model::ids::{
-    Attempt, ConnId, JobId, Millis, TaskNo, Version, WallMs, part_of, seconds_to_ms,
+    Attempt, ConnectionId, JobId, MonotonicMillis, TaskIndex, Version, WallClockMillis,
+    seconds_to_ms, shard_of,
 };
-use snowshelf_model::protocol::state::{Change, Txn};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{
-    Capability, RunId, RunRecord, RunState, job_key, part_key, plan_key, run_key,
+    Capability, RunId, RunRecord, RunState, job_key, plan_key, run_key, shard_key,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -47,7 +48,7 @@
 
 /// Whoever wants to see a run, and waits for the word that the picture of it is not behind.
 struct Question {
-    conn: ConnId,
+    conn: ConnectionId,
     run: RunId,
     /// Which of its steps are shown.
     after: usize,
@@ -55,18 +56,18 @@
 }
 
 #[derive(Default)]
-pub struct Runs {
+pub struct DagRuns {
     beginning: VecDeque<Beginning>,
     live: BTreeMap<RunId, Live>,
     /// Runs whose record is being written, and whom to tell: who has cancelled it.
-    writing: BTreeMap<u64, (Option<ConnId>, RunId, RunRecord)>,
+    writing: BTreeMap<u64, (Option<ConnectionId>, RunId, RunRecord)>,
     questions: BTreeMap<u64, Question>,
     /// Runs that cannot be expanded here, told once.
     broken: BTreeSet<RunId>,
     next: u64,
     turn: Option<RunId>,
     timing: timing::Timing,
-    tidy_at: Millis,
+    tidy_at: MonotonicMillis,
     tidying: bool,
 }
 
@@ -94,42 +95,51 @@
     counts
 }
 
-impl Runs {
-    pub fn take(&mut self, conn: ConnId, ask: Ask, env: &mut Env) {
-        let why = if !env.mirror.all_can(&Capability::graphs()) {
+impl DagRuns {
+    pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
+        let why = if !context.records.all_can(&Capability::graphs()) {
             Some("not every controller takes graphs yet")
-        } else if !env.mirror.loaded || env.types.is_empty() {
+        } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
         } else {
             None
         };
         if let Some(why) = why {
-            env.out.respond(conn, Response::later(503, why, 2));
+            context.effects.respond(conn, Response::later(503, why, 2));
             return;
         }
         match ask {
-            Ask::Begin(id, asked, text) => self.begin(conn, id, &asked, &text, env),
-            Ask::Show(id, after, limit) => self.ask(conn, id, after, limit, env),
-            Ask::Cancel(id) => self.cancel(conn, id, env),
-            Ask::Rerun(id, next) => self.rerun(conn, &id, next, env),
-            Ask::Define(name, asked, text) => self.define(conn, &name, &asked, &text, env),
-            Ask::ShowGraph(name) => self.show_graph(conn, &name, env),
-            Ask::Pause(name, paused) => self.pause(conn, &name, paused, env),
+            Ask::Begin(id, asked, text) => self.begin(conn, id, &asked, &text, context),
+            Ask::Show(id, after, limit) => self.ask(conn, id, after, limit, context),
+            Ask::Cancel(id) => self.cancel(conn, id, context),
+            Ask::Rerun(id, next) => self.rerun(conn, &id, next, context),
+            Ask::Define(name, asked, text) => self.define(conn, &name, &asked, &text, context),
+            Ask::ShowGraph(name) => self.show_graph(conn, &name, context),
+            Ask::Pause(name, paused) => self.pause(conn, &name, paused, context),
         }
     }
 
     /// Asks whether the picture of a run is behind.
-    fn ask(&mut self, conn: ConnId, run: RunId, after: usize, limit: usize, env: &mut Env) {
-        if !env.store.may(env.now(), Class::Reads, 0) {
-            env.out
+    fn ask(
+        &mut self,
+        conn: ConnectionId,
+        run: RunId,
+        after: usize,
+        limit: usize,
+        context: &mut Context,
+    ) {
+        if !context.kv.may(context.now(), RequestPriority::Reads, 0) {
+            context
+                .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
             return;
         }
-        let known = env.mirror.runs.get(&run).map(|v| v.version);
-        let txn = Txn::default().when(run_key(&run), known.unwrap_or_default());
+        let known = context.records.runs.get(&run).map(|v| v.version);
+        let swap = CompareAndSwap::default().compare(run_key(&run), known.unwrap_or_default());
         self.next += 1;
-        env.store
-            .compare(env.out, Tag::RunAsk(self.next), &txn, 1_500);
+        context
+            .kv
+            .check_versions(context.effects, Tag::RunAsk(self.next), &swap, 1_500);
         let question = Question {
             conn,
             run,
@@ -140,7 +150,7 @@
     }
 
     /// The answer to such a question.
-    pub fn answered(&mut self, id: u64, result: TxnResult, env: &mut Env) {
+    pub fn answered(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let Some(question) = self.questions.remove(&id) else {
             return;
         };
@@ -150,17 +160,19 @@
             after,
             limit,
         } = question;
-        let TxnResult::Done(_) = result else {
+        let SwapOutcome::Done(_) = result else {
             let later = Response::later(
                 503,
                 "the picture is behind, or the state service did not answer",
                 1,
             );
-            env.out.respond(conn, later);
+            context.effects.respond(conn, later);
             return;
         };
-        let Some(record) = env.mirror.runs.get(&run).map(|v| v.value.clone()) else {
-            env.out.respond(conn, Response::error(404, "no such run"));
+        let Some(record) = context.records.runs.get(&run).map(|v| v.value.clone()) else {
+            context
+                .effects
+                .respond(conn, Response::error(404, "no such run"));
             return;
         };
         let mut body = brief(&run, &record);
@@ -168,9 +180,9 @@
             body["counts"] = json!(record.counts);
         }
         // Steps are shown as long as the run's pieces are there.
-        self.picture(&run, &record, env);
+        self.picture(&run, &record, context);
         if let Some(live) = self.live.get_mut(&run) {
-            let decision = live.look(&record, 0, env);
+            let decision = live.look(&record, 0, context);
             if record.state == RunState::Open {
                 body["counts"] = json!(counted(&decision.stands));
             }
@@ -195,22 +207,23 @@
             body["steps"] = json!(steps);
             body["more"] = json!(after + limit < live.plan.jobs.len());
         }
-        env.out.respond(conn, Response::json(200, &body));
+        context.effects.respond(conn, Response::json(200, &body));
     }
 
-    fn cancel(&mut self, conn: ConnId, id: RunId, env: &mut Env) {
-        let Some(v) = env.mirror.runs.get(&id).cloned() else {
+    fn cancel(&mut self, conn: ConnectionId, id: RunId, context: &mut Context) {
+        let Some(v) = context.records.runs.get(&id).cloned() else {
             // The record may not have come yet.
-            self.ask(conn, id, 0, 0, env);
+            self.ask(conn, id, 0, 0, context);
             return;
         };
         if v.value.state != RunState::Open || v.value.cancel {
             let body = brief(&id, &v.value);
-            env.out.respond(conn, Response::json(200, &body));
+            context.effects.respond(conn, Response::json(200, &body));
             return;
         }
-        if !env.store.may(env.now(), Class::Accept, 1) {
-            env.out
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+            context
+                .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
             return;
         }
@@ -218,68 +231,79 @@
             cancel: true,
             ..(*v.value).clone()
         };
-        self.write_run(Some(conn), id, v.version, record, Txn::default(), env);
+        self.write_run(
+            Some(conn),
+            id,
+            v.version,
+            record,
+            CompareAndSwap::default(),
+            context,
+        );
     }
 
     fn write_run(
         &mut self,
-        conn: Option<ConnId>,
+        conn: Option<ConnectionId>,
         id: RunId,
         version: Version,
         record: RunRecord,
-        txn: Txn,
-        env: &mut Env,
+        swap: CompareAndSwap,
+        context: &mut Context,
     ) {
         let key = run_key(&id);
-        let txn = txn
-            .when(key.clone(), version)
-            .then(Change::write(key, &record));
+        let swap = swap
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &record));
         self.next += 1;
-        env.store.txn(env.out, Tag::RunWrite(self.next), &txn);
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::RunWrite(self.next), &swap);
         self.writing.insert(self.next, (conn, id, record));
     }
 
     /// The answer to such a write; whatever one of the run itself leaves open, the feed tells, and it
     /// is decided anew.
-    pub fn written(&mut self, id: u64, result: TxnResult, env: &mut Env) {
+    pub fn written(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let Some((conn, run, record)) = self.writing.remove(&id) else {
             return;
         };
         let response = match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 let value = serde_json::to_value(&record).unwrap_or_default();
-                env.mirror.apply(&run_key(&run), Some(&value), revision);
+                context
+                    .records
+                    .apply(&run_key(&run), Some(&value), revision);
                 if conn.is_some() {
-                    tracing::info!(run = %run, "a run is cancelled");
+                    tracing::info!(run = %run, "DAG run cancelled");
                 } else if record.state != RunState::Open {
-                    tracing::info!(run = %run, state = word(record.state, false), "a run has ended");
+                    tracing::info!(run = %run, state = word(record.state, false), "DAG run ended");
                 }
                 Response::json(200, &brief(&run, &record))
             }
             _ => Response::later(503, "could not be settled yet", 1),
         };
         if let Some(conn) = conn {
-            env.out.respond(conn, response);
+            context.effects.respond(conn, response);
         }
     }
 
     /// Whether there is nothing to drive, to write, or to remove.
-    pub fn idle(&self, mirror: &Mirror) -> bool {
-        let kept = mirror.runs.is_empty() && mirror.graphs.is_empty() && mirror.plans.is_empty();
+    pub fn idle(&self, records: &RecordCache) -> bool {
+        let kept = records.runs.is_empty() && records.graphs.is_empty() && records.plans.is_empty();
         kept && self.beginning.is_empty() && self.live.is_empty()
     }
 
     /// Makes a picture of a run, if its pieces are there.
-    fn picture(&mut self, id: &RunId, record: &RunRecord, env: &Env) {
+    fn picture(&mut self, id: &RunId, record: &RunRecord, context: &Context) {
         if self.live.contains_key(id) || self.broken.contains(id) {
             return;
         }
-        match Live::build(id, record, env) {
+        match Live::build(id, record, context) {
             Some(Ok(live)) => {
                 self.live.insert(id.clone(), live);
             }
             Some(Err(why)) => {
-                tracing::error!(run = %id, why, "a run cannot be expanded here");
+                tracing::error!(run = %id, why, "DAG run expansion failed");
                 self.broken.insert(id.clone());
             }
             None => {}
@@ -287,51 +311,53 @@
     }
 
     /// Removes what of ended runs is not shown or kept any more, with writes that nobody else needs.
-    pub fn tidy(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub fn tidy(&mut self, context: &mut Context) {
+        let now = context.now();
         if self.tidying || now.since(self.tidy_at) < TIDY_MS {
             return;
         }
         self.tidy_at = now;
-        let wall = env.out.wall_ms;
+        let wall = context.effects.wall_ms;
         let over = |record: &RunRecord, ms: u64| {
             record
                 .ended
                 .is_some_and(|at| wall.saturating_sub(at.0) > ms)
         };
-        let mirror = &env.mirror;
-        let most = env.terms.txn_ops.min(8);
-        let shown = mirror.plans.keys().filter(|(id, _, _)| {
-            let record = mirror.runs.get(id).map(|v| &v.value);
+        let records = &context.records;
+        let most = context.storage_limits.txn_ops.min(8);
+        let shown = records.plans.keys().filter(|(id, _, _)| {
+            let record = records.runs.get(id).map(|v| &v.value);
             record.is_some_and(|r| over(r, SHOWN_MS))
         });
         let mut keys: Vec<String> = shown
             .map(|(id, h, n)| plan_key(id, h, *n))
             .take(most)
             .collect();
-        let mut txn = Txn::default();
+        let mut swap = CompareAndSwap::default();
         if keys.is_empty()
-            && let Some((id, v)) = mirror.runs.iter().find(|(_, v)| over(&v.value, KEPT_MS))
+            && let Some((id, v)) = records.runs.iter().find(|(_, v)| over(&v.value, KEPT_MS))
         {
-            txn = txn.when(run_key(id), v.version);
+            swap = swap.compare(run_key(id), v.version);
             keys.push(run_key(id));
         }
-        if keys.is_empty() || !env.store.may(now, Class::Spare, keys.len()) {
+        if keys.is_empty() || !context.kv.may(now, RequestPriority::Spare, keys.len()) {
             return;
         }
         for key in &keys {
-            txn = txn.then(Change::Delete { key: key.clone() });
+            swap = swap.mutate(Mutation::Delete { key: key.clone() });
         }
         self.tidying = true;
-        env.store.txn(env.out, Tag::RunTidy(keys), &txn);
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::RunTidy(keys), &swap);
     }
 
     /// The answer to such a removal.
-    pub fn tidied(&mut self, keys: &[String], result: TxnResult, env: &mut Env) {
+    pub fn tidied(&mut self, keys: &[String], result: SwapOutcome, context: &mut Context) {
         self.tidying = false;
-        if let TxnResult::Done(revision) = result {
+        if let SwapOutcome::Done(revision) = result {
             for key in keys {
-                env.mirror.apply(key, None, revision);
+                context.records.apply(key, None, revision);
             }
         }
     }
@@ -339,23 +365,26 @@
     /// The regular work: the next of the runs that this controller drives.
     pub fn tick(
         &mut self,
-        own: &Ownership,
+        own: &Leases,
         errors: &BTreeMap<JobId, u32>,
-        gateway: &mut Gateway,
-        env: &mut Env,
+        gateway: &mut JobApi,
+        context: &mut Context,
     ) {
-        self.write_beginning(env);
-        self.time(own, env);
-        if env.mirror.runs.is_empty() && self.live.is_empty() {
+        self.write_beginning(context);
+        self.time(own, context);
+        if context.records.runs.is_empty() && self.live.is_empty() {
             return;
         }
-        let parts = env.cfg.parts;
-        let mine = |id: &RunId| own.token(part_of(&id.to_string(), parts)).is_some();
-        let now = env.now();
+        let shard_count = context.config.shard_count;
+        let mine = |id: &RunId| {
+            own.fencing_token(shard_of(&id.to_string(), shard_count))
+                .is_some()
+        };
+        let now = context.now();
         let mut shown = 0;
-        let mirror = &env.mirror;
+        let records = &context.records;
         self.live.retain(|id, live| {
-            let open = mirror
+            let open = records
                 .runs
                 .get(id)
                 .is_some_and(|v| v.value.state == RunState::Open);
@@ -365,46 +394,46 @@
             shown += 1;
             shown <= MOST_SHOWN && now.since(live.looked_at) < 60_000
         });
-        let open = |v: &&RunId| mirror.runs[*v].value.state == RunState::Open && mine(v);
+        let open = |v: &&RunId| records.runs[*v].value.state == RunState::Open && mine(v);
         let after = self.turn.as_ref();
-        let later = mirror
+        let later = records
             .runs
             .keys()
             .filter(open)
             .find(|id| after.is_none_or(|a| *id > a));
-        let next = later.or_else(|| mirror.runs.keys().find(open)).cloned();
+        let next = later.or_else(|| records.runs.keys().find(open)).cloned();
         self.turn = next.clone();
         let Some(id) = next else {
             return;
         };
-        let Some(v) = env.mirror.runs.get(&id).cloned() else {
+        let Some(v) = context.records.runs.get(&id).cloned() else {
             return;
         };
-        self.picture(&id, &v.value, env);
+        self.picture(&id, &v.value, context);
         let mut own_writes = self.writing.values().filter(|(conn, ..)| conn.is_none());
         let busy = own_writes.any(|(_, other, _)| *other == id);
         let Some(live) = self.live.get_mut(&id).filter(|_| !busy) else {
             return;
         };
         let age = now.since(live.driven_at);
-        if age < LOOK_GAP_MS || (age < LOOK_MS && live.driven_of == env.mirror.job_changes) {
+        if age < LOOK_GAP_MS || (age < LOOK_MS && live.driven_of == context.records.job_changes) {
             return;
         }
-        (live.driven_at, live.driven_of) = (now, env.mirror.job_changes);
+        (live.driven_at, live.driven_of) = (now, context.records.job_changes);
         if !live.inherits() {
-            for job in live.inherit(MOST_AT_ONCE, env) {
-                if env.store.may(now, Class::Reads, 0) {
+            for job in live.inherit(MOST_AT_ONCE, context) {
+                if context.kv.may(now, RequestPriority::Reads, 0) {
                     let tag = Tag::RunEarlier(id.clone(), job.clone());
-                    env.store.get(env.out, tag, &job_key(&job), 1_500);
+                    context.kv.get(context.effects, tag, &job_key(&job), 1_500);
                 }
             }
             return;
         }
-        let decision = live.look(&v.value, MOST_AT_ONCE, env);
+        let decision = live.look(&v.value, MOST_AT_ONCE, context);
         for i in &decision.submit {
             let job = &live.plan.jobs[*i];
             let pause_ms = seconds_to_ms(job.retry_delay_s);
-            if !gateway.submit_own(&live.submission(*i), pause_ms, env) {
+            if !gateway.submit_own(&live.submission(*i), pause_ms, context) {
                 break;
             }
         }
@@ -413,8 +442,8 @@
             .iter()
             .map(|i| live.plan.jobs[*i].submission.job.clone());
         gateway.own_cancels.extend(cancel);
-        let failing = live.failing(errors, env);
-        self.settle(&id, v.version, &v.value, &decision, &failing, own, env);
+        let failing = live.failing(errors, context);
+        self.settle(&id, v.version, &v.value, &decision, &failing, own, context);
     }
 
     /// Writes what has become of a run: jobs that have failed for good, its end.
@@ -426,12 +455,12 @@
         before: &RunRecord,
         decision: &Decision,
         failing: &[u32],
-        own: &Ownership,
-        env: &mut Env,
+        own: &Leases,
+        context: &mut Context,
     ) {
         let mut record = before.clone();
         for i in failing {
-            record.failed.insert(TaskNo(*i), Attempt(0));
+            record.failed.insert(TaskIndex(*i), Attempt(0));
         }
         if let Some(end) = decision.end {
             record.state = match end {
@@ -440,30 +469,30 @@
                 End::Cancelled => RunState::Cancelled,
             };
             record.counts = counted(&decision.stands);
-            record.ended = Some(WallMs(env.out.wall_ms));
+            record.ended = Some(WallClockMillis(context.effects.wall_ms));
             // What failed is told by the counts from now on.
             record.failed = Default::default();
         }
-        let part = part_of(&id.to_string(), env.cfg.parts);
-        let Some(token) = own.token(part).filter(|_| record != *before) else {
+        let shard_id = shard_of(&id.to_string(), context.config.shard_count);
+        let Some(fencing_token) = own.fencing_token(shard_id).filter(|_| record != *before) else {
             return;
         };
         let value = serde_json::to_value(&record).unwrap_or_default();
-        if !env.terms.takes(&value) {
-            tracing::error!(run = %id, "the run's record would be too large");
+        if !context.storage_limits.accepts(&value) {
+            tracing::error!(run = %id, "DAG run record too large");
             return;
         }
-        if !env.store.may(env.now(), Class::Ends, 1) {
+        if !context.kv.may(context.now(), RequestPriority::Ends, 1) {
             return;
         }
-        let txn = Txn::default().when(part_key(part), Version(token.0));
-        self.write_run(None, id.clone(), version, record, txn, env);
+        let swap = CompareAndSwap::default().compare(shard_key(shard_id), Version(fencing_token.0));
+        self.write_run(None, id.clone(), version, record, swap, context);
     }
 
     /// The answer about a job of an earlier run; the mirror has it by now, if there is one.
     pub fn earlier(&mut self, run: &RunId, job: &JobId, missing: bool) {
         if let Some(live) = self.live.get_mut(run) {
-            live.driven_at = Millis(0);
+            live.driven_at = MonotonicMillis(0);
             if missing {
                 live.never(job);
             }
--- a/src/coordination/runs/timing.rs
+++ b/src/coordination/dag_runs/timing.rs
@@ -1,20 +1,20 @@
 //! Graphs that are kept, and the runs that their schedules begin: one for each interval. That a run's key
 //! did not exist when it was written is the proof.
 
-use super::Runs;
+use super::DagRuns;
 use super::beginning::{Beginning, beginning_of, full, pieces, planned};
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::coordination::env::{Env, Tag};
-use crate::coordination::ownership::Ownership;
-use crate::outbox::Response;
+use crate::coordination::context::{Context, Tag};
+use crate::coordination::leases::Leases;
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use jiff::Timestamp;
 use serde_json::{Value, json};
 use snowshelf_dag::packing;
 use snowshelf_dag::run::Asked;
 use snowshelf_dag::schedule::{Timetable, run_of, timetable};
-use snowshelf_model::ids::{ConnId, Millis, Version, WallMs, part_of};
-use snowshelf_model::protocol::state::{Change, Txn};
-use snowshelf_model::records::{GraphRecord, RunId, definition_key, graph_key, part_key, run_key};
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version, WallClockMillis, shard_of};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{GraphRecord, RunId, definition_key, graph_key, run_key, shard_key};
 use std::collections::BTreeMap;
 
 /// How often schedules are looked at.
@@ -32,19 +32,19 @@
 
 #[derive(Default)]
 pub(super) struct Timing {
-    looked_at: Millis,
+    looked_at: MonotonicMillis,
     defined: BTreeMap<String, Defined>,
     /// Records being written, and whom to tell.
-    writing: BTreeMap<u64, (Option<ConnId>, String, GraphRecord)>,
+    writing: BTreeMap<u64, (Option<ConnectionId>, String, GraphRecord)>,
 }
 
-fn moment(at: WallMs) -> Timestamp {
+fn moment(at: WallClockMillis) -> Timestamp {
     let ms = i64::try_from(at.0).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(ms).unwrap_or(Timestamp::MAX)
 }
 
-fn wall(at: Timestamp) -> WallMs {
-    WallMs(u64::try_from(at.as_millisecond()).unwrap_or(0))
+fn wall(at: Timestamp) -> WallClockMillis {
+    WallClockMillis(u64::try_from(at.as_millisecond()).unwrap_or(0))
 }
 
 fn parsed(at: &Option<String>) -> Option<Timestamp> {
@@ -62,7 +62,7 @@
 
 impl Timing {
     /// Unpacks a graph, if it is another than before and all its pieces are there.
-    fn define(&mut self, name: &str, record: &GraphRecord, env: &Env) -> Option<()> {
+    fn define(&mut self, name: &str, record: &GraphRecord, context: &Context) -> Option<()> {
         if self
             .defined
             .get(name)
@@ -72,7 +72,11 @@
         }
         let asked = packing::unpack_pieces(record.pieces, |piece| {
             let key = (name.to_string(), record.hash.clone(), piece);
-            env.mirror.definitions.get(&key).map(|text| text.as_str())
+            context
+                .records
+                .definitions
+                .get(&key)
+                .map(|text| text.as_str())
         });
         let asked = asked?.ok()?;
         let schedule = asked.graph.schedule.as_ref();
@@ -87,24 +91,24 @@
     }
 }
 
-impl Runs {
+impl DagRuns {
     /// Keeps a graph, in place of what was kept under its name.
     pub(super) fn define(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         name: &str,
         asked: &Asked,
         text: &str,
-        env: &mut Env,
+        context: &mut Context,
     ) {
         // Tried with its defaults, so that a schedule does not find out what is wrong with it.
-        if let Err(body) = planned(asked, env) {
-            env.out.respond(conn, Response::json(422, &body));
+        if let Err(body) = planned(asked, context) {
+            context.effects.respond(conn, Response::json(422, &body));
             return;
         }
-        let now = WallMs(env.out.wall_ms);
-        let before = env.mirror.graphs.get(name);
-        let pieces = pieces(text, env);
+        let now = WallClockMillis(context.effects.wall_ms);
+        let before = context.records.graphs.get(name);
+        let pieces = pieces(text, context);
         let start = parsed(&asked.graph.start).map(wall).unwrap_or(now);
         // Without catching up, nothing before now is run.
         let since = if asked.graph.catch_up {
@@ -123,7 +127,7 @@
         };
         let version = before.map(|v| v.version).unwrap_or_default();
         let keyed = |i| definition_key(name, &record.hash, i);
-        let begin = Beginning::new(graph_key(name), version, &record, pieces, keyed, env);
+        let begin = Beginning::new(graph_key(name), version, &record, pieces, keyed, context);
         self.beginning.push_back(Beginning {
             conn: Some(conn),
             body: view(name, &record),
@@ -131,21 +135,30 @@
         });
     }
 
-    pub(super) fn show_graph(&mut self, conn: ConnId, name: &str, env: &mut Env) {
-        let response = match env.mirror.graphs.get(name) {
+    pub(super) fn show_graph(&mut self, conn: ConnectionId, name: &str, context: &mut Context) {
+        let response = match context.records.graphs.get(name) {
             Some(v) => Response::json(200, &view(name, &v.value)),
             None => Response::error(404, "no such graph"),
         };
-        env.out.respond(conn, response);
+        context.effects.respond(conn, response);
     }
 
-    pub(super) fn pause(&mut self, conn: ConnId, name: &str, paused: bool, env: &mut Env) {
-        let Some(v) = env.mirror.graphs.get(name).cloned() else {
-            env.out.respond(conn, Response::error(404, "no such graph"));
+    pub(super) fn pause(
+        &mut self,
+        conn: ConnectionId,
+        name: &str,
+        paused: bool,
+        context: &mut Context,
+    ) {
+        let Some(v) = context.records.graphs.get(name).cloned() else {
+            context
+                .effects
+                .respond(conn, Response::error(404, "no such graph"));
             return;
         };
-        if !env.store.may(env.now(), Class::Accept, 1) {
-            env.out
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+            context
+                .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
             return;
         }
@@ -154,62 +167,75 @@
             why: None,
             ..(*v.value).clone()
         };
-        self.write_graph(Some(conn), name, v.version, record, Txn::default(), env);
+        self.write_graph(
+            Some(conn),
+            name,
+            v.version,
+            record,
+            CompareAndSwap::default(),
+            context,
+        );
     }
 
     fn write_graph(
         &mut self,
-        conn: Option<ConnId>,
+        conn: Option<ConnectionId>,
         name: &str,
         version: Version,
         record: GraphRecord,
-        txn: Txn,
-        env: &mut Env,
+        swap: CompareAndSwap,
+        context: &mut Context,
     ) {
         let key = graph_key(name);
-        let txn = txn
-            .when(key.clone(), version)
-            .then(Change::write(key, &record));
+        let swap = swap
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &record));
         self.next += 1;
-        env.store.txn(env.out, Tag::GraphWrite(self.next), &txn);
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::GraphWrite(self.next), &swap);
         let waiting = (conn, name.to_string(), record);
         self.timing.writing.insert(self.next, waiting);
     }
 
     /// The answer to a write of a graph's record.
-    pub fn graph_written(&mut self, id: u64, result: TxnResult, env: &mut Env) {
+    pub fn graph_written(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let Some((conn, name, record)) = self.timing.writing.remove(&id) else {
             return;
         };
         let response = match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 let value = serde_json::to_value(&record).unwrap_or_default();
-                env.mirror.apply(&graph_key(&name), Some(&value), revision);
+                context
+                    .records
+                    .apply(&graph_key(&name), Some(&value), revision);
                 Response::json(200, &view(&name, &record))
             }
             _ => Response::later(503, "could not be settled yet", 1),
         };
         if let Some(conn) = conn {
-            env.out.respond(conn, response);
+            context.effects.respond(conn, response);
         }
     }
 
     /// Begins runs for intervals that are over, of the graphs whose part is owned here.
-    pub(super) fn time(&mut self, own: &Ownership, env: &mut Env) {
-        let now = env.now();
-        if env.mirror.graphs.is_empty() || now.since(self.timing.looked_at) < LOOK_MS {
+    pub(super) fn time(&mut self, own: &Leases, context: &mut Context) {
+        let now = context.now();
+        if context.records.graphs.is_empty() || now.since(self.timing.looked_at) < LOOK_MS {
             return;
         }
         self.timing.looked_at = now;
-        let mirror = &env.mirror;
+        let records = &context.records;
         self.timing
             .defined
-            .retain(|name, _| mirror.graphs.contains_key(name));
-        let names: Vec<String> = env.mirror.graphs.keys().cloned().collect();
+            .retain(|name, _| records.graphs.contains_key(name));
+        let names: Vec<String> = context.records.graphs.keys().cloned().collect();
         for name in names {
-            let part = part_of(&graph_key(&name), env.cfg.parts);
-            let (Some(token), Some(v)) = (own.token(part), env.mirror.graphs.get(&name).cloned())
-            else {
+            let shard_id = shard_of(&graph_key(&name), context.config.shard_count);
+            let (Some(fencing_token), Some(v)) = (
+                own.fencing_token(shard_id),
+                context.records.graphs.get(&name).cloned(),
+            ) else {
                 continue;
             };
             let busy = self
@@ -217,19 +243,29 @@
                 .writing
                 .values()
                 .any(|(_, other, _)| *other == name);
-            if v.value.paused || busy || self.timing.define(&name, &v.value, env).is_none() {
+            if v.value.paused || busy || self.timing.define(&name, &v.value, context).is_none() {
                 continue;
             }
-            let txn = Txn::default().when(part_key(part), Version(token.0));
-            self.due(&name, v.version, &v.value, txn, env);
+            let swap =
+                CompareAndSwap::default().compare(shard_key(shard_id), Version(fencing_token.0));
+            self.due(&name, v.version, &v.value, swap, context);
         }
     }
 
     /// What one graph's schedule asks for now.
-    fn due(&mut self, name: &str, version: Version, record: &GraphRecord, txn: Txn, env: &mut Env) {
+    fn due(
+        &mut self,
+        name: &str,
+        version: Version,
+        record: &GraphRecord,
+        swap: CompareAndSwap,
+        context: &mut Context,
+    ) {
         // No interval is over before it is over by every clock.
-        let skew_ms = env.cfg.settings.skew_ms();
-        let now = moment(WallMs(env.out.wall_ms.saturating_sub(skew_ms)));
+        let skew_ms = context.config.settings.skew_ms();
+        let now = moment(WallClockMillis(
+            context.effects.wall_ms.saturating_sub(skew_ms),
+        ));
         let Some(defined) = self.timing.defined.get(name) else {
             return;
         };
@@ -256,16 +292,16 @@
             // One that was begun before another was over is not passed over.
             let begun = |from: &Timestamp| {
                 let id = RunId::new(name, &run_of(*from));
-                id.is_some_and(|id| env.mirror.runs.contains_key(&id))
+                id.is_some_and(|id| context.records.runs.contains_key(&id))
             };
             let passed = due.iter().filter(|(f, _)| *f < from && !begun(f));
             next.missed += passed.count() as u64;
         }
-        if env.mirror.runs.contains_key(&id) {
+        if context.records.runs.contains_key(&id) {
             // It is begun, by whomever: on to the next.
             next.since = wall(until);
         } else {
-            if self.begins(&run_key(&id)) || full(name, graph.max_active_runs, env).is_some() {
+            if self.begins(&run_key(&id)) || full(name, graph.max_active_runs, context).is_some() {
                 return;
             }
             let asked = Asked {
@@ -274,10 +310,10 @@
                 until,
                 ..defined.asked.clone()
             };
-            match planned(&asked, env) {
+            match planned(&asked, context) {
                 Ok(plan) => {
                     let text = packing::pack(&asked);
-                    let begin = beginning_of(&id, plan.jobs.len(), &text, env);
+                    let begin = beginning_of(&id, plan.jobs.len(), &text, context);
                     self.beginning.push_back(begin);
                     return;
                 }
@@ -285,19 +321,23 @@
                     // Only the interval can make a difference to what was tried before.
                     next.paused = true;
                     next.why = Some(body.to_string().chars().take(WHY).collect());
-                    tracing::error!(graph = name, why = next.why, "a scheduled run cannot begin");
+                    tracing::error!(
+                        graph = name,
+                        why = next.why,
+                        "scheduled DAG run failed to begin"
+                    );
                 }
             }
         }
-        if env.store.may(env.now(), Class::Ends, 1) {
+        if context.kv.may(context.now(), RequestPriority::Ends, 1) {
             if next.missed > record.missed {
                 tracing::info!(
                     graph = name,
                     missed = next.missed,
-                    "intervals are passed over"
+                    "schedule intervals skipped"
                 );
             }
-            self.write_graph(None, name, version, next, txn, env);
+            self.write_graph(None, name, version, next, swap, context);
         }
     }
 }
