--- a/src/coordination/graph.rs
+++ b/src/coordination/dependencies.rs
@@ -2,8 +2,8 @@
 //! that need it. A pure function of the records; nothing is remembered that they do not show, but
 //! when a job that may start was first seen to.
 
-use crate::bookkeeping::mirror::{Final, Versioned};
-use snowshelf_model::ids::{JobId, WallMs, seconds_to_ms};
+use crate::storage::record_cache::{Final, Versioned};
+use snowshelf_model::ids::{JobId, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Priority};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -12,13 +12,13 @@
 pub struct Urgency {
     pub priority: Priority,
     /// When it should start so that every deadline below it can be met; `None`: no deadline.
-    pub latest: Option<WallMs>,
+    pub latest: Option<WallClockMillis>,
 }
 
 #[derive(Default)]
-pub struct Graph {
+pub struct DependencyGraph {
     /// Open jobs with needs, all of which are done: since when.
-    ready: HashMap<JobId, WallMs>,
+    ready: HashMap<JobId, WallClockMillis>,
     /// Open jobs that need a cancelled one, directly or through others.
     pub doomed: BTreeSet<JobId>,
     /// Needed jobs of which nothing is known here.
@@ -26,14 +26,14 @@
     urgency: HashMap<JobId, Urgency>,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// Whether every job that this one needs is done. A job that the graph has not seen yet is not.
     pub fn is_ready(&self, id: &JobId, record: &JobRecord) -> bool {
-        !record.has_needs() || self.ready.contains_key(id)
+        !record.has_dependencies() || self.ready.contains_key(id)
     }
 
     /// From when on a job's waiting counts: its submission, or the end of the last job it needs.
-    pub fn since(&self, id: &JobId, record: &JobRecord) -> WallMs {
+    pub fn since(&self, id: &JobId, record: &JobRecord) -> WallClockMillis {
         let ready = self.ready.get(id).copied();
         ready.map_or(record.submitted, |at| at.max(record.submitted))
     }
@@ -52,46 +52,46 @@
     }
 
     /// Works the picture out from the records of jobs that have not ended. `length_ms` is how long a
-    /// job is expected to take, `needs_of` what it needs, as far as that is known.
+    /// job is expected to take, `dependencies_of` what it needs, as far as that is known.
     pub fn build<'a>(
         jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
-        needs_of: impl Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
+        dependencies_of: impl Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
         final_of: impl Fn(&JobId) -> Option<Final>,
         length_ms: impl Fn(&JobSpec) -> u64,
-        now: WallMs,
-        before: &Graph,
-    ) -> Graph {
+        now: WallClockMillis,
+        before: &DependencyGraph,
+    ) -> DependencyGraph {
         let open = |id: &JobId| {
             let found = jobs.get(id).map(|v| &*v.value);
             found.filter(|r| r.state == JobState::Open)
         };
-        let mut graph = Graph::default();
-        let mut needs: HashMap<&JobId, Vec<&JobId>> = HashMap::new();
+        let mut graph = DependencyGraph::default();
+        let mut dependencies: HashMap<&JobId, Vec<&JobId>> = HashMap::new();
         let mut needed_by: HashMap<&JobId, Vec<&JobId>> = HashMap::new();
         let mut cancelled: Vec<&JobId> = Vec::new();
         for (id, v) in jobs {
             let record = &*v.value;
-            if record.state != JobState::Open || !record.has_needs() {
+            if record.state != JobState::Open || !record.has_dependencies() {
                 continue;
             }
-            let known = needs_of(id, record);
+            let known = dependencies_of(id, record);
             let mut done = known.is_some();
             let mut since = Some(record.submitted);
-            let needed = needs.entry(id).or_insert(known.unwrap_or_default());
-            for need in needed.iter().copied() {
-                needed_by.entry(need).or_default().push(id);
-                match final_of(need) {
+            let needed = dependencies.entry(id).or_insert(known.unwrap_or_default());
+            for dependency in needed.iter().copied() {
+                needed_by.entry(dependency).or_default().push(id);
+                match final_of(dependency) {
                     Some(end) if end.state == JobState::Done => {
                         since = since.and_then(|s| Some(s.max(end.ended?)));
                     }
                     Some(_) => {
                         done = false;
-                        cancelled.push(need);
+                        cancelled.push(dependency);
                     }
                     None => {
                         done = false;
-                        if open(need).is_none() {
-                            graph.unknown.insert(need.clone());
+                        if open(dependency).is_none() {
+                            graph.unknown.insert(dependency.clone());
                         }
                     }
                 }
@@ -119,7 +119,7 @@
             let spec = record.spec.as_ref()?;
             let latest = spec.deadline_s.map(|deadline| {
                 let end = record.submitted.0.saturating_add(seconds_to_ms(deadline));
-                WallMs(end.saturating_sub(length_ms(spec)))
+                WallClockMillis(end.saturating_sub(length_ms(spec)))
             });
             Some(Urgency {
                 priority: spec.priority,
@@ -127,10 +127,10 @@
             })
         };
         let mut above: HashMap<&JobId, usize> = HashMap::new();
-        for (need, below) in &needed_by {
-            if open(need).is_some() {
+        for (dependency, below) in &needed_by {
+            if open(dependency).is_some() {
                 let waits = below.iter().filter(|b| !doomed.contains(*b)).count();
-                above.insert(need, waits);
+                above.insert(dependency, waits);
             }
         }
         let mut queue: VecDeque<&JobId> = needed_by
@@ -144,7 +144,7 @@
         queue.extend(
             above
                 .iter()
-                .filter(|(id, n)| **n == 0 && open(id).is_some_and(|r| !r.has_needs()))
+                .filter(|(id, n)| **n == 0 && open(id).is_some_and(|r| !r.has_dependencies()))
                 .map(|(id, _)| *id),
         );
         while let Some(id) = queue.pop_front() {
@@ -159,22 +159,22 @@
                 None => mine,
             };
             graph.urgency.insert(id.clone(), urgency);
-            for need in needs.get(id).into_iter().flatten().copied() {
-                let Some(spec) = open(need).and_then(|r| r.spec.as_ref()) else {
+            for dependency in dependencies.get(id).into_iter().flatten().copied() {
+                let Some(spec) = open(dependency).and_then(|r| r.spec.as_ref()) else {
                     continue;
                 };
                 let passed = Urgency {
                     priority: urgency.priority,
                     latest: urgency
                         .latest
-                        .map(|at| WallMs(at.0.saturating_sub(length_ms(spec)))),
+                        .map(|at| WallClockMillis(at.0.saturating_sub(length_ms(spec)))),
                 };
-                let entry = graph.urgency.entry(need.clone()).or_insert(passed);
+                let entry = graph.urgency.entry(dependency.clone()).or_insert(passed);
                 *entry = entry.and(passed);
-                if let Some(left) = above.get_mut(need) {
+                if let Some(left) = above.get_mut(dependency) {
                     *left = left.saturating_sub(1);
                     if *left == 0 {
-                        queue.push_back(need);
+                        queue.push_back(dependency);
                     }
                 }
             }
--- a/src/coordination/drains/asking.rs
+++ b/src/coordination/drains/asking.rs
@@ -5,7 +5,7 @@
 use snowshelf_calendar::entry::{Malformed, Name};
 use snowshelf_drain::budget::Budget;
 use snowshelf_drain::entry::{Drain, Word, parse_drain};
-use snowshelf_model::ids::{Team, WallMs};
+use snowshelf_model::ids::{Team, WallClockMillis};
 
 /// A request, read.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 }
 
 /// Reads a request; `None` if its path is none of the drains'.
-pub fn read(method: &str, path: &str, body: &[u8], now: WallMs) -> Option<Read> {
+pub fn read(method: &str, path: &str, body: &[u8], now: WallClockMillis) -> Option<Read> {
     let (path, query) = split(path);
     if let Some(team) = path.strip_prefix(BUDGETS) {
         return Some(budget(method, team, body));
--- a/src/coordination/drains/deciding.rs
+++ b/src/coordination/drains/deciding.rs
@@ -3,14 +3,14 @@
 use super::Reason;
 use super::asking::Ask;
 use super::facts::{TeamWork, with_picture};
-use crate::bookkeeping::mirror::{drain_key, ledger_key};
-use crate::coordination::env::Env;
-use crate::outbox::Response;
+use crate::coordination::context::Context;
+use crate::effects::Response;
+use crate::storage::record_cache::{drain_key, ledger_key};
 use serde_json::{Value, json};
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Ledger;
 use snowshelf_drain::entry::{Drain, State};
-use snowshelf_model::ids::{Team, Version, WallMs};
+use snowshelf_model::ids::{Team, Version, WallClockMillis};
 use std::collections::BTreeMap;
 
 /// A change of one record on condition that it is as it was; or only that question.
@@ -39,7 +39,7 @@
 }
 
 /// What is told of a drain: its record, what it waits for, and the others that concern the same.
-fn shown(name: &Name, drain: &Drain, waits: &BTreeMap<Name, Reason>, env: &Env) -> Value {
+fn shown(name: &Name, drain: &Drain, waits: &BTreeMap<Name, Reason>, context: &Context) -> Value {
     let mut body = drain.shown(name);
     if let Some(reason) = waits.get(name).filter(|_| !drain.state.ended()) {
         body["waits_for"] = json!(reason.waits);
@@ -47,7 +47,7 @@
             body["held_back"] = json!(reason.held);
         }
     }
-    let others = others(name, drain, env);
+    let others = others(name, drain, context);
     if !others.is_empty() {
         body["shares_machines_with"] = json!(others);
     }
@@ -56,8 +56,8 @@
 
 /// Drains that have not ended and may concern the same machines: each machine goes with the first one
 /// whose step takes it, and is left alone by the others meanwhile.
-fn others(name: &Name, drain: &Drain, env: &Env) -> Vec<String> {
-    let drains = env.mirror.drains.iter();
+fn others(name: &Name, drain: &Drain, context: &Context) -> Vec<String> {
+    let drains = context.records.drains.iter();
     let others = drains.filter(|(n, v)| *n != name && !v.value.state.ended());
     others
         .filter(|(_, v)| overlap(drain, &v.value))
@@ -80,10 +80,10 @@
     key: String,
     version: Version,
     record: &T,
-    env: &Env,
+    context: &Context,
 ) -> Decided {
     let value = serde_json::to_value(record).unwrap_or_default();
-    if !env.terms.takes(&value) {
+    if !context.storage_limits.accepts(&value) {
         return answer(Response::error(
             422,
             "its record would be too large: name fewer machines",
@@ -114,65 +114,65 @@
 }
 
 /// Decides a request.
-pub(super) fn decide(ask: &Ask, waits: &BTreeMap<Name, Reason>, env: &Env) -> Decided {
-    let now = WallMs(env.out.wall_ms);
+pub(super) fn decide(ask: &Ask, waits: &BTreeMap<Name, Reason>, context: &Context) -> Decided {
+    let now = WallClockMillis(context.effects.wall_ms);
     match ask {
-        Ask::Begin(name, drain) => begin(name, drain, waits, env),
-        Ask::Show(name) => match env.mirror.drains.get(name) {
+        Ask::Begin(name, drain) => begin(name, drain, waits, context),
+        Ask::Show(name) => match context.records.drains.get(name) {
             Some(v) => told(
-                shown(name, &v.value, waits, env),
+                shown(name, &v.value, waits, context),
                 drain_key(name),
                 v.version,
             ),
             None => told_missing(drain_key(name)),
         },
         Ask::Tell(name, word) => {
-            let Some(v) = env.mirror.drains.get(name) else {
+            let Some(v) = context.records.drains.get(name) else {
                 return told_missing(drain_key(name));
             };
             match v.value.told(*word, now) {
                 Err(why) => answer(Response::error(409, why)),
                 Ok(None) => {
-                    let body = shown(name, &v.value, waits, env);
+                    let body = shown(name, &v.value, waits, context);
                     told(body, drain_key(name), v.version)
                 }
                 Ok(Some(next)) => {
-                    let body = shown(name, &next, waits, env);
+                    let body = shown(name, &next, waits, context);
                     let response = Response::json(200, &body);
-                    written(response, drain_key(name), v.version, &next, env)
+                    written(response, drain_key(name), v.version, &next, context)
                 }
             }
         }
         Ask::List { after, limit } => {
-            let drains = env.mirror.drains.iter();
+            let drains = context.records.drains.iter();
             let later = drains.filter(|(name, _)| after.as_ref().is_none_or(|a| *name > a));
             let mut items: Vec<Value> = later
                 .take(limit + 1)
-                .map(|(name, v)| shown(name, &v.value, waits, env))
+                .map(|(name, v)| shown(name, &v.value, waits, context))
                 .collect();
             let more = items.len() > *limit;
             items.truncate(*limit);
             answer(Response::json(200, &json!({"items": items, "more": more})))
         }
         Ask::ShowBudget(team) => {
-            if !knows(team, env) {
+            if !knows(team, context) {
                 return missing();
             }
-            let (version, ledger) = ledger(team, env);
-            told(budget(team, &ledger, env), ledger_key(team), version)
+            let (version, ledger) = ledger(team, context);
+            told(budget(team, &ledger, context), ledger_key(team), version)
         }
         Ask::SetBudget(team, wish) => {
-            if !knows(team, env) {
+            if !knows(team, context) {
                 return missing();
             }
-            let (version, mut ledger) = ledger(team, env);
+            let (version, mut ledger) = ledger(team, context);
             if ledger.budget == *wish {
-                return told(budget(team, &ledger, env), ledger_key(team), version);
+                return told(budget(team, &ledger, context), ledger_key(team), version);
             }
             // In force for every stop that is charged after this write, by whomever.
             ledger.budget = *wish;
-            let response = Response::json(200, &budget(team, &ledger, env));
-            written(response, ledger_key(team), version, &ledger, env)
+            let response = Response::json(200, &budget(team, &ledger, context));
+            written(response, ledger_key(team), version, &ledger, context)
         }
     }
 }
@@ -189,25 +189,25 @@
     }
 }
 
-fn knows(team: &Team, env: &Env) -> bool {
-    let teams = &env.cfg.settings.deployment.teams;
+fn knows(team: &Team, context: &Context) -> bool {
+    let teams = &context.config.settings.deployment.teams;
     teams.iter().any(|t| t.name == team.as_str())
 }
 
-fn ledger(team: &Team, env: &Env) -> (Version, Ledger) {
-    let found = env.mirror.ledgers.get(team);
+fn ledger(team: &Team, context: &Context) -> (Version, Ledger) {
+    let found = context.records.ledgers.get(team);
     found.map_or((Version(0), Ledger::default()), |v| {
         (v.version, (*v.value).clone())
     })
 }
 
 /// What a team's budget is and has left.
-fn budget(team: &Team, ledger: &Ledger, env: &Env) -> Value {
-    let budget = ledger.budget(&env.cfg.ops.drains.budget);
-    let skew_ms = env.cfg.settings.skew_ms();
-    let lately = ledger.lately(&budget, WallMs(env.out.wall_ms), skew_ms);
-    let open = with_picture(env, |picture| ledger.open(picture));
-    let away = TeamWork::of(team, env).away;
+fn budget(team: &Team, ledger: &Ledger, context: &Context) -> Value {
+    let budget = ledger.budget(&context.config.ops.drains.budget);
+    let skew_ms = context.config.settings.skew_ms();
+    let lately = ledger.lately(&budget, WallClockMillis(context.effects.wall_ms), skew_ms);
+    let open = with_picture(context, |picture| ledger.open(picture));
+    let away = TeamWork::of(team, context).away;
     let cpus = budget.cpus - open.cpus - away.cpus;
     let stretch = budget.stretch_cpus - lately.cpus;
     json!({"team": team.as_str(), "budget": budget, "default": ledger.budget.is_none(),
@@ -215,21 +215,21 @@
         "stretch_left_cpus": stretch.max(0.0), "breach_cpus": ledger.breach})
 }
 
-fn begin(name: &Name, drain: &Drain, waits: &BTreeMap<Name, Reason>, env: &Env) -> Decided {
+fn begin(name: &Name, drain: &Drain, waits: &BTreeMap<Name, Reason>, context: &Context) -> Decided {
     let key = drain_key(name);
-    if let Some(old) = env.mirror.drains.get(name) {
+    if let Some(old) = context.records.drains.get(name) {
         if old.value.answers(drain) {
-            return told(shown(name, &old.value, waits, env), key, old.version);
+            return told(shown(name, &old.value, waits, context), key, old.version);
         }
         return answer(Response::error(409, "another drain has this name"));
     }
-    let most = env.cfg.ops.drains.most;
-    let open = env.mirror.drains.values();
+    let most = context.config.ops.drains.most;
+    let open = context.records.drains.values();
     if open.filter(|v| !v.value.state.ended()).count() >= most {
         let why = format!("there are {most} drains that have not ended, as many as are taken");
         return answer(Response::error(409, &why));
     }
-    let zones = &env.cfg.settings.deployment.zones;
+    let zones = &context.config.settings.deployment.zones;
     if drain
         .which
         .zone
@@ -242,12 +242,12 @@
         .which
         .model
         .as_ref()
-        .is_some_and(|t| !env.types.contains_key(t))
+        .is_some_and(|t| !context.types.contains_key(t))
     {
         return answer(Response::error(422, "unknown machine type"));
     }
     // What is kept empty by one is not given back by another.
-    for (other, v) in &env.mirror.drains {
+    for (other, v) in &context.records.drains {
         let o = &v.value;
         let stands = !o.state.ended() || (o.state == State::Done && !o.kept.is_empty());
         let mut named = drain.which.machines.iter();
@@ -258,6 +258,6 @@
             return answer(Response::error(409, &why));
         }
     }
-    let body = shown(name, drain, waits, env);
-    written(Response::json(201, &body), key, Version(0), drain, env)
+    let body = shown(name, drain, waits, context);
+    written(Response::json(201, &body), key, Version(0), drain, context)
 }
--- a/src/coordination/drains/guard.rs
+++ b/src/coordination/drains/guard.rs
@@ -1,10 +1,10 @@
 //! What the drains change of placement, renting and returning, worked out from their records.
 
-use crate::bookkeeping::mirror::Versioned;
+use crate::storage::record_cache::Versioned;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Amount;
 use snowshelf_drain::entry::{Drain, Stage, Then};
-use snowshelf_model::ids::{JobId, MachineId, PartId, Team};
+use snowshelf_model::ids::{JobId, MachineId, ShardId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine on which nothing starts any more.
@@ -27,7 +27,7 @@
     /// The records are known as of a moment ago, so that budgets can be worked out.
     pub fresh: bool,
     /// How many of a job's tasks that were tried before are known to run again in a part.
-    pub again: BTreeMap<(PartId, JobId), u32>,
+    pub again: BTreeMap<(ShardId, JobId), u32>,
     /// Tasks on machines of other parts that are silent or taken, by team.
     pub lost: BTreeMap<Team, Amount>,
 }
--- a/src/coordination/drains/leading.rs
+++ b/src/coordination/drains/leading.rs
@@ -2,15 +2,15 @@
 
 use super::deciding::Write;
 use super::{Drains, Reason};
-use crate::bookkeeping::mirror::drain_key;
-use crate::bookkeeping::store::Class;
-use crate::coordination::env::Env;
-use crate::coordination::fleet::Fleet;
+use crate::coordination::autoscaler::Autoscaler;
+use crate::coordination::context::Context;
+use crate::storage::kv_client::RequestPriority;
+use crate::storage::record_cache::drain_key;
 use serde_json::Value;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::entry::{Drain, State, Then};
 use snowshelf_drain::stepping::{Next, Seen, View, Waits, next};
-use snowshelf_model::ids::{MachineId, Version, WallMs, seconds_to_ms};
+use snowshelf_model::ids::{MachineId, Version, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{Capability, LEADER_KEY};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,54 +47,59 @@
     }
 
     /// Whether it is time for the leader's next look.
-    pub fn due(&self, env: &Env) -> bool {
-        let now = env.out.now;
-        let idle = env.mirror.drains.is_empty() && env.cfg.ops.drains.planned.is_empty();
+    pub fn due(&self, context: &Context) -> bool {
+        let now = context.effects.now;
+        let idle =
+            context.records.drains.is_empty() && context.config.ops.drains.planned.is_empty();
         let waits = self.underway.is_some() || now < self.retry_at;
         !idle && !waits && now.since(self.led_at) >= LEAD_MS
     }
 
     /// The leader's look at the drains, one write at a time. Whether it leads has been asked before.
-    pub fn lead(&mut self, fleet: &Fleet, heard: Heard, env: &mut Env) {
-        let now = env.now();
+    pub fn lead(&mut self, fleet: &Autoscaler, heard: Heard, context: &mut Context) {
+        let now = context.now();
         let since = *self.leads_since.get_or_insert(now);
         self.led_at = now;
-        let leads = (LEADER_KEY.to_string(), Version(fleet.token.0));
-        if let Some((name, drain)) = planned(now.since(since), env) {
-            self.write(&name, Version(0), Some(drain), leads, env);
+        let leads = (LEADER_KEY.to_string(), Version(fleet.fencing_token.0));
+        if let Some((name, drain)) = planned(now.since(since), context) {
+            self.write(&name, Version(0), Some(drain), leads, context);
             return;
         }
-        let open = env.mirror.drains.values();
+        let open = context.records.drains.values();
         if !open.map(|v| &v.value).any(|d| !d.state.ended()) {
-            self.tidy(leads, env);
+            self.tidy(leads, context);
             return;
         }
-        let Some(mut machines) = fleet.seen(env) else {
+        let Some(mut machines) = fleet.seen(context) else {
             return;
         };
         // Guards against emptying them once more, and counting them twice.
-        let closed = &env.drains.closed;
+        let closed = &context.drains.closed;
         let returns = |m: &&MachineId| closed.get(*m).is_some_and(|c| c.then != Then::Keep);
         let gone = heard.empty.iter().filter(returns);
         self.returned.extend(gone.map(|m| (m.clone(), now)));
         self.returned.retain(|_, at| now.since(*at) < RETURNED_MS);
         machines.retain(|name, _| !self.returned.contains_key(name));
-        let mut order: Vec<(&Name, Version, &Drain)> = env
-            .mirror
+        let mut order: Vec<(&Name, Version, &Drain)> = context
+            .records
             .drains
             .iter()
             .filter(|(_, v)| !v.value.state.ended())
             .map(|(name, v)| (name, v.version, &*v.value))
             .collect();
         order.sort_by_key(|(name, _, d)| (d.asked, *name));
-        let slowest = env.types.values().map(|t| t.ready_s).fold(0.0, f64::max);
-        let lost = fleet.lost(env);
+        let slowest = context
+            .types
+            .values()
+            .map(|t| t.ready_s)
+            .fold(0.0, f64::max);
+        let lost = fleet.lost(context);
         let mut found = None;
         self.waits.clear();
         for (name, version, drain) in order {
-            let (taken, zones) = elsewhere(name, &machines, env);
+            let (taken, zones) = elsewhere(name, &machines, context);
             let view = View {
-                now: WallMs(env.out.wall_ms),
+                now: WallClockMillis(context.effects.wall_ms),
                 machines: &machines,
                 empty: &heard.empty,
                 sick: &heard.sick,
@@ -103,9 +108,10 @@
                 whole: heard.whole,
                 missed: lost,
                 refused: fleet.refuses(),
-                lag_ms: seconds_to_ms(env.cfg.settings.deployment.cloud.list_lag_s).max(2_000),
+                lag_ms: seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s)
+                    .max(2_000),
                 ready_ms: seconds_to_ms(slowest),
-                report_ms: env.cfg.settings.report_ms(),
+                report_ms: context.config.settings.report_ms(),
             };
             match next(drain, &view) {
                 Next::Wait(waits) => {
@@ -123,7 +129,7 @@
             }
         }
         if let Some((name, version, drain)) = found {
-            self.write(&name, version, Some(drain), leads, env);
+            self.write(&name, version, Some(drain), leads, context);
         }
     }
 
@@ -133,24 +139,24 @@
         version: Version,
         drain: Option<Drain>,
         leads: (String, Version),
-        env: &mut Env,
+        context: &mut Context,
     ) {
         // A step is a write in some seconds, and much waits for it.
-        if !env.store.may(env.now(), Class::Accept, 1) {
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
             return;
         }
         if let Some(drain) = &drain {
             tracing::info!(drain = %name, state = drain.state.word(), steps = drain.steps,
                 emptied = drain.gone, why = drain.why, stage = ?drain.step.as_ref().map(|s| s.stage),
                 machines = drain.step.as_ref().map_or(0, |s| s.machines.len()),
-                ahead = drain.ahead.as_ref().map_or(0, |s| s.machines.len()), "next of a drain");
+                ahead = drain.ahead.as_ref().map_or(0, |s| s.machines.len()), "drain advanced");
         }
         let value = match drain {
             None => None,
-            Some(drain) => match fitting(drain, env) {
+            Some(drain) => match fitting(drain, context) {
                 Some(value) => Some(value),
                 None => {
-                    tracing::error!(drain = %name, "its record is too large now");
+                    tracing::error!(drain = %name, "drain record too large");
                     return;
                 }
             },
@@ -161,49 +167,49 @@
             value,
             changes: true,
         };
-        self.send(write, None, Some(leads), env);
+        self.send(write, None, Some(leads), context);
     }
 
     /// Removes a drain that ended long ago.
-    fn tidy(&mut self, leads: (String, Version), env: &mut Env) {
-        let now = env.now();
-        if now.since(self.tidied_at) < TIDY_MS || !env.store.may(now, Class::Spare, 1) {
+    fn tidy(&mut self, leads: (String, Version), context: &mut Context) {
+        let now = context.now();
+        if now.since(self.tidied_at) < TIDY_MS || !context.kv.may(now, RequestPriority::Spare, 1) {
             return;
         }
         self.tidied_at = now;
-        let limit = WallMs(env.out.wall_ms.saturating_sub(KEPT_MS));
-        let mut old = env.mirror.drains.iter().filter(|(_, v)| {
+        let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(KEPT_MS));
+        let mut old = context.records.drains.iter().filter(|(_, v)| {
             let drain = &v.value;
             let last = drain.stepped.unwrap_or(drain.asked).max(drain.asked);
             drain.state.ended() && drain.kept.is_empty() && last < limit
         });
         let old = old.next().map(|(name, v)| (name.clone(), v.version));
         if let Some((name, version)) = old {
-            self.write(&name, version, None, leads, env);
+            self.write(&name, version, None, leads, context);
         }
     }
 }
 
 /// A drain that the settings ask for and of which there is no record.
-fn planned(led_ms: u64, env: &Env) -> Option<(Name, Drain)> {
-    if !env.mirror.all_can(&Capability::drains()) {
+fn planned(led_ms: u64, context: &Context) -> Option<(Name, Drain)> {
+    if !context.records.all_can(&Capability::drains()) {
         return None;
     }
-    let now = WallMs(env.out.wall_ms);
-    let due = env.cfg.ops.drains.planned.iter();
+    let now = WallClockMillis(context.effects.wall_ms);
+    let due = context.config.ops.drains.planned.iter();
     let due = due.filter(|p| seconds_to_ms(p.after_s) <= led_ms);
     let mut drains = due.filter_map(|p| p.drain.drain(now).ok());
-    drains.find(|(name, _)| !env.mirror.drains.contains_key(name))
+    drains.find(|(name, _)| !context.records.drains.contains_key(name))
 }
 
 /// What other drains hold: machines, and the zones of those.
 fn elsewhere(
     name: &Name,
     machines: &BTreeMap<MachineId, Seen>,
-    env: &Env,
+    context: &Context,
 ) -> (BTreeSet<MachineId>, BTreeSet<String>) {
     let (mut taken, mut zones) = (BTreeSet::new(), BTreeSet::new());
-    for (_, v) in env.mirror.drains.iter().filter(|(n, _)| *n != name) {
+    for (_, v) in context.records.drains.iter().filter(|(n, _)| *n != name) {
         let drain = &*v.value;
         taken.extend(drain.kept.iter().cloned());
         if drain.state.ended() {
@@ -222,10 +228,10 @@
 }
 
 /// A drain's value, with a smaller step where it would be too large.
-fn fitting(mut drain: Drain, env: &Env) -> Option<Value> {
+fn fitting(mut drain: Drain, context: &Context) -> Option<Value> {
     loop {
         let value = serde_json::to_value(&drain).ok()?;
-        if env.terms.takes(&value) {
+        if context.storage_limits.accepts(&value) {
             return Some(value);
         }
         let steps = [&mut drain.ahead, &mut drain.step];
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -11,15 +11,15 @@
 pub use guard::{Closed, Draining};
 pub use leading::Heard;
 
-use super::env::{Env, Tag};
-use super::queue::{Queue, Waiting};
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::outbox::Response;
+use super::context::{Context, Tag};
+use super::pending_requests::{PendingRequests, Waiting};
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use deciding::{Write, decide};
 use serde_json::Value;
 use snowshelf_calendar::entry::Name;
-use snowshelf_model::ids::{ConnId, MachineId, Millis, Version};
-use snowshelf_model::protocol::state::{Change, Txn};
+use snowshelf_model::ids::{ConnectionId, MachineId, MonotonicMillis, Version};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::Capability;
 use std::collections::BTreeMap;
 
@@ -45,58 +45,58 @@
 
 #[derive(Default)]
 pub struct Drains {
-    queue: Queue<Ask>,
+    queue: PendingRequests<Ask>,
     underway: Option<Underway>,
     next: u64,
-    retry_at: Millis,
+    retry_at: MonotonicMillis,
     /// When the leader last looked, and since when this controller leads.
-    led_at: Millis,
-    leads_since: Option<Millis>,
-    tidied_at: Millis,
+    led_at: MonotonicMillis,
+    leads_since: Option<MonotonicMillis>,
+    tidied_at: MonotonicMillis,
     /// Machines of steps that their owners have returned, and when they said so: the cloud lists them a while
     /// longer.
-    returned: BTreeMap<MachineId, Millis>,
+    returned: BTreeMap<MachineId, MonotonicMillis>,
     /// What each drain waits for: the leader's own look, or what it has told the others.
     waits: BTreeMap<Name, Reason>,
 }
 
 impl Drains {
     /// Takes a request. Whether the state service is there has been asked before.
-    pub fn take(&mut self, conn: ConnId, ask: Ask, env: &mut Env) {
-        let why = if !env.mirror.all_can(&Capability::drains()) {
+    pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
+        let why = if !context.records.all_can(&Capability::drains()) {
             Some("not every controller takes drains yet")
-        } else if !env.mirror.loaded {
+        } else if !context.records.loaded {
             Some("not able to decide yet")
         } else {
             None
         };
-        self.queue.take(conn, ask, why, env);
+        self.queue.take(conn, ask, why, context);
     }
 
     /// Sends everybody who waits away: the state service does not serve.
-    pub fn refuse_all(&mut self, env: &mut Env) {
-        self.queue.refuse_all(env);
+    pub fn refuse_all(&mut self, context: &mut Context) {
+        self.queue.refuse_all(context);
     }
 
     /// Decides the request that has waited longest.
-    pub fn tick(&mut self, env: &mut Env) {
-        let now = env.now();
-        self.queue.give_up(env);
-        if self.underway.is_some() || now < self.retry_at || !env.mirror.loaded {
+    pub fn tick(&mut self, context: &mut Context) {
+        let now = context.now();
+        self.queue.give_up(context);
+        if self.underway.is_some() || now < self.retry_at || !context.records.loaded {
             return;
         }
         while let Some(waiting) = self.queue.pop() {
-            let decided = decide(&waiting.ask, &self.waits, env);
+            let decided = decide(&waiting.ask, &self.waits, context);
             let Some(write) = decided.write else {
-                env.out.respond(waiting.conn, decided.response);
+                context.effects.respond(waiting.conn, decided.response);
                 continue;
             };
             let writes = usize::from(write.changes);
-            if !env.store.may(now, Class::Accept, writes) {
+            if !context.kv.may(now, RequestPriority::Accept, writes) {
                 self.queue.put_back(vec![waiting]);
                 return;
             }
-            self.send(write, Some((waiting, decided.response)), None, env);
+            self.send(write, Some((waiting, decided.response)), None, context);
             return;
         }
     }
@@ -107,16 +107,16 @@
         write: Write,
         asked: Option<(Waiting<Ask>, Response)>,
         leads: Option<(String, Version)>,
-        env: &mut Env,
+        context: &mut Context,
     ) {
-        let mut txn = Txn::default().when(write.key.clone(), write.version);
+        let mut swap = CompareAndSwap::default().compare(write.key.clone(), write.version);
         if let Some((key, version)) = leads {
-            txn = txn.when(key, version);
+            swap = swap.compare(key, version);
         }
         if write.changes {
-            txn = txn.then(match &write.value {
-                Some(value) => Change::write(write.key.clone(), value),
-                None => Change::Delete {
+            swap = swap.mutate(match &write.value {
+                Some(value) => Mutation::put(write.key.clone(), value),
+                None => Mutation::Delete {
                     key: write.key.clone(),
                 },
             });
@@ -124,8 +124,10 @@
         self.next += 1;
         let tag = Tag::Drains(self.next);
         match write.changes {
-            true => env.store.txn(env.out, tag, &txn),
-            false => env.store.compare(env.out, tag, &txn, 1_500),
+            true => context.kv.compare_and_swap(context.effects, tag, &swap),
+            false => context
+                .kv
+                .check_versions(context.effects, tag, &swap, 1_500),
         }
         self.underway = Some(Underway {
             id: self.next,
@@ -137,27 +139,28 @@
     }
 
     /// The answer to a transaction.
-    pub fn done(&mut self, id: u64, result: TxnResult, env: &mut Env) {
+    pub fn done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let Some(underway) = self.underway.take_if(|u| u.id == id) else {
             return;
         };
-        let now = env.now();
+        let now = context.now();
         match (result, underway.asked) {
-            (TxnResult::Done(revision), asked) => {
+            (SwapOutcome::Done(revision), asked) => {
                 if underway.changes {
                     tracing::info!(
                         key = underway.key,
                         asked = asked.is_some(),
-                        "a drain or a budget has changed"
+                        "drain or disruption budget changed"
                     );
-                    env.mirror
+                    context
+                        .records
                         .apply(&underway.key, underway.value.as_ref(), revision);
                 }
                 if let Some((waiting, response)) = asked {
-                    env.out.respond(waiting.conn, response);
+                    context.effects.respond(waiting.conn, response);
                 }
             }
-            (TxnResult::Conflict(_), asked) => {
+            (SwapOutcome::Conflict(_), asked) => {
                 // The feed brings what was changed; then it is decided anew.
                 self.retry_at = now.plus(AGAIN_MS);
                 if let Some((waiting, _)) = asked {
@@ -166,7 +169,7 @@
             }
             (_, Some((waiting, _))) => {
                 let later = Response::later(503, "the state service did not answer", 1);
-                env.out.respond(waiting.conn, later);
+                context.effects.respond(waiting.conn, later);
             }
             (_, None) => self.retry_at = now.plus(500),
         }
--- a/src/coordination/upgrade.rs
+++ b/src/coordination/format_migration.rs
@@ -2,15 +2,15 @@
 //! controller says durably what it can; what all can is settled for good, and each acts on it only
 //! after reading that.
 
-use super::env::{Env, Tag};
-use crate::bookkeeping::mirror::Versioned;
-use crate::bookkeeping::store::{Class, TxnResult};
+use super::context::{Context, Tag};
 use crate::settings::StateLimits;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::Versioned;
 use serde_json::Value;
-use snowshelf_model::ids::{Member, Millis, Version};
-use snowshelf_model::protocol::state::{Change, Txn};
+use snowshelf_model::ids::{Member, MonotonicMillis, Version};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{
-    Capability, FORMAT_KEY, Format, FormatRecord, Terms, WIDE, member_key,
+    Capability, FORMAT_KEY, FORMAT_V2, FormatRecord, RecordFormat, StorageLimits, member_key,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,9 +18,9 @@
 const AGAIN_MS: u64 = 700;
 
 #[derive(Default)]
-pub struct Upgrade {
+pub struct FormatMigration {
     underway: bool,
-    retry_at: Millis,
+    retry_at: MonotonicMillis,
 }
 
 /// What is to be written next, at which version of its key, if anything: this controller's word
@@ -33,7 +33,7 @@
     agreed: Option<&Versioned<FormatRecord>>,
 ) -> Option<(String, Version, FormatRecord)> {
     let before = said.get(me);
-    let format = before.map_or(WIDE, |v| v.value.format.max(WIDE));
+    let format = before.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2));
     let word = FormatRecord {
         format,
         can: mine.clone(),
@@ -47,7 +47,7 @@
         .map(|m| said.get(m).map(|v| &*v.value))
         .collect::<Option<_>>()?;
     let format = words.iter().map(|w| w.format).min()?;
-    if format < WIDE {
+    if format < FORMAT_V2 {
         return None;
     }
     let mut settled = agreed.map(|v| (*v.value).clone()).unwrap_or_default();
@@ -63,56 +63,66 @@
     Some((FORMAT_KEY.to_string(), version, settled))
 }
 
-impl Upgrade {
-    pub fn tick(&mut self, env: &mut Env) {
-        let now = env.now();
-        let held = env.cfg.ops.hold_format && env.mirror.format == Format::Narrow;
-        if self.underway || now < self.retry_at || !env.mirror.loaded || held {
+impl FormatMigration {
+    pub fn tick(&mut self, context: &mut Context) {
+        let now = context.now();
+        let held = context.config.ops.hold_format && context.records.format == RecordFormat::V1;
+        if self.underway || now < self.retry_at || !context.records.loaded || held {
             return;
         }
-        let mirror = &env.mirror;
+        let records = &context.records;
         let next = next_word(
-            &env.cfg.me,
-            &env.cfg.can,
-            &env.cfg.members,
-            &mirror.members,
-            mirror.agreed.as_ref(),
+            &context.config.me,
+            &context.config.can,
+            &context.config.members,
+            &records.members,
+            records.agreed.as_ref(),
         );
         let Some((key, version, record)) = next else {
             return;
         };
-        if !env.store.may(now, Class::Ownership, 1) {
+        if !context.kv.may(now, RequestPriority::Leases, 1) {
             return;
         }
         let value = serde_json::to_value(&record).unwrap_or_default();
-        let change = Change::write(key.clone(), &value);
-        let txn = Txn::default().when(key.clone(), version).then(change);
-        tracing::info!(key, format = record.format, can = ?record.can, "declares what can be read and done");
+        let change = Mutation::put(key.clone(), &value);
+        let swap = CompareAndSwap::default()
+            .compare(key.clone(), version)
+            .mutate(change);
+        tracing::info!(key, format = record.format, can = ?record.can, "record format and capabilities declared");
         self.underway = true;
-        env.store.txn(env.out, Tag::Declare(key, value), &txn);
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::Declare(key, value), &swap);
     }
 
     /// The answer; whatever it leaves open, the change feed tells.
-    pub fn declared(&mut self, key: &str, value: &Value, result: TxnResult, env: &mut Env) {
+    pub fn declared(
+        &mut self,
+        key: &str,
+        value: &Value,
+        result: SwapOutcome,
+        context: &mut Context,
+    ) {
         self.underway = false;
-        self.retry_at = env.now().plus(AGAIN_MS);
-        if let TxnResult::Done(revision) = result {
-            env.mirror.apply(key, Some(value), revision);
-            self.retry_at = env.now();
+        self.retry_at = context.now().plus(AGAIN_MS);
+        if let SwapOutcome::Done(revision) = result {
+            context.records.apply(key, Some(value), revision);
+            self.retry_at = context.now();
         }
     }
 }
 
 /// What may be written: the limits in force until the format is settled, from then on, or once the
 /// state service has refused something as it is, the smaller of those and the ones to come.
-pub fn terms(format: Format, refused: bool, state: &StateLimits) -> Terms {
-    let lowered = format == Format::Wide || refused;
+pub fn storage_limits(format: RecordFormat, refused: bool, state: &StateLimits) -> StorageLimits {
+    let lowered = format == RecordFormat::V2 || refused;
     let limits = if lowered {
         state.smaller()
     } else {
         state.clone()
     };
-    Terms {
+    StorageLimits {
         format,
         value_bytes: limits.value_bytes(),
         txn_ops: limits.txn_ops,
--- a/src/coordination/peers.rs
+++ b/src/coordination/gossip.rs
@@ -1,13 +1,13 @@
 //! What the other controllers say. Hints only: no rule depends on them.
 
+use super::context::Config;
 use super::drains::{Heard, Reason};
-use super::env::Config;
-use super::shard::Offer;
+use super::shard::StealOffer;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Amount;
-use snowshelf_model::ids::{JobId, MachineId, Member, Millis, PartId, Team};
-use snowshelf_model::protocol::peer::Hint;
+use snowshelf_model::ids::{JobId, MachineId, Member, MonotonicMillis, ShardId, Team};
+use snowshelf_model::protocol::peer::PeerStatus;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A hint older than this says nothing.
@@ -17,14 +17,14 @@
 
 /// The CPUs of a part's machines.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct PartRoom {
+pub struct ShardCapacity {
     pub free: f64,
     pub capacity: f64,
     /// What the part's waiting tasks ask for.
     pub waiting: f64,
 }
 
-impl PartRoom {
+impl ShardCapacity {
     /// Counts tasks of so many CPUs that were given to the part: they start or wait.
     pub fn give(&mut self, cpus: f64) {
         let starts = cpus.min(self.free.max(0.0));
@@ -42,12 +42,12 @@
 
 /// Names told of in turns, if they are too many for one message.
 #[derive(Default)]
-pub struct Turns {
+pub struct RoundRobinNames {
     /// The last one told of.
     after: Option<MachineId>,
 }
 
-impl Turns {
+impl RoundRobinNames {
     /// Those whose turn it is: all, or the next ones after those told of last, within so many bytes.
     pub fn next(&mut self, names: &BTreeSet<MachineId>, most_bytes: usize) -> Vec<String> {
         let bytes = |name: &MachineId| name.as_str().len() + NAME_BYTES;
@@ -73,21 +73,21 @@
 }
 
 #[derive(Default)]
-pub struct Peers {
-    heard: BTreeMap<Member, (Millis, Hint)>,
+pub struct Gossip {
+    heard: BTreeMap<Member, (MonotonicMillis, PeerStatus)>,
 }
 
-impl Peers {
-    pub fn take(&mut self, now: Millis, hint: Hint, cfg: &Config) {
+impl Gossip {
+    pub fn take(&mut self, now: MonotonicMillis, hint: PeerStatus, config: &Config) {
         let member = Member::new(&hint.member);
-        if cfg.members.contains(&member) && member != cfg.me {
+        if config.members.contains(&member) && member != config.me {
             self.heard.insert(member, (now, hint));
         } else {
-            tracing::info!(member = %member, "a hint of nobody known");
+            tracing::info!(member = %member, "peer status rejected: unknown member");
         }
     }
 
-    pub fn fresh(&self, now: Millis) -> impl Iterator<Item = (&Member, &Hint)> + '_ {
+    pub fn fresh(&self, now: MonotonicMillis) -> impl Iterator<Item = (&Member, &PeerStatus)> + '_ {
         self.heard
             .iter()
             .filter(move |(_, (at, _))| now.since(*at) <= FRESH_MS)
@@ -95,7 +95,7 @@
     }
 
     /// How many controllers, this one included, say that the state service does not serve them.
-    pub fn unserved(&self, now: Millis, silent_ms: u64) -> usize {
+    pub fn unserved(&self, now: MonotonicMillis, silent_ms: u64) -> usize {
         1 + self
             .fresh(now)
             .filter(|(_, h)| h.state_silent_ms >= silent_ms)
@@ -103,7 +103,7 @@
     }
 
     /// Parts whose home member is up, settled and served.
-    pub fn up_homes(&self, now: Millis, cfg: &Config) -> BTreeSet<PartId> {
+    pub fn up_homes(&self, now: MonotonicMillis, config: &Config) -> BTreeSet<ShardId> {
         let up: BTreeSet<&Member> = self
             .fresh(now)
             // Guards against giving a part to a home that does not see it being given: others would
@@ -116,64 +116,64 @@
             })
             .map(|(m, _)| m)
             .collect();
-        (0..cfg.parts)
-            .map(PartId)
-            .filter(|p| up.contains(cfg.home(*p)))
+        (0..config.shard_count)
+            .map(ShardId)
+            .filter(|p| up.contains(config.home(*p)))
             .collect()
     }
 
     /// Whether a controller says that no worker reaches it.
-    pub fn is_deaf(&self, now: Millis, member: &Member) -> bool {
+    pub fn is_deaf(&self, now: MonotonicMillis, member: &Member) -> bool {
         self.fresh(now).any(|(m, h)| m == member && h.deaf)
     }
 
     /// The most machines of a part that any one of the others has lately been reached by.
-    pub fn strangers(&self, now: Millis, part: PartId) -> u32 {
+    pub fn strangers(&self, now: MonotonicMillis, shard_id: ShardId) -> u32 {
         let fresh = self.fresh(now).filter(|(_, h)| !h.deaf);
         let counts = fresh.flat_map(|(_, h)| h.strangers.iter());
-        let ours = counts.filter(|s| s.part == part.0);
+        let ours = counts.filter(|s| s.shard_id == shard_id.0);
         ours.map(|s| s.machines).max().unwrap_or(0)
     }
 
-    pub fn short_of(&self, now: Millis) -> BTreeSet<Team> {
+    pub fn short_of(&self, now: MonotonicMillis) -> BTreeSet<Team> {
         self.fresh(now)
             .flat_map(|(_, h)| h.short_of.iter().map(|t| Team::new(t)))
             .collect()
     }
 
     /// Room by part, as last said by the owners.
-    pub fn rooms(&self, now: Millis) -> BTreeMap<PartId, PartRoom> {
+    pub fn rooms(&self, now: MonotonicMillis) -> BTreeMap<ShardId, ShardCapacity> {
         self.fresh(now)
-            .flat_map(|(_, h)| h.parts.iter())
+            .flat_map(|(_, h)| h.shards.iter())
             .map(|p| {
-                let room = PartRoom {
+                let room = ShardCapacity {
                     free: p.free_cpus,
                     capacity: p.capacity_cpus,
                     waiting: p.waiting_cpus,
                 };
-                (PartId(p.part), room)
+                (ShardId(p.shard_id), room)
             })
             .collect()
     }
 
     /// Jobs that the others offer.
-    pub fn offered(&self, now: Millis) -> BTreeMap<(PartId, JobId), Offer> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        let offers = parts.flat_map(|p| {
-            let overdue = p.overdue.iter().map(|job| (job, Offer::Overdue));
-            let all = overdue.chain(p.stranded.iter().map(|job| (job, Offer::Stranded)));
-            all.map(|(job, offer)| ((PartId(p.part), JobId::new(job)), offer))
+    pub fn offered(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, JobId), StealOffer> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        let offers = shards.flat_map(|p| {
+            let overdue = p.overdue.iter().map(|job| (job, StealOffer::Overdue));
+            let all = overdue.chain(p.stranded.iter().map(|job| (job, StealOffer::Stranded)));
+            all.map(|(job, offer)| ((ShardId(p.shard_id), JobId::new(job)), offer))
         });
         offers.collect()
     }
 
     /// The others' machines by pool, as far as they say.
-    pub fn pools(&self, now: Millis) -> BTreeMap<(PartId, Pool), (u32, u32)> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        parts
+    pub fn pools(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, Pool), (u32, u32)> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        shards
             .flat_map(|p| {
                 p.pools.iter().map(|pool| {
-                    let key = (PartId(p.part), Pool::new(&pool.zone, &pool.model));
+                    let key = (ShardId(p.shard_id), Pool::new(&pool.zone, &pool.model));
                     (key, (pool.ordinary, pool.spot))
                 })
             })
@@ -181,33 +181,33 @@
     }
 
     /// Jobs of graphs' runs that fail in other parts, and how often.
-    pub fn failing(&self, now: Millis) -> BTreeMap<JobId, u32> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        let failing = parts.flat_map(|p| p.failing.iter());
+    pub fn failing(&self, now: MonotonicMillis) -> BTreeMap<JobId, u32> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        let failing = shards.flat_map(|p| p.failing.iter());
         failing.map(|f| (JobId::new(&f.job), f.errors)).collect()
     }
 
     /// Room that others keep for teams, by part.
-    pub fn kept(&self, now: Millis) -> BTreeMap<(PartId, Team), f64> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        parts
+    pub fn kept(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, Team), f64> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        shards
             .flat_map(|p| {
-                let part = PartId(p.part);
+                let shard_id = ShardId(p.shard_id);
                 p.kept
                     .iter()
-                    .map(move |k| ((part, Team::new(&k.team)), k.cpus))
+                    .map(move |k| ((shard_id, Team::new(&k.team)), k.cpus))
             })
             .collect()
     }
 
     /// Parts whose owners are heard.
-    pub fn owned(&self, now: Millis) -> BTreeSet<PartId> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        parts.map(|p| PartId(p.part)).collect()
+    pub fn owned(&self, now: MonotonicMillis) -> BTreeSet<ShardId> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        shards.map(|p| ShardId(p.shard_id)).collect()
     }
 
     /// What the leader says that drains wait for.
-    pub fn drain_waits(&self, now: Millis) -> BTreeMap<Name, Reason> {
+    pub fn drain_waits(&self, now: MonotonicMillis) -> BTreeMap<Name, Reason> {
         let waits = self.fresh(now).flat_map(|(_, h)| h.waits.iter());
         waits
             .filter_map(|w| {
@@ -221,37 +221,37 @@
     }
 
     /// What the owners of other parts say of drains.
-    pub fn of_drains(&self, now: Millis) -> Heard {
+    pub fn of_drains(&self, now: MonotonicMillis) -> Heard {
         let mut heard = Heard::default();
-        for part in self.fresh(now).flat_map(|(_, h)| h.parts.iter()) {
+        for shard_id in self.fresh(now).flat_map(|(_, h)| h.shards.iter()) {
             let names = |list: &[String]| -> Vec<MachineId> {
                 list.iter().map(|m| MachineId::new(m)).collect()
             };
-            heard.empty.extend(names(&part.empty));
-            heard.sick.extend(names(&part.sick));
-            heard.held.extend(part.held.iter().cloned());
+            heard.empty.extend(names(&shard_id.empty));
+            heard.sick.extend(names(&shard_id.sick));
+            heard.held.extend(shard_id.held.iter().cloned());
         }
         heard
     }
 
     /// How many tasks that were tried before run again, by part and job.
-    pub fn again(&self, now: Millis) -> BTreeMap<(PartId, JobId), u32> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
-        parts
+    pub fn again(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, JobId), u32> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
+        shards
             .flat_map(|p| {
-                let part = PartId(p.part);
+                let shard_id = ShardId(p.shard_id);
                 p.again
                     .iter()
-                    .map(move |a| ((part, JobId::new(&a.job)), a.tasks))
+                    .map(move |a| ((shard_id, JobId::new(&a.job)), a.tasks))
             })
             .collect()
     }
 
     /// Tasks on machines of other parts that are silent or about to be taken.
-    pub fn lost(&self, now: Millis) -> BTreeMap<Team, Amount> {
-        let parts = self.fresh(now).flat_map(|(_, h)| h.parts.iter());
+    pub fn lost(&self, now: MonotonicMillis) -> BTreeMap<Team, Amount> {
+        let shards = self.fresh(now).flat_map(|(_, h)| h.shards.iter());
         let mut lost: BTreeMap<Team, Amount> = BTreeMap::new();
-        for hint in parts.flat_map(|p| &p.lost) {
+        for hint in shards.flat_map(|p| &p.lost) {
             let entry = lost.entry(Team::new(&hint.team)).or_default();
             entry.cpus += hint.cpus.max(0.0);
             entry.tasks = entry.tasks.saturating_add(hint.tasks);
@@ -259,15 +259,15 @@
         lost
     }
 
-    pub fn missing(&self, now: Millis) -> BTreeSet<MachineId> {
+    pub fn missing(&self, now: MonotonicMillis) -> BTreeSet<MachineId> {
         self.fresh(now)
             .flat_map(|(_, h)| h.missing.iter().map(|m| MachineId::new(m)))
             .collect()
     }
 
-    pub fn heard_machines(&self, now: Millis) -> BTreeSet<String> {
+    pub fn heard_machines(&self, now: MonotonicMillis) -> BTreeSet<String> {
         self.fresh(now)
-            .flat_map(|(_, h)| h.parts.iter())
+            .flat_map(|(_, h)| h.shards.iter())
             .flat_map(|p| p.heard.iter().cloned())
             .collect()
     }
--- a/src/coordination/reader.rs
+++ b/src/coordination/list_watch.rs
@@ -1,15 +1,15 @@
 //! Keeps the mirror fed: one reading, in stages, and the change feed from its first page on.
 //!
-//! What is read first, and that no more is read than what is open, `snowshelf_recovery::reading`
+//! What is read first, and that no more is read than what is open, `snowshelf_reconciliation::startup_read`
 //! decides. The feed is followed meanwhile, so that a reading that takes longer than the service keeps
 //! changes for ends all the same.
 
-use super::env::{Env, Tag};
-use crate::bookkeeping::mirror::Changed;
-use crate::bookkeeping::store::Class;
-use snowshelf_model::ids::{JobId, Millis, Version};
-use snowshelf_model::protocol::state::{Changes, Page};
-use snowshelf_recovery::reading::{Ask, Reading as Staged, Stage};
+use super::context::{Context, Tag};
+use crate::storage::kv_client::RequestPriority;
+use crate::storage::record_cache::RecordChange;
+use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
+use snowshelf_model::protocol::state::{RangePage, WatchEvents};
+use snowshelf_reconciliation::startup_read::{Ask, Reading as Staged, Stage};
 use std::collections::BTreeSet;
 
 /// The least time between two openings of the feed, so that a burst of changes shares one answer.
@@ -33,34 +33,34 @@
     /// known.
     followed: Option<Version>,
     /// Since when.
-    followed_at: Option<Millis>,
+    followed_at: Option<MonotonicMillis>,
     /// What is open is known; ended jobs are still read.
     open_known: bool,
     items: u64,
     /// When the request for its first page was sent.
-    began: Millis,
+    began: MonotonicMillis,
 }
 
 /// One of the two lines of requests, each with at most one underway.
 #[derive(Default)]
 struct Line {
     busy: bool,
-    next_at: Millis,
+    next_at: MonotonicMillis,
     failures: u32,
 }
 
 impl Line {
-    fn free(&self, now: Millis) -> bool {
+    fn free(&self, now: MonotonicMillis) -> bool {
         !self.busy && now >= self.next_at
     }
-    fn failed(&mut self, next_at: Millis) {
+    fn failed(&mut self, next_at: MonotonicMillis) {
         self.next_at = next_at;
         self.failures += 1;
     }
 }
 
 #[derive(Default)]
-pub struct Reader {
+pub struct ListWatch {
     pages: Line,
     feed: Line,
     reading: Option<Reading>,
@@ -70,19 +70,19 @@
     feed_round: u64,
     page_round: u64,
     /// When the change feed last answered, with a mirror that had been read.
-    pub feed_at: Millis,
+    pub feed_at: MonotonicMillis,
     /// When the feed's open request was sent.
-    feed_sent: Millis,
+    feed_sent: MonotonicMillis,
     /// The mirror holds every change up to then: when the newest request was sent whose answer left no gap.
-    pub current_as_of: Option<Millis>,
+    pub current_as_of: Option<MonotonicMillis>,
 }
 
-impl Reader {
+impl ListWatch {
     /// What is being read, for operators; nothing once all is.
     pub fn stage(&self) -> Option<&'static str> {
         let reading = self.reading.as_ref()?;
         Some(match reading.stages.stage() {
-            Stage::Parts => "parts",
+            Stage::ShardOwners => "parts",
             Stage::Shares => "shares",
             Stage::Rest => "rest",
             Stage::Jobs => "jobs",
@@ -91,7 +91,7 @@
     }
 
     /// A job has been read by itself, asked for then: of use if the feed was followed already.
-    pub fn read_alone(&mut self, job: &JobId, asked: Millis) {
+    pub fn read_alone(&mut self, job: &JobId, asked: MonotonicMillis) {
         if let Some(reading) = &mut self.reading
             && reading.followed_at.is_some_and(|at| asked >= at)
         {
@@ -104,11 +104,11 @@
         self.reading.as_ref().is_some_and(|r| r.open_known)
     }
 
-    pub fn tick(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub fn tick(&mut self, context: &mut Context) {
+        let now = context.now();
         if !self.opened && self.reading.is_none() {
             self.round += 1;
-            env.mirror.begin_reading();
+            context.records.begin_reading();
             self.reading = Some(Reading::default());
         }
         if let Some(reading) = &mut self.reading
@@ -117,10 +117,10 @@
         {
             // Pages keep clear of the room that leases and the feed need; and what has ended, of all others'.
             let class = match reading.open_known {
-                true => Class::Reads,
-                false => Class::Accept,
+                true => RequestPriority::Reads,
+                false => RequestPriority::Accept,
             };
-            if env.store.may(now, class, 0) {
+            if context.kv.may(now, class, 0) {
                 self.pages.busy = true;
                 if reading.followed.is_none() {
                     reading.began = now;
@@ -129,7 +129,9 @@
                 match (&ask, reading.followed) {
                     (Ask::LookBack { revisions }, Some(from)) => {
                         let after = Version(from.0.saturating_sub(*revisions));
-                        env.store.changes(env.out, Tag::LookBack, JOBS, after, 0);
+                        context
+                            .kv
+                            .changes(context.effects, Tag::LookBack, JOBS, after, 0);
                     }
                     (Ask::LookBack { .. }, None) => self.pages.busy = false,
                     (
@@ -139,28 +141,31 @@
                             limit,
                         },
                         _,
-                    ) => env
-                        .store
-                        .page(env.out, Tag::ReloadPage, starts, after, *limit),
+                    ) => context
+                        .kv
+                        .page(context.effects, Tag::ReloadPage, starts, after, *limit),
                 }
                 reading.asked = Some(ask);
             }
         }
         let from = match &self.reading {
             Some(reading) if !reading.open_known => reading.followed,
-            _ => Some(env.mirror.revision),
+            _ => Some(context.records.revision),
         };
         if let Some(from) = from
             && self.feed.free(now)
-            && env.store.may(now, Class::Ownership, 0)
+            && context.kv.may(now, RequestPriority::Leases, 0)
         {
             self.feed.busy = true;
             self.feed.next_at = now.plus(FEED_GAP_MS);
             self.feed_round = self.round;
             self.feed_sent = now;
             // Asked often enough that an owner's knowledge is never old.
-            let wait_ms = FEED_WAIT_MS.min((env.cfg.settings.answering_ms() / 4).max(FEED_GAP_MS));
-            env.store.changes(env.out, Tag::Watch, "", from, wait_ms);
+            let wait_ms =
+                FEED_WAIT_MS.min((context.config.settings.answering_ms() / 4).max(FEED_GAP_MS));
+            context
+                .kv
+                .changes(context.effects, Tag::Watch, "", from, wait_ms);
         }
     }
 
@@ -175,10 +180,10 @@
         Some((reading, ask))
     }
 
-    pub fn page(&mut self, page: Option<Page>, env: &mut Env) -> Vec<Changed> {
+    pub fn page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
         let Some(page) = page else {
             self.pages.busy = false;
-            let again = env.out.retry_at(150, self.pages.failures.min(3));
+            let again = context.effects.retry_at(150, self.pages.failures.min(3));
             self.pages.failed(again);
             return Vec::new();
         };
@@ -188,14 +193,14 @@
         };
         if reading.followed.is_none() {
             reading.followed = Some(page.revision);
-            reading.followed_at = Some(env.out.now);
-            reading.known = env.mirror.open_keys().into_iter().collect();
+            reading.followed_at = Some(context.effects.now);
+            reading.known = context.records.open_keys().into_iter().collect();
         }
         reading.items += page.items.len() as u64;
         let mut changed = Vec::new();
         for item in &page.items {
-            let mirror = &mut *env.mirror;
-            changed.extend(mirror.apply_read(&item.key, &item.value, item.version));
+            let records = &mut *context.records;
+            changed.extend(records.apply_read(&item.key, &item.value, item.version));
             reading.known.remove(&item.key);
         }
         let keys = page.items.iter().map(|item| item.key.as_str());
@@ -212,20 +217,24 @@
                 .collect();
             for key in gone {
                 reading.known.remove(&key);
-                changed.extend(env.mirror.absent(&key, page.revision));
+                changed.extend(context.records.absent(&key, page.revision));
             }
         }
-        self.staged(env);
+        self.staged(context);
         changed
     }
 
     /// The answer to looking back: jobs that changed lately.
-    pub fn looked_back(&mut self, result: Result<Changes, bool>, env: &mut Env) -> Vec<Changed> {
+    pub fn looked_back(
+        &mut self,
+        result: Result<WatchEvents, bool>,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
         // Guards against looking back for ever where such an answer never comes in time.
         let failed = matches!(result, Err(false)) && self.pages.failures < LOOK_BACK_TRIES;
         let failures = self.pages.failures;
         if failed {
-            self.pages.failed(env.out.retry_at(150, failures));
+            self.pages.failed(context.effects.retry_at(150, failures));
         } else {
             self.pages.failures = 0;
         }
@@ -234,8 +243,8 @@
         };
         let mut changed = Vec::new();
         for entry in result.iter().flat_map(|c| &c.log) {
-            if let Some(key) = &entry.write {
-                changed.extend(env.mirror.apply_read(key, &entry.value, entry.version));
+            if let Some(key) = &entry.put {
+                changed.extend(context.records.apply_read(key, &entry.value, entry.version));
                 reading.known.remove(key);
                 if let Some(job) = key.strip_prefix(JOBS) {
                     reading.stages.seen(&JobId::new(job));
@@ -245,30 +254,30 @@
         tracing::info!(
             changes = result.as_ref().map_or(0, |c| c.log.len()),
             wanted = reading.stages.wanted(),
-            "looked back for jobs that changed lately"
+            "recent job changes read"
         );
         reading.stages.looked_back(result.is_err());
-        self.staged(env);
+        self.staged(context);
         changed
     }
 
     /// Tells the mirror how far the reading is, and the reading what else is wanted.
-    fn staged(&mut self, env: &mut Env) {
+    fn staged(&mut self, context: &mut Context) {
         let Some(reading) = &mut self.reading else {
             return;
         };
         let stage = reading.stages.stage();
-        env.mirror.parts_read |= stage > Stage::Parts;
-        env.mirror.shares_read |= stage >= Stage::Jobs;
+        context.records.shard_owners_read |= stage > Stage::ShardOwners;
+        context.records.allocations_read |= stage >= Stage::Jobs;
         // Asked once all that was wanted is settled: what else is, by then.
         if stage == Stage::Jobs && reading.stages.wanted() == 0 {
-            let wanted = env.mirror.wanted();
+            let wanted = context.records.wanted();
             reading.stages.want(wanted.iter());
             // Jobs known from before may have changed while nothing was heard.
             let known = reading.known.iter().filter_map(|k| k.strip_prefix(JOBS));
             let known: Vec<JobId> = known.map(JobId::new).collect();
             reading.stages.want(known.iter());
-            if env.mirror.has_open_runs() {
+            if context.records.has_open_runs() {
                 reading.stages.want_ended();
             }
             reading.stages.jobs_over();
@@ -280,40 +289,48 @@
             tracing::info!(
                 revision = revision.0,
                 keys = reading.items,
-                jobs = env.mirror.jobs.len(),
-                "what is open has been read"
+                jobs = context.records.jobs.len(),
+                "startup read complete"
             );
-            env.mirror.open_read(revision);
+            context.records.open_read(revision);
             self.current_as_of = self.current_as_of.max(Some(reading.began));
         }
         if stage == Stage::Over {
-            env.mirror.end_reading();
+            context.records.end_reading();
             self.reading = None;
             self.opened = true;
         }
     }
 
-    pub fn changes(&mut self, result: Result<Changes, bool>, env: &mut Env) -> Vec<Changed> {
+    pub fn changes(
+        &mut self,
+        result: Result<WatchEvents, bool>,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
         self.feed.busy = false;
         if self.feed_round != self.round {
             return Vec::new();
         }
-        let now = env.now();
+        let now = context.now();
         match result {
             Ok(changes) => {
                 self.feed.failures = 0;
                 let mut changed = Vec::new();
                 let mut reading = self.reading.as_mut().filter(|r| !r.open_known);
                 for entry in &changes.log {
-                    if let Some(key) = &entry.write {
+                    if let Some(key) = &entry.put {
                         if let Some(reading) = &mut reading
                             && let Some(job) = key.strip_prefix(JOBS)
                         {
                             reading.stages.seen(&JobId::new(job));
                         }
-                        changed.extend(env.mirror.apply(key, Some(&entry.value), entry.version));
+                        changed.extend(context.records.apply(
+                            key,
+                            Some(&entry.value),
+                            entry.version,
+                        ));
                     } else if let Some(key) = &entry.delete {
-                        changed.extend(env.mirror.apply(key, None, entry.version));
+                        changed.extend(context.records.apply(key, None, entry.version));
                     }
                 }
                 let seen = match reading {
@@ -321,21 +338,21 @@
                     None => {
                         self.feed_at = now;
                         self.current_as_of = self.current_as_of.max(Some(self.feed_sent));
-                        &mut env.mirror.revision
+                        &mut context.records.revision
                     }
                 };
                 *seen = (*seen).max(changes.revision);
-                env.mirror.tidy();
-                self.staged(env);
+                context.records.tidy();
+                self.staged(context);
                 changed
             }
             Err(too_old) => {
                 if too_old {
-                    tracing::info!("the change feed is too far behind: reading everything again");
+                    tracing::info!("watch revision compacted: reading all records again");
                     self.opened = false;
                     self.reading = None;
                 }
-                let again = env.out.retry_at(200, self.feed.failures.min(2));
+                let again = context.effects.retry_at(200, self.feed.failures.min(2));
                 self.feed.failed(again);
                 Vec::new()
             }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,21 +1,21 @@
 //! Who decides what: ownership of parts, a part's scheduler, the users' gateway, the leader's fleet.
 
-pub mod bookings;
+pub mod api;
+pub mod autoscaler;
+pub mod context;
 pub mod controller;
+pub mod dag_runs;
+pub mod dependencies;
 pub mod drains;
-pub mod env;
-pub mod fleet;
-pub mod gateway;
-pub mod graph;
-pub mod hearing;
+pub mod format_migration;
+pub mod gossip;
 pub mod images;
-pub mod ownership;
-pub mod peers;
+mod lease_renewal;
+pub mod leases;
+pub mod list_watch;
+mod pending_requests;
 pub mod placement;
 mod query;
-mod queue;
-pub mod reader;
-mod renewing;
-pub mod runs;
+pub mod reachability;
+pub mod reservations;
 pub mod shard;
-pub mod upgrade;
--- a/src/coordination/queue.rs
+++ b/src/coordination/pending_requests.rs
@@ -1,8 +1,8 @@
 //! Requests that wait for an actor's decision, oldest first: so many at the most, and each for a while only.
 
-use super::env::Env;
-use crate::outbox::Response;
-use snowshelf_model::ids::{ConnId, Millis};
+use super::context::Context;
+use crate::effects::Response;
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::collections::VecDeque;
 
 /// Requests that wait at the most; more are sent away at once.
@@ -11,47 +11,53 @@
 const PATIENCE_MS: u64 = 2_000;
 
 pub struct Waiting<A> {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub ask: A,
-    since: Millis,
+    since: MonotonicMillis,
 }
 
-pub struct Queue<A>(VecDeque<Waiting<A>>);
+pub struct PendingRequests<A>(VecDeque<Waiting<A>>);
 
-impl<A> Default for Queue<A> {
-    fn default() -> Queue<A> {
-        Queue(VecDeque::new())
+impl<A> Default for PendingRequests<A> {
+    fn default() -> PendingRequests<A> {
+        PendingRequests(VecDeque::new())
     }
 }
 
-impl<A> Queue<A> {
+impl<A> PendingRequests<A> {
     /// Takes a request, unless something speaks against that now.
-    pub fn take(&mut self, conn: ConnId, ask: A, against: Option<&str>, env: &mut Env) {
+    pub fn take(
+        &mut self,
+        conn: ConnectionId,
+        ask: A,
+        against: Option<&str>,
+        context: &mut Context,
+    ) {
         let many = self.0.len() >= MOST_WAITING;
         if let Some(why) = against.or(many.then_some("too many requests")) {
-            env.out.respond(conn, Response::later(503, why, 2));
+            context.effects.respond(conn, Response::later(503, why, 2));
             return;
         }
-        let since = env.now();
+        let since = context.now();
         self.0.push_back(Waiting { conn, ask, since });
     }
 
     /// Sends everybody away: the state service does not serve.
-    pub fn refuse_all(&mut self, env: &mut Env) {
+    pub fn refuse_all(&mut self, context: &mut Context) {
         for waiting in self.0.drain(..) {
             let later = Response::later(503, "the state service is away", 2);
-            env.out.respond(waiting.conn, later);
+            context.effects.respond(waiting.conn, later);
         }
     }
 
     /// Sends those away who have waited for too long.
-    pub fn give_up(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub fn give_up(&mut self, context: &mut Context) {
+        let now = context.now();
         while let Some(waiting) = self.0.front()
             && now.since(waiting.since) > PATIENCE_MS
         {
             let later = Response::later(503, "could not be settled yet", 1);
-            env.out.respond(waiting.conn, later);
+            context.effects.respond(waiting.conn, later);
             self.0.pop_front();
         }
     }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -6,13 +6,13 @@
 
 use crate::settings::Objective;
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::records::{JobSpec, Room};
+use snowshelf_model::records::{JobSpec, Resources};
 
 /// What the weights are worked out from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    pub booked: Room,
-    pub capacity: Room,
+    pub booked: Resources,
+    pub capacity: Resources,
 }
 
 /// The estimate in seconds that a job is counted with.
@@ -64,16 +64,20 @@
 }
 
 /// The criticality of each resource.
-pub fn weights<'a>(queued: impl Iterator<Item = &'a JobSpec>, default_s: f64, load: Load) -> Room {
-    let mut sum = Room::default();
+pub fn weights<'a>(
+    queued: impl Iterator<Item = &'a JobSpec>,
+    default_s: f64,
+    load: Load,
+) -> Resources {
+    let mut sum = Resources::default();
     let mut total = 0.0;
     for spec in queued {
         let est = estimate(spec, default_s);
-        sum.add(spec.room.times(est));
+        sum.add(spec.resources.times(est));
         total += est;
     }
     if total <= 0.0 {
-        return Room::default();
+        return Resources::default();
     }
     let weight = |sum: f64, booked: f64, capacity: f64| {
         if capacity > 0.0 {
@@ -82,7 +86,7 @@
             0.0
         }
     };
-    Room {
+    Resources {
         cpus: weight(sum.cpus, load.booked.cpus, load.capacity.cpus),
         gpus: weight(sum.gpus, load.booked.gpus, load.capacity.gpus),
         mem: weight(sum.mem, load.booked.mem, load.capacity.mem),
@@ -100,8 +104,8 @@
 
 /// A machine as placement sees it.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    pub free: Room,
+pub struct MachineCandidate {
+    pub free: Resources,
     pub zone: usize,
     /// Others need this kind of machine and this job does not.
     pub spared: bool,
@@ -115,7 +119,7 @@
     pub delay: u32,
 }
 
-pub fn rank(weights: Room, free: Room, task: Room, want: u32) -> f64 {
+pub fn rank(weights: Resources, free: Resources, task: Resources, want: u32) -> f64 {
     let fit = task.count_in(free).min(want);
     let mut rest = free;
     rest.sub(task.times(f64::from(fit)));
@@ -162,10 +166,10 @@
 /// fetching it, go first, since a fetch often takes longer than the task; where it must be fetched,
 /// those with fewer other fetches. Between equals the one that takes more goes first.
 pub fn place(
-    task: Room,
+    task: Resources,
     want: u32,
-    seats: &[Seat],
-    weights: Room,
+    seats: &[MachineCandidate],
+    weights: Resources,
     zones: &mut ZoneRule,
 ) -> Vec<(usize, u32)> {
     let mut order: Vec<_> = seats
--- a/src/coordination/bookings/asking.rs
+++ b/src/coordination/reservations/asking.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum How {
     New,
-    Change,
+    Mutation,
     Check,
 }
 
@@ -82,7 +82,7 @@
             match (method, cancel) {
                 ("POST", true) => Asked::Ask(Ask::Cancel(kind, name)),
                 ("GET", false) => Asked::Ask(Ask::Show(kind, name)),
-                ("PUT", false) => submission(kind, How::Change, Some(name), body),
+                ("PUT", false) => submission(kind, How::Mutation, Some(name), body),
                 _ => Asked::WrongMethod,
             }
         }
--- a/src/coordination/bookings/deciding.rs
+++ b/src/coordination/reservations/deciding.rs
@@ -2,14 +2,14 @@
 
 use super::asking::{Ask, How};
 use super::view;
-use crate::coordination::env::Env;
-use crate::outbox::Response;
+use crate::coordination::context::Context;
+use crate::effects::Response;
 use serde::Serialize;
 use serde_json::Value;
 use snowshelf_calendar::calendar::Calendar;
 use snowshelf_calendar::entry::Name;
 use snowshelf_calendar::refusal::{Kind, Refusal};
-use snowshelf_model::ids::{Version, WallMs};
+use snowshelf_model::ids::{Version, WallClockMillis};
 use std::sync::Arc;
 
 /// A change of one entry, on condition that it is as it was.
@@ -53,10 +53,10 @@
     key: String,
     version: Version,
     record: &T,
-    env: &Env,
+    context: &Context,
 ) -> Decided {
     let value = serde_json::to_value(record).unwrap_or_default();
-    if !env.terms.takes(&value) {
+    if !context.storage_limits.accepts(&value) {
         let why = "its record would be too large: name fewer types, or a zone";
         return answer(Response::error(422, why));
     }
@@ -71,18 +71,18 @@
 }
 
 /// Decides a request on the calendar, which is left as it would be afterwards.
-pub(super) fn decide(ask: &Ask, calendar: &mut Calendar, env: &Env) -> Decided {
-    let now = WallMs(env.out.wall_ms);
+pub(super) fn decide(ask: &Ask, calendar: &mut Calendar, context: &Context) -> Decided {
+    let now = WallClockMillis(context.effects.wall_ms);
     match ask {
         Ask::Reserve { name, wanted, how } => {
-            let version = env.mirror.reservations.get(name).map(|v| v.version);
+            let version = context.records.reservations.get(name).map(|v| v.version);
             let old = calendar.reservation(name).cloned();
             match (&old, how) {
                 (Some(old), _) if old.answers(wanted) => {
                     return told(200, view::reservation(name, old, calendar, now));
                 }
                 (Some(_), How::New) => return refused(&Refusal::Taken),
-                (None, How::Change) => return missing(),
+                (None, How::Mutation) => return missing(),
                 _ => {}
             }
             // A change is asked for as if the old one were not there.
@@ -102,7 +102,7 @@
                 return decided;
             }
             let key = view::reservation_key(name);
-            let decided = written(decided, key, version.unwrap_or_default(), &taken, env);
+            let decided = written(decided, key, version.unwrap_or_default(), &taken, context);
             if decided.write.is_some() {
                 without.set_reservation(name, Some(Arc::new(taken)));
                 *calendar = without;
@@ -115,14 +115,14 @@
             force,
             how,
         } => {
-            let version = env.mirror.windows.get(name).map(|v| v.version);
+            let version = context.records.windows.get(name).map(|v| v.version);
             let old = calendar.window(name).cloned();
             match (&old, how) {
                 (Some(old), _) if **old == *window => {
                     return told(200, view::window(name, old, calendar, now));
                 }
                 (Some(_), How::New) => return refused(&Refusal::Taken),
-                (None, How::Change) => return missing(),
+                (None, How::Mutation) => return missing(),
                 _ => {}
             }
             let mut without = calendar.clone();
@@ -149,7 +149,7 @@
                 return decided;
             }
             let key = view::window_key(name);
-            let decided = written(decided, key, version.unwrap_or_default(), window, env);
+            let decided = written(decided, key, version.unwrap_or_default(), window, context);
             if decided.write.is_some() {
                 *calendar = without;
             }
@@ -159,11 +159,11 @@
             let (key, version) = match kind {
                 Kind::Reservation => (
                     view::reservation_key(name),
-                    env.mirror.reservations.get(name).map(|v| v.version),
+                    context.records.reservations.get(name).map(|v| v.version),
                 ),
                 Kind::Window => (
                     view::window_key(name),
-                    env.mirror.windows.get(name).map(|v| v.version),
+                    context.records.windows.get(name).map(|v| v.version),
                 ),
             };
             let Some(version) = version else {
--- a/src/coordination/bookings/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -11,22 +11,22 @@
 
 pub use asking::{Ask, Asked, read_ask};
 
-use super::env::{Env, Tag};
-use super::queue::{Queue, Waiting};
-use crate::bookkeeping::mirror::Changed;
-use crate::bookkeeping::store::{Class, TxnResult};
+use super::context::{Context, Tag};
+use super::pending_requests::{PendingRequests, Waiting};
+use crate::effects::Response;
 use crate::operator::{CalendarSettings, KnownCapacity};
-use crate::outbox::Response;
 use crate::settings::TeamLimits;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::RecordChange;
 use deciding::Decided;
 use snowshelf_calendar::amount::Amount;
 use snowshelf_calendar::calendar::{Bounds, Calendar, Pool};
 use snowshelf_calendar::entry::When;
 use snowshelf_calendar::guard::Guard;
-use snowshelf_model::ids::{ConnId, Millis, Team, Version, WallMs};
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Team, Version, WallClockMillis};
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::protocol::state::{Change, Txn};
-use snowshelf_model::records::{CALENDAR_KEY, Capability, Room};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{CALENDAR_KEY, Capability, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -51,19 +51,19 @@
 }
 
 #[derive(Default)]
-pub struct Bookings {
+pub struct Reservations {
     calendar: Calendar,
     built: bool,
     /// The machine types have been told anew, perhaps with other prices only.
     types_changed: bool,
-    queue: Queue<Ask>,
+    queue: PendingRequests<Ask>,
     underway: Option<Underway>,
     next: u64,
     /// Met by another change than this picture had; decided again once it has that.
     behind: Option<Version>,
-    retry_at: Millis,
-    guard_at: Millis,
-    tidy_at: Millis,
+    retry_at: MonotonicMillis,
+    guard_at: MonotonicMillis,
+    tidy_at: MonotonicMillis,
     tidying: bool,
 }
 
@@ -86,7 +86,7 @@
         }
     }
     let limits = teams.iter().map(|t| {
-        let limit = Room {
+        let limit = Resources {
             cpus: t.cpus_max,
             gpus: t.gpus_max,
             mem: 0.0,
@@ -103,22 +103,22 @@
     }
 }
 
-impl Bookings {
+impl Reservations {
     /// Takes a request. Whether the state service is there has been asked before.
-    pub fn take(&mut self, conn: ConnId, ask: Ask, env: &mut Env) {
-        let why = if !env.mirror.all_can(&Capability::calendar()) {
+    pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
+        let why = if !context.records.all_can(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
-        } else if !env.mirror.loaded || env.types.is_empty() {
+        } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
         } else {
             None
         };
-        self.queue.take(conn, ask, why, env);
+        self.queue.take(conn, ask, why, context);
     }
 
     /// Sends everybody who waits away: the state service does not serve.
-    pub fn refuse_all(&mut self, env: &mut Env) {
-        self.queue.refuse_all(env);
+    pub fn refuse_all(&mut self, context: &mut Context) {
+        self.queue.refuse_all(context);
     }
 
     /// Whether there is a calendar that changes concern.
@@ -127,108 +127,117 @@
     }
 
     /// Brings the calendar up to date with what has changed.
-    pub fn changed(&mut self, changes: &[Changed], env: &Env) {
-        let now = WallMs(env.out.wall_ms);
+    pub fn changed(&mut self, changes: &[RecordChange], context: &Context) {
+        let now = WallClockMillis(context.effects.wall_ms);
         for change in changes {
             match change {
-                Changed::Reservation(name) => {
-                    let new = env.mirror.reservations.get(name);
+                RecordChange::Reservation(name) => {
+                    let new = context.records.reservations.get(name);
                     let new = new.map(|v| Arc::new((*v.value).clone()));
                     self.calendar.set_reservation(name, new);
                 }
-                Changed::Window(name) => {
-                    let new = env.mirror.windows.get(name);
+                RecordChange::Window(name) => {
+                    let new = context.records.windows.get(name);
                     let new = new.map(|v| Arc::new((*v.value).clone()));
                     self.calendar.set_window(name, new, now);
                 }
-                Changed::Types => {
+                RecordChange::Types => {
                     self.types_changed = true;
                     continue;
                 }
                 _ => continue,
             }
-            self.guard_at = Millis(0);
+            self.guard_at = MonotonicMillis(0);
         }
     }
 
     /// Makes the calendar anew, from the records, where it is not there, or planned too little ahead.
-    fn build(&mut self, env: &Env) {
-        let wanted = env.cfg.ops.calendar.enabled
-            || !env.mirror.reservations.is_empty()
-            || !env.mirror.windows.is_empty();
-        if !wanted || !env.mirror.loaded || env.types.is_empty() {
+    fn build(&mut self, context: &Context) {
+        let wanted = context.config.ops.calendar.enabled
+            || !context.records.reservations.is_empty()
+            || !context.records.windows.is_empty();
+        if !wanted || !context.records.loaded || context.types.is_empty() {
             return;
         }
-        let now = WallMs(env.out.wall_ms);
+        let now = WallClockMillis(context.effects.wall_ms);
         // Guards against building it anew with every change of a price.
         let changed = std::mem::take(&mut self.types_changed);
         if self.built && !changed && self.calendar.plans_ahead(now) {
             return;
         }
-        let teams = &env.cfg.settings.deployment.teams;
-        let bounds = bounds(env.types, teams, &env.cfg.ops.calendar);
+        let teams = &context.config.settings.deployment.teams;
+        let bounds = bounds(context.types, teams, &context.config.ops.calendar);
         if self.built && self.calendar.serves(&bounds, now) {
             return;
         }
         self.calendar = Calendar::new(Arc::new(bounds), now);
-        for (name, v) in &env.mirror.windows {
+        for (name, v) in &context.records.windows {
             let window = Arc::new((*v.value).clone());
             self.calendar.set_window(name, Some(window), now);
         }
-        for (name, v) in &env.mirror.reservations {
+        for (name, v) in &context.records.reservations {
             let reservation = Arc::new((*v.value).clone());
             self.calendar.set_reservation(name, Some(reservation));
         }
         self.built = true;
-        self.guard_at = Millis(0);
+        self.guard_at = MonotonicMillis(0);
         tracing::info!(entries = self.calendar.len(), "calendar built");
     }
 
     /// The regular work; what placement and renting are to keep to, if that was worked out anew.
-    pub fn tick(&mut self, leads: bool, env: &mut Env) -> Option<Guard> {
-        self.build(env);
-        self.decide(env);
+    pub fn tick(&mut self, leads: bool, context: &mut Context) -> Option<Guard> {
+        self.build(context);
+        self.decide(context);
         if leads {
-            self.tidy(env);
+            self.tidy(context);
         }
-        let now = env.now();
-        if !self.built || (self.guard_at != Millis(0) && now.since(self.guard_at) < GUARD_MS) {
+        let now = context.now();
+        if !self.built
+            || (self.guard_at != MonotonicMillis(0) && now.since(self.guard_at) < GUARD_MS)
+        {
             return None;
         }
         self.guard_at = now;
-        let skew_ms = env.cfg.settings.skew_ms();
-        let wall = WallMs(env.out.wall_ms);
+        let skew_ms = context.config.settings.skew_ms();
+        let wall = WallClockMillis(context.effects.wall_ms);
         Some(Guard::of(&self.calendar, wall, AHEAD_MS, skew_ms))
     }
 
     /// Decides everything that waits, one after the other on a copy of the calendar, and asks for it in
     /// one transaction.
-    fn decide(&mut self, env: &mut Env) {
-        let now = env.now();
-        self.queue.give_up(env);
-        if self.behind.is_some_and(|seen| seen != env.mirror.calendar) {
+    fn decide(&mut self, context: &mut Context) {
+        let now = context.now();
+        self.queue.give_up(context);
+        if self
+            .behind
+            .is_some_and(|seen| seen != context.records.calendar)
+        {
             self.behind = None;
         }
         let waits = self.underway.is_some() || self.behind.is_some() || now < self.retry_at;
         if self.queue.is_empty() || waits || !self.built {
             return;
         }
-        let room = env.store.room(now, Class::Accept).min(env.terms.txn_ops);
+        let room = context
+            .kv
+            .room(now, RequestPriority::Accept)
+            .min(context.storage_limits.txn_ops);
         let mut calendar = self.calendar.clone();
-        let mut txn = Txn::default().when(CALENDAR_KEY.to_string(), env.mirror.calendar);
+        let mut swap =
+            CompareAndSwap::default().compare(CALENDAR_KEY.to_string(), context.records.calendar);
         let mut keys = BTreeSet::new();
         let (mut waiting, mut decided) = (Vec::new(), Vec::new());
         while let Some(first) = self.queue.front() {
-            let answer = deciding::decide(&first.ask, &mut calendar, env);
+            let answer = deciding::decide(&first.ask, &mut calendar, context);
             if let Some(write) = &answer.write {
                 // The common key takes one change, each entry another, and none two.
                 if keys.len() + 2 > room || !keys.insert(write.key.clone()) {
                     break;
                 }
-                txn = txn.when(write.key.clone(), write.version);
-                txn = txn.then(match &write.value {
-                    Some(value) => Change::write(write.key.clone(), value),
-                    None => Change::Delete {
+                swap = swap.compare(write.key.clone(), write.version);
+                swap = swap.mutate(match &write.value {
+                    Some(value) => Mutation::put(write.key.clone(), value),
+                    None => Mutation::Delete {
                         key: write.key.clone(),
                     },
                 });
@@ -240,36 +249,46 @@
             return;
         }
         if !keys.is_empty() {
-            let count = serde_json::json!({"revision": env.mirror.revision});
-            txn = txn.then(Change::write(CALENDAR_KEY.to_string(), &count));
+            let count = serde_json::json!({"revision": context.records.revision});
+            swap = swap.mutate(Mutation::put(CALENDAR_KEY.to_string(), &count));
         }
-        if !env.store.may(now, Class::Accept, txn.changes.len()) {
+        if !context
+            .kv
+            .may(now, RequestPriority::Accept, swap.mutations.len())
+        {
             self.queue.put_back(waiting);
             return;
         }
         self.next += 1;
         self.underway = Some(Underway {
             id: self.next,
-            seen: env.mirror.calendar,
+            seen: context.records.calendar,
             waiting,
             decided,
         });
-        let tag = Tag::Bookings(self.next);
-        if txn.changes.is_empty() {
-            env.store.compare(env.out, tag, &txn, 1_500);
+        let tag = Tag::Reservations(self.next);
+        if swap.mutations.is_empty() {
+            context
+                .kv
+                .check_versions(context.effects, tag, &swap, 1_500);
         } else {
-            env.store.txn(env.out, tag, &txn);
+            context.kv.compare_and_swap(context.effects, tag, &swap);
         }
     }
 
     /// The answer to a transaction; what has changed by it.
-    pub fn done(&mut self, id: u64, result: TxnResult, env: &mut Env) -> Vec<Changed> {
+    pub fn done(
+        &mut self,
+        id: u64,
+        result: SwapOutcome,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
         let Some(underway) = self.underway.take_if(|u| u.id == id) else {
             return Vec::new();
         };
         let mut changed = Vec::new();
         match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 let mut any = false;
                 for (waiting, decided) in underway.waiting.iter().zip(underway.decided) {
                     if let Some(write) = &decided.write {
@@ -277,34 +296,34 @@
                         tracing::info!(
                             key = write.key,
                             status = decided.response.status,
-                            "the calendar has changed"
+                            "calendar changed"
                         );
                         for name in &decided.displaced {
                             tracing::info!(reservation = %name, window = write.key,
-                                "a window was forced over a reservation");
+                                "maintenance window forced over reservation");
                         }
                         let value = write.value.as_ref();
-                        changed.extend(env.mirror.apply(&write.key, value, revision));
+                        changed.extend(context.records.apply(&write.key, value, revision));
                     }
-                    env.out.respond(waiting.conn, decided.response);
+                    context.effects.respond(waiting.conn, decided.response);
                 }
                 if any {
                     let value = serde_json::Value::Null;
-                    changed.extend(env.mirror.apply(CALENDAR_KEY, Some(&value), revision));
+                    changed.extend(context.records.apply(CALENDAR_KEY, Some(&value), revision));
                 }
             }
-            TxnResult::Conflict(keys) => {
+            SwapOutcome::Conflict(keys) => {
                 // The feed brings what was changed; then it is decided anew.
                 if keys.iter().any(|k| k == CALENDAR_KEY) {
                     self.behind = Some(underway.seen);
                 }
-                self.retry_at = env.now().plus(AGAIN_MS);
+                self.retry_at = context.now().plus(AGAIN_MS);
                 self.queue.put_back(underway.waiting);
             }
             _ => {
                 for waiting in underway.waiting {
                     let later = Response::later(503, "the state service did not answer", 1);
-                    env.out.respond(waiting.conn, later);
+                    context.effects.respond(waiting.conn, later);
                 }
             }
         }
@@ -312,15 +331,15 @@
     }
 
     /// Removes an entry that has long been over, with writes that nobody else needs.
-    fn tidy(&mut self, env: &mut Env) {
-        let now = env.now();
+    fn tidy(&mut self, context: &mut Context) {
+        let now = context.now();
         if self.tidying || now.since(self.tidy_at) < TIDY_MS {
             return;
         }
         self.tidy_at = now;
-        let limit = WallMs(env.out.wall_ms.saturating_sub(KEPT_MS));
-        let mut old = env
-            .mirror
+        let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(KEPT_MS));
+        let mut old = context
+            .records
             .reservations
             .iter()
             .filter(|(_, v)| v.value.until < limit);
@@ -329,11 +348,13 @@
             .map(|(name, v)| (view::reservation_key(name), v.version));
         let over = |when: &When| match when {
             When::Once { until, .. } => *until < limit,
-            When::Again(rule) => rule.occurrences(limit, WallMs(u64::MAX), 1).is_empty(),
+            When::Again(rule) => rule
+                .occurrences(limit, WallClockMillis(u64::MAX), 1)
+                .is_empty(),
         };
         let old = old.or_else(|| {
-            let mut old = env
-                .mirror
+            let mut old = context
+                .records
                 .windows
                 .iter()
                 .filter(|(_, v)| over(&v.value.when));
@@ -343,23 +364,34 @@
         let Some((key, version)) = old else {
             return;
         };
-        if !env.store.may(now, Class::Spare, 1) {
+        if !context.kv.may(now, RequestPriority::Spare, 1) {
             return;
         }
         self.tidying = true;
-        let txn = Txn::default()
-            .when(key.clone(), version)
-            .then(Change::Delete { key: key.clone() });
-        env.store.txn(env.out, Tag::BookingsTidy(key), &txn);
+        let swap = CompareAndSwap::default()
+            .compare(key.clone(), version)
+            .mutate(Mutation::Delete { key: key.clone() });
+        context
+            .kv
+            .compare_and_swap(context.effects, Tag::BookingsTidy(key), &swap);
     }
 
     /// The answer to a removal; what has changed by it.
-    pub fn tidied(&mut self, key: &str, result: TxnResult, env: &mut Env) -> Vec<Changed> {
+    pub fn tidied(
+        &mut self,
+        key: &str,
+        result: SwapOutcome,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
         self.tidying = false;
         match result {
-            TxnResult::Done(revision) => {
-                tracing::info!(key, "an entry that was over is removed");
-                env.mirror.apply(key, None, revision).into_iter().collect()
+            SwapOutcome::Done(revision) => {
+                tracing::info!(key, "expired calendar entry removed");
+                context
+                    .records
+                    .apply(key, None, revision)
+                    .into_iter()
+                    .collect()
             }
             _ => Vec::new(),
         }
--- a/src/coordination/bookings/view.rs
+++ b/src/coordination/reservations/view.rs
@@ -1,11 +1,11 @@
 //! Reservations and windows as users read them.
 
-pub(super) use crate::bookkeeping::mirror::{reservation_key, window_key};
+pub(super) use crate::storage::record_cache::{reservation_key, window_key};
 use serde_json::{Value, json};
 use snowshelf_calendar::calendar::Calendar;
 use snowshelf_calendar::entry::{Name, Reservation, When, Window, shown};
 use snowshelf_calendar::refusal::{Clash, Kind};
-use snowshelf_model::ids::WallMs;
+use snowshelf_model::ids::WallClockMillis;
 
 /// The next occurrences that a window's answer shows.
 const SHOWN_TIMES: usize = 3;
@@ -19,7 +19,12 @@
     json!({"name": name.as_str(), "state": "cancelled"})
 }
 
-pub(super) fn reservation(name: &Name, r: &Reservation, calendar: &Calendar, now: WallMs) -> Value {
+pub(super) fn reservation(
+    name: &Name,
+    r: &Reservation,
+    calendar: &Calendar,
+    now: WallClockMillis,
+) -> Value {
     let state = match now {
         _ if now < r.from => "ahead",
         _ if now < r.until => "open",
@@ -55,7 +60,7 @@
     body
 }
 
-pub(super) fn window(name: &Name, w: &Window, calendar: &Calendar, now: WallMs) -> Value {
+pub(super) fn window(name: &Name, w: &Window, calendar: &Calendar, now: WallClockMillis) -> Value {
     let times = w.occurrences(now, calendar.planned(), SHOWN_TIMES);
     let state = match times.first() {
         Some((from, _)) if *from <= now => "open",
@@ -91,7 +96,7 @@
     after: Option<&Name>,
     limit: usize,
     calendar: &Calendar,
-    now: WallMs,
+    now: WallClockMillis,
 ) -> Value {
     let later = |name: &Name| after.is_none_or(|after| name > after);
     let mut found: Vec<Value> = match kind {
--- a/src/coordination/shard/emptying.rs
+++ b/src/coordination/shard/eviction.rs
@@ -3,19 +3,21 @@
 
 use super::Shard;
 use super::machine::Drained;
-use super::writing::REFUSED_MS;
-use crate::bookkeeping::mirror::ledger_key;
-use crate::bookkeeping::store::{Class, TxnResult};
+use super::persistence::REFUSED_MS;
+use crate::coordination::context::{Context, Tag};
 use crate::coordination::drains::facts::{TeamWork, tried, with_picture};
-use crate::coordination::env::{Env, Tag};
-use crate::coordination::shard::keeping::stay_ms;
+use crate::coordination::shard::reservations::stay_ms;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::ledger_key;
 use snowshelf_drain::budget::{Amount, Ask, Charge, Ledger, Short};
 use snowshelf_drain::door::{Grounds, stops};
 use snowshelf_drain::entry::Then;
-use snowshelf_model::ids::{JobId, MachineId, Millis, TaskNo, Team, Version, WallMs, part_of};
-use snowshelf_model::protocol::state::{Change, Txn};
+use snowshelf_model::ids::{
+    JobId, MachineId, MonotonicMillis, TaskIndex, Team, Version, WallClockMillis, shard_of,
+};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::protocol::worker::TaskState;
-use snowshelf_model::records::{JobSpec, Kind, part_key};
+use snowshelf_model::records::{JobKind, JobSpec, shard_key};
 use std::collections::BTreeMap;
 
 /// The least time between two writes that only settle charges.
@@ -30,42 +32,42 @@
 impl Shard {
     /// Closes machines to new tasks and opens them again, as the drains' records say, and asks the
     /// budgets for what has been waited for long enough.
-    pub(super) fn tend_closed(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn tend_closed(&mut self, context: &mut Context) {
+        let now = context.now();
         for (name, m) in &mut self.machines {
-            let closed = env.drains.closed.contains_key(name);
+            let closed = context.drains.closed.contains_key(name);
             if closed != m.closed {
                 m.closed = closed;
                 m.opened = now;
                 // Guards against handing back at once, as long idle, what was kept empty until now.
                 m.idle_since = m.idle_since.map(|_| now);
                 self.dirty = true;
-                let drain = env.drains.closed.get(name).map(|c| c.drain.as_str());
-                tracing::info!(machine = %name, part = %self.part, closed, drain, "a drain's machine");
+                let drain = context.drains.closed.get(name).map(|c| c.drain.as_str());
+                tracing::info!(machine = %name, shard = %self.id, closed, drain, "machine cordon changed by drain");
             }
         }
         self.held_back.clear();
-        if env.drains.closed.is_empty() {
+        if context.drains.closed.is_empty() {
             return;
         }
-        self.charge(env);
+        self.charge(context);
     }
 
     /// For how long a job's tasks are waited for on a closed machine: as long as they should take, if
     /// that is not too long. A service would not end by itself.
-    fn waits_ms(spec: &JobSpec, patience_ms: u64, env: &Env) -> u64 {
-        match (spec.kind, stay_ms(spec, env)) {
-            (Kind::Standing, _) | (_, None) => 0,
-            (Kind::Batch, Some(stay)) => stay.min(patience_ms),
+    fn waits_ms(spec: &JobSpec, patience_ms: u64, context: &Context) -> u64 {
+        match (spec.kind, stay_ms(spec, context)) {
+            (JobKind::Service, _) | (_, None) => 0,
+            (JobKind::Batch, Some(stay)) => stay.min(patience_ms),
         }
     }
 
     /// Tasks that are to be stopped by now, by team: those that lose least first.
-    fn overdue(&self, env: &Env) -> BTreeMap<Team, Vec<Ask>> {
-        let now = env.out.now;
+    fn overdue(&self, context: &Context) -> BTreeMap<Team, Vec<Ask>> {
+        let now = context.effects.now;
         let mut found: BTreeMap<Team, Vec<(bool, f64, Ask)>> = BTreeMap::new();
-        for (name, closed) in &env.drains.closed {
-            if part_of(name.as_str(), env.cfg.parts) != self.part {
+        for (name, closed) in &context.drains.closed {
+            if shard_of(name.as_str(), context.config.shard_count) != self.id {
                 continue;
             }
             let Some(m) = self.machines.get(name) else {
@@ -82,9 +84,9 @@
                 let Some(spec) = job.spec().filter(|_| !job.cancelled()) else {
                     continue;
                 };
-                let due = Self::waits_ms(spec, closed.patience_ms, env);
+                let due = Self::waits_ms(spec, closed.patience_ms, context);
                 let started = job.durable.started.get(name);
-                let there: Vec<TaskNo> =
+                let there: Vec<TaskIndex> =
                     started.map_or(Vec::new(), |s| s.iter().map(|(t, _)| t).collect());
                 if there.is_empty() || job.in_flight || (!closed.forced && waited < due) {
                     continue;
@@ -94,13 +96,13 @@
                     job: id.clone(),
                     there,
                     version: job.version,
-                    cpus: spec.room.cpus,
+                    cpus: spec.resources.cpus,
                     force: closed.forced,
                 };
                 let loses = if spec.checkpoint_s > 0.0 {
                     0.0
                 } else {
-                    spec.room.cpus
+                    spec.resources.cpus
                 };
                 let asks = found.entry(spec.team.clone()).or_default();
                 asks.push((!closed.forced, loses * ask.there.len() as f64, ask));
@@ -114,42 +116,45 @@
     }
 
     /// Charges the budget of one team with what is to be stopped next, as far as it allows.
-    fn charge(&mut self, env: &mut Env) {
-        let now = env.now();
+    fn charge(&mut self, context: &mut Context) {
+        let now = context.now();
         if self.charging.is_some() || now < self.charge_at || !self.ready || self.deposed {
             return;
         }
         // A picture that may be old is not asked what is away; nor is one in which a share is newer than the rest:
         // tasks that another part claimed from it would be nowhere.
-        if !env.drains.fresh || env.mirror.revision < env.mirror.read_ahead {
+        if !context.drains.fresh || context.records.revision < context.records.read_ahead {
             return;
         }
-        let overdue = self.overdue(env);
+        let overdue = self.overdue(context);
         if overdue.is_empty() {
-            self.settle_charges(env);
+            self.settle_charges(context);
             return;
         }
-        let wall = WallMs(env.out.wall_ms);
-        let skew_ms = env.cfg.settings.skew_ms();
-        let default = env.cfg.ops.drains.budget;
+        let wall = WallClockMillis(context.effects.wall_ms);
+        let skew_ms = context.config.settings.skew_ms();
+        let default = context.config.ops.drains.budget;
         // Of its own part an owner knows what runs again and what is lost as of now.
-        env.drains.again.retain(|(part, _), _| *part != self.part);
-        let again = self.again(env).into_iter();
-        let again = again.map(|(job, n)| ((self.part, job), n));
-        env.drains.again.extend(again);
-        let losing = self.losing(now, env);
+        context
+            .drains
+            .again
+            .retain(|(shard_id, _), _| *shard_id != self.id);
+        let again = self.again(context).into_iter();
+        let again = again.map(|(job, n)| ((self.id, job), n));
+        context.drains.again.extend(again);
+        let losing = self.losing(now, context);
         for (team, asks) in overdue {
-            let before = env.mirror.ledgers.get(&team);
+            let before = context.records.ledgers.get(&team);
             let version = before.map_or(Version(0), |v| v.version);
             let stored = before.map_or(Ledger::default(), |v| (*v.value).clone());
             let mut ledger = stored;
-            with_picture(env, |picture| {
-                let void = |c: &Charge| self.void(c, now, env);
+            with_picture(context, |picture| {
+                let void = |c: &Charge| self.void(c, now, context);
                 ledger.settle(&default, void, picture, wall, skew_ms)
             });
-            let mut work = TeamWork::of(&team, env);
+            let mut work = TeamWork::of(&team, context);
             let mine = losing.get(&team).copied().unwrap_or_default();
-            let theirs = env.drains.lost.get(&team).copied().unwrap_or_default();
+            let theirs = context.drains.lost.get(&team).copied().unwrap_or_default();
             for lost in [mine, theirs] {
                 work.away.cpus += lost.cpus;
                 work.away.tasks = work.away.tasks.saturating_add(lost.tasks);
@@ -162,17 +167,17 @@
                     continue;
                 }
                 let facts = work.facts(&ask.job);
-                let next = with_picture(env, |picture| {
+                let next = with_picture(context, |picture| {
                     ledger.charge(&default, ask, &facts, picture, wall, skew_ms)
                 });
                 match next {
                     Ok(next) => {
                         if next.breach > ledger.breach {
                             tracing::error!(team = %team, machine = %ask.machine, job = %ask.job,
-                                cpus = next.breach - ledger.breach, "stopped beyond the team's budget: the drain must be over");
+                                cpus = next.breach - ledger.breach, "eviction exceeds the disruption budget: drain deadline passed");
                         }
                         let value = serde_json::to_value(&next).unwrap_or_default();
-                        if !env.terms.takes(&value) {
+                        if !context.storage_limits.accepts(&value) {
                             short = Some(Short::Full);
                             break;
                         }
@@ -185,57 +190,66 @@
             if let Some(why) = short {
                 self.held_back.push(format!("{team}: {why}"));
             }
-            if charged == 0 || !env.store.may(now, Class::Ends, 1) {
+            if charged == 0 || !context.kv.may(now, RequestPriority::Ends, 1) {
                 continue;
             }
-            self.write_ledger(team, version, ledger, env);
+            self.write_ledger(team, version, ledger, context);
             return;
         }
     }
 
-    fn write_ledger(&mut self, team: Team, version: Version, ledger: Ledger, env: &mut Env) {
+    fn write_ledger(
+        &mut self,
+        team: Team,
+        version: Version,
+        ledger: Ledger,
+        context: &mut Context,
+    ) {
         let key = ledger_key(&team);
-        let txn = Txn::default()
-            .when(part_key(self.part), Version(self.token.0))
-            .when(key.clone(), version)
-            .then(Change::write(key, &ledger));
-        env.store
-            .txn(env.out, Tag::Disrupt(self.part, self.token), &txn);
+        let swap = CompareAndSwap::default()
+            .compare(shard_key(self.id), Version(self.fencing_token.0))
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &ledger));
+        context.kv.compare_and_swap(
+            context.effects,
+            Tag::Disrupt(self.id, self.fencing_token),
+            &swap,
+        );
         self.charging = Some(Charging { team, ledger });
     }
 
     /// Has this part's charges that are over count from now on as what was stopped, with writes that
     /// nobody else needs: until then they count as if they were still to come.
-    fn settle_charges(&mut self, env: &mut Env) {
-        let now = env.now();
-        let wall = WallMs(env.out.wall_ms);
-        let skew_ms = env.cfg.settings.skew_ms();
-        let default = env.cfg.ops.drains.budget;
-        let mine = |c: &Charge| part_of(c.machine.as_str(), env.cfg.parts) == self.part;
-        let found = env.mirror.ledgers.iter().find_map(|(team, v)| {
+    fn settle_charges(&mut self, context: &mut Context) {
+        let now = context.now();
+        let wall = WallClockMillis(context.effects.wall_ms);
+        let skew_ms = context.config.settings.skew_ms();
+        let default = context.config.ops.drains.budget;
+        let mine = |c: &Charge| shard_of(c.machine.as_str(), context.config.shard_count) == self.id;
+        let found = context.records.ledgers.iter().find_map(|(team, v)| {
             let mut ledger = (*v.value).clone();
-            let over = with_picture(env, |picture| {
-                let over = |c: &Charge| mine(c) && (!picture.open(c) || self.void(c, now, env));
+            let over = with_picture(context, |picture| {
+                let over = |c: &Charge| mine(c) && (!picture.open(c) || self.void(c, now, context));
                 ledger.settle(&default, over, picture, wall, skew_ms)
             });
             over.then(|| (team.clone(), v.version, ledger))
         });
         if let Some((team, version, ledger)) = found
-            && env.store.may(now, Class::Spare, 1)
+            && context.kv.may(now, RequestPriority::Spare, 1)
         {
             self.charge_at = now.plus(SETTLE_MS);
-            self.write_ledger(team, version, ledger, env);
+            self.write_ledger(team, version, ledger, context);
         }
     }
 
     /// Whether nothing can be stopped under a charge any more: its machine is this part's, serves again,
     /// and has long heard so. What was on one that is gone is away until the records have that.
-    fn void(&self, charge: &Charge, now: Millis, env: &Env) -> bool {
+    fn void(&self, charge: &Charge, now: MonotonicMillis, context: &Context) -> bool {
         let name = &charge.machine;
-        let lease_ms = env.cfg.settings.lease_ms();
-        part_of(name.as_str(), env.cfg.parts) == self.part
+        let lease_ms = context.config.settings.lease_ms();
+        shard_of(name.as_str(), context.config.shard_count) == self.id
             && now.since(self.taken) > lease_ms
-            && !env.drains.closed.contains_key(name)
+            && !context.drains.closed.contains_key(name)
             && self
                 .machines
                 .get(name)
@@ -243,8 +257,8 @@
     }
 
     /// Tasks on machines that are silent, or that the cloud is about to take, by team.
-    pub fn losing(&self, now: Millis, env: &Env) -> BTreeMap<Team, Amount> {
-        let silent_ms = 2 * env.cfg.settings.report_ms() + 1_000;
+    pub fn losing(&self, now: MonotonicMillis, context: &Context) -> BTreeMap<Team, Amount> {
+        let silent_ms = 2 * context.config.settings.report_ms() + 1_000;
         let mut lost: BTreeMap<Team, Amount> = BTreeMap::new();
         for (name, m) in &self.machines {
             if now.since(m.heard) <= silent_ms && m.notice_until.is_none() {
@@ -255,7 +269,7 @@
                     && let Some(tasks) = job.view.started.get(name)
                 {
                     let lost = lost.entry(spec.team.clone()).or_default();
-                    lost.add(tasks.len(), spec.room.cpus);
+                    lost.add(tasks.len(), spec.resources.cpus);
                 }
             }
         }
@@ -264,7 +278,7 @@
 
     /// How many of each job's tasks that were tried before have been seen to run again, and are not to be
     /// stopped once more.
-    pub fn again(&self, env: &Env) -> BTreeMap<JobId, u32> {
+    pub fn again(&self, context: &Context) -> BTreeMap<JobId, u32> {
         let mut found = BTreeMap::new();
         for (id, job) in &self.jobs {
             if job.durable.started.values().all(|s| tried(s) == 0) {
@@ -279,7 +293,10 @@
                     let runs = matches!(item.state, TaskState::Running | TaskState::Saving);
                     let tried =
                         item.attempt.0 >= 2 && spans.get(item.task.task) == Some(item.attempt);
-                    if runs && tried && !(m.closed && self.charged(name, id, item.task.task, env)) {
+                    if runs
+                        && tried
+                        && !(m.closed && self.charged(name, id, item.task.task, context))
+                    {
                         again += 1;
                     }
                 }
@@ -291,27 +308,27 @@
         found
     }
 
-    pub fn charge_done(&mut self, result: TxnResult, env: &mut Env) {
-        let now = env.now();
+    pub fn charge_done(&mut self, result: SwapOutcome, context: &mut Context) {
+        let now = context.now();
         let Some(charging) = self.charging.take() else {
             return;
         };
         let key = ledger_key(&charging.team);
         match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 let value = serde_json::to_value(&charging.ledger).unwrap_or_default();
-                env.mirror.apply(&key, Some(&value), revision);
+                context.records.apply(&key, Some(&value), revision);
             }
-            TxnResult::Conflict(keys) => {
-                if keys.contains(&part_key(self.part)) {
+            SwapOutcome::Conflict(keys) => {
+                if keys.contains(&shard_key(self.id)) {
                     self.deposed = true;
                     return;
                 }
                 // The feed brings what another part has charged.
                 self.charge_at = now.plus(100);
             }
-            TxnResult::Refused => self.charge_at = now.plus(REFUSED_MS),
-            TxnResult::NotDone | TxnResult::NoLease | TxnResult::Unknown => {
+            SwapOutcome::Refused => self.charge_at = now.plus(REFUSED_MS),
+            SwapOutcome::NotDone | SwapOutcome::NoLease | SwapOutcome::Unknown => {
                 // If it was carried out after all the feed tells.
                 self.charge_at = now.plus(500);
             }
@@ -319,14 +336,14 @@
     }
 
     /// Whether a durable charge covers a task on a closed machine.
-    fn charged(&self, name: &MachineId, job: &JobId, task: TaskNo, env: &Env) -> bool {
+    fn charged(&self, name: &MachineId, job: &JobId, task: TaskIndex, context: &Context) -> bool {
         let Some(entry) = self.jobs.get(job) else {
             return false;
         };
         let Some(spec) = entry.spec() else {
             return false;
         };
-        let ledger = env.mirror.ledgers.get(&spec.team);
+        let ledger = context.records.ledgers.get(&spec.team);
         let Some(charge) = ledger.and_then(|v| v.value.charge_for(name, job)) else {
             return false;
         };
@@ -338,13 +355,13 @@
         &self,
         name: &MachineId,
         job: &JobId,
-        task: TaskNo,
-        env: &Env,
+        task: TaskIndex,
+        context: &Context,
     ) -> Grounds {
         let Some(m) = self.machines.get(name) else {
             return Grounds::default();
         };
-        let closed = env.drains.closed.get(name).filter(|_| m.closed);
+        let closed = context.drains.closed.get(name).filter(|_| m.closed);
         Grounds {
             cancelled: self.jobs.get(job).is_some_and(|j| j.cancelled()),
             noticed: m.notice_until.is_some(),
@@ -353,21 +370,27 @@
             overrun: self.overruns(name, job),
             drained: closed.is_some(),
             forced: closed.is_some_and(|c| c.forced),
-            charged: closed.is_some() && self.charged(name, job, task, env),
+            charged: closed.is_some() && self.charged(name, job, task, context),
         }
     }
 
     /// Counts a task that was stopped, by what for.
-    pub(super) fn count_stop(&mut self, name: &MachineId, job: &JobId, task: TaskNo, env: &Env) {
-        if let Some(cause) = stops(self.grounds(name, job, task, env)) {
+    pub(super) fn count_stop(
+        &mut self,
+        name: &MachineId,
+        job: &JobId,
+        task: TaskIndex,
+        context: &Context,
+    ) {
+        if let Some(cause) = stops(self.grounds(name, job, task, context)) {
             *self.stopped.entry(cause).or_default() += 1;
         }
     }
 
     /// Closed machines on which nothing is, of those that are kept so, and those that were returned, which the
     /// cloud lists a while longer.
-    pub fn emptied(&self, env: &Env) -> Vec<MachineId> {
-        let closed = env.drains.closed.iter();
+    pub fn emptied(&self, context: &Context) -> Vec<MachineId> {
+        let closed = context.drains.closed.iter();
         closed
             .filter(|(name, c)| match self.machines.get(*name) {
                 Some(m) => {
--- a/src/coordination/shard/reports.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -3,19 +3,22 @@
 use super::Shard;
 use super::job::ShardJob;
 use super::machine::{Drained, Held, Machine};
-use crate::coordination::env::Env;
-use crate::outbox::Response;
+use crate::coordination::context::Context;
+use crate::effects::Response;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_drain::door::{Cause, stops};
-use snowshelf_horizon::renewal::{Refusal, Renewal, may_begin};
-use snowshelf_model::ids::{Attempt, ConnId, JobId, MachineId, Millis, TaskNo, seconds_to_ms};
+use snowshelf_model::ids::{
+    Attempt, ConnectionId, JobId, MachineId, MonotonicMillis, TaskIndex, seconds_to_ms,
+};
 use snowshelf_model::protocol::worker::{
-    Answer, Command, Report, TaskRef, TaskReport, TaskState, Why, redirect,
+    Command, ExitReason, Heartbeat, HeartbeatResponse, TaskRef, TaskState, TaskStatus, redirect,
 };
-use snowshelf_model::records::{JobSpec, Kind, Step, StepKind};
-use snowshelf_recovery::squaring::{
-    Evidence, Leaving, Nature, Order, Reported, Shown, Stored, Tells, square,
+use snowshelf_model::records::{AllocationChange, AllocationChangeKind, JobKind, JobSpec};
+use snowshelf_reconciliation::decision_table::{
+    DesiredState, HeartbeatEvidence, MachineDisposition, ObservedState, OutcomeSignal,
+    ReconcileAction, TaskTraits, TokenState, reconcile,
 };
+use snowshelf_watermark::renewal::{LeaseRenewal, RenewalRefusal, may_begin};
 use std::collections::BTreeSet;
 
 /// Most commands in one answer: keeps it under the 64 KiB that a worker accepts.
@@ -26,51 +29,54 @@
     /// report back while it may not be answered for want of knowledge.
     pub fn check_in(
         &mut self,
-        conn: ConnId,
-        report: Report,
-        received: Millis,
-        env: &mut Env,
-    ) -> Option<(Refusal, Report)> {
-        let now = env.now();
-        if report.token > self.token {
-            tracing::info!(part = %self.part, token = %self.token, seen = %report.token,
-                machine = %report.machine, "a worker has seen a higher token: deposed");
+        conn: ConnectionId,
+        report: Heartbeat,
+        received: MonotonicMillis,
+        context: &mut Context,
+    ) -> Option<(RenewalRefusal, Heartbeat)> {
+        let now = context.now();
+        if report.fencing_token > self.fencing_token {
+            tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, seen = %report.fencing_token,
+                machine = %report.machine, "shard leader deposed: worker reports a higher fencing token");
             self.deposed = true;
-            let_go(conn, env);
+            let_go(conn, context);
             return None;
         }
         if self.gone.contains(&report.machine) {
             // Guards against a late report of a machine whose return was confirmed.
-            env.out
+            context
+                .effects
                 .respond(conn, Response::later(503, "this machine was returned", 5));
             return None;
         }
-        let renewal = match env.renewal(self.part, &report.tasks, received) {
+        let renewal = match context.authorize_renewal(self.id, &report.tasks, received) {
             Ok(renewal) => renewal,
             Err(why) => return Some((why, report)),
         };
         if !self.ready {
             // Its lease is kept up, and the token told. What it says is taken in with the picture.
-            self.answer(conn, renewal, Vec::new(), env);
+            self.answer(conn, renewal, Vec::new(), context);
             let newest = self.early.get(&report.machine);
-            if newest.is_none_or(|(_, r)| (r.session, r.seq) < (report.session, report.seq)) {
+            if newest.is_none_or(|(_, r)| {
+                (r.incarnation, r.sequence) < (report.incarnation, report.sequence)
+            }) {
                 self.early.insert(report.machine.clone(), (now, report));
             }
             return None;
         }
         let name = report.machine.clone();
-        if !self.take_in(report, now, env) {
+        if !self.take_in(report, now, context) {
             // Late or repeated: a newer one has settled what this one says.
-            self.answer(conn, renewal, Vec::new(), env);
+            self.answer(conn, renewal, Vec::new(), context);
             return None;
         }
         if let Some(old) = self.machines.get_mut(&name).and_then(|m| m.held.take()) {
             // The worker has given that request up.
-            let_go(old.conn, env);
+            let_go(old.conn, context);
         }
-        self.place(env);
+        self.place(context);
         let since = now;
-        let deadline = now.plus(env.cfg.ops.hold_ms);
+        let deadline = now.plus(context.config.ops.hold_ms);
         let held = Held {
             conn,
             since,
@@ -80,27 +86,32 @@
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.held = Some(held);
             }
-            self.flush(env);
+            self.flush(context);
         } else {
-            let commands = self.commands(&name, now, env);
-            self.answer(conn, renewal, commands, env);
+            let commands = self.commands(&name, now, context);
+            self.answer(conn, renewal, commands, context);
         }
         None
     }
 
     /// Takes in the reports that came before the picture was there. Nothing has been started by this
     /// owner since, so they prove what they would have proved then.
-    pub(super) fn take_early(&mut self, env: &mut Env) {
+    pub(super) fn take_early(&mut self, context: &mut Context) {
         for (at, report) in std::mem::take(&mut self.early).into_values() {
-            self.take_in(report, at, env);
+            self.take_in(report, at, context);
         }
     }
 
     /// Takes in what a report that came at `heard` says; false if a newer one has been.
-    fn take_in(&mut self, report: Report, heard: Millis, env: &mut Env) -> bool {
-        let now = env.now();
-        let zone = env
-            .cfg
+    fn take_in(
+        &mut self,
+        report: Heartbeat,
+        heard: MonotonicMillis,
+        context: &mut Context,
+    ) -> bool {
+        let now = context.now();
+        let zone = context
+            .config
             .settings
             .deployment
             .zones
@@ -112,17 +123,19 @@
             .machines
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(now));
-        if machine.reported && (report.session, report.seq) <= (machine.session, machine.seq) {
+        if machine.reported
+            && (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence)
+        {
             return false;
         }
-        let new_session = machine.reported && report.session > machine.session;
+        let new_incarnation = machine.reported && report.incarnation > machine.incarnation;
         if !machine.reported {
-            tracing::info!(machine = %name, part = %self.part, model = %report.model,
-                session = report.session.0, "machine reports");
+            tracing::info!(machine = %name, shard = %self.id, model = %report.model,
+                incarnation = report.incarnation.0, "first heartbeat of machine received");
             self.dirty = true;
         }
-        if new_session {
-            tracing::info!(machine = %name, session = report.session.0, "new session: its tasks are gone");
+        if new_incarnation {
+            tracing::info!(machine = %name, incarnation = report.incarnation.0, "new agent incarnation: earlier tasks are lost");
             machine.images.coming.clear();
         }
         if machine.pool.is_none() {
@@ -131,11 +144,11 @@
         machine.model = report.model;
         machine.zone = zone;
         machine.spot = report.spot;
-        machine.session = report.session;
-        machine.seq = report.seq;
+        machine.incarnation = report.incarnation;
+        machine.sequence = report.sequence;
         machine.heard = heard;
         machine.reported = true;
-        let shown = report.token == self.token;
+        let shown = report.fencing_token == self.fencing_token;
         if machine.shown != shown {
             machine.shown = shown;
             self.dirty = true;
@@ -143,21 +156,25 @@
         machine.notice_until = report.notice_s.map(|s| heard.plus(seconds_to_ms(s)));
         machine.listed = report.tasks;
         machine.stale = true;
-        let evidence = Evidence {
-            shown: if shown { Shown::Equal } else { Shown::Behind },
+        let evidence = HeartbeatEvidence {
+            shown: if shown {
+                TokenState::Equal
+            } else {
+                TokenState::Behind
+            },
             late: false,
-            new_session,
+            new_incarnation,
             inherited: shown && std::mem::take(&mut machine.inherited),
         };
         if shown {
-            self.settle(&name, evidence, now, env);
+            self.settle(&name, evidence, now, context);
         }
         true
     }
 
     /// Whether an answer should wait: a start is about to be durable, or a pass of placement that
     /// may use this machine is due.
-    fn worth_waiting(&self, name: &MachineId, held: &Held, now: Millis) -> bool {
+    fn worth_waiting(&self, name: &MachineId, held: &Held, now: MonotonicMillis) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return false;
         };
@@ -172,14 +189,14 @@
     /// Answers a report, which renews the worker's lease: what leave was given to halt goes first.
     fn answer(
         &self,
-        conn: ConnId,
-        renewal: Renewal<(TaskRef, Attempt)>,
+        conn: ConnectionId,
+        renewal: LeaseRenewal<(TaskRef, Attempt)>,
         commands: Vec<Command>,
-        env: &mut Env,
+        context: &mut Context,
     ) {
         let halts = renewal.into_halts();
         if halts.len() > MAX_COMMANDS {
-            let_go(conn, env);
+            let_go(conn, context);
             return;
         }
         let mut all: Vec<Command> = halts
@@ -193,49 +210,60 @@
         let others: Vec<Command> = commands.into_iter().filter(|c| !all.contains(c)).collect();
         all.extend(others);
         all.truncate(MAX_COMMANDS);
-        let answer = Answer {
-            token: self.token,
+        let answer = HeartbeatResponse {
+            fencing_token: self.fencing_token,
             commands: all,
         };
         let body = serde_json::to_vec(&answer).unwrap_or_default();
-        env.out.respond(conn, Response::new(200, body));
+        context.effects.respond(conn, Response::new(200, body));
     }
 
     /// What the records and the picture say of an attempt on a machine, by the part's share of its job.
-    fn stored(job: Option<&ShardJob>, name: &MachineId, task: TaskNo, attempt: Attempt) -> Stored {
+    fn stored(
+        job: Option<&ShardJob>,
+        name: &MachineId,
+        task: TaskIndex,
+        attempt: Attempt,
+    ) -> DesiredState {
         let Some(j) = job else {
-            return Stored::NotOurs;
+            return DesiredState::NotOurs;
         };
         let here = j.view.started_on(name, task);
         let viewed = here == Some(attempt);
         let durable = j.durable.started_on(name, task) == Some(attempt);
         match (viewed, durable, j.cancelled()) {
-            (true, false, _) => Stored::Starting,
-            (true, true, false) => Stored::Here,
-            (true, true, true) => Stored::Cancelled,
-            (false, true, false) => Stored::Ending,
-            (false, true, true) => Stored::CancelledEnding,
-            (false, false, _) if here.is_some() => Stored::OtherAttempt,
-            (false, false, _) if j.view.waiting.get(task).is_some() => Stored::Waiting,
-            (false, false, _) if j.view.finished.get(task).is_some() => Stored::Finished,
+            (true, false, _) => DesiredState::Starting,
+            (true, true, false) => DesiredState::Here,
+            (true, true, true) => DesiredState::Cancelled,
+            (false, true, false) => DesiredState::Ending,
+            (false, true, true) => DesiredState::CancelledEnding,
+            (false, false, _) if here.is_some() => DesiredState::OtherAttempt,
+            (false, false, _) if j.view.waiting.get(task).is_some() => DesiredState::Waiting,
+            (false, false, _) if j.view.finished.get(task).is_some() => DesiredState::Finished,
             // On another machine, or in another part's share.
-            (false, false, _) => Stored::Elsewhere,
+            (false, false, _) => DesiredState::Elsewhere,
         }
     }
 
-    fn nature(spec: Option<&JobSpec>) -> Nature {
-        spec.map_or(Nature::default(), |s| Nature {
-            standing: s.kind == Kind::Standing,
+    fn nature(spec: Option<&JobSpec>) -> TaskTraits {
+        spec.map_or(TaskTraits::default(), |s| TaskTraits {
+            standing: s.kind == JobKind::Service,
             saves: s.checkpoint_s > 0.0,
         })
     }
 
     /// Draws what the newest report proves. The machine has shown this owner's token.
-    fn settle(&mut self, name: &MachineId, evidence: Evidence, now: Millis, env: &Env) {
+    fn settle(
+        &mut self,
+        name: &MachineId,
+        evidence: HeartbeatEvidence,
+        now: MonotonicMillis,
+        context: &Context,
+    ) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let report_ms = env.cfg.settings.report_ms();
+        let report_ms = context.config.settings.report_ms();
         let leaving = machine.leaving(now, 0.0, report_ms);
         let unbegun = machine.leaving_unbegun(now, report_ms);
         let listed = machine.listed.clone();
@@ -245,9 +273,11 @@
             let ours = self.jobs.get(job);
             let stored = Self::stored(ours, name, task, attempt);
             let nature = Self::nature(ours.and_then(|j| j.spec()));
-            let reported = Reported::Listed(item.state, item.why);
-            let cell = square(stored, reported, evidence, leaving, nature);
-            if item.why == Some(Why::Stopped) && cell.write == Some(StepKind::Requeue) {
+            let reported = ObservedState::Listed(item.state, item.why);
+            let cell = reconcile(stored, reported, evidence, leaving, nature);
+            if item.why == Some(ExitReason::Stopped)
+                && cell.write == Some(AllocationChangeKind::Requeue)
+            {
                 stopped.push((job.clone(), task));
             }
             proofs.push((cell, job.clone(), task, attempt));
@@ -256,25 +286,25 @@
             let ours = self.jobs.get(&job);
             let stored = Self::stored(ours, name, task, attempt);
             let nature = Self::nature(ours.and_then(|j| j.spec()));
-            let cell = square(stored, Reported::Absent, evidence, unbegun, nature);
+            let cell = reconcile(stored, ObservedState::Absent, evidence, unbegun, nature);
             proofs.push((cell, job, task, attempt));
         }
         for (job, task) in stopped {
-            self.count_stop(name, &job, task, env);
+            self.count_stop(name, &job, task, context);
         }
-        self.note_images(name, &listed, env);
+        self.note_images(name, &listed, context);
         for (cell, job, task, attempt) in proofs {
-            self.squared.count(cell.finding);
+            self.reconciliation.count(cell.finding);
             let Some(what) = cell.write else { continue };
             let machine = name.clone();
-            let step = Step {
+            let step = AllocationChange {
                 task,
                 attempt,
                 machine,
                 what,
             };
             self.step(now, &job, step);
-            self.told(name, &job, task, cell.tells, now, env);
+            self.told(name, &job, task, cell.tells, now, context);
         }
         self.track_idle(name, now);
     }
@@ -284,14 +314,14 @@
         &mut self,
         name: &MachineId,
         job: &JobId,
-        task: TaskNo,
-        tells: Tells,
-        now: Millis,
-        env: &Env,
+        task: TaskIndex,
+        tells: OutcomeSignal,
+        now: MonotonicMillis,
+        context: &Context,
     ) {
         match tells {
-            Tells::Nothing => {}
-            Tells::Works => {
+            OutcomeSignal::Nothing => {}
+            OutcomeSignal::Works => {
                 if let Some(m) = self.machines.get_mut(name) {
                     m.error_streak.clear();
                 }
@@ -299,7 +329,7 @@
                     j.failures = 0;
                 }
             }
-            Tells::Fails => {
+            OutcomeSignal::Fails => {
                 self.blame(name, job, now);
                 if let Some(j) = self.jobs.get_mut(job).filter(|j| j.spec.run) {
                     *j.errors.entry(task).or_default() += 1;
@@ -308,12 +338,12 @@
                     }
                 }
             }
-            Tells::Full => {
+            OutcomeSignal::Full => {
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.full_until = now.plus(2 * env.cfg.settings.report_ms());
+                    m.full_until = now.plus(2 * context.config.settings.report_ms());
                 }
             }
-            Tells::NoDescription => {
+            OutcomeSignal::NoDescription => {
                 if let Some(j) = self.jobs.get_mut(job) {
                     j.retry_at = now.plus(2_000);
                 }
@@ -322,12 +352,12 @@
     }
 
     /// Which images the machine has and which it fetches, by its newest report.
-    fn note_images(&mut self, name: &MachineId, listed: &[TaskReport], env: &Env) {
+    fn note_images(&mut self, name: &MachineId, listed: &[TaskStatus], context: &Context) {
         let unlisted = self.unlisted(name);
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let local_gb = env.types.get(&m.model).map_or(f64::MAX, |t| t.local_gb);
+        let local_gb = context.types.get(&m.model).map_or(f64::MAX, |t| t.local_gb);
         let jobs = &self.jobs;
         m.images.coming.clear();
         for item in listed {
@@ -353,7 +383,7 @@
         m.images.coming.extend(absent);
     }
 
-    fn track_idle(&mut self, name: &MachineId, now: Millis) {
+    fn track_idle(&mut self, name: &MachineId, now: MonotonicMillis) {
         let busy = self.holds_tasks(name);
         if let Some(m) = self.machines.get_mut(name) {
             if busy || m.lists_tasks() {
@@ -365,11 +395,11 @@
     }
 
     /// Tasks held by the picture on this machine that its newest report does not list.
-    fn unlisted(&self, name: &MachineId) -> Vec<(JobId, TaskNo, Attempt)> {
+    fn unlisted(&self, name: &MachineId) -> Vec<(JobId, TaskIndex, Attempt)> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
-        let listed = |id: &JobId, task: TaskNo, attempt: Attempt| {
+        let listed = |id: &JobId, task: TaskIndex, attempt: Attempt| {
             let mut tasks = machine.listed.iter();
             tasks.any(|t| t.task.task == task && t.attempt == attempt && t.task.job == *id)
         };
@@ -392,7 +422,7 @@
 
     /// A task failed. A machine is to blame when different jobs fail on it, or when one fails that
     /// works elsewhere; a job that fails on several machines is held back instead.
-    fn blame(&mut self, name: &MachineId, job: &JobId, now: Millis) {
+    fn blame(&mut self, name: &MachineId, job: &JobId, now: MonotonicMillis) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
@@ -403,7 +433,7 @@
         if !works && spread >= 2 {
             let wait = 1_000u64 << entry.failures.min(5);
             entry.retry_at = now.plus(wait);
-            tracing::info!(job = %job, machines = spread, wait_ms = wait, "job fails on several machines");
+            tracing::info!(job = %job, machines = spread, wait_ms = wait, "job backing off: tasks fail on several machines");
         }
         if let Some(m) = self.machines.get_mut(name) {
             m.error_streak.push(job.clone());
@@ -411,12 +441,12 @@
             let guilty = distinct.len() >= 2 || (works && m.error_streak.len() >= 2);
             if guilty && m.draining.is_none() {
                 m.draining = Some(Drained::Fault);
-                tracing::info!(machine = %name, jobs = distinct.len(), "machine fails its tasks: drained");
+                tracing::info!(machine = %name, jobs = distinct.len(), "machine quarantined: tasks fail");
             }
         }
     }
 
-    fn commands(&self, name: &MachineId, now: Millis, env: &Env) -> Vec<Command> {
+    fn commands(&self, name: &MachineId, now: MonotonicMillis, context: &Context) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
@@ -424,8 +454,8 @@
             // An earlier owner might still command it: only the token goes out.
             return Vec::new();
         }
-        let report_ms = env.cfg.settings.report_ms();
-        let begins = may_begin(env.horizon, now);
+        let report_ms = context.config.settings.report_ms();
+        let begins = may_begin(context.watermark, now);
         let mut commands = Vec::new();
         let mut order = |machine_leaves, reported, task: TaskRef, attempt| {
             let job = self.jobs.get(&task.job);
@@ -434,40 +464,49 @@
             let leaving = match machine_leaves {
                 Some(leaving) => leaving,
                 // One door for every cause.
-                None => match stops(self.grounds(name, &task.job, task.task, env)) {
+                None => match stops(self.grounds(name, &task.job, task.task, context)) {
                     None | Some(Cause::Cancelled | Cause::Notice) => {
                         machine.leaving(now, save_s, report_ms)
                     }
-                    Some(_) => Leaving::Drained,
+                    Some(_) => MachineDisposition::Drained,
                 },
             };
             let mut stored = Self::stored(job, name, task.task, attempt);
             // Halted, and not commanded any more, whoever says so. Written it is only once the mirror shows it.
-            if env.attested.contains_key(&task.job) {
+            if context.attested.contains_key(&task.job) {
                 stored = stored.if_cancelled();
             }
             let nature = Self::nature(spec);
-            let cell = square(stored, reported, Evidence::PLAIN, leaving, nature);
+            let cell = reconcile(stored, reported, HeartbeatEvidence::PLAIN, leaving, nature);
             // Guards against a task that begins long after a cancellation which this owner could not hear of.
-            let order = cell.order.filter(|o| begins || *o != Order::Run);
+            let order = cell.order.filter(|o| begins || *o != ReconcileAction::Run);
             commands.extend(order.map(|order| match order {
-                Order::Run => Command::Run { task, attempt },
-                Order::Reap => Command::Reap { task, attempt },
-                Order::Kill | Order::Stop => Command::Halt {
+                ReconcileAction::Run => Command::Run { task, attempt },
+                ReconcileAction::Reap => Command::Reap { task, attempt },
+                ReconcileAction::Kill | ReconcileAction::Stop => Command::Halt {
                     task,
                     attempt,
-                    grace_s: if order == Order::Stop { save_s } else { 0.0 },
+                    grace_s: if order == ReconcileAction::Stop {
+                        save_s
+                    } else {
+                        0.0
+                    },
                 },
             }));
         };
         for item in &machine.listed {
-            let reported = Reported::Listed(item.state, item.why);
+            let reported = ObservedState::Listed(item.state, item.why);
             order(None, reported, item.task.clone(), item.attempt);
         }
         // Whether a task has to make room matters only to one that is there.
         let leaving = Some(machine.leaving_unbegun(now, report_ms));
         for (job, task, attempt) in self.unlisted(name) {
-            order(leaving, Reported::Absent, TaskRef { job, task }, attempt);
+            order(
+                leaving,
+                ObservedState::Absent,
+                TaskRef { job, task },
+                attempt,
+            );
         }
         commands
     }
@@ -489,8 +528,8 @@
     }
 
     /// Answers the workers whose start is committed or who cannot wait any longer.
-    pub(super) fn answer_held(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn answer_held(&mut self, context: &mut Context) {
+        let now = context.now();
         let held: Vec<(MachineId, Held)> = self
             .machines
             .iter()
@@ -506,27 +545,29 @@
             let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            match env.renewal(self.part, &machine.listed, held.since) {
+            match context.authorize_renewal(self.id, &machine.listed, held.since) {
                 Ok(renewal) => {
-                    let commands = self.commands(&name, now, env);
-                    self.answer(held.conn, renewal, commands, env);
+                    let commands = self.commands(&name, now, context);
+                    self.answer(held.conn, renewal, commands, context);
                 }
-                Err(_) => let_go(held.conn, env),
+                Err(_) => let_go(held.conn, context),
             }
         }
     }
 
     /// Lets go of every worker that waits: this owner may not answer any more.
-    pub fn drop_held(&mut self, env: &mut Env) {
+    pub fn drop_held(&mut self, context: &mut Context) {
         for machine in self.machines.values_mut() {
             if let Some(held) = machine.held.take() {
-                let_go(held.conn, env);
+                let_go(held.conn, context);
             }
         }
     }
 }
 
 /// Lets a worker look for an owner elsewhere; its lease is as it was.
-fn let_go(conn: ConnId, env: &mut Env) {
-    env.out.respond(conn, Response::new(421, redirect(None)));
+fn let_go(conn: ConnectionId, context: &mut Context) {
+    context
+        .effects
+        .respond(conn, Response::new(421, redirect(None)));
 }
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -2,10 +2,12 @@
 
 use crate::coordination::images::Images;
 use snowshelf_calendar::calendar::Pool;
-use snowshelf_model::ids::{ConnId, JobId, Millis, Seq, Session, seconds_to_ms};
-use snowshelf_model::protocol::worker::{TaskReport, TaskState};
-use snowshelf_model::records::Room;
-use snowshelf_recovery::squaring::Leaving;
+use snowshelf_model::ids::{
+    AgentIncarnation, ConnectionId, HeartbeatSequence, JobId, MonotonicMillis, seconds_to_ms,
+};
+use snowshelf_model::protocol::worker::{TaskState, TaskStatus};
+use snowshelf_model::records::Resources;
+use snowshelf_reconciliation::decision_table::MachineDisposition;
 
 /// Why a machine is emptied for good.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -19,9 +21,9 @@
 /// An answer to a report that waits.
 #[derive(Clone, Copy)]
 pub(super) struct Held {
-    pub conn: ConnId,
-    pub since: Millis,
-    pub deadline: Millis,
+    pub conn: ConnectionId,
+    pub since: MonotonicMillis,
+    pub deadline: MonotonicMillis,
 }
 
 pub(super) struct Machine {
@@ -30,19 +32,19 @@
     /// Its zone and type, once it has said them.
     pub pool: Option<Pool>,
     pub spot: bool,
-    pub session: Session,
-    pub seq: Seq,
+    pub incarnation: AgentIncarnation,
+    pub sequence: HeartbeatSequence,
     /// Its report shows this owner's token: no earlier owner can command it any more.
     pub shown: bool,
-    pub heard: Millis,
+    pub heard: MonotonicMillis,
     /// Whether it ever reported to this owner.
     pub reported: bool,
     /// Its started tasks are an earlier owner's, and no report has shown this one's token yet.
     pub inherited: bool,
-    pub notice_until: Option<Millis>,
-    pub listed: Vec<TaskReport>,
+    pub notice_until: Option<MonotonicMillis>,
+    pub listed: Vec<TaskStatus>,
     pub held: Option<Held>,
-    pub idle_since: Option<Millis>,
+    pub idle_since: Option<MonotonicMillis>,
     /// By the numbers that the part gives to images.
     pub images: Images,
     /// Jobs whose tasks failed here since a task last completed here.
@@ -51,11 +53,11 @@
     /// A drain empties it: nothing starts here, and what is there ends or is stopped within the budgets.
     pub closed: bool,
     /// When `closed` last changed.
-    pub opened: Millis,
+    pub opened: MonotonicMillis,
     pub returning: bool,
-    pub full_until: Millis,
+    pub full_until: MonotonicMillis,
     /// What the picture and the newest report say is taken; kept until `stale`.
-    pub used: Room,
+    pub used: Resources,
     /// Jobs of listed tasks that the picture does not hold here, one entry a task.
     pub strays: Vec<JobId>,
     /// `used` and `strays` must be worked out anew.
@@ -64,7 +66,7 @@
 
 impl Machine {
     /// Whether tasks may be placed here.
-    pub fn open(&self, now: Millis, fresh_ms: u64) -> bool {
+    pub fn open(&self, now: MonotonicMillis, fresh_ms: u64) -> bool {
         self.shown
             && self.draining.is_none()
             && !self.closed
@@ -75,25 +77,25 @@
     }
 
     /// What is to become of it, for a task that needs so long to save.
-    pub fn leaving(&self, now: Millis, save_s: f64, report_ms: u64) -> Leaving {
+    pub fn leaving(&self, now: MonotonicMillis, save_s: f64, report_ms: u64) -> MachineDisposition {
         if let Some(until) = self.notice_until {
             let left = until.0.saturating_sub(now.0);
             let late = left <= seconds_to_ms(save_s) + 2 * report_ms;
-            Leaving::Noticed { late }
+            MachineDisposition::Noticed { late }
         } else if self.draining.is_some() {
-            Leaving::Drained
+            MachineDisposition::Drained
         } else if self.returning {
-            Leaving::Returning
+            MachineDisposition::Returning
         } else {
-            Leaving::Stays
+            MachineDisposition::Stays
         }
     }
 
     /// The same for a task that the picture has here and the newest report has not: it has not begun, and
     /// does not where a drain empties the machine.
-    pub fn leaving_unbegun(&self, now: Millis, report_ms: u64) -> Leaving {
+    pub fn leaving_unbegun(&self, now: MonotonicMillis, report_ms: u64) -> MachineDisposition {
         match self.leaving(now, 0.0, report_ms) {
-            Leaving::Stays if self.closed => Leaving::Drained,
+            MachineDisposition::Stays if self.closed => MachineDisposition::Drained,
             leaving => leaving,
         }
     }
@@ -103,14 +105,14 @@
         self.listed.iter().any(|t| t.state != TaskState::Exited)
     }
 
-    pub fn unknown(now: Millis) -> Machine {
+    pub fn unknown(now: MonotonicMillis) -> Machine {
         Machine {
             model: String::new(),
             zone: usize::MAX,
             pool: None,
             spot: true,
-            session: Session(0),
-            seq: Seq(0),
+            incarnation: AgentIncarnation(0),
+            sequence: HeartbeatSequence(0),
             shown: false,
             heard: now,
             reported: false,
@@ -123,10 +125,10 @@
             error_streak: Vec::new(),
             draining: None,
             closed: false,
-            opened: Millis(0),
+            opened: MonotonicMillis(0),
             returning: false,
-            full_until: Millis(0),
-            used: Room::default(),
+            full_until: MonotonicMillis(0),
+            used: Resources::default(),
             strays: Vec::new(),
             stale: true,
         }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -3,46 +3,50 @@
 //! What it writes is conditional on its token, so a deposed owner's late writes fail. What it
 //! commands has been committed first, and is commanded only inside answers to reports.
 
-mod claims;
-mod emptying;
-mod holding;
+mod backfill;
+mod eviction;
+mod heartbeats;
 mod job;
-pub mod keeping;
 mod machine;
-mod placing;
+mod persistence;
+mod placement;
+mod queue;
 mod quota;
-mod reports;
-mod returns;
-mod turns;
-mod writing;
+pub mod reservations;
+mod scale_in;
+mod work_stealing;
 
-use super::env::Env;
-use super::peers::PartRoom;
-use job::{NumberedStep, ShardJob};
+use super::context::Context;
+use super::gossip::ShardCapacity;
+use job::{PendingChange, ShardJob};
 use machine::Machine;
-pub use placing::Offer;
+use persistence::InFlightSwap;
+pub use placement::StealOffer;
 use serde::Serialize;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_drain::door::Cause;
-use snowshelf_model::ids::{Attempt, JobId, MachineId, Millis, PartId, TaskNo, Team, Token};
-use snowshelf_model::protocol::worker::{Report, TaskState};
-use snowshelf_model::records::{Alloc, QuotaRecord, Step, StepKind};
-use snowshelf_policy::grants::Lack;
-use snowshelf_recovery::silence::Hearing;
-use snowshelf_recovery::squaring::Squared;
+use snowshelf_fair_share::grants::QuotaShortfall;
+use snowshelf_model::ids::{
+    Attempt, FencingToken, JobId, MachineId, MonotonicMillis, ShardId, TaskIndex, Team,
+};
+use snowshelf_model::protocol::worker::{Heartbeat, TaskState};
+use snowshelf_model::records::{
+    AllocationChange, AllocationChangeKind, QuotaRecord, ShardAllocation,
+};
+use snowshelf_reconciliation::decision_table::ReconciliationCounts;
+use snowshelf_reconciliation::silence::HeartbeatSummary;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
-use writing::Flight;
 
 /// How often machines and grants are looked over.
 const TEND_MS: u64 = 200;
 
 pub struct Shard {
-    pub part: PartId,
-    pub token: Token,
+    pub id: ShardId,
+    pub fencing_token: FencingToken,
     pub ready: bool,
     pub deposed: bool,
-    pub taken: Millis,
+    pub taken: MonotonicMillis,
     jobs: BTreeMap<JobId, ShardJob>,
     machines: BTreeMap<MachineId, Machine>,
     /// Jobs with started tasks in their view, by machine.
@@ -50,37 +54,37 @@
     /// Numbers for the images of jobs seen.
     images: HashMap<String, u32>,
     /// Machines kept for reservations.
-    kept: BTreeMap<MachineId, keeping::Kept>,
+    kept: BTreeMap<MachineId, reservations::MachineReservation>,
     /// Jobs whose tasks on a machine are stopped for a reservation, as of the last pass.
     overrun: BTreeMap<MachineId, BTreeSet<JobId>>,
     /// The other parts' machines by pool, ordinary and spot ones, while something is reserved.
-    pub elsewhere: Rc<BTreeMap<(PartId, Pool), (u32, u32)>>,
+    pub elsewhere: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>,
     /// Room kept for teams, as of the last pass.
-    pub kept_room: BTreeMap<Team, keeping::KeptRoom>,
+    pub kept_room: BTreeMap<Team, reservations::ReservedCapacity>,
     /// What reports have proved since the part was taken.
-    squared: Squared,
+    reconciliation: ReconciliationCounts,
     /// The newest report of each machine from before the picture was built, and when it came.
-    early: BTreeMap<MachineId, (Millis, Report)>,
+    early: BTreeMap<MachineId, (MonotonicMillis, Heartbeat)>,
     gone: HashSet<MachineId>,
     gone_order: VecDeque<MachineId>,
     next_step: u64,
-    flight: Option<Flight>,
+    flight: Option<InFlightSwap>,
     /// Writes in a row that were not carried out.
     refusals: u32,
-    retry_at: Millis,
+    retry_at: MonotonicMillis,
     /// So many writes hold one share only, to find the one that the state service refuses.
     one_by_one: usize,
     claiming: bool,
-    claim_at: Millis,
-    claimed_at: Millis,
-    offers_at: Millis,
+    claim_at: MonotonicMillis,
+    claimed_at: MonotonicMillis,
+    offers_at: MonotonicMillis,
     quota: HashMap<Team, quota::QuotaState>,
     quota_flight: Option<(Team, QuotaRecord)>,
     /// Teams for which placement lacked grant in the last pass.
-    pub short_of: BTreeMap<Team, Lack>,
+    pub short_of: BTreeMap<Team, QuotaShortfall>,
     /// A charge of a team's budget is underway, and when the next one may be.
-    charging: Option<emptying::Charging>,
-    charge_at: Millis,
+    charging: Option<eviction::Charging>,
+    charge_at: MonotonicMillis,
     /// What holds stops back, as of the last look.
     pub held_back: Vec<String>,
     /// Tasks that were stopped, by what for, since the part was taken.
@@ -89,9 +93,9 @@
     releasing: bool,
     /// Something changed that placement may use.
     dirty: bool,
-    placed_at: Millis,
-    tended_at: Millis,
-    told_at: Millis,
+    placed_at: MonotonicMillis,
+    tended_at: MonotonicMillis,
+    told_at: MonotonicMillis,
     /// Starts placed since the last line on the load: with the image, while it was fetched, and
     /// without it.
     placed: [u64; 3],
@@ -99,32 +103,35 @@
     capacity_cpus: f64,
     pub waiting_cpus: f64,
     /// What waits here against the machines, as of the last pass.
-    matched: placing::Match,
+    matched: placement::Match,
     /// What the other parts offer, as far as their owners say.
-    pub offered: Rc<BTreeMap<(PartId, JobId), Offer>>,
+    pub offered: Rc<BTreeMap<(ShardId, JobId), StealOffer>>,
     /// Room held for jobs that find none.
-    holds: BTreeMap<JobId, holding::Hold>,
+    holds: BTreeMap<JobId, backfill::Hold>,
 }
 
 /// How far a part is served.
 #[derive(Serialize)]
-pub struct Progress {
-    pub part: u32,
+pub struct ShardProgress {
+    #[serde(rename = "part")]
+    pub shard_id: u32,
     /// Whether its picture is there, so that more than leases is kept up.
     pub served: bool,
     /// Machines known, by reports or by records, and those that have shown this owner's token.
     pub machines: usize,
-    pub shown: usize,
-    pub squared: Squared,
+    #[serde(rename = "shown")]
+    pub token_acknowledged: usize,
+    #[serde(rename = "squared")]
+    pub reconciliation: ReconciliationCounts,
     /// Tasks stopped on purpose, by what for.
     pub stopped: BTreeMap<Cause, u64>,
 }
 
 impl Shard {
-    pub fn new(part: PartId, token: Token, now: Millis) -> Shard {
+    pub fn new(shard_id: ShardId, fencing_token: FencingToken, now: MonotonicMillis) -> Shard {
         Shard {
-            part,
-            token,
+            id: shard_id,
+            fencing_token,
             ready: false,
             deposed: false,
             taken: now,
@@ -136,43 +143,43 @@
             overrun: BTreeMap::new(),
             elsewhere: Rc::default(),
             kept_room: BTreeMap::new(),
-            squared: Squared::default(),
+            reconciliation: ReconciliationCounts::default(),
             early: BTreeMap::new(),
             gone: HashSet::new(),
             gone_order: VecDeque::new(),
             next_step: 0,
             flight: None,
             refusals: 0,
-            retry_at: Millis(0),
+            retry_at: MonotonicMillis(0),
             one_by_one: 0,
             claiming: false,
-            claim_at: Millis(0),
-            claimed_at: Millis(0),
-            offers_at: Millis(0),
+            claim_at: MonotonicMillis(0),
+            claimed_at: MonotonicMillis(0),
+            offers_at: MonotonicMillis(0),
             quota: HashMap::new(),
             quota_flight: None,
             short_of: BTreeMap::new(),
             charging: None,
-            charge_at: Millis(0),
+            charge_at: MonotonicMillis(0),
             held_back: Vec::new(),
             stopped: BTreeMap::new(),
             releasing: false,
             dirty: true,
-            placed_at: Millis(0),
-            tended_at: Millis(0),
-            told_at: Millis(0),
+            placed_at: MonotonicMillis(0),
+            tended_at: MonotonicMillis(0),
+            told_at: MonotonicMillis(0),
             placed: [0; 3],
             free_cpus: 0.0,
             capacity_cpus: 0.0,
             waiting_cpus: 0.0,
-            matched: placing::Match::default(),
+            matched: placement::Match::default(),
             holds: BTreeMap::new(),
             offered: Rc::default(),
         }
     }
 
-    pub fn room(&self) -> PartRoom {
-        PartRoom {
+    pub fn room(&self) -> ShardCapacity {
+        ShardCapacity {
             free: self.free_cpus,
             capacity: self.capacity_cpus,
             waiting: self.waiting_cpus,
@@ -190,36 +197,40 @@
     }
 
     /// Jobs that others may take.
-    pub fn offers(&self) -> &[(JobId, Offer)] {
+    pub fn offers(&self) -> &[(JobId, StealOffer)] {
         &self.matched.offers
     }
 
     /// What is heard of its machines. Those that only the records tell of are missed as of the taking: otherwise a
     /// controller that no worker reaches, and took the part before it knew, would never miss them.
-    pub fn hearing(&self) -> Hearing {
+    pub fn heartbeat_summary(&self) -> HeartbeatSummary {
         let machines = self.machines.values();
         let known = machines.filter(|m| (m.reported || m.inherited) && !m.returning);
-        known.fold(Hearing::default(), |h, m| Hearing {
+        known.fold(HeartbeatSummary::default(), |h, m| HeartbeatSummary {
             known: h.known + 1,
             last: h.last.max(m.heard),
         })
     }
 
     /// How far the part is served, for operators.
-    pub fn progress(&self) -> Progress {
+    pub fn progress(&self) -> ShardProgress {
         let silent = self.machines.values().filter(|m| !m.shown).count();
-        Progress {
-            part: self.part.0,
+        ShardProgress {
+            shard_id: self.id.0,
             served: self.ready,
             machines: self.machines.len(),
-            shown: self.machines.len() - silent,
-            squared: self.squared.clone(),
+            token_acknowledged: self.machines.len() - silent,
+            reconciliation: self.reconciliation.clone(),
             stopped: self.stopped.clone(),
         }
     }
 
     /// Machines that reported lately.
-    pub fn heard(&self, now: Millis, within_ms: u64) -> impl Iterator<Item = &MachineId> + '_ {
+    pub fn heard(
+        &self,
+        now: MonotonicMillis,
+        within_ms: u64,
+    ) -> impl Iterator<Item = &MachineId> + '_ {
         self.machines
             .iter()
             .filter(move |(_, m)| m.reported && now.since(m.heard) <= within_ms)
@@ -228,20 +239,23 @@
 
     /// Builds the picture once everything up to the token has been read: later writes of an
     /// earlier owner cannot succeed, earlier ones are in the mirror.
-    pub fn activate(&mut self, env: &mut Env) {
-        if self.ready || !env.mirror.loaded || env.mirror.revision.0 < self.token.0 {
+    pub fn activate(&mut self, context: &mut Context) {
+        if self.ready
+            || !context.records.loaded
+            || context.records.revision.0 < self.fencing_token.0
+        {
             return;
         }
         self.ready = true;
-        let jobs: Vec<JobId> = env
-            .mirror
-            .part_allocs(self.part)
+        let jobs: Vec<JobId> = context
+            .records
+            .shard_allocations(self.id)
             .map(|(job, _)| job.clone())
             .collect();
         for job in &jobs {
-            self.refresh(job, env);
+            self.refresh(job, context);
         }
-        let now = env.now();
+        let now = context.now();
         let held: BTreeSet<MachineId> = self
             .jobs
             .values()
@@ -253,22 +267,22 @@
                 .or_insert_with(|| Machine::unknown(now))
                 .inherited = true;
         }
-        tracing::info!(part = %self.part, token = %self.token, jobs = jobs.len(),
+        tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, jobs = jobs.len(),
             machines = self.machines.len(), early = self.early.len(),
-            after_ms = now.since(self.taken), "part taken, picture rebuilt");
-        self.take_early(env);
+            after_ms = now.since(self.taken), "shard failover complete");
+        self.take_early(context);
     }
 
     /// Takes the mirror's state of a job's share in.
-    pub fn refresh(&mut self, job: &JobId, env: &Env) {
+    pub fn refresh(&mut self, job: &JobId, context: &Context) {
         if !self.ready {
             return;
         }
-        let alloc = env.mirror.allocs.get(&(self.part, job.clone()));
-        let record = env.mirror.jobs.get(job);
+        let alloc = context.records.allocations.get(&(self.id, job.clone()));
+        let record = context.records.jobs.get(job);
         match (alloc, record) {
             (Some(alloc), Some(record)) => {
-                let now = env.out.now;
+                let now = context.effects.now;
                 let known = self.jobs.contains_key(job);
                 let image = record
                     .value
@@ -280,20 +294,20 @@
                     job_version: record.version,
                     durable: alloc.value.clone(),
                     version: alloc.version,
-                    view: Alloc::default(),
+                    view: ShardAllocation::default(),
                     started: 0,
                     steps: Vec::new(),
                     since: now,
                     unsettled: false,
                     reading: false,
                     in_flight: false,
-                    ready: env.graph.is_ready(job, &record.value),
-                    hold_until: Millis(0),
+                    ready: context.dependency_graph.is_ready(job, &record.value),
+                    hold_until: MonotonicMillis(0),
                     image,
                     failed_on: BTreeSet::new(),
                     failures: 0,
                     errors: BTreeMap::new(),
-                    retry_at: Millis(0),
+                    retry_at: MonotonicMillis(0),
                 });
                 if known && record.version == entry.job_version && alloc.version <= entry.version {
                     // Nothing new.
@@ -363,17 +377,17 @@
     }
 
     /// One line on the part's load, for whoever reads the logs.
-    fn tell(&self, env: &Env) {
+    fn tell(&self, context: &Context) {
         let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
         let mut capacity = 0.0;
         for m in self.machines.values() {
-            capacity += env.types.get(&m.model).map_or(0.0, |t| t.cpus);
+            capacity += context.types.get(&m.model).map_or(0.0, |t| t.cpus);
             for item in &m.listed {
                 let room = self
                     .jobs
                     .get(&item.task.job)
                     .and_then(|j| j.spec())
-                    .map(|s| s.room);
+                    .map(|s| s.resources);
                 let state = match item.state {
                     TaskState::Pulling => "pulling",
                     TaskState::Running => "running",
@@ -386,16 +400,16 @@
             }
         }
         let of = |state: &str| cpus.get(state).copied().unwrap_or(0.0);
-        tracing::info!(part = %self.part, machines = self.machines.len(), capacity, free = self.free_cpus,
+        tracing::info!(shard = %self.id, machines = self.machines.len(), capacity, free = self.free_cpus,
             running = of("running"), pulling = of("pulling"), exited = of("exited"),
             cached = self.placed[0], coming = self.placed[1], absent = self.placed[2],
-            waiting = self.waiting_cpus, jobs = self.jobs.len(), "load in CPUs");
-        let done = &self.squared;
-        tracing::info!(part = %self.part, agree = done.agree, not_begun = done.not_begun, gone = done.gone,
-            ended = done.ended, stray = done.stray, remnant = done.remnant, stopped = ?self.stopped, "reports squared");
+            waiting = self.waiting_cpus, jobs = self.jobs.len(), "shard load in CPUs");
+        let done = &self.reconciliation;
+        tracing::info!(shard = %self.id, agree = done.agree, not_begun = done.not_begun, gone = done.gone,
+            ended = done.ended, stray = done.stray, remnant = done.remnant, stopped = ?self.stopped, "heartbeats reconciled");
     }
 
-    fn step(&mut self, now: Millis, job: &JobId, step: Step) -> bool {
+    fn step(&mut self, now: MonotonicMillis, job: &JobId, step: AllocationChange) -> bool {
         let Some(entry) = self.jobs.get_mut(job) else {
             return false;
         };
@@ -404,11 +418,11 @@
         }
         let name = &step.machine;
         match step.what {
-            StepKind::Start => {
+            AllocationChangeKind::Start => {
                 entry.started += 1;
                 self.on.entry(name.clone()).or_default().insert(job.clone());
             }
-            StepKind::Finish | StepKind::Requeue => {
+            AllocationChangeKind::Finish | AllocationChangeKind::Requeue => {
                 entry.started = entry.started.saturating_sub(1);
                 if !entry.view.started.contains_key(name) {
                     forget(&mut self.on, name, job);
@@ -422,7 +436,7 @@
         if entry.steps.is_empty() {
             entry.since = now;
         }
-        entry.steps.push(NumberedStep {
+        entry.steps.push(PendingChange {
             id: self.next_step,
             taken: now,
             step,
@@ -437,44 +451,44 @@
         fresh: bool,
         others_short: &BTreeSet<Team>,
         missing: &BTreeSet<MachineId>,
-        env: &mut Env,
+        context: &mut Context,
     ) {
-        self.activate(env);
+        self.activate(context);
         if !self.ready || self.deposed {
             return;
         }
-        let now = env.now();
+        let now = context.now();
         if now.since(self.placed_at) > 500 {
             self.dirty = true;
         }
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.ready) {
-            if env.graph.is_ready(id, &job.spec) {
-                tracing::info!(job = %id, part = %self.part, "all that it needs is done");
+            if context.dependency_graph.is_ready(id, &job.spec) {
+                tracing::info!(job = %id, shard = %self.id, "dependencies satisfied");
                 job.ready = true;
                 self.dirty = true;
             }
         }
         if fresh {
-            self.place(env);
-            self.flush(env);
+            self.place(context);
+            self.flush(context);
         }
-        self.answer_held(env);
+        self.answer_held(context);
         if !fresh {
             return;
         }
-        self.claim(env);
+        self.claim(context);
         if now.since(self.tended_at) >= TEND_MS {
             self.tended_at = now;
-            self.tend_quota(others_short, env);
-            self.tend_machines(missing, env);
+            self.tend_quota(others_short, context);
+            self.tend_machines(missing, context);
         }
         if now.since(self.told_at) >= 10_000 {
             self.told_at = now;
-            self.tell(env);
+            self.tell(context);
             self.placed = [0; 3];
         }
         if now.since(self.taken) > 1_000 {
-            self.read_again(env);
+            self.read_again(context);
         }
     }
 }
@@ -489,11 +503,11 @@
     }
 }
 
-fn requeue(machine: &MachineId, task: TaskNo, attempt: Attempt) -> Step {
-    Step {
+fn requeue(machine: &MachineId, task: TaskIndex, attempt: Attempt) -> AllocationChange {
+    AllocationChange {
         task,
         attempt,
         machine: machine.clone(),
-        what: StepKind::Requeue,
+        what: AllocationChangeKind::Requeue,
     }
 }
--- a/src/coordination/shard/writing.rs
+++ b/src/coordination/shard/persistence.rs
@@ -1,13 +1,13 @@
 //! How an owner's steps become durable: batched transactions, and reading back what is unsure.
 
 use super::Shard;
-use super::job::Press;
-use crate::bookkeeping::store::{Class, GetResult, TxnResult};
-use crate::coordination::env::{Env, Tag};
+use super::job::WritePriority;
+use crate::coordination::context::{Context, Tag};
+use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
 use serde_json::Value;
-use snowshelf_model::ids::{JobId, Millis, Version, WallMs};
-use snowshelf_model::protocol::state::{Change, Txn};
-use snowshelf_model::records::{StepKind, alloc_key, job_key, part_key};
+use snowshelf_model::ids::{JobId, MonotonicMillis, Version, WallClockMillis};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{AllocationChangeKind, allocation_key, job_key, shard_key};
 use std::cmp::Reverse;
 
 /// How long starts gather before they are written, so that several share a transaction.
@@ -20,7 +20,7 @@
 /// Bytes of a transaction's body that may be used.
 const TXN_BYTES: usize = 56 * 1024;
 
-pub(super) struct Flight {
+pub(super) struct InFlightSwap {
     pub jobs: Vec<Writing>,
 }
 
@@ -40,12 +40,12 @@
 
 impl Shard {
     /// Writes gathered steps in one transaction, as many as the budget has room for.
-    pub(super) fn flush(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn flush(&mut self, context: &mut Context) {
+        let now = context.now();
         if self.flight.is_some() || self.deposed || now < self.retry_at {
             return;
         }
-        let mut ready: Vec<(Press, Reverse<u64>, Millis, JobId)> = self
+        let mut ready: Vec<(WritePriority, Reverse<u64>, MonotonicMillis, JobId)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.hold_until <= now)
@@ -59,8 +59,8 @@
             })
             .filter(|(press, _, since, _)| {
                 let gather = match press {
-                    Press::Ends => ENDS_GATHER_MS,
-                    Press::Settle | Press::Starts => GATHER_MS,
+                    WritePriority::Ends => ENDS_GATHER_MS,
+                    WritePriority::Settle | WritePriority::Starts => GATHER_MS,
                 };
                 now.since(*since) >= gather
             })
@@ -70,16 +70,19 @@
         }
         ready.sort();
         let class = match ready[0].0 {
-            Press::Settle => Class::Ends,
-            Press::Starts => Class::Starts,
-            Press::Ends if now.since(ready[0].2) > ENDS_LATEST_MS => Class::Starts,
-            Press::Ends => Class::Spare,
+            WritePriority::Settle => RequestPriority::Ends,
+            WritePriority::Starts => RequestPriority::Starts,
+            WritePriority::Ends if now.since(ready[0].2) > ENDS_LATEST_MS => {
+                RequestPriority::Starts
+            }
+            WritePriority::Ends => RequestPriority::Spare,
         };
         // More than the budget has room for would wait until the bucket is full, and keep
         // everything else waiting after it.
-        let max_ops = env.terms.txn_ops;
-        let most = env.store.room(now, class).min(max_ops);
-        let mut txn = Txn::default().when(part_key(self.part), Version(self.token.0));
+        let max_ops = context.storage_limits.txn_ops;
+        let most = context.kv.room(now, class).min(max_ops);
+        let mut swap =
+            CompareAndSwap::default().compare(shard_key(self.id), Version(self.fencing_token.0));
         let mut jobs = Vec::new();
         let mut bytes = 200;
         for (_, _, _, id) in ready {
@@ -88,41 +91,46 @@
             };
             let over = job.over();
             let ops = if over { 2 } else { 1 };
-            if txn.changes.len() + ops > most {
+            if swap.mutations.len() + ops > most {
                 break;
             }
             let last = job.steps.last().map_or(0, |s| s.id);
-            let key = alloc_key(self.part, &id);
-            let starts = job.steps.iter().any(|s| s.step.what == StepKind::Start);
+            let key = allocation_key(self.id, &id);
+            let starts = job
+                .steps
+                .iter()
+                .any(|s| s.step.what == AllocationChangeKind::Start);
             // What is too large now is written once enough of its tasks have ended: until then their
             // machines repeat the ends, and nothing more of it is started.
             let (share, record) = if over {
-                let wall = WallMs(env.out.wall_ms);
-                let next = job.spec.without_part(self.part, wall, env.terms.format);
-                (None, env.job_value(&next))
+                let wall = WallClockMillis(context.effects.wall_ms);
+                let next = job
+                    .spec
+                    .without_shard(self.id, wall, context.storage_limits.format);
+                (None, context.job_value(&next))
             } else {
-                (env.terms.share(&job.view), None)
+                (context.storage_limits.encode_allocation(&job.view), None)
             };
             if share.is_none() && record.is_none() {
                 continue;
             }
             let change = match &share {
-                None => Change::Delete { key: key.clone() },
-                Some(value) => Change::write(key.clone(), value),
+                None => Mutation::Delete { key: key.clone() },
+                Some(value) => Mutation::put(key.clone(), value),
             };
             let size = 400 + serde_json::to_vec(&change).map_or(0, |v| v.len());
             if bytes + size > TXN_BYTES && !jobs.is_empty() {
                 break;
             }
             bytes += size;
-            txn = txn.when(key, job.version).then(change);
+            swap = swap.compare(key, job.version).mutate(change);
             if let Some(value) = &record {
-                txn = txn
-                    .when(job_key(&id), job.job_version)
-                    .then(Change::write(job_key(&id), value));
+                swap = swap
+                    .compare(job_key(&id), job.job_version)
+                    .mutate(Mutation::put(job_key(&id), value));
             } else if starts {
                 // A cancellation changes the job's key, so it wins over a start underway.
-                txn = txn.when(job_key(&id), job.job_version);
+                swap = swap.compare(job_key(&id), job.job_version);
             }
             jobs.push(Writing {
                 job: id,
@@ -135,7 +143,7 @@
                 break;
             }
         }
-        if jobs.is_empty() || !env.store.may(now, class, txn.changes.len()) {
+        if jobs.is_empty() || !context.kv.may(now, class, swap.mutations.len()) {
             self.retry_at = now.plus(50);
             return;
         }
@@ -144,13 +152,16 @@
                 job.in_flight = true;
             }
         }
-        env.store
-            .txn(env.out, Tag::ShardTxn(self.part, self.token), &txn);
-        self.flight = Some(Flight { jobs });
+        context.kv.compare_and_swap(
+            context.effects,
+            Tag::ShardSwap(self.id, self.fencing_token),
+            &swap,
+        );
+        self.flight = Some(InFlightSwap { jobs });
     }
 
-    pub fn txn_done(&mut self, result: TxnResult, env: &mut Env) {
-        let now = env.now();
+    pub fn txn_done(&mut self, result: SwapOutcome, context: &mut Context) {
+        let now = context.now();
         let Some(flight) = self.flight.take() else {
             return;
         };
@@ -160,7 +171,7 @@
             }
         }
         match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 self.refusals = 0;
                 for writing in flight.jobs {
                     let id = writing.job;
@@ -169,38 +180,40 @@
                         job.steps.retain(|s| s.id > writing.last);
                         job.since = now;
                     }
-                    let key = alloc_key(self.part, &id);
-                    env.mirror.apply(&key, writing.share.as_ref(), revision);
+                    let key = allocation_key(self.id, &id);
+                    context
+                        .records
+                        .apply(&key, writing.share.as_ref(), revision);
                     if let Some(value) = &writing.record {
-                        tracing::info!(job = %id, part = %self.part, state = %value["state"],
-                            "share of job closed");
-                        env.mirror.apply(&job_key(&id), Some(value), revision);
+                        tracing::info!(job = %id, shard = %self.id, state = %value["state"],
+                            "shard allocation closed");
+                        context.records.apply(&job_key(&id), Some(value), revision);
                     }
-                    self.refresh(&id, env);
+                    self.refresh(&id, context);
                 }
                 self.dirty = true;
             }
-            TxnResult::Conflict(keys) => {
-                tracing::info!(part = %self.part, keys = ?keys, "write conflict");
-                if keys.contains(&part_key(self.part)) {
-                    tracing::info!(part = %self.part, token = %self.token, "the part's key has changed: deposed");
+            SwapOutcome::Conflict(keys) => {
+                tracing::info!(shard = %self.id, keys = ?keys, "write conflict");
+                if keys.contains(&shard_key(self.id)) {
+                    tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, "shard leader deposed: fencing token superseded");
                     self.deposed = true;
                     return;
                 }
                 for key in keys {
-                    self.read_back(&key, env);
+                    self.read_back(&key, context);
                 }
             }
-            TxnResult::NotDone | TxnResult::NoLease => {
-                self.retry_at = env.out.retry_at(150, self.refusals.min(3));
+            SwapOutcome::NotDone | SwapOutcome::NoLease => {
+                self.retry_at = context.effects.retry_at(150, self.refusals.min(3));
                 self.refusals += 1;
             }
-            TxnResult::Refused => {
+            SwapOutcome::Refused => {
                 // Guards against the same write again and again, and all others of the part after it.
                 self.retry_at = now.plus(150);
                 match &flight.jobs[..] {
                     [only] => {
-                        tracing::info!(job = %only.job, part = %self.part, "its write is refused as it is");
+                        tracing::info!(job = %only.job, shard = %self.id, "allocation write rejected");
                         if let Some(job) = self.jobs.get_mut(&only.job) {
                             job.hold_until = now.plus(REFUSED_MS);
                         }
@@ -208,54 +221,54 @@
                     several => self.one_by_one = 2 * several.len(),
                 }
             }
-            TxnResult::Unknown => {
-                tracing::info!(part = %self.part, jobs = flight.jobs.len(), "write without answer: reading back");
+            SwapOutcome::Unknown => {
+                tracing::info!(shard = %self.id, jobs = flight.jobs.len(), "write outcome unknown: reading back");
                 for writing in flight.jobs {
                     let id = writing.job;
                     if let Some(job) = self.jobs.get_mut(&id) {
                         job.unsettled = true;
                     }
                     if writing.record.is_some() {
-                        self.read_back(&job_key(&id), env);
+                        self.read_back(&job_key(&id), context);
                     }
-                    self.read_back(&alloc_key(self.part, &id), env);
+                    self.read_back(&allocation_key(self.id, &id), context);
                 }
             }
         }
-        self.answer_held(env);
-        self.flush(env);
+        self.answer_held(context);
+        self.flush(context);
     }
 
     pub(super) fn job_of_key(&self, key: &str) -> Option<JobId> {
         if let Some(job) = key.strip_prefix("job/") {
             return Some(JobId::new(job));
         }
-        let rest = key.strip_prefix(&format!("alloc/{}/", self.part))?;
+        let rest = key.strip_prefix(&format!("alloc/{}/", self.id))?;
         Some(JobId::new(rest))
     }
 
-    pub(super) fn read_back(&mut self, key: &str, env: &mut Env) {
+    pub(super) fn read_back(&mut self, key: &str, context: &mut Context) {
         if let Some(job) = self.job_of_key(key)
             && let Some(job) = self.jobs.get_mut(&job)
         {
             job.reading = true;
         }
         // Reading what an unanswered write did comes before any new one.
-        let tag = Tag::ShardRead(self.part, self.token, key.to_string());
-        env.store.get(env.out, tag, key, 1_500);
+        let tag = Tag::ShardRead(self.id, self.fencing_token, key.to_string());
+        context.kv.get(context.effects, tag, key, 1_500);
     }
 
-    pub fn read_done(&mut self, key: &str, result: GetResult, env: &mut Env) {
+    pub fn read_done(&mut self, key: &str, result: GetOutcome, context: &mut Context) {
         match result {
-            GetResult::Found(item) => {
-                env.mirror.read_ahead = env.mirror.read_ahead.max(item.version);
-                env.mirror.apply(key, Some(&item.value), item.version);
+            GetOutcome::Found(item) => {
+                context.records.read_ahead = context.records.read_ahead.max(item.version);
+                context.records.apply(key, Some(&item.value), item.version);
             }
-            GetResult::Missing(revision) => {
-                env.mirror.read_ahead = env.mirror.read_ahead.max(revision);
-                env.mirror.apply(key, None, revision);
+            GetOutcome::NotFound(revision) => {
+                context.records.read_ahead = context.records.read_ahead.max(revision);
+                context.records.apply(key, None, revision);
             }
-            GetResult::Failed => {
+            GetOutcome::Failed => {
                 // Asked again by the tick.
                 return;
             }
@@ -264,13 +277,13 @@
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.reading = false;
             }
-            self.refresh(&id, env);
+            self.refresh(&id, context);
         }
     }
 
     /// Asks again, a few times a second, for what could not be read back.
-    pub(super) fn read_again(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn read_again(&mut self, context: &mut Context) {
+        let now = context.now();
         if now.0 % 500 >= 60 {
             return;
         }
@@ -281,10 +294,10 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in again.into_iter().take(8) {
-            if env.store.may(now, Class::Ends, 0) {
-                let key = alloc_key(self.part, &id);
-                let tag = Tag::ShardRead(self.part, self.token, key.clone());
-                env.store.get(env.out, tag, &key, 1_500);
+            if context.kv.may(now, RequestPriority::Ends, 0) {
+                let key = allocation_key(self.id, &id);
+                let tag = Tag::ShardRead(self.id, self.fencing_token, key.clone());
+                context.kv.get(context.effects, tag, &key, 1_500);
             }
         }
     }
