--- a/src/coordination/shard/placing.rs
+++ b/src/coordination/shard/placement.rs
@@ -2,18 +2,18 @@
 
 use super::Shard;
 use super::job::ShardJob;
-use super::keeping::Kept;
-use super::turns::Turn;
-use crate::coordination::env::Env;
+use super::queue::QueuedJob;
+use super::reservations::MachineReservation;
+use crate::coordination::context::Context;
 use crate::coordination::images::Images;
-use crate::coordination::placement::{self, Image, Load, Seat, ZoneRule};
+use crate::coordination::placement::{self, Image, Load, MachineCandidate, ZoneRule};
 use snowshelf_calendar::calendar::Pool;
-use snowshelf_model::ids::{JobId, MachineId, Team, WallMs, seconds_to_ms};
+use snowshelf_fair_share::grants::QuotaShortfall;
+use snowshelf_machine_index::capacity_index;
+use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
+use snowshelf_model::ids::{JobId, MachineId, Team, WallClockMillis, seconds_to_ms};
 use snowshelf_model::protocol::worker::TaskState;
-use snowshelf_model::records::{Grant, JobSpec, Room, Step, StepKind};
-use snowshelf_policy::grants::Lack;
-use snowshelf_seating::fruitless::{Fruitless, Shape};
-use snowshelf_seating::rooms;
+use snowshelf_model::records::{AllocationChange, AllocationChangeKind, Grant, JobSpec, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The least time between two passes: reports that come in between share one.
@@ -30,19 +30,19 @@
 const OVERDUE_MS: u64 = 45_000;
 
 /// What makes machines equal to every job, but for their room, images and failures.
-pub(super) struct Sort {
+pub(super) struct MachineClass {
     pub model: String,
     pub zone: usize,
     pub spot: bool,
     pub pool: Option<Pool>,
-    pub kept: Option<Kept>,
+    pub kept: Option<MachineReservation>,
 }
 
 /// A sort but for what is kept: model, zone, spot or not.
-pub(super) type Kind = (String, usize, bool);
+pub(super) type MachineKind = (String, usize, bool);
 
-impl Sort {
-    pub fn kind(&self) -> Kind {
+impl MachineClass {
+    pub fn kind(&self) -> MachineKind {
         (self.model.clone(), self.zone, self.spot)
     }
 }
@@ -50,7 +50,7 @@
 /// Why a job is offered to other parts, which take it where it fits at once though others wait there: what is free
 /// after a pass is free because it fits none of them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Offer {
+pub enum StealOffer {
     /// No machine of its part could run it.
     Stranded,
     /// Nothing of it is on a machine.
@@ -63,16 +63,16 @@
     /// Tasks wait that some machine here could run, were it empty.
     pub any: bool,
     /// Kinds of machines with room that nothing which waits here could use.
-    pub idle: BTreeSet<Kind>,
+    pub idle: BTreeSet<MachineKind>,
     /// Jobs that others may take, those that came first.
-    pub offers: Vec<(JobId, Offer)>,
+    pub offers: Vec<(JobId, StealOffer)>,
 }
 
 /// A machine that may take tasks, as a pass sees it.
 pub(super) struct Open {
     pub name: MachineId,
     /// What it would have free without any task.
-    pub whole: Room,
+    pub whole: Resources,
     /// It has failed a task and completed none since.
     pub faulty: bool,
     listed: u32,
@@ -82,18 +82,18 @@
     fetch_gb_per_s: f64,
 }
 
-pub(super) type Rooms = rooms::Rooms<Sort, Open>;
+pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, Open>;
 
 /// What a pass has used of the machines and of the teams' grants so far.
 pub(super) struct Pass {
-    pub rooms: Rooms,
+    pub capacity_index: CapacityIndex,
     /// Machines held, and for whom.
     pub held: BTreeMap<MachineId, JobId>,
     /// The longest name of a machine.
     names: usize,
-    weights: Room,
+    weights: Resources,
     pub used: HashMap<Team, Grant>,
-    fruitless: Fruitless,
+    unplaceable: UnplaceableShapes,
 }
 
 /// Where a job's tasks may be placed.
@@ -112,14 +112,14 @@
         let (jobs, on) = (&self.jobs, &self.on);
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.stale) {
             m.stale = false;
-            m.used = Room::default();
+            m.used = Resources::default();
             m.strays.clear();
             for id in on.get(name).into_iter().flatten() {
                 if let Some(job) = jobs.get(id)
                     && let Some(spec) = job.spec()
                     && let Some(spans) = job.view.started.get(name)
                 {
-                    m.used.add(spec.room.times(f64::from(spans.len())));
+                    m.used.add(spec.resources.times(f64::from(spans.len())));
                 }
             }
             for item in m.listed.iter().filter(|t| t.state != TaskState::Exited) {
@@ -130,9 +130,11 @@
                 }
                 m.strays.push(item.task.job.clone());
                 match job {
-                    Some(job) => m.used.add(job.spec().map(|s| s.room).unwrap_or_default()),
+                    Some(job) => m
+                        .used
+                        .add(job.spec().map(|s| s.resources).unwrap_or_default()),
                     // A stray of unknown size: nothing is placed until it is gone.
-                    None => m.used.add(Room {
+                    None => m.used.add(Resources {
                         cpus: 1e9,
                         gpus: 0.0,
                         mem: 1e9,
@@ -143,28 +145,28 @@
     }
 
     /// The machines that may take tasks now.
-    pub(super) fn rooms(&mut self, env: &Env) -> Rooms {
+    pub(super) fn capacity_index(&mut self, context: &Context) -> CapacityIndex {
         self.freshen();
-        let report_ms = env.cfg.settings.report_ms().max(1);
-        let fresh_ms = 2 * env.cfg.settings.report_ms() + 1_000;
-        let now = env.now();
-        let mut rooms = Rooms::default();
+        let report_ms = context.config.settings.report_ms().max(1);
+        let fresh_ms = 2 * context.config.settings.report_ms() + 1_000;
+        let now = context.now();
+        let mut capacity_index = CapacityIndex::default();
         for (name, m) in self.machines.iter().filter(|(_, m)| m.open(now, fresh_ms)) {
-            let Some(kind) = env.types.get(&m.model) else {
+            let Some(kind) = context.types.get(&m.model) else {
                 continue;
             };
             let whole = kind.room();
             let mut free = whole;
             free.sub(m.used);
             let kept = self.kept.get(name);
-            let same = |s: &Sort| {
+            let same = |s: &MachineClass| {
                 s.zone == m.zone
                     && s.spot == m.spot
                     && s.model == m.model
                     && s.pool == m.pool
                     && s.kept.as_ref() == kept
             };
-            let key = || Sort {
+            let key = || MachineClass {
                 model: m.model.clone(),
                 zone: m.zone,
                 spot: m.spot,
@@ -183,31 +185,32 @@
                 },
                 fetch_gb_per_s: kind.fetch_gb_per_s,
             };
-            rooms.push(same, key, free, open);
+            capacity_index.push(same, key, free, open);
         }
-        rooms
+        capacity_index
     }
 
     /// How many tasks of a job could start in these rooms, of the sorts that count.
     pub(super) fn fit(
         &self,
         spec: &JobSpec,
-        rooms: &mut Rooms,
-        counts: impl Fn(&Sort) -> bool,
-        env: &Env,
+        capacity_index: &mut CapacityIndex,
+        counts: impl Fn(&MachineClass) -> bool,
+        context: &Context,
     ) -> u32 {
-        let allowed = rooms.allowed(|sort| counts(sort) && self.takes(spec, sort, env));
-        let fitting = rooms.fitting(spec.room, &allowed);
-        let usable = fitting.iter().map(|at| &rooms.entries()[*at]);
+        let allowed =
+            capacity_index.allowed(|sort| counts(sort) && self.takes(spec, sort, context));
+        let fitting = capacity_index.fitting(spec.resources, &allowed);
+        let usable = fitting.iter().map(|at| &capacity_index.entries()[*at]);
         let usable = usable.filter(|e| !e.what.faulty);
-        usable.fold(0, |n, e| n.saturating_add(spec.room.count_in(e.free)))
+        usable.fold(0, |n, e| n.saturating_add(spec.resources.count_in(e.free)))
     }
 
     /// Whether machines of a sort that work may run this job.
-    pub(super) fn takes(&self, spec: &JobSpec, sort: &Sort, env: &Env) -> bool {
-        let zone = env.cfg.settings.deployment.zones.get(sort.zone);
+    pub(super) fn takes(&self, spec: &JobSpec, sort: &MachineClass, context: &Context) -> bool {
+        let zone = context.config.settings.deployment.zones.get(sort.zone);
         sort.allowed_for(spec, zone)
-            && !self.kept_from(spec, sort.pool.as_ref(), sort.kept.as_ref(), env)
+            && !self.kept_from(spec, sort.pool.as_ref(), sort.kept.as_ref(), context)
     }
 
     /// A machine that a job may use, as placement sees it.
@@ -217,10 +220,10 @@
         at: usize,
         urgent: bool,
         pass: &Pass,
-        env: &Env,
-    ) -> Seat {
-        let entry = &pass.rooms.entries()[at];
-        let (open, sort) = (&entry.what, pass.rooms.key(entry));
+        context: &Context,
+    ) -> MachineCandidate {
+        let entry = &pass.capacity_index.entries()[at];
+        let (open, sort) = (&entry.what, pass.capacity_index.key(entry));
         let cap = if !open.faulty {
             u32::MAX
         } else if job.failed_on.contains(&open.name) {
@@ -230,7 +233,7 @@
             1u32.saturating_sub(open.listed)
         };
         let image = open.images.state(job.image);
-        Seat {
+        MachineCandidate {
             free: entry.free,
             zone: sort.zone,
             cap,
@@ -238,7 +241,7 @@
             image,
             fetches: open.images.coming.len(),
             delay: if urgent {
-                delay(spec, image, open, env)
+                delay(spec, image, open, context)
             } else {
                 0
             },
@@ -246,8 +249,8 @@
     }
 
     /// One pass of placement over the waiting jobs.
-    pub(super) fn place(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn place(&mut self, context: &mut Context) {
+        let now = context.now();
         let due = self.dirty && now.since(self.placed_at) >= PASS_GAP_MS;
         if !due || !self.ready || self.deposed {
             return;
@@ -255,11 +258,11 @@
         self.dirty = false;
         self.placed_at = now;
         self.freshen();
-        self.keep(env);
-        let rooms = self.rooms(env);
+        self.keep(context);
+        let capacity_index = self.capacity_index(context);
         let mut load = Load::default();
         for m in self.machines.values() {
-            if let Some(kind) = env.types.get(&m.model) {
+            if let Some(kind) = context.types.get(&m.model) {
                 load.capacity.add(kind.room());
                 load.booked.add(m.used);
             }
@@ -268,21 +271,24 @@
         let waiting = || self.jobs.values().filter(|j| j.waits());
         let weights = placement::weights(
             waiting().filter_map(|j| j.spec()),
-            env.cfg.ops.default_run_s,
+            context.config.ops.default_run_s,
             load,
         );
-        let names = rooms.entries().iter().map(|e| e.what.name.as_str().len());
+        let names = capacity_index
+            .entries()
+            .iter()
+            .map(|e| e.what.name.as_str().len());
         let mut pass = Pass {
             names: names.max().unwrap_or(0),
             held: BTreeMap::new(),
-            rooms,
+            capacity_index,
             weights,
             used: self.used(),
-            fruitless: Fruitless::default(),
+            unplaceable: UnplaceableShapes::default(),
         };
         self.short_of.clear();
-        let turns = self.turns(now, env);
-        self.hold(&turns, &mut pass, env);
+        let turns = self.turns(now, context);
+        self.hold(&turns, &mut pass, context);
         for equals in turns.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
             // A fetch often takes longer than the task: jobs that can still wait leave room on
             // machines without their image to those that need no fetch there.
@@ -292,58 +298,66 @@
                 } else {
                     Where::Anywhere
                 };
-                self.place_job(turn, &at, &mut pass, env);
+                self.place_job(turn, &at, &mut pass, context);
             }
             for turn in equals.iter().filter(|t| t.patient) {
-                self.place_job(turn, &Where::Anywhere, &mut pass, env);
+                self.place_job(turn, &Where::Anywhere, &mut pass, context);
             }
         }
         self.dirty = false;
-        self.find_overrun(env);
-        let rooms = pass.rooms;
-        self.kept_room = self.kept_room(&rooms, env);
-        let free = rooms.entries().iter().map(|e| e.free.cpus.max(0.0));
+        self.find_overrun(context);
+        let capacity_index = pass.capacity_index;
+        self.kept_room = self.kept_room(&capacity_index, context);
+        let free = capacity_index
+            .entries()
+            .iter()
+            .map(|e| e.free.cpus.max(0.0));
         self.free_cpus = free.sum::<f64>() - self.kept_room.values().map(|k| k.free).sum::<f64>();
         let offers_due = now.since(self.offers_at) >= OFFERS_GAP_MS;
         let offers = std::mem::take(&mut self.matched.offers);
-        self.matched = self.match_up(&rooms, offers_due, env);
+        self.matched = self.match_up(&capacity_index, offers_due, context);
         match offers_due {
             true => self.offers_at = now,
             false => self.matched.offers = offers,
         }
         let waiting = self.jobs.values().filter(|j| j.waits());
         self.waiting_cpus = waiting
-            .filter_map(|j| Some(j.spec()?.room.cpus * f64::from(j.view.waiting.len())))
+            .filter_map(|j| Some(j.spec()?.resources.cpus * f64::from(j.view.waiting.len())))
             .sum();
     }
 
     /// Which jobs that wait here some machine could run, were it empty, and which machines none of them could use.
     /// Guards against one job that is bound to a zone whose machines are full, and keeps the idle ones of another from
     /// everybody.
-    fn match_up(&self, rooms: &Rooms, offers_due: bool, env: &Env) -> Match {
+    fn match_up(
+        &self,
+        capacity_index: &CapacityIndex,
+        offers_due: bool,
+        context: &Context,
+    ) -> Match {
         // Of each sort that works: what a machine has without tasks, and whether any has room.
-        let sorts = rooms.groups().filter_map(|(sort, machines)| {
+        let sorts = capacity_index.groups().filter_map(|(sort, machines)| {
             let mut works = machines.filter(|e| !e.what.faulty).peekable();
             let whole = works.peek()?.what.whole;
             Some((sort, whole, works.any(|e| e.free.cpus > 0.0)))
         });
-        let sorts: Vec<(&Sort, Room, bool)> = sorts.collect();
-        let wants = |spec: &JobSpec, (sort, whole, _): &(&Sort, Room, bool)| {
-            spec.room.fits_in(*whole) && self.takes(spec, sort, env)
+        let sorts: Vec<(&MachineClass, Resources, bool)> = sorts.collect();
+        let wants = |spec: &JobSpec, (sort, whole, _): &(&MachineClass, Resources, bool)| {
+            spec.resources.fits_in(*whole) && self.takes(spec, sort, context)
         };
-        let mut unwanted: Vec<&(&Sort, Room, bool)> = sorts.iter().collect();
+        let mut unwanted: Vec<&(&MachineClass, Resources, bool)> = sorts.iter().collect();
         let mut wanted = BTreeSet::new();
-        let mut offers: Vec<(WallMs, &JobId, Offer)> = Vec::new();
+        let mut offers: Vec<(WallClockMillis, &JobId, StealOffer)> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.waits()) {
             let Some(spec) = job.spec() else { continue };
             if unwanted.is_empty() && !offers_due {
                 break;
             }
             let stranded = !sorts.iter().any(|sort| wants(spec, sort));
-            let waited_ms = env.waited_ms(id, &job.spec);
+            let waited_ms = context.waited_ms(id, &job.spec);
             let offer = match stranded {
-                true if waited_ms >= STRANDED_MS => Some(Offer::Stranded),
-                false if waited_ms >= OVERDUE_MS && job.started == 0 => Some(Offer::Overdue),
+                true if waited_ms >= STRANDED_MS => Some(StealOffer::Stranded),
+                false if waited_ms >= OVERDUE_MS && job.started == 0 => Some(StealOffer::Overdue),
                 _ => None,
             };
             // What has begun of a bound job keeps the rest here.
@@ -376,8 +390,14 @@
     }
 
     /// Starts as many of a job's waiting tasks as limits and room allow.
-    pub(super) fn place_job(&mut self, turn: &Turn, at: &Where, pass: &mut Pass, env: &Env) {
-        let now = env.now();
+    pub(super) fn place_job(
+        &mut self,
+        turn: &QueuedJob,
+        at: &Where,
+        pass: &mut Pass,
+        context: &Context,
+    ) {
+        let now = context.now();
         let only_with_image = *at == Where::WithImage;
         let id = &turn.job;
         let Some(job) = self.jobs.get(id) else {
@@ -394,28 +414,32 @@
         if want == 0 {
             return;
         }
-        let zones = &env.cfg.settings.deployment.zones;
-        let allowed = pass.rooms.allowed(|sort| {
-            self.takes(spec, sort, env) && (!spec.zones_bound() || sort.zone < zones.len())
+        let zones = &context.config.settings.deployment.zones;
+        let allowed = pass.capacity_index.allowed(|sort| {
+            self.takes(spec, sort, context) && (!spec.zones_bound() || sort.zone < zones.len())
         });
         if allowed.none() {
             return;
         }
         let image = only_with_image.then_some(job.image);
-        let shape = Shape::new(spec.room, allowed.clone(), image);
+        let shape = Shape::new(spec.resources, allowed.clone(), image);
         let held = matches!(at, Where::On(_));
-        if !held && pass.fruitless.is(&shape) {
+        if !held && pass.unplaceable.is(&shape) {
             return;
         }
-        want = want.min(env.terms.startable(&job.view, job.started, pass.names));
+        want = want.min(
+            context
+                .storage_limits
+                .startable(&job.view, job.started, pass.names),
+        );
         if want == 0 {
             return;
         }
         // Only machines with room for a task are looked at.
-        let mut open = pass.rooms.fitting(spec.room, &allowed);
-        let mut seats: Vec<Seat> = Vec::with_capacity(open.len());
+        let mut open = pass.capacity_index.fitting(spec.resources, &allowed);
+        let mut seats: Vec<MachineCandidate> = Vec::with_capacity(open.len());
         open.retain(|entry| {
-            let name = &pass.rooms.entries()[*entry].what.name;
+            let name = &pass.capacity_index.entries()[*entry].what.name;
             let ours = match at {
                 Where::On(machine) => machine == name,
                 _ => pass.held.get(name).is_none_or(|whose| whose == id),
@@ -423,7 +447,7 @@
             if !ours {
                 return false;
             }
-            let seat = Self::seat(job, spec, *entry, turn.urgent, pass, env);
+            let seat = Self::seat(job, spec, *entry, turn.urgent, pass, context);
             let usable = seat.cap > 0 && !(only_with_image && seat.image == Image::Absent);
             if usable {
                 seats.push(seat);
@@ -433,7 +457,7 @@
         if seats.is_empty() {
             // It may be barred from machines that are open to others.
             if job.failed_on.is_empty() && !held {
-                pass.fruitless.note(shape);
+                pass.unplaceable.note(shape);
             }
             return;
         }
@@ -448,21 +472,21 @@
                 zones.hold(zone.filter(|z| *z != usize::MAX), spans.len());
             }
         }
-        let (room, team, image) = (spec.room, spec.team.clone(), job.image);
+        let (room, team, image) = (spec.resources, spec.team.clone(), job.image);
         let mut chosen = placement::place(room, want, &seats, pass.weights, &mut zones);
-        let granted = self.granted(&team, env);
+        let granted = self.granted(&team, context);
         let used = pass.used.entry(team.clone()).or_default();
-        let headroom = Room {
+        let headroom = Resources {
             cpus: granted.cpus - used.cpus,
             gpus: granted.gpus - used.gpus,
             mem: f64::MAX / 4.0,
         };
-        let covered = Room { mem: 0.0, ..room }.count_in(headroom);
+        let covered = Resources { mem: 0.0, ..room }.count_in(headroom);
         // What would fit but is not covered by the grant is asked for; a grant without room
         // on machines would only be moved to and fro.
         let fits: u32 = chosen.iter().map(|(_, n)| n).sum();
         if fits > covered {
-            let lacking = self.short_of.entry(team).or_insert(Lack {
+            let lacking = self.short_of.entry(team).or_insert(QuotaShortfall {
                 all: Grant::default(),
                 task: Grant::of(room),
             });
@@ -479,37 +503,37 @@
         for (seat, count) in chosen.into_iter().filter(|(_, n)| *n > 0) {
             self.placed[seats[seat].image as usize] += u64::from(count);
             let at = open[seat];
-            let name = pass.rooms.entries()[at].what.name.clone();
+            let name = pass.capacity_index.entries()[at].what.name.clone();
             for _ in 0..count {
                 let first = self.jobs.get(id).and_then(|j| j.view.waiting.first());
                 let Some((task, attempt)) = first else {
                     break;
                 };
-                let step = Step {
+                let step = AllocationChange {
                     task,
                     attempt,
                     machine: name.clone(),
-                    what: StepKind::Start,
+                    what: AllocationChangeKind::Start,
                 };
                 if !self.step(now, id, step) {
                     break;
                 }
-                pass.rooms.take(at, room);
+                pass.capacity_index.take(at, room);
                 used.add(Grant::of(room));
             }
             if let Some(m) = self.machines.get_mut(&name) {
                 m.idle_since = None;
                 if !m.images.has(image) {
                     m.images.coming.insert(image);
-                    pass.rooms.entry(at).images.coming.insert(image);
-                    pass.fruitless.comes(image);
+                    pass.capacity_index.entry(at).images.coming.insert(image);
+                    pass.unplaceable.comes(image);
                 }
             }
         }
     }
 }
 
-impl Sort {
+impl MachineClass {
     /// Whether the job may run on this type, in this zone and on this kind of machine.
     fn allowed_for(&self, spec: &JobSpec, zone: Option<&String>) -> bool {
         (!self.spot || spec.spot)
@@ -520,8 +544,8 @@
 
 /// How soon a task could run on a machine, in quarters of the time between two reports: commands
 /// ride on reports, and the image may have to be fetched, sharing the line with others.
-fn delay(spec: &JobSpec, image: Image, open: &Open, env: &Env) -> u32 {
-    let report_ms = env.cfg.settings.report_ms().max(1);
+fn delay(spec: &JobSpec, image: Image, open: &Open, context: &Context) -> u32 {
+    let report_ms = context.config.settings.report_ms().max(1);
     let rate = open.fetch_gb_per_s;
     let fetch_ms = if rate > 0.0 {
         seconds_to_ms(spec.pull_gb / rate)
--- a/src/coordination/shard/turns.rs
+++ b/src/coordination/shard/queue.rs
@@ -1,22 +1,22 @@
 //! The order in which a part's waiting jobs are served.
 
 use super::Shard;
-use crate::coordination::env::Env;
+use crate::coordination::context::Context;
 use crate::coordination::placement;
-use snowshelf_model::ids::{JobId, Millis, WallMs, seconds_to_ms};
-use snowshelf_model::records::{JobSpec, JobState, Priority, Room};
-use snowshelf_policy::shortage::Shortage;
+use snowshelf_fair_share::shortage::Shortage;
+use snowshelf_model::ids::{JobId, MonotonicMillis, WallClockMillis, seconds_to_ms};
+use snowshelf_model::records::{JobSpec, JobState, Priority, Resources};
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
 /// A waiting job's place in the order in which they are served.
-pub(super) struct Turn {
+pub(super) struct QueuedJob {
     /// Outside of its team's guarantee; priority; aims missed: the least goes first.
     pub rank: (bool, Reverse<Priority>, usize),
     /// When its tasks should start at the latest.
-    pub due: WallMs,
+    pub due: WallClockMillis,
     /// Since when it waits, for room and nothing else.
-    pub since: WallMs,
+    pub since: WallClockMillis,
     pub job: JobId,
     /// Whether it can wait for machines that have its image.
     pub patient: bool,
@@ -28,7 +28,7 @@
 struct Waiting<'a> {
     id: &'a JobId,
     spec: &'a JobSpec,
-    since: WallMs,
+    since: WallClockMillis,
     age_s: f64,
     missed: usize,
     patience_s: f64,
@@ -38,9 +38,9 @@
 
 impl Shard {
     /// The waiting jobs in the order in which they are served.
-    pub(super) fn turns(&self, now: Millis, env: &Env) -> Vec<Turn> {
-        let objectives = &env.cfg.settings.deployment.objectives;
-        let within = within_guarantee(env);
+    pub(super) fn turns(&self, now: MonotonicMillis, context: &Context) -> Vec<QueuedJob> {
+        let objectives = &context.config.settings.deployment.objectives;
+        let within = within_guarantee(context);
         let mut shortage = Shortage::default();
         let waiting: Vec<Waiting> = self
             .jobs
@@ -50,13 +50,13 @@
                 let spec = j.spec()?;
                 // Aims on starting and finishing count from when the last needed job was done, the
                 // deadline from the submission.
-                let since = env.graph.since(id, &j.spec);
-                let age_s = env.out.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
-                let waited_s = env.graph.waited_s(id, &j.spec);
+                let since = context.dependency_graph.since(id, &j.spec);
+                let age_s = context.effects.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
+                let waited_s = context.dependency_graph.waited_s(id, &j.spec);
                 let missed = placement::missed(spec, objectives, age_s, waited_s);
                 let patience_s = placement::patience_s(spec, objectives, waited_s);
-                let estimate_s = placement::estimate(spec, env.cfg.ops.default_run_s);
-                let work = f64::from(spec.tasks) * spec.room.cpus * estimate_s;
+                let estimate_s = placement::estimate(spec, context.config.ops.default_run_s);
+                let work = f64::from(spec.tasks) * spec.resources.cpus * estimate_s;
                 shortage.note(&spec.class, missed > 0, work);
                 Some(Waiting {
                     id,
@@ -70,42 +70,44 @@
             })
             .collect();
         let turn = |w: Waiting| {
-            let urgency = env.graph.urgency(w.id, w.spec);
+            let urgency = context.dependency_graph.urgency(w.id, w.spec);
             let slack = shortage.slack(&w.spec.class, w.work);
-            let due = WallMs(w.since.0 + seconds_to_ms(slack * w.patience_s));
-            Turn {
+            let due = WallClockMillis(w.since.0 + seconds_to_ms(slack * w.patience_s));
+            QueuedJob {
                 rank: (!within.contains(w.id), Reverse(urgency.priority), w.missed),
                 due: urgency.latest.map_or(due, |latest| due.min(latest)),
                 since: w.since,
                 job: w.id.clone(),
                 urgent: within.contains(w.id) || urgency.latest.is_some(),
-                patient: w.missed > 0 || w.age_s < env.cfg.ops.image_patience * w.patience_s,
+                patient: w.missed > 0 || w.age_s < context.config.ops.image_patience * w.patience_s,
             }
         };
-        let mut turns: Vec<Turn> = waiting.into_iter().map(turn).collect();
+        let mut turns: Vec<QueuedJob> = waiting.into_iter().map(turn).collect();
         turns.sort_by(|a, b| (a.rank, a.due, &a.job).cmp(&(b.rank, b.due, &b.job)));
         turns
     }
 }
 
 /// The jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
-pub(super) fn within_guarantee(env: &Env) -> HashSet<JobId> {
-    let mut open: Vec<(WallMs, &JobId, &JobSpec)> = env
-        .mirror
+pub(super) fn within_guarantee(context: &Context) -> HashSet<JobId> {
+    let mut open: Vec<(WallClockMillis, &JobId, &JobSpec)> = context
+        .records
         .jobs
         .iter()
-        .filter(|(id, r)| r.value.state == JobState::Open && env.graph.is_ready(id, &r.value))
+        .filter(|(id, r)| {
+            r.value.state == JobState::Open && context.dependency_graph.is_ready(id, &r.value)
+        })
         .filter_map(|(id, r)| Some((r.value.submitted, id, r.value.spec.as_ref()?)))
         .collect();
     open.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-    let mut left: HashMap<&str, Room> = env
-        .cfg
+    let mut left: HashMap<&str, Resources> = context
+        .config
         .settings
         .deployment
         .teams
         .iter()
         .map(|t| {
-            let room = Room {
+            let room = Resources {
                 cpus: t.cpus,
                 gpus: t.gpus,
                 mem: f64::MAX / 4.0,
@@ -116,7 +118,7 @@
     let mut within = HashSet::new();
     for (_, id, spec) in open {
         if let Some(left) = left.get_mut(spec.team.as_str()) {
-            let whole = spec.room.times(f64::from(spec.tasks));
+            let whole = spec.resources.times(f64::from(spec.tasks));
             if whole.fits_in(*left) {
                 within.insert(id.clone());
             }
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -1,13 +1,13 @@
 //! A team's limit, divided into grants by part: asked for, given up, and never overdrawn.
 
 use super::Shard;
-use super::writing::REFUSED_MS;
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::coordination::env::{Env, Tag};
-use snowshelf_model::ids::{Millis, PartId, Team, Version};
-use snowshelf_model::protocol::state::{Change, Txn};
-use snowshelf_model::records::{Grant, JobState, QuotaRecord, part_key, quota_key};
-use snowshelf_policy::grants::{Standing, moved};
+use super::persistence::REFUSED_MS;
+use crate::coordination::context::{Context, Tag};
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use snowshelf_fair_share::grants::{ShardDemand, regrant_fairly};
+use snowshelf_model::ids::{MonotonicMillis, ShardId, Team, Version};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{Grant, JobState, QuotaRecord, quota_key, shard_key};
 use std::collections::{BTreeSet, HashMap};
 
 /// The least time between two moves of a team's grant by one part.
@@ -19,7 +19,7 @@
 pub(super) struct QuotaState {
     /// Lowered grant that a write may have made durable.
     ceiling: Option<Grant>,
-    retry_at: Millis,
+    retry_at: MonotonicMillis,
 }
 
 impl Shard {
@@ -36,18 +36,18 @@
                 && let Some(spec) = job.spec()
             {
                 let entry = used.entry(spec.team.clone()).or_default();
-                entry.add(Grant::of(spec.room.times(f64::from(count))));
+                entry.add(Grant::of(spec.resources.times(f64::from(count))));
             }
         }
         used
     }
 
-    pub(super) fn granted(&self, team: &Team, env: &Env) -> Grant {
-        let durable = env
-            .mirror
+    pub(super) fn granted(&self, team: &Team, context: &Context) -> Grant {
+        let durable = context
+            .records
             .quotas
             .get(team)
-            .and_then(|q| q.value.grants.get(&self.part).copied())
+            .and_then(|q| q.value.grants.get(&self.id).copied())
             .unwrap_or_default();
         match self.quota.get(team).and_then(|q| q.ceiling) {
             Some(c) => Grant {
@@ -57,13 +57,13 @@
             None => durable,
         }
     }
-    pub(super) fn tend_quota(&mut self, others_short: &BTreeSet<Team>, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn tend_quota(&mut self, others_short: &BTreeSet<Team>, context: &mut Context) {
+        let now = context.now();
         if self.quota_flight.is_some() || !self.ready || self.deposed {
             return;
         }
         let used = self.used();
-        for limits in &env.cfg.settings.deployment.teams {
+        for limits in &context.config.settings.deployment.teams {
             let team = Team::new(&limits.name);
             if self.quota.get(&team).is_some_and(|q| q.retry_at > now) {
                 continue;
@@ -73,22 +73,22 @@
                 gpus: limits.gpus_max,
             };
             let used = used.get(&team).copied().unwrap_or_default();
-            let (version, record) = match env.mirror.quotas.get(&team) {
+            let (version, record) = match context.records.quotas.get(&team) {
                 Some(v) => (v.version, (*v.value).clone()),
                 None => (Version(0), QuotaRecord::default()),
             };
-            let durable = record.grants.get(&self.part).copied().unwrap_or_default();
+            let durable = record.grants.get(&self.id).copied().unwrap_or_default();
             let unsettled = self.quota.get(&team).is_some_and(|q| q.ceiling.is_some());
-            let step = |limit: f64| limit / f64::from(env.cfg.parts) / STEPS;
+            let step = |limit: f64| limit / f64::from(context.config.shard_count) / STEPS;
             let even = others_short.contains(&team).then(|| {
-                let share = demand_share(&team, self.part, env);
+                let share = demand_share(&team, self.id, context);
                 Grant {
                     cpus: limit.cpus * share,
                     gpus: limit.gpus * share,
                 }
             });
-            let standing = Standing {
-                part: self.part,
+            let standing = ShardDemand {
+                shard_id: self.id,
                 used,
                 lack: self.short_of.get(&team).copied(),
                 even,
@@ -99,8 +99,8 @@
                 },
                 limit,
             };
-            let next = moved(&record, &standing);
-            let granted = next.grants.get(&self.part).copied().unwrap_or_default();
+            let next = regrant_fairly(&record, &standing);
+            let granted = next.grants.get(&self.id).copied().unwrap_or_default();
             // What a part lacks is never too little to be asked for; what it gives up may be.
             let near = |granted: f64, durable: f64, limit: f64| {
                 let least = if granted < durable { step(limit) } else { 0.0 };
@@ -111,15 +111,15 @@
             if same && !unsettled {
                 continue;
             }
-            if !env.store.may(now, Class::Starts, 1) {
+            if !context.kv.may(now, RequestPriority::Starts, 1) {
                 return;
             }
             let lowers = granted.cpus < durable.cpus || granted.gpus < durable.gpus || unsettled;
             let key = quota_key(&team);
-            let txn = Txn::default()
-                .when(part_key(self.part), Version(self.token.0))
-                .when(key.clone(), version)
-                .then(Change::write(key, &next));
+            let swap = CompareAndSwap::default()
+                .compare(shard_key(self.id), Version(self.fencing_token.0))
+                .compare(key.clone(), version)
+                .mutate(Mutation::put(key, &next));
             let state = self.quota.entry(team.clone()).or_default();
             if lowers {
                 // From here on no more than this is used, whatever becomes of the write.
@@ -131,66 +131,69 @@
                     None => granted,
                 });
             }
-            env.store
-                .txn(env.out, Tag::QuotaTxn(self.part, self.token), &txn);
+            context.kv.compare_and_swap(
+                context.effects,
+                Tag::QuotaSwap(self.id, self.fencing_token),
+                &swap,
+            );
             self.quota_flight = Some((team, next));
             return;
         }
     }
 
-    pub fn quota_done(&mut self, result: TxnResult, env: &mut Env) {
-        let now = env.now();
+    pub fn quota_done(&mut self, result: SwapOutcome, context: &mut Context) {
+        let now = context.now();
         let Some((team, value)) = self.quota_flight.take() else {
             return;
         };
         let key = quota_key(&team);
         let state = self.quota.entry(team).or_default();
         match result {
-            TxnResult::Done(revision) => {
+            SwapOutcome::Done(revision) => {
                 state.ceiling = None;
                 // The same grant is not moved again at once: every move is a write.
                 state.retry_at = now.plus(QUOTA_GAP_MS);
                 let value = serde_json::to_value(value).unwrap_or_default();
-                env.mirror.apply(&key, Some(&value), revision);
+                context.records.apply(&key, Some(&value), revision);
                 self.dirty = true;
             }
-            TxnResult::Conflict(keys) => {
-                if keys.contains(&part_key(self.part)) {
+            SwapOutcome::Conflict(keys) => {
+                if keys.contains(&shard_key(self.id)) {
                     self.deposed = true;
                     return;
                 }
                 state.retry_at = now.plus(100);
-                let tag = Tag::QuotaRead(self.part, self.token, key.clone());
-                env.store.get(env.out, tag, &key, 1_500);
+                let tag = Tag::QuotaRead(self.id, self.fencing_token, key.clone());
+                context.kv.get(context.effects, tag, &key, 1_500);
             }
             // The same write would be refused again.
-            TxnResult::Refused => state.retry_at = now.plus(REFUSED_MS),
-            TxnResult::NotDone | TxnResult::NoLease => state.retry_at = now.plus(500),
-            TxnResult::Unknown => {
+            SwapOutcome::Refused => state.retry_at = now.plus(REFUSED_MS),
+            SwapOutcome::NotDone | SwapOutcome::NoLease => state.retry_at = now.plus(500),
+            SwapOutcome::Unknown => {
                 // A lowered grant stays lowered until a later write settles the key.
                 state.retry_at = now.plus(500);
-                let tag = Tag::QuotaRead(self.part, self.token, key.clone());
-                env.store.get(env.out, tag, &key, 1_500);
+                let tag = Tag::QuotaRead(self.id, self.fencing_token, key.clone());
+                context.kv.get(context.effects, tag, &key, 1_500);
             }
         }
     }
 }
 
 /// This part's share of what a team's jobs have unfinished, over all parts.
-fn demand_share(team: &Team, part: PartId, env: &Env) -> f64 {
+fn demand_share(team: &Team, shard_id: ShardId, context: &Context) -> f64 {
     let (mut mine, mut all) = (0.0, 0.0);
-    for ((p, id), alloc) in &env.mirror.allocs {
-        let Some(record) = env.mirror.jobs.get(id) else {
+    for ((p, id), alloc) in &context.records.allocations {
+        let Some(record) = context.records.jobs.get(id) else {
             continue;
         };
         if let (JobState::Open, Some(spec)) = (record.value.state, &record.value.spec)
             && spec.team == *team
-            && env.graph.is_ready(id, &record.value)
+            && context.dependency_graph.is_ready(id, &record.value)
         {
             let tasks = alloc.value.waiting.len() + alloc.value.started_count();
-            let cpus = spec.room.cpus * f64::from(tasks);
+            let cpus = spec.resources.cpus * f64::from(tasks);
             all += cpus;
-            if *p == part {
+            if *p == shard_id {
                 mine += cpus;
             }
         }
@@ -198,6 +201,6 @@
     if all > 0.0 {
         mine / all
     } else {
-        1.0 / f64::from(env.cfg.parts)
+        1.0 / f64::from(context.config.shard_count)
     }
 }
--- a/src/coordination/shard/keeping.rs
+++ b/src/coordination/shard/reservations.rs
@@ -3,40 +3,42 @@
 
 use super::Shard;
 use super::machine::{Drained, Machine};
-use super::placing::Rooms;
-use super::turns::within_guarantee;
-use crate::coordination::env::Env;
+use super::placement::CapacityIndex;
+use super::queue::within_guarantee;
+use crate::coordination::context::Context;
 use crate::coordination::placement::{estimate, slowest_fetch};
 use snowshelf_calendar::amount::Amount;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_calendar::guard::Hold;
-use snowshelf_model::ids::{JobId, MachineId, PartId, Team, WallMs, part_of, seconds_to_ms};
-use snowshelf_model::records::{JobSpec, Kind, Room};
+use snowshelf_model::ids::{
+    JobId, MachineId, ShardId, Team, WallClockMillis, seconds_to_ms, shard_of,
+};
+use snowshelf_model::records::{JobKind, JobSpec, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a machine is kept for.
 #[derive(Clone, PartialEq)]
-pub(super) struct Kept {
+pub(super) struct MachineReservation {
     team: Team,
-    from: WallMs,
-    until: WallMs,
+    from: WallClockMillis,
+    until: WallClockMillis,
 }
 
-impl Kept {
+impl MachineReservation {
     /// Whether it is kept by now.
-    fn by_now(&self, env: &Env) -> bool {
-        self.from.0 <= env.out.wall_ms
+    fn by_now(&self, context: &Context) -> bool {
+        self.from.0 <= context.effects.wall_ms
     }
 
     /// The team that it is kept for by now.
-    pub fn team_now(&self, env: &Env) -> Option<&Team> {
-        self.by_now(env).then_some(&self.team)
+    pub fn team_now(&self, context: &Context) -> Option<&Team> {
+        self.by_now(context).then_some(&self.team)
     }
 }
 
 /// CPUs of machines that are kept for a team.
 #[derive(Clone, Copy, Default)]
-pub struct KeptRoom {
+pub struct ReservedCapacity {
     pub free: f64,
     /// Free, or used by others.
     pub promised: f64,
@@ -46,13 +48,13 @@
 const HEAR_MS: u64 = 1_000;
 
 /// For how long a task is taken to be on its machine if it starts now; none: until it is stopped.
-pub fn stay_ms(spec: &JobSpec, env: &Env) -> Option<u64> {
-    if spec.kind == Kind::Standing {
+pub fn stay_ms(spec: &JobSpec, context: &Context) -> Option<u64> {
+    if spec.kind == JobKind::Service {
         return None;
     }
-    let run = env.cfg.ops.calendar.margin * estimate(spec, env.cfg.ops.default_run_s);
-    let fetch = spec.pull_gb / slowest_fetch(env.types.values());
-    Some(seconds_to_ms(run + fetch) + 2 * env.cfg.settings.report_ms())
+    let run = context.config.ops.calendar.margin * estimate(spec, context.config.ops.default_run_s);
+    let fetch = spec.pull_gb / slowest_fetch(context.types.values());
+    Some(seconds_to_ms(run + fetch) + 2 * context.config.settings.report_ms())
 }
 
 impl Shard {
@@ -61,31 +63,31 @@
         &self,
         spec: &JobSpec,
         pool: Option<&Pool>,
-        kept: Option<&Kept>,
-        env: &Env,
+        kept: Option<&MachineReservation>,
+        context: &Context,
     ) -> bool {
-        if env.guard.is_empty() {
+        if context.guard.is_empty() {
             return false;
         }
         let Some(pool) = pool else {
             return false;
         };
-        let now = WallMs(env.out.wall_ms);
-        let stay = stay_ms(spec, env);
-        if env.guard.forbids(pool, stay, now).is_some() {
+        let now = WallClockMillis(context.effects.wall_ms);
+        let stay = stay_ms(spec, context);
+        if context.guard.forbids(pool, stay, now).is_some() {
             return true;
         }
         kept.is_some_and(|kept| {
             let end = now.0.saturating_add(stay.unwrap_or(u64::MAX));
             kept.team != spec.team
                 && now < kept.until
-                && end.saturating_add(env.guard.skew_ms) > kept.from.0
+                && end.saturating_add(context.guard.skew_ms) > kept.from.0
         })
     }
 
     /// Whether a machine is kept for a reservation that is open, or for which it has been rented.
-    pub(super) fn kept_ready(&self, name: &MachineId, ready_ms: u64, env: &Env) -> bool {
-        let now = env.out.wall_ms;
+    pub(super) fn kept_ready(&self, name: &MachineId, ready_ms: u64, context: &Context) -> bool {
+        let now = context.effects.wall_ms;
         let kept = self.kept.get(name);
         kept.is_some_and(|k| now < k.until.0 && now.saturating_add(ready_ms) >= k.from.0)
     }
@@ -93,31 +95,31 @@
     /// Chooses anew which machines are kept for which reservation: of each, this part keeps its
     /// share. Machines' names decide before a reservation opens, so that the choice lasts; from then on
     /// what is free there, or its team's already.
-    pub(super) fn keep(&mut self, env: &Env) {
+    pub(super) fn keep(&mut self, context: &Context) {
         self.kept.clear();
-        if env.guard.holds.is_empty() {
+        if context.guard.holds.is_empty() {
             return;
         }
-        let now = WallMs(env.out.wall_ms);
+        let now = WallClockMillis(context.effects.wall_ms);
         let longest = self
             .jobs
             .values()
             .filter(|j| j.waits())
             .filter_map(|j| j.spec())
-            .map(|spec| stay_ms(spec, env).unwrap_or(u64::MAX))
+            .map(|spec| stay_ms(spec, context).unwrap_or(u64::MAX))
             .max();
         // What nobody who waits would run into need not be kept yet, but for machines rented ahead.
-        let ahead = longest.unwrap_or(0).max(rented_ahead_ms(env));
+        let ahead = longest.unwrap_or(0).max(rented_ahead_ms(context));
         let soon = now
             .0
             .saturating_add(ahead)
-            .saturating_add(env.guard.skew_ms);
+            .saturating_add(context.guard.skew_ms);
         let mut kept = BTreeMap::new();
-        for hold in env.guard.holds.iter() {
+        for hold in context.guard.holds.iter() {
             if hold.until <= now || hold.from.0 > soon {
                 continue;
             }
-            let share = self.share_of(hold, env);
+            let share = self.share_of(hold, context);
             if share.is_zero() {
                 continue;
             }
@@ -127,7 +129,7 @@
                 .iter()
                 .filter(|(name, m)| !kept.contains_key(*name) && self.keeps(hold, m))
                 .filter_map(|(name, m)| {
-                    let whole = env.types.get(&m.model)?.room();
+                    let whole = context.types.get(&m.model)?.room();
                     let mut room = whole;
                     if open {
                         room.sub(m.used);
@@ -146,7 +148,7 @@
                     break;
                 }
                 sum = sum.plus(room.max(Amount::ZERO));
-                let keep = Kept {
+                let keep = MachineReservation {
                     team: hold.team.clone(),
                     from: hold.from,
                     until: hold.until,
@@ -158,27 +160,27 @@
     }
 
     /// What a team's jobs take of a machine, job by job.
-    fn used_by(&self, team: &Team, name: &MachineId) -> impl Iterator<Item = Room> {
+    fn used_by(&self, team: &Team, name: &MachineId) -> impl Iterator<Item = Resources> {
         self.jobs_on(name).filter_map(move |(_, j)| {
             let spec = j.spec().filter(|s| s.team == *team)?;
             let tasks = j.view.started.get(name)?.len();
-            Some(spec.room.times(f64::from(tasks)))
+            Some(spec.resources.times(f64::from(tasks)))
         })
     }
 
     /// What of a reservation this part keeps: parts take it up one after the other, each as much as it
     /// has, beginning with one that the reservation's name tells, so that small ones are not
     /// splintered and many are spread.
-    fn share_of(&self, hold: &Hold, env: &Env) -> Amount {
-        let parts = env.cfg.parts.max(1);
-        let first = part_of(hold.reservation.as_str(), parts).0;
-        let Some(kind) = env.types.get(&*hold.pool.model) else {
+    fn share_of(&self, hold: &Hold, context: &Context) -> Amount {
+        let shard_count = context.config.shard_count.max(1);
+        let first = shard_of(hold.reservation.as_str(), shard_count).0;
+        let Some(kind) = context.types.get(&*hold.pool.model) else {
             return Amount::ZERO;
         };
         let whole = Amount::of(kind.room());
         let mut left = hold.amount;
-        for part in (0..parts).map(|i| PartId((first + i) % parts)) {
-            let there = match part == self.part {
+        for shard_id in (0..shard_count).map(|i| ShardId((first + i) % shard_count)) {
+            let there = match shard_id == self.id {
                 true => self
                     .machines
                     .values()
@@ -187,14 +189,14 @@
                 false => {
                     let (ordinary, spot) = self
                         .elsewhere
-                        .get(&(part, hold.pool.clone()))
+                        .get(&(shard_id, hold.pool.clone()))
                         .copied()
                         .unwrap_or_default();
                     ordinary + if hold.spot { spot } else { 0 }
                 }
             };
             let has = whole.times(i64::from(there));
-            if part == self.part {
+            if shard_id == self.id {
                 return left.min(has);
             }
             left = left.minus(has).max(Amount::ZERO);
@@ -220,11 +222,15 @@
 
     /// What is kept for teams by now: what of it is free, and what is not their own use, which is
     /// theirs as soon as it falls free or is freed.
-    pub(super) fn kept_room(&self, rooms: &Rooms, env: &Env) -> BTreeMap<Team, KeptRoom> {
-        let mut kept: BTreeMap<Team, KeptRoom> = BTreeMap::new();
-        for room in rooms.entries() {
-            if let Some(k) = &rooms.key(room).kept
-                && k.by_now(env)
+    pub(super) fn kept_room(
+        &self,
+        capacity_index: &CapacityIndex,
+        context: &Context,
+    ) -> BTreeMap<Team, ReservedCapacity> {
+        let mut kept: BTreeMap<Team, ReservedCapacity> = BTreeMap::new();
+        for room in capacity_index.entries() {
+            if let Some(k) = &capacity_index.key(room).kept
+                && k.by_now(context)
             {
                 let theirs = self.used_by(&k.team, &room.what.name).map(|r| r.cpus);
                 let entry = kept.entry(k.team.clone()).or_default();
@@ -239,10 +245,12 @@
     /// reservation by now, and that may be stopped for jobs of its team which wait here: to give these
     /// their team's guarantee, where theirs is not concerned, or for their priority. As many as the
     /// waiting tasks need, and none where only the team's limit holds these back.
-    pub(super) fn find_overrun(&mut self, env: &Env) {
+    pub(super) fn find_overrun(&mut self, context: &Context) {
         self.overrun.clear();
         let mut needs: BTreeMap<&Team, (f64, Vec<&JobId>)> = BTreeMap::new();
-        let open = |k: &&Kept| k.from.0 <= env.out.wall_ms && env.out.wall_ms < k.until.0;
+        let open = |k: &&MachineReservation| {
+            k.from.0 <= context.effects.wall_ms && context.effects.wall_ms < k.until.0
+        };
         for kept in self.kept.values().filter(open) {
             needs.entry(&kept.team).or_default();
         }
@@ -253,7 +261,7 @@
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.waits()) {
             let Some(spec) = job.spec() else { continue };
             if let Some((cpus, jobs)) = needs.get_mut(&spec.team) {
-                *cpus += spec.room.cpus * f64::from(job.view.waiting.len());
+                *cpus += spec.resources.cpus * f64::from(job.view.waiting.len());
                 jobs.push(id);
             }
         }
@@ -261,7 +269,7 @@
         if needs.is_empty() {
             return;
         }
-        let within = within_guarantee(env);
+        let within = within_guarantee(context);
         let priority = |id: &JobId| self.jobs.get(id)?.spec().map(|s| s.priority);
         let mut overrun: BTreeMap<MachineId, BTreeSet<JobId>> = BTreeMap::new();
         for (name, kept) in self.kept.iter().filter(|(_, k)| open(k)) {
@@ -278,7 +286,7 @@
                 });
                 if yields && *cpus > 0.0 {
                     let tasks = job.view.started.get(name).map_or(0, |s| s.len());
-                    *cpus -= spec.room.cpus * f64::from(tasks);
+                    *cpus -= spec.resources.cpus * f64::from(tasks);
                     overrun.entry(name.clone()).or_default().insert(id.clone());
                 }
             }
@@ -304,12 +312,12 @@
 
     /// Empties machines whose pool closes as soon as a task can be stopped in time, saving what it
     /// saves; they are returned once nothing is on them.
-    pub(super) fn empty_closed(&mut self, env: &Env) {
-        if env.guard.closings.is_empty() {
+    pub(super) fn empty_closed(&mut self, context: &Context) {
+        if context.guard.closings.is_empty() {
             return;
         }
-        let now = WallMs(env.out.wall_ms);
-        let report_ms = env.cfg.settings.report_ms();
+        let now = WallClockMillis(context.effects.wall_ms);
+        let report_ms = context.config.settings.report_ms();
         let jobs = &self.jobs;
         for (name, m) in self
             .machines
@@ -325,9 +333,9 @@
                 .filter_map(|t| jobs.get(&t.task.job)?.spec());
             let save_s = saves.map(|s| s.save_s).fold(0.0, f64::max);
             let ahead = 2 * report_ms + HEAR_MS + seconds_to_ms(save_s);
-            if let Some(closing) = env.guard.empties(pool, now, ahead) {
-                tracing::info!(machine = %name, part = %self.part, window = %closing.window,
-                    "drained for maintenance");
+            if let Some(closing) = context.guard.empties(pool, now, ahead) {
+                tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
+                    "machine cordoned: maintenance window");
                 m.draining = Some(Drained::Window);
                 self.dirty = true;
             }
@@ -337,8 +345,12 @@
 
 /// How long before a reservation opens its machines are rented: what the slowest type takes to be up
 /// and to fetch an image.
-pub fn rented_ahead_ms(env: &Env) -> u64 {
-    let ready_s = env.types.values().map(|t| t.ready_s).fold(0.0, f64::max);
+pub fn rented_ahead_ms(context: &Context) -> u64 {
+    let ready_s = context
+        .types
+        .values()
+        .map(|t| t.ready_s)
+        .fold(0.0, f64::max);
     seconds_to_ms(2.0 * ready_s + FETCH_S)
 }
 
--- a/src/coordination/shard/claims.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -1,13 +1,13 @@
 //! A part with idle machines takes over tasks that wait in another one.
 
-use super::placing::Sort;
-use super::{Offer, Shard};
-use crate::bookkeeping::store::{Class, TxnResult};
-use crate::coordination::env::{Env, Tag};
-use snowshelf_model::ids::{JobId, PartId, Team, Version, WallMs};
-use snowshelf_model::protocol::state::{Change, Txn};
-use snowshelf_model::records::{Grant, JobSpec, JobState, alloc_key, job_key, part_key};
-use snowshelf_policy::holding::WAITED_MS;
+use super::placement::MachineClass;
+use super::{Shard, StealOffer};
+use crate::coordination::context::{Context, Tag};
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use snowshelf_fair_share::backfill::WAITED_MS;
+use snowshelf_model::ids::{JobId, ShardId, Team, Version, WallClockMillis};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{Grant, JobSpec, JobState, allocation_key, job_key, shard_key};
 use std::collections::HashMap;
 
 /// A job younger than this is left to the part that holds it.
@@ -21,8 +21,8 @@
 
 impl Shard {
     /// An idle part takes over tasks that wait in another part, in one conditional transaction.
-    pub(super) fn claim(&mut self, env: &mut Env) {
-        let now = env.now();
+    pub(super) fn claim(&mut self, context: &mut Context) {
+        let now = context.now();
         if self.claiming || now < self.claim_at {
             return;
         }
@@ -32,32 +32,32 @@
         if !idle && !kept && self.offered.is_empty() {
             return;
         }
-        let mut rooms = self.rooms(env);
+        let mut capacity_index = self.capacity_index(context);
         let used = match self.offered.is_empty() {
             true => HashMap::new(),
             false => self.used(),
         };
         // The team that machines of a sort are kept for by now.
-        let team_of = |sort: &Sort| {
-            let team = sort.kept.as_ref()?.team_now(env)?;
+        let team_of = |sort: &MachineClass| {
+            let team = sort.kept.as_ref()?.team_now(context)?;
             self.kept_room.contains_key(team).then(|| team.clone())
         };
-        let mut best: Option<(WallMs, PartId, JobId, u32)> = None;
+        let mut best: Option<(WallClockMillis, ShardId, JobId, u32)> = None;
         // Looking through all shares costs too much to be done for what is offered alone.
         let all = idle || kept;
         let offered = self.offered.keys();
         let shares: Vec<_> = match all {
-            true => env.mirror.allocs.iter().collect(),
+            true => context.records.allocations.iter().collect(),
             false => offered
-                .filter_map(|key| env.mirror.allocs.get_key_value(key))
+                .filter_map(|key| context.records.allocations.get_key_value(key))
                 .collect(),
         };
         for (key, alloc) in shares {
-            let (part, id) = key;
-            if *part == self.part || alloc.value.waiting.is_empty() {
+            let (shard_id, id) = key;
+            if *shard_id == self.id || alloc.value.waiting.is_empty() {
                 continue;
             }
-            let Some(record) = env.mirror.jobs.get(id) else {
+            let Some(record) = context.records.jobs.get(id) else {
                 continue;
             };
             let (Some(spec), JobState::Open) = (&record.value.spec, record.value.state) else {
@@ -67,9 +67,9 @@
             let age_ms = if kept_ours { KEPT_AGE_MS } else { CLAIM_AGE_MS };
             // A job whose zones are bound moves whole, before anything of it is started; a young
             // one may be about to start there.
-            if !env.graph.is_ready(id, &record.value)
+            if !context.dependency_graph.is_ready(id, &record.value)
                 || (spec.zones_bound() && !alloc.value.started.is_empty())
-                || env.out.wall_ms < record.value.submitted.0 + age_ms
+                || context.effects.wall_ms < record.value.submitted.0 + age_ms
                 || self
                     .jobs
                     .get(id)
@@ -83,18 +83,18 @@
             }
             let offer = self.offered.get(key).copied();
             // Taken though others wait here, but not to wait here for the team's grant.
-            let offered = offer.is_some() && self.has_grant(spec, &used, env);
-            let counts = |sort: &Sort| match team_of(sort) {
+            let offered = offer.is_some() && self.has_grant(spec, &used, context);
+            let counts = |sort: &MachineClass| match team_of(sort) {
                 Some(team) => kept_ours && team == spec.team,
                 None => offered || (idle && self.matched.idle.contains(&sort.kind())),
             };
-            let mut fit = self.fit(spec, &mut rooms, counts, env);
+            let mut fit = self.fit(spec, &mut capacity_index, counts, context);
             if fit == 0
-                && offer == Some(Offer::Stranded)
-                && env.waited_ms(id, &record.value) >= WAITED_MS
+                && offer == Some(StealOffer::Stranded)
+                && context.waited_ms(id, &record.value) >= WAITED_MS
             {
                 // What has room at once is for smaller tasks: room is held for it here.
-                fit = u32::from(self.could_hold(spec, &rooms, env));
+                fit = u32::from(self.could_hold(spec, &capacity_index, context));
             }
             if fit > 0 {
                 let waiting = alloc.value.waiting.len();
@@ -103,7 +103,7 @@
                 } else {
                     fit.min(waiting)
                 };
-                best = Some((record.value.submitted, *part, id.clone(), count));
+                best = Some((record.value.submitted, *shard_id, id.clone(), count));
             }
         }
         let Some((_, from, id, count)) = best else {
@@ -111,12 +111,20 @@
             return;
         };
         let (Some(theirs), Some(record)) = (
-            env.mirror.allocs.get(&(from, id.clone())).cloned(),
-            env.mirror.jobs.get(&id).cloned(),
+            context
+                .records
+                .allocations
+                .get(&(from, id.clone()))
+                .cloned(),
+            context.records.jobs.get(&id).cloned(),
         ) else {
             return;
         };
-        let mine = env.mirror.allocs.get(&(self.part, id.clone())).cloned();
+        let mine = context
+            .records
+            .allocations
+            .get(&(self.id, id.clone()))
+            .cloned();
         let mut left = (*theirs.value).clone();
         let taken = left.waiting.split_last(count);
         let mut next = mine
@@ -124,77 +132,88 @@
             .map(|m| (*m.value).clone())
             .unwrap_or_default();
         next.waiting.merge(&taken);
-        let (theirs_key, mine_key) = (alloc_key(from, &id), alloc_key(self.part, &id));
-        let mut txn = Txn::default()
-            .when(part_key(self.part), Version(self.token.0))
-            .when(theirs_key.clone(), theirs.version)
-            .when(
+        let (theirs_key, mine_key) = (allocation_key(from, &id), allocation_key(self.id, &id));
+        let mut swap = CompareAndSwap::default()
+            .compare(shard_key(self.id), Version(self.fencing_token.0))
+            .compare(theirs_key.clone(), theirs.version)
+            .compare(
                 mine_key.clone(),
                 mine.map(|m| m.version).unwrap_or_default(),
             )
-            .when(job_key(&id), record.version);
+            .compare(job_key(&id), record.version);
         let mut writes = vec![
-            (theirs_key, env.terms.share(&left)),
-            (mine_key, env.terms.share(&next)),
+            (theirs_key, context.storage_limits.encode_allocation(&left)),
+            (mine_key, context.storage_limits.encode_allocation(&next)),
         ];
-        if !record.value.parts.contains(&self.part) {
+        if !record.value.shards.contains(&self.id) {
             let mut job = (*record.value).clone();
-            job.parts.push(self.part);
-            writes.push((job_key(&id), env.job_value(&job)));
+            job.shards.push(self.id);
+            writes.push((job_key(&id), context.job_value(&job)));
         }
-        let fits = writes.len() <= env.terms.txn_ops
-            && env.terms.startable(&next, next.started_count(), 0) > 0;
+        let fits = writes.len() <= context.storage_limits.txn_ops
+            && context
+                .storage_limits
+                .startable(&next, next.started_count(), 0)
+                > 0;
         for (key, value) in writes {
             let Some(value) = value.filter(|_| fits) else {
                 // One of the records would be too large: not before some of its tasks have ended.
                 self.claim_at = now.plus(1_000);
                 return;
             };
-            txn = txn.then(Change::write(key, &value));
+            swap = swap.mutate(Mutation::put(key, &value));
         }
-        if !env.store.may(now, Class::Starts, txn.changes.len()) {
+        if !context
+            .kv
+            .may(now, RequestPriority::Starts, swap.mutations.len())
+        {
             self.claim_at = now.plus(250);
             return;
         }
-        tracing::info!(job = %id, from = %from, part = %self.part, tasks = count, "claims waiting tasks");
+        tracing::info!(job = %id, from = %from, shard = %self.id, tasks = count, "waiting tasks stolen from shard");
         self.claiming = true;
         self.claimed_at = now;
-        env.store.txn(
-            env.out,
-            Tag::ClaimTxn(self.part, self.token, id, txn.clone()),
-            &txn,
+        context.kv.compare_and_swap(
+            context.effects,
+            Tag::ClaimSwap(self.id, self.fencing_token, id, swap.clone()),
+            &swap,
         );
     }
     /// Whether the part's grant has room for a task of this job.
-    fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, env: &Env) -> bool {
-        let granted = self.granted(&spec.team, env);
+    fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, context: &Context) -> bool {
+        let granted = self.granted(&spec.team, context);
         let mut next = used.get(&spec.team).copied().unwrap_or_default();
-        next.add(Grant::of(spec.room));
+        next.add(Grant::of(spec.resources));
         granted.covers(next)
     }
 
-    pub fn claim_done(&mut self, txn: &Txn, result: TxnResult, env: &mut Env) {
-        let now = env.now();
+    pub fn claim_done(
+        &mut self,
+        swap: &CompareAndSwap,
+        result: SwapOutcome,
+        context: &mut Context,
+    ) {
+        let now = context.now();
         self.claiming = false;
         self.claim_at = match self.matched.any {
             true => now.max(self.claimed_at.plus(OFFERED_GAP_MS)),
             false => now.plus(100),
         };
         match result {
-            TxnResult::Done(revision) => {
-                for change in &txn.changes {
-                    if let Change::Write { key, value, .. } = change {
-                        env.mirror.apply(key, Some(value), revision);
+            SwapOutcome::Done(revision) => {
+                for change in &swap.mutations {
+                    if let Mutation::Put { key, value, .. } = change {
+                        context.records.apply(key, Some(value), revision);
                     }
                 }
                 // Every share of the job changed hands in the mirror; the caller tells all shards.
             }
             // The change feed shows what became of it; nothing is commanded before that.
-            TxnResult::Unknown => self.claim_at = now.plus(3_000),
-            TxnResult::Conflict(_)
-            | TxnResult::NotDone
-            | TxnResult::Refused
-            | TxnResult::NoLease => {
+            SwapOutcome::Unknown => self.claim_at = now.plus(3_000),
+            SwapOutcome::Conflict(_)
+            | SwapOutcome::NotDone
+            | SwapOutcome::Refused
+            | SwapOutcome::NoLease => {
                 self.claim_at = now.plus(500);
             }
         }
--- a/src/outbox.rs
+++ b/src/effects.rs
@@ -2,9 +2,9 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use snowshelf_doors::doors::Told;
-use snowshelf_model::ids::{CallId, ConnId, Member, Millis};
-use snowshelf_model::protocol::peer::{Hint, Proof};
+use snowshelf_connections::table::ConnectionStats;
+use snowshelf_model::ids::{CallId, ConnectionId, Member, MonotonicMillis};
+use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
 use std::net::SocketAddrV4;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -22,15 +22,15 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum CallResult {
-    Answer {
+pub enum CallOutcome {
+    Response {
         status: u16,
         body: Vec<u8>,
     },
     /// Not a byte of the request left this process.
     NotSent,
     /// No answer: it may have been carried out, or may still be.
-    Lost,
+    Unanswered,
 }
 
 #[derive(Clone, Debug)]
@@ -73,20 +73,20 @@
 }
 
 #[derive(Debug)]
-pub enum Input {
-    Request(ConnId, Request),
-    CallDone(CallId, CallResult),
-    Hint(Hint),
+pub enum ControllerEvent {
+    Request(ConnectionId, Request),
+    CallDone(CallId, CallOutcome),
+    PeerStatus(PeerStatus),
     /// A message of another controller that rules depend on.
-    Proof(Proof),
+    PeerMessage(PeerMessage),
     /// How full it is at this controller's doors.
-    Doors(Told),
+    ConnectionTable(ConnectionStats),
     Tick,
 }
 
 #[derive(Debug)]
-pub enum Output {
-    Respond(ConnId, Response),
+pub enum Effect {
+    Respond(ConnectionId, Response),
     Call {
         id: CallId,
         target: Target,
@@ -95,28 +95,28 @@
         body: Vec<u8>,
         timeout_ms: u64,
     },
-    Hint(Member, Hint),
-    Proof(Member, Proof),
+    PeerStatus(Member, PeerStatus),
+    PeerMessage(Member, PeerMessage),
 }
 
 /// Collects outputs while an input is worked on.
-pub struct Outbox {
+pub struct Effects {
     rng: SmallRng,
-    pub now: Millis,
+    pub now: MonotonicMillis,
     pub wall_ms: u64,
     next_call: u64,
-    pub outputs: Vec<Output>,
+    pub outputs: Vec<Effect>,
 }
 
 /// The longest pause between tries, whatever came before.
 const LONGEST_PAUSE_MS: u64 = 4_000;
 
-impl Outbox {
+impl Effects {
     /// `seed` only spreads the controllers' pauses; nothing else depends on chance.
-    pub fn new(seed: u64) -> Outbox {
-        Outbox {
+    pub fn new(seed: u64) -> Effects {
+        Effects {
             rng: SmallRng::seed_from_u64(seed),
-            now: Millis(0),
+            now: MonotonicMillis(0),
             wall_ms: 0,
             next_call: 0,
             outputs: Vec::new(),
@@ -125,7 +125,7 @@
 
     /// When to try again after `failures` in a row: pauses double from `first_ms`, and are drawn
     /// from half to one and a half of that, so that controllers do not come back in step.
-    pub fn retry_at(&mut self, first_ms: u64, failures: u32) -> Millis {
+    pub fn retry_at(&mut self, first_ms: u64, failures: u32) -> MonotonicMillis {
         let pause = (first_ms << failures.min(6)).min(LONGEST_PAUSE_MS.max(first_ms));
         let drawn = self.rng.random_range(pause / 2..=pause + pause / 2);
         self.now.plus(drawn)
@@ -141,7 +141,7 @@
     ) -> CallId {
         self.next_call += 1;
         let id = CallId(self.next_call);
-        self.outputs.push(Output::Call {
+        self.outputs.push(Effect::Call {
             id,
             target,
             method,
@@ -151,7 +151,7 @@
         });
         id
     }
-    pub fn respond(&mut self, conn: ConnId, response: Response) {
-        self.outputs.push(Output::Respond(conn, response));
+    pub fn respond(&mut self, conn: ConnectionId, response: Response) {
+        self.outputs.push(Effect::Respond(conn, response));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! snowshelf: a cluster scheduler. See `docs/design.md`.
 
-pub mod bookkeeping;
 pub mod coordination;
+pub mod effects;
 pub mod operator;
-pub mod outbox;
 pub mod settings;
+pub mod storage;
 pub mod transport;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -263,7 +263,7 @@
 
     /// How long after it last knew what users were told a controller may answer workers.
     pub fn answering_ms(&self) -> u64 {
-        snowshelf_horizon::answering_ms(self.cancel_ms(), self.lease_ms())
+        snowshelf_watermark::answering_ms(self.cancel_ms(), self.lease_ms())
     }
 
     /// Within that time of a confirmed cancellation no task of the job is on a machine.
--- a/src/bookkeeping/store.rs
+++ b/src/storage/kv_client.rs
@@ -1,16 +1,17 @@
 //! The client of the state service: budgets, and answers turned into what they prove.
 
-use crate::outbox::{CallResult, Method, Outbox, Target};
-use snowshelf_model::ids::{CallId, LeaseId, Millis, Version};
+use crate::effects::{CallOutcome, Effects, Method, Target};
+use snowshelf_model::ids::{CallId, LeaseId, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{
-    Changes, Item, LeaseAnswer, Missing, Page, Txn, TxnFailed, TxnOk,
+    CompareAndSwap, KeyNotFound, KeyValue, LeaseResponse, RangePage, SwapApplied, SwapConflict,
+    WatchEvents,
 };
 use std::collections::HashMap;
 
 /// What a request is for. Lower ranks keep clear of the room that higher ones may need.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Class {
-    Ownership,
+pub enum RequestPriority {
+    Leases,
     Accept,
     Ends,
     Starts,
@@ -19,15 +20,15 @@
     Reads,
 }
 
-impl Class {
+impl RequestPriority {
     /// The share of a second's budget that must stay free when a request of this class goes out.
     fn reserve(self) -> f64 {
         match self {
-            Class::Ownership => 0.0,
-            Class::Accept => 0.1,
-            Class::Ends => 0.15,
-            Class::Starts => 0.25,
-            Class::Reads | Class::Spare => 0.3,
+            RequestPriority::Leases => 0.0,
+            RequestPriority::Accept => 0.1,
+            RequestPriority::Ends => 0.15,
+            RequestPriority::Starts => 0.25,
+            RequestPriority::Reads | RequestPriority::Spare => 0.3,
         }
     }
 
@@ -35,52 +36,54 @@
     /// small writes keeps it waiting.
     fn reserve_of_writes(self) -> f64 {
         match self {
-            Class::Ends => 0.4,
-            Class::Starts => 0.5,
+            RequestPriority::Ends => 0.4,
+            RequestPriority::Starts => 0.5,
             // Only from a bucket that nobody else draws on.
-            Class::Spare => 0.8,
-            Class::Ownership | Class::Accept | Class::Reads => self.reserve(),
+            RequestPriority::Spare => 0.8,
+            RequestPriority::Leases | RequestPriority::Accept | RequestPriority::Reads => {
+                self.reserve()
+            }
         }
     }
 }
 
 /// A token bucket that holds a second's worth.
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     level: f64,
-    at: Millis,
+    at: MonotonicMillis,
 }
 
-impl Bucket {
-    pub fn new(rate: f64) -> Bucket {
-        Bucket::with_burst(rate, rate)
+impl TokenBucket {
+    pub fn new(rate: f64) -> TokenBucket {
+        TokenBucket::with_burst(rate, rate)
     }
-    pub fn with_burst(rate: f64, most: f64) -> Bucket {
+    pub fn with_burst(rate: f64, most: f64) -> TokenBucket {
         let most = most.max(1.0);
-        Bucket {
+        TokenBucket {
             rate,
             most,
             level: most,
-            at: Millis(0),
+            at: MonotonicMillis(0),
         }
     }
     pub fn set_rate(&mut self, rate: f64) {
         (self.rate, self.most) = (rate, rate.max(1.0));
         self.level = self.level.min(self.most);
     }
-    fn refill(&mut self, now: Millis) {
+    fn refill(&mut self, now: MonotonicMillis) {
         let gained = now.since(self.at) as f64 / 1000.0 * self.rate;
         self.level = (self.level + gained).min(self.most);
         self.at = now;
     }
-    pub fn has(&mut self, now: Millis, amount: f64, reserve: f64) -> bool {
+    pub fn has(&mut self, now: MonotonicMillis, amount: f64, reserve: f64) -> bool {
         self.refill(now);
         // A request that alone passes what is left over the reserve goes when the bucket is full.
         self.level >= (amount + reserve * self.rate).min(self.most)
     }
     /// How much may go now beside the reserve; never nothing when the bucket is full.
-    pub fn room(&mut self, now: Millis, reserve: f64) -> usize {
+    pub fn room(&mut self, now: MonotonicMillis, reserve: f64) -> usize {
         self.refill(now);
         let room = (self.level - reserve * self.rate).max(0.0) as usize;
         if self.level >= self.most {
@@ -96,7 +99,7 @@
 }
 
 #[derive(Debug)]
-pub enum TxnResult {
+pub enum SwapOutcome {
     Done(Version),
     /// Nothing was changed; these keys had other versions.
     Conflict(Vec<String>),
@@ -110,19 +113,19 @@
 }
 
 #[derive(Debug)]
-pub enum GetResult {
-    Found(Item),
-    Missing(Version),
+pub enum GetOutcome {
+    Found(KeyValue),
+    NotFound(Version),
     Failed,
 }
 
 #[derive(Debug)]
-pub enum Reply {
-    Txn(TxnResult),
-    Get(GetResult),
-    Page(Option<Page>),
+pub enum KvResponse {
+    Swap(SwapOutcome),
+    Get(GetOutcome),
+    RangePage(Option<RangePage>),
     /// `Err(true)`: too old, read everything again.
-    Changes(Result<Changes, bool>),
+    WatchEvents(Result<WatchEvents, bool>),
     Lease(Option<LeaseId>),
     /// `Some(false)`: the lease is gone.
     Renewed(Option<bool>),
@@ -130,31 +133,31 @@
 
 #[derive(Clone, Copy)]
 enum Kind {
-    Txn,
+    Swap,
     Get,
-    Page,
-    Changes,
+    RangePage,
+    WatchEvents,
     Lease,
     Renew,
 }
 
-pub struct Store<T> {
-    requests: Bucket,
-    writes: Bucket,
+pub struct KvClient<T> {
+    requests: TokenBucket,
+    writes: TokenBucket,
     pending: HashMap<CallId, (T, Kind)>,
     /// When the service last answered anything but 503.
-    pub served: Option<Millis>,
+    pub served: Option<MonotonicMillis>,
     /// A transaction was refused as it is.
     pub refused: bool,
 }
 
 const CALL_MS: u64 = 2_500;
 
-impl<T> Store<T> {
-    pub fn new(rps: f64, write_rps: f64) -> Store<T> {
-        Store {
-            requests: Bucket::new(rps),
-            writes: Bucket::new(write_rps),
+impl<T> KvClient<T> {
+    pub fn new(rps: f64, write_rps: f64) -> KvClient<T> {
+        KvClient {
+            requests: TokenBucket::new(rps),
+            writes: TokenBucket::new(write_rps),
             pending: HashMap::new(),
             served: None,
             refused: false,
@@ -172,7 +175,7 @@
         self.writes.rate
     }
 
-    pub fn may(&mut self, now: Millis, class: Class, writes: usize) -> bool {
+    pub fn may(&mut self, now: MonotonicMillis, class: RequestPriority, writes: usize) -> bool {
         self.requests.has(now, 1.0, class.reserve())
             && (writes == 0
                 || self
@@ -181,7 +184,7 @@
     }
 
     /// How many writes one transaction of this class may make now.
-    pub fn room(&mut self, now: Millis, class: Class) -> usize {
+    pub fn room(&mut self, now: MonotonicMillis, class: RequestPriority) -> usize {
         if self.requests.has(now, 1.0, class.reserve()) {
             self.writes.room(now, class.reserve_of_writes())
         } else {
@@ -192,7 +195,7 @@
     #[allow(clippy::too_many_arguments)]
     fn send(
         &mut self,
-        out: &mut Outbox,
+        effects: &mut Effects,
         tag: T,
         kind: Kind,
         method: Method,
@@ -201,27 +204,41 @@
         timeout_ms: u64,
     ) {
         self.requests.take(1.0);
-        let id = out.call(Target::State, method, path, body, timeout_ms);
+        let id = effects.call(Target::State, method, path, body, timeout_ms);
         self.pending.insert(id, (tag, kind));
     }
 
     /// Sends a transaction; the caller has asked `may` before.
-    pub fn txn(&mut self, out: &mut Outbox, tag: T, txn: &Txn) {
-        self.writes.take(txn.changes.len() as f64);
-        self.compare(out, tag, txn, CALL_MS);
+    pub fn compare_and_swap(&mut self, effects: &mut Effects, tag: T, swap: &CompareAndSwap) {
+        self.writes.take(swap.mutations.len() as f64);
+        self.check_versions(effects, tag, swap, CALL_MS);
     }
 
     /// Asks whether keys still have the versions known here: a transaction without changes.
-    pub fn compare(&mut self, out: &mut Outbox, tag: T, txn: &Txn, timeout_ms: u64) {
-        let body = serde_json::to_vec(txn).unwrap_or_default();
+    pub fn check_versions(
+        &mut self,
+        effects: &mut Effects,
+        tag: T,
+        swap: &CompareAndSwap,
+        timeout_ms: u64,
+    ) {
+        let body = serde_json::to_vec(swap).unwrap_or_default();
         let path = "/txn".to_string();
-        self.send(out, tag, Kind::Txn, Method::Post, path, body, timeout_ms);
+        self.send(
+            effects,
+            tag,
+            Kind::Swap,
+            Method::Post,
+            path,
+            body,
+            timeout_ms,
+        );
     }
 
-    pub fn get(&mut self, out: &mut Outbox, tag: T, key: &str, timeout_ms: u64) {
+    pub fn get(&mut self, effects: &mut Effects, tag: T, key: &str, timeout_ms: u64) {
         let path = format!("/kv/{key}");
         self.send(
-            out,
+            effects,
             tag,
             Kind::Get,
             Method::Get,
@@ -232,20 +249,28 @@
     }
 
     /// Reads keys that start with `starts`, after `after`, `limit` of them at the most.
-    pub fn page(&mut self, out: &mut Outbox, tag: T, starts: &str, after: &str, limit: u32) {
+    pub fn page(&mut self, effects: &mut Effects, tag: T, starts: &str, after: &str, limit: u32) {
         let path = if after.is_empty() {
             format!("/kv?Starts={starts}&Limit={limit}")
         } else {
             format!("/kv?Starts={starts}&After={after}&Limit={limit}")
         };
-        self.send(out, tag, Kind::Page, Method::Get, path, Vec::new(), CALL_MS);
+        self.send(
+            effects,
+            tag,
+            Kind::RangePage,
+            Method::Get,
+            path,
+            Vec::new(),
+            CALL_MS,
+        );
     }
 
     /// Reads the changes of keys that start with `starts` since `after`, and waits for one if there
     /// are none.
     pub fn changes(
         &mut self,
-        out: &mut Outbox,
+        effects: &mut Effects,
         tag: T,
         starts: &str,
         after: Version,
@@ -254,9 +279,9 @@
         let path = format!("/changes?Starts={starts}&After={after}&WaitMs={wait_ms}");
         let timeout = wait_ms + CALL_MS;
         self.send(
-            out,
+            effects,
             tag,
-            Kind::Changes,
+            Kind::WatchEvents,
             Method::Get,
             path,
             Vec::new(),
@@ -264,10 +289,10 @@
         );
     }
 
-    pub fn lease(&mut self, out: &mut Outbox, tag: T, ttl_ms: u64) {
+    pub fn lease(&mut self, effects: &mut Effects, tag: T, ttl_ms: u64) {
         let body = format!("{{\"TtlMs\":{ttl_ms}}}").into_bytes();
         self.send(
-            out,
+            effects,
             tag,
             Kind::Lease,
             Method::Post,
@@ -277,28 +302,41 @@
         );
     }
 
-    pub fn renew(&mut self, out: &mut Outbox, tag: T, lease: LeaseId) {
+    pub fn renew(&mut self, effects: &mut Effects, tag: T, lease: LeaseId) {
         let path = format!("/leases/{lease}/renew");
-        self.send(out, tag, Kind::Renew, Method::Post, path, Vec::new(), 1_000);
+        self.send(
+            effects,
+            tag,
+            Kind::Renew,
+            Method::Post,
+            path,
+            Vec::new(),
+            1_000,
+        );
     }
 
     /// Takes an answer in; `None` if the call is not this actor's.
-    pub fn done(&mut self, now: Millis, id: CallId, result: &CallResult) -> Option<(T, Reply)> {
+    pub fn done(
+        &mut self,
+        now: MonotonicMillis,
+        id: CallId,
+        result: &CallOutcome,
+    ) -> Option<(T, KvResponse)> {
         let (tag, kind) = self.pending.remove(&id)?;
-        if let CallResult::Answer { status, .. } = result
+        if let CallOutcome::Response { status, .. } = result
             && *status != 503
         {
             self.served = Some(now);
         }
-        if let CallResult::Answer { status: 429, .. } = result {
-            tracing::info!("the state service asks to slow down");
+        if let CallOutcome::Response { status: 429, .. } = result {
+            tracing::info!("key-value store rate limit exceeded");
             self.requests.level = self.requests.level.min(0.0);
-            if let Kind::Txn = kind {
+            if let Kind::Swap = kind {
                 self.writes.level = self.writes.level.min(0.0);
             }
         }
         let reply = interpret(kind, result);
-        if let Reply::Txn(TxnResult::Refused) = reply {
+        if let KvResponse::Swap(SwapOutcome::Refused) = reply {
             self.refused = true;
         }
         Some((tag, reply))
@@ -309,60 +347,59 @@
     match serde_json::from_slice(body) {
         Ok(value) => Some(value),
         Err(error) => {
-            tracing::error!(%error, "odd answer from the state service");
+            tracing::error!(%error, "key-value store response unreadable");
             None
         }
     }
 }
 
-fn interpret(kind: Kind, result: &CallResult) -> Reply {
+fn interpret(kind: Kind, result: &CallOutcome) -> KvResponse {
     let (status, body): (u16, &[u8]) = match result {
-        CallResult::Answer { status, body } => (*status, body),
-        CallResult::NotSent => (503, b""),
-        CallResult::Lost => (0, b""),
+        CallOutcome::Response { status, body } => (*status, body),
+        CallOutcome::NotSent => (503, b""),
+        CallOutcome::Unanswered => (0, b""),
     };
     match kind {
-        Kind::Txn => Reply::Txn(match status {
-            200 => match json::<TxnOk>(body) {
-                Some(ok) => TxnResult::Done(ok.revision),
-                None => TxnResult::Unknown,
+        Kind::Swap => KvResponse::Swap(match status {
+            200 => match json::<SwapApplied>(body) {
+                Some(ok) => SwapOutcome::Done(ok.revision),
+                None => SwapOutcome::Unknown,
             },
-            409 => match json::<TxnFailed>(body) {
-                Some(f) => TxnResult::Conflict(f.failed),
-                None => TxnResult::NotDone,
+            409 => match json::<SwapConflict>(body) {
+                Some(f) => SwapOutcome::Conflict(f.failed),
+                None => SwapOutcome::NotDone,
             },
             400 => {
                 let why = String::from_utf8_lossy(body);
-                tracing::info!(body = %why, "transaction refused");
+                tracing::info!(body = %why, "compare-and-swap rejected");
                 if why.contains("lease") {
-                    TxnResult::NoLease
+                    SwapOutcome::NoLease
                 } else {
-                    TxnResult::Refused
+                    SwapOutcome::Refused
                 }
             }
-            429 | 503 => TxnResult::NotDone,
+            429 | 503 => SwapOutcome::NotDone,
             // Anything unforeseen proves nothing.
-            _ => TxnResult::Unknown,
+            _ => SwapOutcome::Unknown,
         }),
-        Kind::Get => Reply::Get(match status {
-            200 => json::<Item>(body).map_or(GetResult::Failed, GetResult::Found),
-            404 => {
-                json::<Missing>(body).map_or(GetResult::Failed, |m| GetResult::Missing(m.revision))
-            }
-            _ => GetResult::Failed,
+        Kind::Get => KvResponse::Get(match status {
+            200 => json::<KeyValue>(body).map_or(GetOutcome::Failed, GetOutcome::Found),
+            404 => json::<KeyNotFound>(body)
+                .map_or(GetOutcome::Failed, |m| GetOutcome::NotFound(m.revision)),
+            _ => GetOutcome::Failed,
         }),
-        Kind::Page => Reply::Page(if status == 200 { json(body) } else { None }),
-        Kind::Changes => Reply::Changes(match status {
+        Kind::RangePage => KvResponse::RangePage(if status == 200 { json(body) } else { None }),
+        Kind::WatchEvents => KvResponse::WatchEvents(match status {
             200 => json(body).ok_or(false),
             410 => Err(true),
             _ => Err(false),
         }),
-        Kind::Lease => Reply::Lease(if status == 200 {
-            json::<LeaseAnswer>(body).map(|l| l.lease)
+        Kind::Lease => KvResponse::Lease(if status == 200 {
+            json::<LeaseResponse>(body).map(|l| l.lease)
         } else {
             None
         }),
-        Kind::Renew => Reply::Renewed(match status {
+        Kind::Renew => KvResponse::Renewed(match status {
             200 => Some(true),
             404 => Some(false),
             _ => None,
--- a/src/bookkeeping/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
 //! What is known and kept: a mirror of the records, and the client of the state service.
 
-pub mod mirror;
-pub mod store;
+pub mod kv_client;
+pub mod record_cache;
--- a/src/bookkeeping/mirror.rs
+++ b/src/storage/record_cache.rs
@@ -7,12 +7,13 @@
 use snowshelf_calendar::entry::{Name, Reservation, Window};
 use snowshelf_drain::budget::Ledger;
 use snowshelf_drain::entry::Drain;
-use snowshelf_model::ids::{JobId, Member, PartId, Team, Version, WallMs};
+use snowshelf_model::ids::{JobId, Member, ShardId, Team, Version, WallClockMillis};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::{
-    Alloc, CALENDAR_KEY, Capability, FORMAT_KEY, Format, FormatRecord, GraphRecord, JobRecord,
-    JobState, LEADER_KEY, PartRecord, QuotaRecord, RunId, RunRecord, RunState, WIDE, alloc_key,
-    definition_key, graph_key, job_key, member_key, part_key, plan_key, quota_key, run_key, sound,
+    CALENDAR_KEY, Capability, FORMAT_KEY, FORMAT_V2, FormatRecord, GraphRecord, JobRecord,
+    JobState, LEADER_KEY, LeaseHolder, QuotaRecord, RecordFormat, RunId, RunRecord, RunState,
+    ShardAllocation, allocation_key, definition_key, graph_key, job_key, member_key, plan_key,
+    quota_key, run_key, shard_key, sound,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -46,14 +47,14 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Changed {
+pub enum RecordChange {
     Job(JobId),
-    Alloc(PartId, JobId),
-    Part(PartId),
+    ShardAllocation(ShardId, JobId),
+    ShardOwner(ShardId),
     Quota(Team),
     Leader,
     Types,
-    Format,
+    RecordFormat,
     Reservation(Name),
     Window(Name),
     Calendar,
@@ -69,7 +70,7 @@
     pub state: JobState,
     pub tasks: u32,
     /// When it was done, if its record says so.
-    pub ended: Option<WallMs>,
+    pub ended: Option<WallClockMillis>,
     /// Whether a graph's run has submitted it.
     pub run: bool,
 }
@@ -87,20 +88,20 @@
 }
 
 #[derive(Default)]
-pub struct Mirror {
+pub struct RecordCache {
     pub jobs: BTreeMap<JobId, Versioned<JobRecord>>,
-    pub allocs: BTreeMap<(PartId, JobId), Versioned<Alloc>>,
-    pub parts: BTreeMap<PartId, Versioned<PartRecord>>,
+    pub allocations: BTreeMap<(ShardId, JobId), Versioned<ShardAllocation>>,
+    pub shard_owners: BTreeMap<ShardId, Versioned<LeaseHolder>>,
     pub quotas: BTreeMap<Team, Versioned<QuotaRecord>>,
-    pub leader: Option<Versioned<PartRecord>>,
+    pub leader: Option<Versioned<LeaseHolder>>,
     pub types: Option<Versioned<Vec<MachineType>>>,
     /// Lists of needed jobs that have values of their own, of jobs that have not ended.
-    pub needs: BTreeMap<(JobId, u32), Rc<Vec<JobId>>>,
+    pub dependencies: BTreeMap<(JobId, u32), Rc<Vec<JobId>>>,
     /// What each controller has said that it can read and do, and what all of them have.
     pub members: BTreeMap<Member, Versioned<FormatRecord>>,
     pub agreed: Option<Versioned<FormatRecord>>,
     /// How records are to be written, as far as it is settled.
-    pub format: Format,
+    pub format: RecordFormat,
     /// What is reserved and closed ahead, and the version at which any of it last changed.
     pub reservations: BTreeMap<Name, Versioned<Reservation>>,
     pub windows: BTreeMap<Name, Versioned<Window>>,
@@ -127,9 +128,9 @@
     /// Everything up to here has been seen.
     pub revision: Version,
     /// Whether it has been read who owns which part.
-    pub parts_read: bool,
+    pub shard_owners_read: bool,
     /// Whether all but jobs has been read: shares, grants, the format, machine types.
-    pub shares_read: bool,
+    pub allocations_read: bool,
     /// Whether all that is open has been read.
     pub loaded: bool,
     /// Whether a reading is underway.
@@ -140,13 +141,13 @@
     match T::deserialize(value) {
         Ok(parsed) => Some(parsed),
         Err(error) => {
-            tracing::error!(key, %error, "record in the state service cannot be read");
+            tracing::error!(key, %error, "stored record unreadable");
             None
         }
     }
 }
 
-impl Mirror {
+impl RecordCache {
     pub fn final_of(&self, job: &JobId) -> Option<Final> {
         self.finals.get(job).copied()
     }
@@ -158,12 +159,16 @@
     }
 
     /// What a job needs; `None` if a part of the list is not known here.
-    pub fn needs_of<'a>(&'a self, job: &JobId, record: &'a JobRecord) -> Option<Vec<&'a JobId>> {
-        let mut needs: Vec<&JobId> = record.needs.iter().collect();
-        for piece in 0..record.needs_pieces {
-            needs.extend(self.needs.get(&(job.clone(), piece))?.iter());
-        }
-        Some(needs)
+    pub fn dependencies_of<'a>(
+        &'a self,
+        job: &JobId,
+        record: &'a JobRecord,
+    ) -> Option<Vec<&'a JobId>> {
+        let mut dependencies: Vec<&JobId> = record.dependencies.iter().collect();
+        for piece in 0..record.dependency_chunks {
+            dependencies.extend(self.dependencies.get(&(job.clone(), piece))?.iter());
+        }
+        Some(dependencies)
     }
 
     pub fn knows_job(&self, job: &JobId) -> bool {
@@ -174,7 +179,7 @@
         if !record.is_final() {
             return;
         }
-        self.needs.retain(|(of, _), _| of != job);
+        self.dependencies.retain(|(of, _), _| of != job);
         let end = Final::of(record);
         if self.finals.insert(job.clone(), end).is_none() {
             self.finals_order.push_back(job.clone());
@@ -187,7 +192,12 @@
     }
 
     /// Takes in one key's state (`None`: deleted) as of `version`; older news change nothing.
-    pub fn apply(&mut self, key: &str, value: Option<&Value>, version: Version) -> Option<Changed> {
+    pub fn apply(
+        &mut self,
+        key: &str,
+        value: Option<&Value>,
+        version: Version,
+    ) -> Option<RecordChange> {
         match self.versions.get(key) {
             Some(seen) if *seen >= version => return None,
             _ => {}
@@ -196,7 +206,7 @@
         let changed = self.put(key, value, version);
         // Final records are many; their keys need no guard, as they never change again. While a
         // reading goes on, a page sent before the end may still bring the job as it was.
-        if let Some(Changed::Job(job)) = &changed
+        if let Some(RecordChange::Job(job)) = &changed
             && !self.reading
             && !self.jobs.contains_key(job)
         {
@@ -205,7 +215,7 @@
         changed
     }
 
-    fn put(&mut self, key: &str, value: Option<&Value>, version: Version) -> Option<Changed> {
+    fn put(&mut self, key: &str, value: Option<&Value>, version: Version) -> Option<RecordChange> {
         fn set<K: Ord, T: for<'a> Deserialize<'a>>(
             map: &mut BTreeMap<K, Versioned<T>>,
             id: K,
@@ -242,7 +252,7 @@
                 Some(record) if !record.is_final() && self.finals.contains_key(&job) => {}
                 Some(record) => {
                     self.remember_final(&job, &record);
-                    if record.is_final() && record.parts.is_empty() {
+                    if record.is_final() && record.shards.is_empty() {
                         self.jobs.remove(&job);
                     } else {
                         let value = Rc::new(record);
@@ -253,7 +263,7 @@
                     self.jobs.remove(&job);
                 }
             }
-            return Some(Changed::Job(job));
+            return Some(RecordChange::Job(job));
         }
         if let Some((job, piece)) = key.strip_prefix("needs/").and_then(|k| k.split_once('/')) {
             let job = JobId::new(job);
@@ -261,89 +271,102 @@
                 && !self.finals.contains_key(&job)
                 && let Some(list) = value.and_then(|v| read(key, v))
             {
-                self.needs.insert((job.clone(), piece), Rc::new(list));
+                self.dependencies
+                    .insert((job.clone(), piece), Rc::new(list));
                 self.job_changes += 1;
             }
-            return Some(Changed::Job(job));
-        }
-        if let Some((part, job)) = split_alloc(key) {
-            set(&mut self.allocs, (part, job.clone()), key, value, version);
-            return Some(Changed::Alloc(part, job));
-        }
-        if let Some(part) = key.strip_prefix("part/").and_then(|p| p.parse().ok()) {
-            set(&mut self.parts, PartId(part), key, value, version);
-            return Some(Changed::Part(PartId(part)));
+            return Some(RecordChange::Job(job));
+        }
+        if let Some((shard_id, job)) = parse_allocation_key(key) {
+            set(
+                &mut self.allocations,
+                (shard_id, job.clone()),
+                key,
+                value,
+                version,
+            );
+            return Some(RecordChange::ShardAllocation(shard_id, job));
+        }
+        if let Some(shard_id) = key.strip_prefix("part/").and_then(|p| p.parse().ok()) {
+            set(
+                &mut self.shard_owners,
+                ShardId(shard_id),
+                key,
+                value,
+                version,
+            );
+            return Some(RecordChange::ShardOwner(ShardId(shard_id)));
         }
         if let Some(team) = key.strip_prefix("quota/") {
             set(&mut self.quotas, Team::new(team), key, value, version);
-            return Some(Changed::Quota(Team::new(team)));
+            return Some(RecordChange::Quota(Team::new(team)));
         }
         if let Some(member) = key.strip_prefix("member/") {
             set(&mut self.members, Member::new(member), key, value, version);
-            return Some(Changed::Format);
+            return Some(RecordChange::RecordFormat);
         }
         if let Some(name) = key.strip_prefix("res/").and_then(Name::parse) {
             set(&mut self.reservations, name.clone(), key, value, version);
-            return Some(Changed::Reservation(name));
+            return Some(RecordChange::Reservation(name));
         }
         if let Some(name) = key.strip_prefix("win/").and_then(Name::parse) {
             set(&mut self.windows, name.clone(), key, value, version);
-            return Some(Changed::Window(name));
+            return Some(RecordChange::Window(name));
         }
         if let Some(name) = key.strip_prefix("drain/").and_then(Name::parse) {
             set(&mut self.drains, name, key, value, version);
             self.drain_changes += 1;
-            return Some(Changed::Drain);
+            return Some(RecordChange::Drain);
         }
         if let Some(team) = key.strip_prefix("disrupt/") {
             set(&mut self.ledgers, Team::new(team), key, value, version);
-            return Some(Changed::Ledger);
+            return Some(RecordChange::Ledger);
         }
         if let Some(run) = key.strip_prefix("run/").and_then(RunId::parse) {
             set(&mut self.runs, run.clone(), key, value, version);
-            return Some(Changed::Run(run));
+            return Some(RecordChange::Run(run));
         }
         if let Some((run, hash, piece)) = split_plan(key) {
             let id = (run.clone(), hash, piece);
             set_piece(&mut self.plans, id, key, value);
-            return Some(Changed::Run(run));
+            return Some(RecordChange::Run(run));
         }
         if let Some(name) = key.strip_prefix("graph/").filter(|n| sound(n)) {
             set(&mut self.graphs, name.to_string(), key, value, version);
-            return Some(Changed::Graph);
+            return Some(RecordChange::Graph);
         }
         if let Some(id) = split_definition(key) {
             set_piece(&mut self.definitions, id, key, value);
-            return Some(Changed::Graph);
+            return Some(RecordChange::Graph);
         }
         if key == CALENDAR_KEY {
             self.calendar = version;
-            return Some(Changed::Calendar);
+            return Some(RecordChange::Calendar);
         }
         if key == FORMAT_KEY {
             // For good: what was written since cannot be read by an earlier version.
             if let Some(record) = value.and_then(|v| read::<FormatRecord>(key, v)) {
-                if record.format >= WIDE {
-                    self.format = Format::Wide;
+                if record.format >= FORMAT_V2 {
+                    self.format = RecordFormat::V2;
                 }
                 let value = Rc::new(record);
                 self.agreed = Some(Versioned { version, value });
             }
-            return Some(Changed::Format);
+            return Some(RecordChange::RecordFormat);
         }
         if key == LEADER_KEY {
             self.leader = value.and_then(|v| read(key, v)).map(|p| Versioned {
                 version,
                 value: Rc::new(p),
             });
-            return Some(Changed::Leader);
+            return Some(RecordChange::Leader);
         }
         if key == TYPES_KEY {
             self.types = value.and_then(|v| read(key, v)).map(|p| Versioned {
                 version,
                 value: Rc::new(p),
             });
-            return Some(Changed::Types);
+            return Some(RecordChange::Types);
         }
         None
     }
@@ -358,8 +381,8 @@
     pub fn open_keys(&self) -> Vec<String> {
         let mut known: Vec<String> = Vec::new();
         known.extend(self.jobs.keys().map(job_key));
-        known.extend(self.allocs.keys().map(|(p, j)| alloc_key(*p, j)));
-        known.extend(self.parts.keys().map(|p| part_key(*p)));
+        known.extend(self.allocations.keys().map(|(p, j)| allocation_key(*p, j)));
+        known.extend(self.shard_owners.keys().map(|p| shard_key(*p)));
         known.extend(self.quotas.keys().map(quota_key));
         known.extend(self.members.keys().map(member_key));
         known.extend(self.graphs.keys().map(|n| graph_key(n)));
@@ -378,9 +401,14 @@
 
     /// Takes in a key found by a full reading. A job that has ended needs no guard beyond that, or
     /// the guards of all that ever were would be held at once.
-    pub fn apply_read(&mut self, key: &str, value: &Value, version: Version) -> Option<Changed> {
+    pub fn apply_read(
+        &mut self,
+        key: &str,
+        value: &Value,
+        version: Version,
+    ) -> Option<RecordChange> {
         let changed = self.apply(key, Some(value), version);
-        if let Some(Changed::Job(job)) = &changed
+        if let Some(RecordChange::Job(job)) = &changed
             && !self.jobs.contains_key(job)
         {
             self.versions.remove(key);
@@ -389,7 +417,7 @@
     }
 
     /// Takes in that a full reading as of `revision` passed a key's place and did not find it.
-    pub fn absent(&mut self, key: &str, revision: Version) -> Option<Changed> {
+    pub fn absent(&mut self, key: &str, revision: Version) -> Option<RecordChange> {
         match self.versions.get(key) {
             // Made anew since.
             Some(seen) if *seen > revision => None,
@@ -403,9 +431,18 @@
     /// Jobs that must be known before parts are served: those of which there are shares, and those
     /// that these need, as far as they are not known.
     pub fn wanted(&self) -> BTreeSet<JobId> {
-        let mut wanted: BTreeSet<JobId> = self.allocs.keys().map(|(_, job)| job.clone()).collect();
+        let mut wanted: BTreeSet<JobId> = self
+            .allocations
+            .keys()
+            .map(|(_, job)| job.clone())
+            .collect();
         for (job, v) in &self.jobs {
-            wanted.extend(self.needs_of(job, &v.value).into_iter().flatten().cloned());
+            wanted.extend(
+                self.dependencies_of(job, &v.value)
+                    .into_iter()
+                    .flatten()
+                    .cloned(),
+            );
         }
         wanted.retain(|job| !self.knows_job(job));
         wanted
@@ -439,14 +476,14 @@
     /// Forgets guards of deleted keys that the feed has passed.
     pub fn tidy(&mut self) {
         let revision = self.revision;
-        if self.versions.len() < 2 * (self.jobs.len() + self.allocs.len()) + TIDY_AT {
+        if self.versions.len() < 2 * (self.jobs.len() + self.allocations.len()) + TIDY_AT {
             return;
         }
-        let (jobs, allocs) = (&self.jobs, &self.allocs);
+        let (jobs, allocations) = (&self.jobs, &self.allocations);
         self.versions.retain(|key, version| {
             *version > revision
-                || match split_alloc(key) {
-                    Some(id) => allocs.contains_key(&id),
+                || match parse_allocation_key(key) {
+                    Some(id) => allocations.contains_key(&id),
                     None => match key.strip_prefix("job/") {
                         Some(job) => jobs.contains_key(&JobId::new(job)),
                         None => true,
@@ -455,22 +492,22 @@
         });
     }
 
-    pub fn part_allocs(
+    pub fn shard_allocations(
         &self,
-        part: PartId,
-    ) -> impl Iterator<Item = (&JobId, &Versioned<Alloc>)> + '_ {
-        self.allocs
-            .range((part, JobId::new(""))..)
-            .take_while(move |((p, _), _)| *p == part)
+        shard_id: ShardId,
+    ) -> impl Iterator<Item = (&JobId, &Versioned<ShardAllocation>)> + '_ {
+        self.allocations
+            .range((shard_id, JobId::new(""))..)
+            .take_while(move |((p, _), _)| *p == shard_id)
             .map(|((_, job), v)| (job, v))
     }
 
     /// Tasks finished and possibly running, for display.
-    pub fn counts(&self, job: &JobId, parts: &[PartId], tasks: u32) -> (u32, u32) {
+    pub fn counts(&self, job: &JobId, shards: &[ShardId], tasks: u32) -> (u32, u32) {
         let mut open = 0;
         let mut running = 0;
-        for part in parts {
-            if let Some(v) = self.allocs.get(&(*part, job.clone())) {
+        for shard_id in shards {
+            if let Some(v) = self.allocations.get(&(*shard_id, job.clone())) {
                 let started = v.value.started_count();
                 running += started;
                 open += started + v.value.waiting.len();
@@ -499,7 +536,7 @@
     Some((whose, hash.to_string(), piece.parse().ok()?))
 }
 
-fn split_alloc(key: &str) -> Option<(PartId, JobId)> {
-    let (part, job) = key.strip_prefix("alloc/")?.split_once('/')?;
-    Some((PartId(part.parse().ok()?), JobId::new(job)))
+fn parse_allocation_key(key: &str) -> Option<(ShardId, JobId)> {
+    let (shard_id, job) = key.strip_prefix("alloc/")?.split_once('/')?;
+    Some((ShardId(shard_id.parse().ok()?), JobId::new(job)))
 }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 messages over httparse: what is read and written on a connection.
 
-use crate::outbox::{Method, Request, Response};
+use crate::effects::{Method, Request, Response};
 use std::net::SocketAddrV4;
 
 /// Most bytes of a message's head.
--- a/src/transport/net/calling.rs
+++ b/src/transport/net/calling.rs
@@ -1,11 +1,11 @@
 //! Requests to the state service, the cloud and single workers, and the connections they go over.
 
 use super::{Net, SockId};
-use crate::outbox::{CallResult, Input, Target};
+use crate::effects::{CallOutcome, ControllerEvent, Target};
 use crate::transport::http::{self, Parsed};
 use crate::transport::socket::{ReadEnd, Socket};
 use calloop::RegistrationToken;
-use snowshelf_model::ids::{CallId, Millis};
+use snowshelf_model::ids::{CallId, MonotonicMillis};
 use std::net::SocketAddrV4;
 
 /// A connection of ours on which nothing happens for so long is closed.
@@ -21,15 +21,15 @@
 
 pub(super) struct Calling {
     socket: Socket,
-    token: RegistrationToken,
+    fencing_token: RegistrationToken,
     target: Target,
     call: Option<CallId>,
-    idle_since: Millis,
+    idle_since: MonotonicMillis,
 }
 
 pub(super) struct Call {
     pub(super) bytes: Vec<u8>,
-    pub(super) deadline: Millis,
+    pub(super) deadline: MonotonicMillis,
     pub(super) on: Option<SockId>,
 }
 
@@ -65,7 +65,7 @@
                 None if open < most => match self.connect(target) {
                     Some(on) => on,
                     None => {
-                        self.call_ends(id, CallResult::NotSent);
+                        self.call_ends(id, CallOutcome::NotSent);
                         continue;
                     }
                 },
@@ -88,10 +88,10 @@
     fn connect(&mut self, target: Target) -> Option<SockId> {
         let socket = Socket::connect(self.address(target)).ok()?;
         let id = self.id();
-        let token = self.register(&socket, id, Net::calling_ready)?;
+        let fencing_token = self.register(&socket, id, Net::calling_ready)?;
         let calling = Calling {
             socket,
-            token,
+            fencing_token,
             target,
             call: None,
             idle_since: self.now(),
@@ -137,7 +137,7 @@
                 if spent {
                     self.drop_calling(id);
                 }
-                self.call_ends(call, CallResult::Answer { status, body });
+                self.call_ends(call, CallOutcome::Response { status, body });
                 self.start_calls(target);
             }
             Parsed::Partial if end == ReadEnd::Open => {}
@@ -150,27 +150,27 @@
         let Some(conn) = self.calling.remove(&id) else {
             return;
         };
-        self.handle.remove(conn.token);
+        self.handle.remove(conn.fencing_token);
         if let Some(call) = conn.call {
             let result = if conn.socket.connecting {
-                CallResult::NotSent
+                CallOutcome::NotSent
             } else {
-                CallResult::Lost
+                CallOutcome::Unanswered
             };
             self.call_ends(call, result);
         }
         self.start_calls(conn.target);
     }
 
-    pub(super) fn call_ends(&mut self, id: CallId, result: CallResult) {
+    pub(super) fn call_ends(&mut self, id: CallId, result: CallOutcome) {
         if self.calls.remove(&id).is_some() {
             // Fed from the loop, never from inside the controller's own outputs.
-            self.inputs.push_back(Input::CallDone(id, result));
+            self.inputs.push_back(ControllerEvent::CallDone(id, result));
         }
     }
 
     /// Closes connections of ours that nobody uses.
-    pub(super) fn sweep_calling(&mut self, now: Millis) {
+    pub(super) fn sweep_calling(&mut self, now: MonotonicMillis) {
         let idle: Vec<SockId> = self
             .calling
             .iter()
--- a/src/transport/net/mod.rs
+++ b/src/transport/net/mod.rs
@@ -7,8 +7,8 @@
 use super::http;
 use super::socket::Socket;
 use crate::coordination::controller::{Controller, TICK_MS};
+use crate::effects::{CallOutcome, ControllerEvent, Effect, Target};
 use crate::operator::OperatorSettings;
-use crate::outbox::{CallResult, Input, Output, Target};
 use crate::settings::Settings;
 use calling::{Call, Calling, OWN_CONNS};
 use calloop::generic::Generic;
@@ -16,9 +16,9 @@
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use peers::{PeerIn, PeerOut};
 use served::Served;
-use snowshelf_doors::bounds::{Bounds, Means};
-use snowshelf_doors::doors::{Doors, Told};
-use snowshelf_model::ids::{CallId, ConnId, Member, Millis};
+use snowshelf_connections::limits::{ConnectionLimits, ProcessLimits};
+use snowshelf_connections::table::{ConnectionStats, ConnectionTable};
+use snowshelf_model::ids::{CallId, ConnectionId, Member, MonotonicMillis};
 use std::collections::{HashMap, VecDeque};
 use std::net::{SocketAddrV4, TcpListener};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -32,7 +32,7 @@
     started: Instant,
     next: u64,
     served: HashMap<SockId, Served>,
-    waiting: HashMap<ConnId, SockId>,
+    waiting: HashMap<ConnectionId, SockId>,
     calling: HashMap<SockId, Calling>,
     calls: HashMap<CallId, Call>,
     queued: HashMap<Target, VecDeque<CallId>>,
@@ -40,14 +40,14 @@
     peers_in: HashMap<SockId, PeerIn>,
     state: SocketAddrV4,
     cloud: SocketAddrV4,
-    bounds: Bounds,
-    doors: Doors<SockId>,
+    bounds: ConnectionLimits,
+    connections: ConnectionTable<SockId>,
     /// Bytes of requests that have come in part only.
     underway_bytes: usize,
-    told: Told,
-    told_at: Millis,
-    swept: Millis,
-    inputs: VecDeque<Input>,
+    stats: ConnectionStats,
+    told_at: MonotonicMillis,
+    swept: MonotonicMillis,
+    inputs: VecDeque<ControllerEvent>,
 }
 
 /// Runs a controller; returns only on an error that nothing can be done about.
@@ -87,13 +87,13 @@
         .map_err(|e| e.error)?;
     let started = Instant::now();
     let limits = &settings.deployment.limits;
-    let bounds = Bounds::of(Means {
+    let bounds = ConnectionLimits::of(ProcessLimits {
         sockets: limits.sockets,
         mem_bytes: (limits.mem_mb * 1024.0 * 1024.0) as usize,
         nodes: settings.deployment.nodes as usize,
         own: OWN_CONNS,
     });
-    tracing::info!(?bounds, "connections are bounded");
+    tracing::info!(?bounds, "connection limits");
     let peers_out = settings
         .peers
         .iter()
@@ -101,8 +101,8 @@
             let out = PeerOut {
                 address: p.address,
                 socket: None,
-                retry_at: Millis(0),
-                since: Millis(0),
+                retry_at: MonotonicMillis(0),
+                since: MonotonicMillis(0),
             };
             (Member::new(&p.member), out)
         })
@@ -111,7 +111,7 @@
         handle,
         state: settings.outside.state,
         cloud: settings.outside.cloud,
-        controller: Controller::new(settings, ops, Millis(1)),
+        controller: Controller::new(settings, ops, MonotonicMillis(1)),
         started,
         next: 0,
         served: HashMap::new(),
@@ -122,11 +122,11 @@
         peers_out,
         peers_in: HashMap::new(),
         bounds,
-        doors: Doors::new(bounds),
+        connections: ConnectionTable::new(bounds),
         underway_bytes: 0,
-        told: Told::default(),
-        told_at: Millis(0),
-        swept: Millis(0),
+        stats: ConnectionStats::default(),
+        told_at: MonotonicMillis(0),
+        swept: MonotonicMillis(0),
         inputs: VecDeque::new(),
     };
     net.tick();
@@ -135,8 +135,8 @@
 }
 
 impl Net {
-    fn now(&self) -> Millis {
-        Millis(self.started.elapsed().as_millis() as u64 + 1)
+    fn now(&self) -> MonotonicMillis {
+        MonotonicMillis(self.started.elapsed().as_millis() as u64 + 1)
     }
 
     fn id(&mut self) -> SockId {
@@ -145,7 +145,7 @@
     }
 
     /// Feeds the controller and carries out what it asks for, until nothing is left.
-    fn feed(&mut self, input: Input) {
+    fn feed(&mut self, input: ControllerEvent) {
         self.inputs.push_back(input);
         while let Some(input) = self.inputs.pop_front() {
             let now = self.now();
@@ -158,10 +158,10 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output, now: Millis) {
+    fn carry_out(&mut self, output: Effect, now: MonotonicMillis) {
         match output {
-            Output::Respond(conn, response) => self.respond(conn, &response),
-            Output::Call {
+            Effect::Respond(conn, response) => self.respond(conn, &response),
+            Effect::Call {
                 id,
                 target,
                 method,
@@ -179,8 +179,8 @@
                 self.queued.entry(target).or_default().push_back(id);
                 self.start_calls(target);
             }
-            Output::Hint(member, hint) => self.send_peer(&member, &hint, now),
-            Output::Proof(member, proof) => self.send_peer(&member, &proof, now),
+            Effect::PeerStatus(member, hint) => self.send_peer(&member, &hint, now),
+            Effect::PeerMessage(member, proof) => self.send_peer(&member, &proof, now),
         }
     }
 
@@ -197,7 +197,7 @@
                 net.drain_inputs();
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| tracing::error!(error = %e.error, "cannot watch a socket"))
+            .map_err(|e| tracing::error!(error = %e.error, "socket registration failed"))
             .ok()
     }
 
@@ -218,10 +218,10 @@
         for id in late {
             match self.calls.get(&id).and_then(|c| c.on) {
                 Some(on) => self.drop_calling(on),
-                None => self.call_ends(id, CallResult::NotSent),
+                None => self.call_ends(id, CallOutcome::NotSent),
             }
         }
-        self.feed(Input::Tick);
+        self.feed(ControllerEvent::Tick);
         self.drain_inputs();
         if now.since(self.swept) > 1_000 {
             self.swept = now;
@@ -233,13 +233,13 @@
     }
 
     /// Tells the controller, for operators, and now and then the log, how full it is here.
-    fn tell_doors(&mut self, now: Millis) {
-        let told = self.doors.told();
-        let turned = |t: &Told| (t.refused, t.let_go, t.asked_anew, t.given_up);
-        if turned(&told) != turned(&self.told) && now.since(self.told_at) >= 5_000 {
-            (self.told, self.told_at) = (told, now);
-            tracing::info!(?told, "connections refused or let go of");
+    fn tell_doors(&mut self, now: MonotonicMillis) {
+        let stats = self.connections.stats();
+        let turned = |t: &ConnectionStats| (t.refused, t.let_go, t.asked_anew, t.given_up);
+        if turned(&stats) != turned(&self.stats) && now.since(self.told_at) >= 5_000 {
+            (self.stats, self.told_at) = (stats, now);
+            tracing::info!(?stats, "connections refused or closed");
         }
-        self.feed(Input::Doors(told));
+        self.feed(ControllerEvent::ConnectionTable(stats));
     }
 }
--- a/src/transport/net/peers.rs
+++ b/src/transport/net/peers.rs
@@ -1,12 +1,12 @@
 //! Links to and from the other controllers: length-delimited hints, each way over a connection of its own.
 
 use super::{Net, SockId};
-use crate::outbox::Input;
+use crate::effects::ControllerEvent;
 use crate::transport::socket::{ReadEnd, Socket};
 use calloop::RegistrationToken;
 use prost::Message;
-use snowshelf_model::ids::{Member, Millis};
-use snowshelf_model::protocol::peer::{Hint, MAX_FRAME, Proof};
+use snowshelf_model::ids::{Member, MonotonicMillis};
+use snowshelf_model::protocol::peer::{MAX_FRAME, PeerMessage, PeerStatus};
 use std::net::{SocketAddrV4, TcpListener};
 
 /// Peer messages are not gathered beyond this: they are only hints.
@@ -15,15 +15,15 @@
 pub(super) struct PeerOut {
     pub(super) address: SocketAddrV4,
     pub(super) socket: Option<(SockId, Socket, RegistrationToken)>,
-    pub(super) retry_at: Millis,
-    pub(super) since: Millis,
+    pub(super) retry_at: MonotonicMillis,
+    pub(super) since: MonotonicMillis,
 }
 
 pub(super) struct PeerIn {
     /// When it last said anything.
-    active: Millis,
+    active: MonotonicMillis,
     socket: Socket,
-    token: RegistrationToken,
+    fencing_token: RegistrationToken,
 }
 
 impl Net {
@@ -43,13 +43,13 @@
                 continue;
             };
             let id = self.id();
-            if let Some(token) = self.register(&socket, id, Net::peer_in_ready) {
+            if let Some(fencing_token) = self.register(&socket, id, Net::peer_in_ready) {
                 let active = self.now();
                 self.peers_in.insert(
                     id,
                     PeerIn {
                         socket,
-                        token,
+                        fencing_token,
                         active,
                     },
                 );
@@ -84,11 +84,13 @@
             }
             let used = input.len() - view.len() + size;
             let frame = &view[..size];
-            match (Proof::decode(frame), Hint::decode(frame)) {
-                (Ok(proof), _) if proof != Proof::default() => inputs.push(Input::Proof(proof)),
-                (_, Ok(hint)) => inputs.push(Input::Hint(hint)),
+            match (PeerMessage::decode(frame), PeerStatus::decode(frame)) {
+                (Ok(proof), _) if proof != PeerMessage::default() => {
+                    inputs.push(ControllerEvent::PeerMessage(proof))
+                }
+                (_, Ok(hint)) => inputs.push(ControllerEvent::PeerStatus(hint)),
                 (_, Err(error)) => {
-                    tracing::info!(%error, "odd message from a peer");
+                    tracing::info!(%error, "peer message unreadable");
                     sound = false;
                 }
             }
@@ -104,11 +106,16 @@
 
     fn drop_peer_in(&mut self, id: SockId) {
         if let Some(peer) = self.peers_in.remove(&id) {
-            self.handle.remove(peer.token);
+            self.handle.remove(peer.fencing_token);
         }
     }
 
-    pub(super) fn send_peer(&mut self, member: &Member, message: &impl Message, now: Millis) {
+    pub(super) fn send_peer(
+        &mut self,
+        member: &Member,
+        message: &impl Message,
+        now: MonotonicMillis,
+    ) {
         let Some(out) = self.peers_out.get_mut(member) else {
             return;
         };
@@ -118,10 +125,10 @@
             let address = out.address;
             if let Ok(socket) = Socket::connect(address) {
                 let id = self.id();
-                if let Some(token) = self.register(&socket, id, Net::peer_out_ready)
+                if let Some(fencing_token) = self.register(&socket, id, Net::peer_out_ready)
                     && let Some(out) = self.peers_out.get_mut(member)
                 {
-                    out.socket = Some((id, socket, token));
+                    out.socket = Some((id, socket, fencing_token));
                 }
             }
         }
@@ -134,8 +141,8 @@
         // A silent peer is left and tried again: its machine may have come back without us.
         let stuck = socket.connecting && now.since(out.since) > 3_000;
         if stuck || socket.backlog() > PEER_BACKLOG {
-            if let Some((_, _, token)) = out.socket.take() {
-                self.handle.remove(token);
+            if let Some((_, _, fencing_token)) = out.socket.take() {
+                self.handle.remove(fencing_token);
             }
             return;
         }
@@ -144,9 +151,9 @@
                 .output
                 .extend_from_slice(&message.encode_length_delimited_to_vec());
             if !socket.drain()
-                && let Some((_, _, token)) = out.socket.take()
+                && let Some((_, _, fencing_token)) = out.socket.take()
             {
-                self.handle.remove(token);
+                self.handle.remove(fencing_token);
             }
         }
     }
@@ -167,8 +174,8 @@
             Ok(true) => socket.drain() && socket.fill(1024) == ReadEnd::Open,
             Err(_) => false,
         };
-        if !sound && let Some((_, _, token)) = out.socket.take() {
-            self.handle.remove(token);
+        if !sound && let Some((_, _, fencing_token)) = out.socket.take() {
+            self.handle.remove(fencing_token);
         }
     }
 }
--- a/src/transport/net/served.rs
+++ b/src/transport/net/served.rs
@@ -1,13 +1,13 @@
 //! Connections of workers, users and probes: who is let in, what is asked on them, who is let go of.
 
 use super::{Net, SockId};
-use crate::outbox::{Input, Response};
+use crate::effects::{ControllerEvent, Response};
 use crate::transport::http::{self, Parsed};
 use crate::transport::socket::{ReadEnd, Socket};
 use calloop::RegistrationToken;
-use snowshelf_doors::bounds::KEPT_BYTES;
-use snowshelf_doors::doors::{Entry, Kind};
-use snowshelf_model::ids::{ConnId, Millis};
+use snowshelf_connections::limits::KEPT_BYTES;
+use snowshelf_connections::table::{Admission, ClientKind};
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::net::TcpListener;
 
 /// A connection on which nothing happens for so long is closed.
@@ -19,10 +19,10 @@
 
 pub(super) struct Served {
     socket: Socket,
-    token: RegistrationToken,
-    waiting: Option<ConnId>,
+    fencing_token: RegistrationToken,
+    waiting: Option<ConnectionId>,
     close: bool,
-    active: Millis,
+    active: MonotonicMillis,
     /// Bytes held of a request that has come in part only.
     underway: usize,
 }
@@ -35,20 +35,20 @@
                 return;
             };
             let id = self.id();
-            match self.doors.enter(id, self.now()) {
-                Entry::In => {}
-                Entry::InsteadOf(other) => self.drop_served(other),
+            match self.connections.enter(id, self.now()) {
+                Admission::In => {}
+                Admission::InsteadOf(other) => self.drop_served(other),
                 // At once, so that the other side can go elsewhere.
-                Entry::Refused => continue,
+                Admission::Refused => continue,
             }
             let Ok(socket) = Socket::new(stream, false) else {
-                self.doors.leaves(id);
+                self.connections.leaves(id);
                 continue;
             };
-            if let Some(token) = self.register(&socket, id, Net::served_ready) {
+            if let Some(fencing_token) = self.register(&socket, id, Net::served_ready) {
                 let served = Served {
                     socket,
-                    token,
+                    fencing_token,
                     waiting: None,
                     close: false,
                     active: self.now(),
@@ -57,7 +57,7 @@
                 self.served.insert(id, served);
                 self.served_ready(id);
             } else {
-                self.doors.leaves(id);
+                self.connections.leaves(id);
             }
         }
     }
@@ -95,12 +95,12 @@
                 conn.socket.input.drain(..used);
                 conn.close = close;
                 self.underway_bytes -= std::mem::take(&mut conn.underway);
-                self.doors.asks(id, Kind::of(&request.path));
+                self.connections.asks(id, ClientKind::of(&request.path));
                 self.next += 1;
-                let request_id = ConnId(self.next);
+                let request_id = ConnectionId(self.next);
                 conn.waiting = Some(request_id);
                 self.waiting.insert(request_id, id);
-                self.feed(Input::Request(request_id, request));
+                self.feed(ControllerEvent::Request(request_id, request));
             }
             Parsed::Bad(status) => {
                 let response = Response::error(status, "the request cannot be read");
@@ -117,7 +117,7 @@
         let held = conn.socket.input.len();
         self.underway_bytes = self.underway_bytes + held - conn.underway;
         conn.underway = held;
-        if self.doors.gives_up(self.underway_bytes) {
+        if self.connections.gives_up(self.underway_bytes) {
             let response = Response::later(503, "too much is underway", GIVEN_UP_S);
             self.turn_away(id, &response);
         }
@@ -134,7 +134,7 @@
         }
     }
 
-    pub(super) fn respond(&mut self, conn: ConnId, response: &Response) {
+    pub(super) fn respond(&mut self, conn: ConnectionId, response: &Response) {
         let now = self.now();
         let Some(id) = self.waiting.remove(&conn) else {
             return;
@@ -143,8 +143,8 @@
             return;
         };
         served.waiting = None;
-        served.close |= self.doors.ends(id);
-        self.doors.answered(id, now);
+        served.close |= self.connections.ends(id);
+        self.connections.answered(id, now);
         let close = served.close;
         http::write_response(&mut served.socket.output, response, close);
         let more = !served.socket.input.is_empty();
@@ -167,8 +167,8 @@
 
     fn drop_served(&mut self, id: SockId) {
         if let Some(served) = self.served.remove(&id) {
-            self.handle.remove(served.token);
-            self.doors.leaves(id);
+            self.handle.remove(served.fencing_token);
+            self.connections.leaves(id);
             self.underway_bytes -= served.underway;
             if let Some(conn) = served.waiting {
                 self.waiting.remove(&conn);
@@ -177,7 +177,7 @@
     }
 
     /// Closes connections on which nothing happens.
-    pub(super) fn sweep_served(&mut self, now: Millis) {
+    pub(super) fn sweep_served(&mut self, now: MonotonicMillis) {
         let idle: Vec<SockId> = self
             .served
             .iter()
--- a/tests/attesting.rs
+++ b/tests/cancellation_confirmation.rs
@@ -2,11 +2,11 @@
 
 use prost::Message;
 use snowshelf::coordination::controller::Controller;
+use snowshelf::effects::{ControllerEvent, Effect};
 use snowshelf::operator::OperatorSettings;
-use snowshelf::outbox::{Input, Output};
 use snowshelf::settings::Settings;
-use snowshelf_model::ids::Millis;
-use snowshelf_model::protocol::peer::{Attestation, AttestationRequest, Hint, Proof};
+use snowshelf_model::ids::MonotonicMillis;
+use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage, PeerStatus};
 
 fn controller() -> Controller {
     let settings = Settings::parse(
@@ -17,27 +17,41 @@
          [deployment.state]\nrps = 9.0\nwrite_rps = 9.0\nvalue_kb = 9.0\ntxn_ops = 9\n\
          [deployment.cloud]\nrps = 2.0\n[deployment.limits]\nmem_mb = 99.0\nsockets = 99\n",
     );
-    Controller::new(settings.unwrap(), OperatorSettings::default(), Millis(1))
+    Controller::new(
+        settings.unwrap(),
+        OperatorSettings::default(),
+        MonotonicMillis(1),
+    )
 }
 
-fn request(member: &str, window_ms: u64) -> Proof {
-    let request = AttestationRequest {
+fn request(member: &str, window_ms: u64) -> PeerMessage {
+    let request = ConfirmationRequest {
         member: member.into(),
         incarnation: 77,
         sequence: 5,
         window_ms,
     };
-    Proof {
+    PeerMessage {
         request: Some(request),
         attestation: None,
     }
 }
 
 /// What the controller answers to a message, as attestations and whom they go to.
-fn answers(controller: &mut Controller, proof: Proof, now: u64) -> Vec<(String, Attestation)> {
-    let outputs = controller.handle(Input::Proof(proof), Millis(now), 1_000_000 + now);
+fn answers(
+    controller: &mut Controller,
+    proof: PeerMessage,
+    now: u64,
+) -> Vec<(String, Confirmation)> {
+    let outputs = controller.handle(
+        ControllerEvent::PeerMessage(proof),
+        MonotonicMillis(now),
+        1_000_000 + now,
+    );
     let proofs = outputs.into_iter().filter_map(|output| match output {
-        Output::Proof(member, proof) => Some((member.as_str().to_string(), proof.attestation?)),
+        Effect::PeerMessage(member, proof) => {
+            Some((member.as_str().to_string(), proof.attestation?))
+        }
         _ => None,
     });
     proofs.collect()
@@ -77,7 +91,7 @@
 fn an_attestation_that_nobody_asked_for_changes_nothing() {
     let mut controller = controller();
     for (member, sequence) in [("b", 0), ("b", 1), ("b", u64::MAX), ("x", 1)] {
-        let attestation = Attestation {
+        let attestation = Confirmation {
             member: member.into(),
             incarnation: 3,
             asker_incarnation: 1_000_050,
@@ -85,7 +99,7 @@
             complete: true,
             cancelled: vec!["wk-000001".into(), String::new()],
         };
-        let proof = Proof {
+        let proof = PeerMessage {
             request: None,
             attestation: Some(attestation),
         };
@@ -98,15 +112,21 @@
 #[test]
 fn proofs_and_hints_are_told_apart() {
     let proof = request("b", 9).encode_to_vec();
-    assert_eq!(Hint::decode(&proof[..]).unwrap(), Hint::default());
-    let hint = Hint {
+    assert_eq!(
+        PeerStatus::decode(&proof[..]).unwrap(),
+        PeerStatus::default()
+    );
+    let hint = PeerStatus {
         member: "b".into(),
         state_silent_ms: 9,
         up_ms: 8,
         missing: vec!["n-1".into()],
-        ..Hint::default()
+        ..PeerStatus::default()
     };
     let hint = hint.encode_to_vec();
-    assert_eq!(Proof::decode(&hint[..]).unwrap(), Proof::default());
-    assert!(Proof::decode(&proof[..proof.len() - 1]).is_err());
+    assert_eq!(
+        PeerMessage::decode(&hint[..]).unwrap(),
+        PeerMessage::default()
+    );
+    assert!(PeerMessage::decode(&proof[..proof.len() - 1]).is_err());
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,15 +1,17 @@
 //! Decisions as pure functions, each test named after the failure it guards against.
 
-use snowshelf::bookkeeping::store::Bucket;
-use snowshelf::coordination::fleet::{Have, Pool, Want, plan};
-use snowshelf::coordination::gateway::split;
-use snowshelf::coordination::peers::PartRoom;
-use snowshelf::coordination::placement::{Image, Load, Seat, ZoneRule, missed, place, weights};
+use snowshelf::coordination::api::split;
+use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
+use snowshelf::coordination::gossip::ShardCapacity;
+use snowshelf::coordination::placement::{
+    Image, Load, MachineCandidate, ZoneRule, missed, place, weights,
+};
 use snowshelf::settings::Objective;
-use snowshelf_model::ids::{Millis, PartId};
+use snowshelf::storage::kv_client::TokenBucket;
+use snowshelf_model::ids::{MonotonicMillis, ShardId};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::protocol::user::parse_submission;
-use snowshelf_model::records::{JobSpec, Room};
+use snowshelf_model::records::{JobSpec, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn spec(deadline: Option<f64>) -> JobSpec {
@@ -39,7 +41,7 @@
 fn want(tasks: u32, spot: bool) -> Want {
     Want {
         shut: Vec::new(),
-        room: Room {
+        resources: Resources {
             cpus: 2.0,
             gpus: 0.0,
             mem: 4.0,
@@ -54,8 +56,8 @@
     }
 }
 
-fn pool_room() -> Room {
-    Room {
+fn pool_room() -> Resources {
+    Resources {
         cpus: 8.0,
         gpus: 0.0,
         mem: 32.0,
@@ -120,16 +122,16 @@
     assert_eq!(missed(&spec(Some(300.0)), &[], 301.0, 0.0), 1);
 }
 
-fn rooms(list: [(f64, f64, f64); 3]) -> BTreeMap<PartId, PartRoom> {
-    let room = |(free, capacity, waiting)| PartRoom {
+fn rooms(list: [(f64, f64, f64); 3]) -> BTreeMap<ShardId, ShardCapacity> {
+    let room = |(free, capacity, waiting)| ShardCapacity {
         free,
         capacity,
         waiting,
     };
-    (0..).map(PartId).zip(list.map(room)).collect()
+    (0..).map(ShardId).zip(list.map(room)).collect()
 }
 
-fn shares(rooms: &BTreeMap<PartId, PartRoom>, fetch_s: f64) -> BTreeMap<u32, u32> {
+fn shares(rooms: &BTreeMap<ShardId, ShardCapacity>, fetch_s: f64) -> BTreeMap<u32, u32> {
     let shares = split(
         &snowshelf_model::ids::JobId::new("wk-1"),
         &spec(None),
@@ -160,7 +162,7 @@
 fn what_waits_goes_to_the_shortest_queue_for_its_capacity() {
     let queues = rooms([(0.0, 100.0, 100.0), (0.0, 300.0, 200.0), (4.0, 100.0, 90.0)]);
     assert_eq!(shares(&queues, 0.0), [(1, 30)].into());
-    let mut room = PartRoom {
+    let mut room = ShardCapacity {
         free: 50.0,
         capacity: 100.0,
         waiting: 0.0,
@@ -175,26 +177,29 @@
 fn jobs_with_the_same_image_meet_in_the_same_part() {
     let even = rooms([(90.0, 100.0, 0.0); 3]);
     let home = shares(&even, 20.0);
-    let Some((part, _)) = home.first_key_value() else {
+    let Some((shard_id, _)) = home.first_key_value() else {
         panic!("no share");
     };
     assert_eq!(home.len(), 1);
     // Not at the price of a queue that is longer than the fetch.
     let mut queues = rooms([(90.0, 100.0, 0.0); 3]);
-    queues.insert(PartId(*part), rooms([(0.0, 100.0, 900.0); 3])[&PartId(0)]);
-    assert!(!shares(&queues, 20.0).contains_key(part));
+    queues.insert(
+        ShardId(*shard_id),
+        rooms([(0.0, 100.0, 900.0); 3])[&ShardId(0)],
+    );
+    assert!(!shares(&queues, 20.0).contains_key(shard_id));
 }
 
 /// Equation 1 of the paper: a resource that is asked for, booked and scarce weighs more.
 #[test]
 fn weights_follow_the_paper() {
     let load = Load {
-        booked: Room {
+        booked: Resources {
             cpus: 8.0,
             gpus: 0.0,
             mem: 10.0,
         },
-        capacity: Room {
+        capacity: Resources {
             cpus: 16.0,
             gpus: 0.0,
             mem: 100.0,
@@ -209,8 +214,8 @@
 
 #[test]
 fn seats_go_by_price_then_image_then_rank() {
-    let seat = |cpus: f64, spared: bool, image: Image| Seat {
-        free: Room {
+    let seat = |cpus: f64, spared: bool, image: Image| MachineCandidate {
+        free: Resources {
             cpus,
             gpus: 0.0,
             mem: 64.0,
@@ -228,12 +233,12 @@
         seat(8.0, false, Image::Cached),
         seat(4.0, false, Image::Cached),
     ];
-    let w = Room {
+    let w = Resources {
         cpus: 1.0,
         gpus: 0.0,
         mem: 0.0,
     };
-    let task = Room {
+    let task = Resources {
         cpus: 2.0,
         gpus: 0.0,
         mem: 1.0,
@@ -253,7 +258,7 @@
 /// reported yet counted as a zone of their own.
 #[test]
 fn tasks_in_an_unknown_zone_may_be_in_any() {
-    let seat = Seat {
+    let seat = MachineCandidate {
         free: pool_room(),
         zone: 0,
         cap: 99,
@@ -262,7 +267,7 @@
         fetches: 0,
         delay: 0,
     };
-    let task = want(1, true).room;
+    let task = want(1, true).resources;
     let placed = |mut zones: ZoneRule| {
         let chosen = place(
             task,
@@ -295,24 +300,26 @@
 /// Guards against a budget that low-ranking requests use up before leases are renewed.
 #[test]
 fn a_reserve_keeps_room_for_what_matters_more() {
-    let mut bucket = Bucket::new(10.0);
+    let mut bucket = TokenBucket::new(10.0);
     let mut polls = 0;
-    while bucket.has(Millis(0), 1.0, 0.3) {
+    while bucket.has(MonotonicMillis(0), 1.0, 0.3) {
         bucket.take(1.0);
         polls += 1;
     }
     assert_eq!(polls, 7);
-    assert!(bucket.has(Millis(0), 1.0, 0.0));
-    assert!(!bucket.has(Millis(0), 1.0, 0.3) && bucket.has(Millis(100), 1.0, 0.3));
+    assert!(bucket.has(MonotonicMillis(0), 1.0, 0.0));
+    assert!(
+        !bucket.has(MonotonicMillis(0), 1.0, 0.3) && bucket.has(MonotonicMillis(100), 1.0, 0.3)
+    );
 }
 
 /// Guards against a part that wandered between two controllers for eight seconds, each giving it
 /// to its home, which was served again but whose change feed still hung (inc-4276).
 #[test]
 fn a_part_goes_home_only_to_a_member_that_sees_it_given() {
-    use snowshelf::coordination::env::Config;
-    use snowshelf::coordination::peers::Peers;
-    use snowshelf_model::protocol::peer::Hint;
+    use snowshelf::coordination::context::Config;
+    use snowshelf::coordination::gossip::Gossip;
+    use snowshelf_model::protocol::peer::PeerStatus;
     let settings = snowshelf::settings::Settings::parse(
         "member = \"a\"\nserve_on = \"10.0.0.1:1\"\npeer_listen = \"10.0.0.1:2\"\n\
          [[peers]]\nmember = \"b\"\naddress = \"10.0.0.2:2\"\n\
@@ -325,31 +332,34 @@
     let cfg = Config {
         me: snowshelf_model::ids::Member::new("a"),
         members: settings.members(),
-        parts: 2,
+        shard_count: 2,
         settings,
         ops: snowshelf::operator::OperatorSettings::default(),
         can: Default::default(),
     };
-    let hint = |feed_silent_ms| Hint {
+    let hint = |feed_silent_ms| PeerStatus {
         member: "b".into(),
         up_ms: 60_000,
         feed_silent_ms,
-        ..Hint::default()
+        ..PeerStatus::default()
     };
-    let mut peers = Peers::default();
-    peers.take(Millis(1), hint(9_000), &cfg);
-    assert!(peers.up_homes(Millis(2), &cfg).is_empty());
-    peers.take(Millis(3), hint(100), &cfg);
-    assert_eq!(peers.up_homes(Millis(4), &cfg), [PartId(1)].into());
+    let mut peers = Gossip::default();
+    peers.take(MonotonicMillis(1), hint(9_000), &cfg);
+    assert!(peers.up_homes(MonotonicMillis(2), &cfg).is_empty());
+    peers.take(MonotonicMillis(3), hint(100), &cfg);
+    assert_eq!(
+        peers.up_homes(MonotonicMillis(4), &cfg),
+        [ShardId(1)].into()
+    );
     // A hint that is old says nothing.
-    assert!(peers.up_homes(Millis(9_000), &cfg).is_empty());
+    assert!(peers.up_homes(MonotonicMillis(9_000), &cfg).is_empty());
 }
 
 /// Guards against controllers that come back to a service in step after it was away.
 #[test]
 fn pauses_between_tries_grow_and_differ() {
-    use snowshelf::outbox::Outbox;
-    let (mut a, mut b) = (Outbox::new(1), Outbox::new(2));
+    use snowshelf::effects::Effects;
+    let (mut a, mut b) = (Effects::new(1), Effects::new(2));
     let draws: Vec<(u64, u64)> = (0..8)
         .map(|n| (a.retry_at(200, n).0, b.retry_at(200, n).0))
         .collect();
@@ -364,23 +374,23 @@
 /// all others of its part with it.
 #[test]
 fn a_full_share_stays_under_the_largest_value() {
-    use snowshelf_model::ids::{Attempt, MachineId, TaskNo};
-    use snowshelf_model::records::{Alloc, Step, StepKind};
-    use snowshelf_model::spans::Spans;
+    use snowshelf_model::ids::{Attempt, MachineId, TaskIndex};
+    use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
+    use snowshelf_model::task_ranges::TaskRanges;
     for value_bytes in [16 * 1024, 32 * 1024] {
-        let most = Alloc::most_started(value_bytes);
+        let most = ShardAllocation::most_started(value_bytes);
         assert!(most >= 250);
-        let mut share = Alloc {
-            waiting: Spans::range(90_000, 90_000 + 2 * most, 10),
-            ..Alloc::default()
+        let mut share = ShardAllocation {
+            waiting: TaskRanges::range(90_000, 90_000 + 2 * most, 10),
+            ..ShardAllocation::default()
         };
         // Every other task on a machine of its own, the rest waiting between them.
         for i in 0..most {
-            let step = Step {
-                task: TaskNo(90_000 + 2 * i),
+            let step = AllocationChange {
+                task: TaskIndex(90_000 + 2 * i),
                 attempt: Attempt(10),
                 machine: MachineId::new(&format!("n-{:06}", 900_000 + i)),
-                what: StepKind::Start,
+                what: AllocationChangeKind::Start,
             };
             assert!(share.apply(&step));
         }
@@ -394,10 +404,10 @@
 /// settled, or not known here, is never taken back.
 #[test]
 fn a_feature_is_settled_only_when_every_controller_has_it() {
-    use snowshelf::bookkeeping::mirror::Versioned;
-    use snowshelf::coordination::upgrade::next_word;
+    use snowshelf::coordination::format_migration::next_word;
+    use snowshelf::storage::record_cache::Versioned;
     use snowshelf_model::ids::{Member, Version};
-    use snowshelf_model::records::{Capability, FormatRecord, WIDE};
+    use snowshelf_model::records::{Capability, FORMAT_V2, FormatRecord};
     use std::collections::BTreeSet;
     use std::rc::Rc;
     let all = [Member::new("a"), Member::new("b")];
@@ -421,24 +431,24 @@
         (key.as_str(), version.0, record.can),
         ("member/a", 0, can(&["x"]))
     );
-    said.insert(all[0].clone(), word(5, WIDE, &["x"]));
+    said.insert(all[0].clone(), word(5, FORMAT_V2, &["x"]));
     assert!(next(&["x"], &said, None).is_none());
-    said.insert(all[1].clone(), word(6, WIDE, &[]));
+    said.insert(all[1].clone(), word(6, FORMAT_V2, &[]));
     let (key, _, record) = next(&["x"], &said, None).unwrap();
     assert_eq!((key.as_str(), record.can), ("format", can(&[])));
     // The other one is switched on too; what a newer version has settled stays.
-    said.insert(all[1].clone(), word(8, WIDE, &["x", "z"]));
-    let agreed = word(7, WIDE, &["y"]);
+    said.insert(all[1].clone(), word(8, FORMAT_V2, &["x", "z"]));
+    let agreed = word(7, FORMAT_V2, &["y"]);
     let (_, version, record) = next(&["x"], &said, Some(&agreed)).unwrap();
     assert_eq!((version.0, record.can), (7, can(&["x", "y"])));
     // Switched off again: its own word changes, what is settled does not.
-    let settled = word(9, WIDE, &["x", "y"]);
+    let settled = word(9, FORMAT_V2, &["x", "y"]);
     let (key, version, record) = next(&[], &said, Some(&settled)).unwrap();
     assert_eq!(
         (key.as_str(), version.0, record.can),
         ("member/a", 5, can(&[]))
     );
-    said.insert(all[0].clone(), word(10, WIDE, &[]));
+    said.insert(all[0].clone(), word(10, FORMAT_V2, &[]));
     assert!(next(&[], &said, Some(&settled)).is_none());
 }
 
@@ -446,19 +456,19 @@
 /// all that is in it; a new type or more machines do change it, and so does time.
 #[test]
 fn prices_do_not_concern_the_calendar() {
-    use snowshelf::coordination::bookings::bounds;
+    use snowshelf::coordination::reservations::bounds;
     use snowshelf::operator::{CalendarSettings, KnownCapacity};
     use snowshelf_calendar::calendar::Calendar;
-    use snowshelf_model::ids::WallMs;
+    use snowshelf_model::ids::WallClockMillis;
     use std::sync::Arc;
     let ops = CalendarSettings::default();
     let types = |price| BTreeMap::from([machine_type("a", 8.0, price, Some(price / 3.0))]);
     let first = bounds(&types(0.5), &[], &ops);
-    let calendar = Calendar::new(Arc::new(first), WallMs(0));
-    assert!(calendar.serves(&bounds(&types(0.6), &[], &ops), WallMs(0)));
+    let calendar = Calendar::new(Arc::new(first), WallClockMillis(0));
+    assert!(calendar.serves(&bounds(&types(0.6), &[], &ops), WallClockMillis(0)));
     let mut more = types(0.5);
     more.extend([machine_type("b", 4.0, 0.1, None)]);
-    assert!(!calendar.serves(&bounds(&more, &[], &ops), WallMs(0)));
+    assert!(!calendar.serves(&bounds(&more, &[], &ops), WallClockMillis(0)));
     let known = KnownCapacity {
         zone: "a".to_string(),
         model: "a".to_string(),
@@ -468,7 +478,10 @@
         capacity: vec![known],
         ..ops.clone()
     };
-    assert!(!calendar.serves(&bounds(&types(0.5), &[], &known), WallMs(0)));
+    assert!(!calendar.serves(&bounds(&types(0.5), &[], &known), WallClockMillis(0)));
     let day = 86_400_000;
-    assert!(calendar.plans_ahead(WallMs(day)) && !calendar.plans_ahead(WallMs(day + 1)));
+    assert!(
+        calendar.plans_ahead(WallClockMillis(day))
+            && !calendar.plans_ahead(WallClockMillis(day + 1))
+    );
 }
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -3,20 +3,20 @@
 
 use serde_json::json;
 use snowshelf_drain::budget::Budget;
-use snowshelf_world::{NODES, Sabotage, Weather, World};
+use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
 use std::collections::BTreeSet;
 
-const CALM: Weather = Weather {
+const CALM: NetworkConditions = NetworkConditions {
     drains: true,
-    ..Weather::CALM
+    ..NetworkConditions::CALM
 };
 
 /// By how much the cloud's list lags, as the controllers' settings in the world say.
 const LIST_LAG_MS: u64 = 3_000;
 
-const STORM: Weather = Weather {
+const STORM: NetworkConditions = NetworkConditions {
     drains: true,
-    ..Weather::STORM
+    ..NetworkConditions::STORM
 };
 
 const TIGHT: Budget = Budget {
@@ -31,30 +31,30 @@
 
 /// A world with so many machines of each of its four pools at the most, a team's limit to match, and
 /// jobs that come all the time and take `run_ms`.
-fn busy(seed: u64, weather: Weather, pool: usize, run_ms: u64) -> World {
+fn busy(seed: u64, conditions: NetworkConditions, pool: usize, run_ms: u64) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
     let limit = 16.0 * pool as f64;
-    let mut world = World::sized(
+    let mut simulation = Simulation::sized(
         seed,
-        weather,
-        Sabotage::default(),
+        conditions,
+        DisabledSafeguards::default(),
         0,
         150_000,
         (limit, pool),
     );
-    world.budget = TIGHT;
-    world.cloud.page = 500;
-    world.run_ms = run_ms;
-    (0..NODES).for_each(|node| world.again(node));
+    simulation.budget = TIGHT;
+    simulation.cloud.page = 500;
+    simulation.run_ms = run_ms;
+    (0..NODES).for_each(|node| simulation.again(node));
     for i in 0..(6 * pool as u64) {
         let team = if i % 2 == 0 { "red" } else { "blue" };
         let spec = json!({"Cuadrilla": team, "Tarefas": 8, "Cpus": 2.0, "PrevisaoS": run_ms as f64 / 1000.0,
             "Avulsas": i % 3 == 0});
-        world.add_user(2_000 + i * 150_000 / (6 * pool as u64), spec);
+        simulation.add_user(2_000 + i * 150_000 / (6 * pool as u64), spec);
     }
-    world
+    simulation
 }
 
 fn replace_all() -> serde_json::Value {
@@ -62,33 +62,37 @@
 }
 
 /// Names of the machines that were up when a drain was asked for and still are.
-fn old(world: &World, before: u64) -> Vec<String> {
-    let machines = world.cloud.machines.iter();
+fn old(simulation: &Simulation, before: u64) -> Vec<String> {
+    let machines = simulation.cloud.machines.iter();
     let old = machines.filter(|(_, m)| m.at < before);
     old.map(|(name, _)| name.clone()).collect()
 }
 
-/// Plays a replacement of all machines asked for at 40 s, with whatever `trouble` adds to it; when it was over.
-fn replaced(seed: u64, weather: Weather, trouble: impl FnOnce(&mut World)) -> (World, Option<u64>) {
-    let mut world = busy(seed, weather, 6, 15_000);
-    let drain = world.add_drain(40_000, replace_all());
-    trouble(&mut world);
-    world.run(40_000);
+/// Plays a replacement of all machines asked for at 40 s, with whatever `fault` adds to it; when it was over.
+fn replaced(
+    seed: u64,
+    conditions: NetworkConditions,
+    fault: impl FnOnce(&mut Simulation),
+) -> (Simulation, Option<u64>) {
+    let mut simulation = busy(seed, conditions, 6, 15_000);
+    let drain = simulation.add_drain(40_000, replace_all());
+    fault(&mut simulation);
+    simulation.run(40_000);
     let mut over = None;
-    while world.now < 500_000 && over.is_none() && world.broken.is_empty() {
-        let until = world.now + 1_000;
-        world.run(until);
-        world.now = world.now.max(until);
-        over = (world.operators[drain].state() == "done").then_some(world.now);
+    while simulation.now < 500_000 && over.is_none() && simulation.broken.is_empty() {
+        let until = simulation.now + 1_000;
+        simulation.run(until);
+        simulation.now = simulation.now.max(until);
+        over = (simulation.operators[drain].state() == "done").then_some(simulation.now);
     }
-    world.run(600_000);
-    (world, over)
+    simulation.run(600_000);
+    (simulation, over)
 }
 
 #[track_caller]
-fn assert_replaced(seed: u64, world: &World, over: Option<u64>) {
-    world.assert_sound(seed);
-    let drain = &world.operators[0];
+fn assert_replaced(seed: u64, simulation: &Simulation, over: Option<u64>) {
+    simulation.assert_sound(seed);
+    let drain = &simulation.operators[0];
     assert!(
         over.is_some(),
         "seed {seed}: {:?} {}",
@@ -96,32 +100,32 @@
         drain.shown
     );
     // What was rented a moment before the drain was asked for may be listed as younger.
-    assert_eq!(old(world, 37_000), Vec::<String>::new(), "seed {seed}");
+    assert_eq!(old(simulation, 37_000), Vec::<String>::new(), "seed {seed}");
 }
 
 #[test]
 fn a_whole_fleet_is_replaced_within_the_budgets() {
     for seed in 1..=4 {
-        let mut world = busy(seed, CALM, 10, 20_000);
-        let drain = world.add_drain(40_000, replace_all());
-        world.run(40_000);
-        let mut old_ones: BTreeSet<String> = old(&world, 40_000).into_iter().collect();
+        let mut simulation = busy(seed, CALM, 10, 20_000);
+        let drain = simulation.add_drain(40_000, replace_all());
+        simulation.run(40_000);
+        let mut old_ones: BTreeSet<String> = old(&simulation, 40_000).into_iter().collect();
         assert!(old_ones.len() >= 20, "{old_ones:?}");
         // A machine's age is taken with the list's lag, so that one rented within it afterwards may count as older.
-        world.run(40_000 + LIST_LAG_MS);
-        old_ones.extend(old(&world, 40_000 + LIST_LAG_MS));
+        simulation.run(40_000 + LIST_LAG_MS);
+        old_ones.extend(old(&simulation, 40_000 + LIST_LAG_MS));
         let before = old_ones.len();
-        world.run(400_000);
-        assert_replaced(seed, &world, Some(0));
-        assert_eq!(world.operators[drain].state(), "done");
+        simulation.run(400_000);
+        assert_replaced(seed, &simulation, Some(0));
+        assert_eq!(simulation.operators[drain].state(), "done");
         // None is emptied twice, though the list shows it for a while after it is gone.
-        let emptied = world.operators[drain].shown["emptied"].as_u64();
+        let emptied = simulation.operators[drain].shown["emptied"].as_u64();
         assert!(
             emptied.is_some_and(|n| n <= before as u64),
             "{emptied:?} of {before}"
         );
         // Tasks ran longer than they were waited for, and the budget was used and not passed.
-        let (stops, away) = (world.disrupted.stops(), world.disrupted.most_away);
+        let (stops, away) = (simulation.disrupted.stops(), simulation.disrupted.most_away);
         assert!(stops >= 20 && away >= TIGHT.cpus / 2.0, "{stops} {away}");
     }
 }
@@ -131,29 +135,29 @@
 #[test]
 fn budgets_hold_in_storms_and_drains_come_to_an_end() {
     for seed in 1..=24 {
-        let (world, over) = replaced(seed, STORM, |world| {
+        let (simulation, over) = replaced(seed, STORM, |simulation| {
             if seed % 3 == 0 {
-                world.loops_at(50_000, 80_000, 1_500);
+                simulation.loops_at(50_000, 80_000, 1_500);
             }
             if seed % 3 == 2 {
                 // An owner that still believes to own its part, and the leader among them.
                 for i in 0..3 {
                     let from = 48_000 + 20_000 * i + 700 * seed;
-                    world.away_at(from, from + 9_000, ((seed + i) % 3) as usize);
+                    simulation.away_at(from, from + 9_000, ((seed + i) % 3) as usize);
                 }
             }
             if seed % 3 == 1 {
-                world.cut_at(55_000, 65_000 + 1_000 * seed, "a");
+                simulation.cut_at(55_000, 65_000 + 1_000 * seed, "a");
             }
         });
         // New machines are sick in storms: a drain may have halted for that, with its evidence.
-        let halted = world.operators[0].state() == "halted";
+        let halted = simulation.operators[0].state() == "halted";
         assert!(
             over.is_some() || halted,
             "seed {seed}: {}",
-            world.operators[0].shown
+            simulation.operators[0].shown
         );
-        world.assert_sound(seed);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -163,27 +167,27 @@
 fn a_kill_after_any_write_changes_nothing() {
     for writes in 0..36 {
         let seed = 100 + writes;
-        let mut world = busy(seed, CALM, 4, 12_000);
-        world.add_drain(40_000, replace_all());
-        world.run(41_000 + 700 * (writes % 12));
-        world.kill_after = Some(writes);
-        world.run(500_000);
-        let done = world.operators[0].state() == "done";
-        assert_replaced(seed, &world, done.then_some(0));
+        let mut simulation = busy(seed, CALM, 4, 12_000);
+        simulation.add_drain(40_000, replace_all());
+        simulation.run(41_000 + 700 * (writes % 12));
+        simulation.kill_after = Some(writes);
+        simulation.run(500_000);
+        let done = simulation.operators[0].state() == "done";
+        assert_replaced(seed, &simulation, done.then_some(0));
     }
 }
 
 #[test]
 fn a_replacement_goes_on_after_all_controllers_were_down() {
     for seed in 1..=8 {
-        let (world, over) = replaced(seed, CALM, |world| {
+        let (simulation, over) = replaced(seed, CALM, |simulation| {
             for node in 0..NODES {
-                world.crash_at(52_000 + 900 * seed, node);
-                world.crash_at(75_000 + 900 * seed + 300 * node as u64, node);
+                simulation.crash_at(52_000 + 900 * seed, node);
+                simulation.crash_at(75_000 + 900 * seed + 300 * node as u64, node);
             }
-            world.outage_at(90_000, 98_000);
+            simulation.outage_at(90_000, 98_000);
         });
-        assert_replaced(seed, &world, over);
+        assert_replaced(seed, &simulation, over);
     }
 }
 
@@ -191,12 +195,12 @@
 #[test]
 fn what_fails_by_itself_counts_first() {
     for seed in 1..=6 {
-        let (world, over) = replaced(seed, CALM, |world| {
+        let (simulation, over) = replaced(seed, CALM, |simulation| {
             for i in 0..12 {
-                world.die_at(60_000 + 100 * i, &format!("n-{:06}", 1 + 2 * i));
+                simulation.die_at(60_000 + 100 * i, &format!("n-{:06}", 1 + 2 * i));
             }
         });
-        assert_replaced(seed, &world, over);
+        assert_replaced(seed, &simulation, over);
     }
 }
 
@@ -205,13 +209,13 @@
 #[test]
 fn notices_come_in_the_middle_of_a_step() {
     for seed in 1..=4 {
-        let (world, over) = replaced(seed, CALM, |world| {
+        let (simulation, over) = replaced(seed, CALM, |simulation| {
             for i in 0..14 {
                 let at = 56_000 + 1_500 * i;
-                world.notice_at(at, &format!("n-{:06}", 1 + 2 * i), 6_000);
+                simulation.notice_at(at, &format!("n-{:06}", 1 + 2 * i), 6_000);
             }
         });
-        assert_replaced(seed, &world, over);
+        assert_replaced(seed, &simulation, over);
     }
 }
 
@@ -226,29 +230,33 @@
     };
     let (mut held, mut later) = (0, 0);
     for seed in 1..=6 {
-        let mut world = busy(seed, CALM, 6, 40_000);
-        let drain = world.add_drain(40_000, replace_all());
-        world.run(58_000);
-        let lowered = world.set_budget(58_000, "red", nothing);
-        world.run(75_000);
+        let mut simulation = busy(seed, CALM, 6, 40_000);
+        let drain = simulation.add_drain(40_000, replace_all());
+        simulation.run(58_000);
+        let lowered = simulation.set_budget(58_000, "red", nothing);
+        simulation.run(75_000);
         assert!(
-            matches!(world.operators[lowered].told, Some((200, _))),
+            matches!(simulation.operators[lowered].told, Some((200, _))),
             "seed {seed}"
         );
         let mut told = false;
         for at in (75_000..110_000).step_by(1_000) {
-            world.run(at);
-            let shown = world.operators[drain].shown.to_string();
+            simulation.run(at);
+            let shown = simulation.operators[drain].shown.to_string();
             told |= shown.contains("red: as much of its work is away as may be");
         }
         // Whichever controller is asked says what holds it back.
-        assert_eq!(world.disrupted.stops_since(75_000, "red"), 0, "seed {seed}");
+        assert_eq!(
+            simulation.disrupted.stops_since(75_000, "red"),
+            0,
+            "seed {seed}"
+        );
         held += usize::from(told);
-        world.set_budget(110_000, "red", TIGHT);
-        world.run(600_000);
-        later += world.disrupted.stops_since(110_000, "red");
-        let done = world.operators[drain].state() == "done";
-        assert_replaced(seed, &world, done.then_some(0));
+        simulation.set_budget(110_000, "red", TIGHT);
+        simulation.run(600_000);
+        later += simulation.disrupted.stops_since(110_000, "red");
+        let done = simulation.operators[drain].state() == "done";
+        assert_replaced(seed, &simulation, done.then_some(0));
     }
     assert!(held >= 1 && later > 0, "{held} {later}");
 }
@@ -258,36 +266,39 @@
 #[test]
 fn what_is_kept_empty_stays_so_until_it_is_undone() {
     for seed in 1..=4 {
-        let mut world = busy(seed, CALM, 6, 10_000);
-        world.run(40_000);
-        let names: Vec<String> = world.workers.keys().take(5).cloned().collect();
+        let mut simulation = busy(seed, CALM, 6, 10_000);
+        simulation.run(40_000);
+        let names: Vec<String> = simulation.workers.keys().take(5).cloned().collect();
         let keep = json!({"name": "repair", "machines": names, "then": "keep", "at_once": 3, "watch_s": 0.0,
             "patience_s": 2.0});
-        let drain = world.add_drain(40_000, keep);
-        world.run(110_000);
+        let drain = simulation.add_drain(40_000, keep);
+        simulation.run(110_000);
         assert_eq!(
-            world.operators[drain].state(),
+            simulation.operators[drain].state(),
             "done",
             "{}",
-            world.operators[drain].shown
+            simulation.operators[drain].shown
         );
         for at in (110_000..125_000).step_by(500) {
-            world.run(at);
-            let here = names.iter().map(|n| world.workers.get(n));
+            simulation.run(at);
+            let here = names.iter().map(|n| simulation.workers.get(n));
             assert!(
                 here.into_iter()
                     .all(|w| w.is_some_and(|w| w.tasks.is_empty()))
             );
         }
-        let cancel = world.tell_drain(125_000, "repair", "cancel");
-        world.run(150_000);
-        assert!(matches!(world.operators[cancel].told, Some((200, _))));
-        let used = names
-            .iter()
-            .filter(|n| world.workers.get(*n).is_some_and(|w| !w.tasks.is_empty()));
+        let cancel = simulation.tell_drain(125_000, "repair", "cancel");
+        simulation.run(150_000);
+        assert!(matches!(simulation.operators[cancel].told, Some((200, _))));
+        let used = names.iter().filter(|n| {
+            simulation
+                .workers
+                .get(*n)
+                .is_some_and(|w| !w.tasks.is_empty())
+        });
         assert!(used.count() > 0);
-        world.run(500_000);
-        world.assert_sound(seed);
+        simulation.run(500_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -296,39 +307,39 @@
 #[test]
 fn at_the_end_it_is_given_up_or_forced() {
     for (late, state) in [("give_up", "given_up"), ("force", "done")] {
-        let mut world = busy(3, CALM, 4, 200_000);
-        world.budget.cpus = 0.0;
-        (0..NODES).for_each(|node| world.again(node));
-        let by = snowshelf_calendar::entry::shown(snowshelf_model::ids::WallMs(
-            snowshelf_world::booking::BEGAN + 90_000,
+        let mut simulation = busy(3, CALM, 4, 200_000);
+        simulation.budget.cpus = 0.0;
+        (0..NODES).for_each(|node| simulation.again(node));
+        let by = snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(
+            snowshelf_simulation::booking::BEGAN + 90_000,
         ));
         let mut body = replace_all();
         body["by"] = json!(by);
         body["late"] = json!(late);
-        let drain = world.add_drain(40_000, body);
-        world.run(89_000);
-        assert_eq!(world.disrupted.stops(), 0);
+        let drain = simulation.add_drain(40_000, body);
+        simulation.run(89_000);
+        assert_eq!(simulation.disrupted.stops(), 0);
         // From here on the checker would count the breach that was asked for.
-        world.budget = Budget {
+        simulation.budget = Budget {
             cpus: 1e6,
             tasks: 1_000_000,
             stretch_cpus: 1e6,
             job_share: 1.0,
             ..TIGHT
         };
-        world.run(500_000);
+        simulation.run(500_000);
         assert_eq!(
-            world.operators[drain].state(),
+            simulation.operators[drain].state(),
             state,
             "{}",
-            world.operators[drain].shown
+            simulation.operators[drain].shown
         );
-        let breach = world
+        let breach = simulation
             .state
             .value("disrupt/red")
             .map_or(0.0, |v| v["x"].as_f64().unwrap_or(0.0));
         assert_eq!(breach > 0.0, late == "force", "{breach}");
-        assert_eq!(world.broken, Vec::<String>::new());
+        assert_eq!(simulation.broken, Vec::<String>::new());
     }
 }
 
@@ -336,26 +347,28 @@
 #[test]
 fn a_service_keeps_its_floor() {
     for seed in 1..=4 {
-        let mut world = busy(seed, CALM, 4, 10_000);
+        let mut simulation = busy(seed, CALM, 4, 10_000);
         let spec = json!({"Feitio": "standing", "Tarefas": 8, "Cpus": 2.0, "PrevisaoS": 0.0, "Avulsas": true});
-        world.add_user(1_000, spec);
-        let service = world.users.len() - 1;
-        world.endless.insert(world.users[service].job.clone());
-        let job = format!("{}/", world.users[service].job);
-        let drain = world.add_drain(40_000, replace_all());
+        simulation.add_user(1_000, spec);
+        let service = simulation.users.len() - 1;
+        simulation
+            .endless
+            .insert(simulation.users[service].job.clone());
+        let job = format!("{}/", simulation.users[service].job);
+        let drain = simulation.add_drain(40_000, replace_all());
         let mut fewest = 8;
         for at in (30_000..300_000).step_by(250) {
-            world.run(at);
-            let tasks = world.workers.values().flat_map(|w| &w.tasks);
+            simulation.run(at);
+            let tasks = simulation.workers.values().flat_map(|w| &w.tasks);
             let up = tasks.filter(|t| t.name.starts_with(&job) && t.state == "running");
             fewest = fewest.min(up.count());
         }
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
-            world.operators[drain].state(),
+            simulation.operators[drain].state(),
             "done",
             "{}",
-            world.operators[drain].shown
+            simulation.operators[drain].shown
         );
         assert!(fewest == 6, "seed {seed}: {fewest}");
     }
@@ -364,13 +377,13 @@
 /// The check can fail: it is held against half of what the controllers keep to.
 #[test]
 fn the_check_finds_a_budget_that_is_passed() {
-    let mut world = busy(1, CALM, 6, 20_000);
-    world.add_drain(40_000, replace_all());
-    world.run(40_000);
-    world.budget.cpus = TIGHT.cpus / 2.0;
-    world.run(200_000);
-    let found = world.broken.iter().any(|b| b.starts_with("budget: "));
-    assert!(found, "{:?}", world.broken);
+    let mut simulation = busy(1, CALM, 6, 20_000);
+    simulation.add_drain(40_000, replace_all());
+    simulation.run(40_000);
+    simulation.budget.cpus = TIGHT.cpus / 2.0;
+    simulation.run(200_000);
+    let found = simulation.broken.iter().any(|b| b.starts_with("budget: "));
+    assert!(found, "{:?}", simulation.broken);
 }
 
 /// Fifty drains at once, by zone, by kind, by name and of all, some paused, resumed or cancelled on the way, while
@@ -378,15 +391,15 @@
 #[test]
 fn many_drains_and_windows_go_together() {
     for seed in 1..=6 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             calendar: true,
             ..CALM
         };
-        let mut world = busy(seed, weather, 6, 12_000);
-        world.add_window(20_000, "a", 90_000, 110_000);
-        world.add_window(21_000, "b", 130_000, 140_000);
-        world.run(35_000);
-        let names: Vec<String> = world.workers.keys().cloned().collect();
+        let mut simulation = busy(seed, conditions, 6, 12_000);
+        simulation.add_window(20_000, "a", 90_000, 110_000);
+        simulation.add_window(21_000, "b", 130_000, 140_000);
+        simulation.run(35_000);
+        let names: Vec<String> = simulation.workers.keys().cloned().collect();
         for i in 0..50u64 {
             let named = &names[(i as usize * 7 + seed as usize) % names.len()];
             let body = match i % 5 {
@@ -403,22 +416,22 @@
             body["watch_s"] = json!(2.0);
             body["patience_s"] = json!(2.0 + (i % 3) as f64);
             let at = 40_000 + 900 * i;
-            world.add_drain(at, body);
+            simulation.add_drain(at, body);
             match i % 7 {
                 0 => {
-                    world.tell_drain(at + 9_000, &name, "pause");
-                    world.tell_drain(at + 25_000, &name, "resume");
+                    simulation.tell_drain(at + 9_000, &name, "pause");
+                    simulation.tell_drain(at + 25_000, &name, "resume");
                 }
                 1 => {
-                    world.tell_drain(at + 12_000, &name, "cancel");
+                    simulation.tell_drain(at + 12_000, &name, "cancel");
                 }
                 _ => {}
             }
         }
-        world.crash_at(80_000, (seed % 3) as usize);
-        world.run(700_000);
-        world.assert_sound(seed);
-        let drains = world.operators.iter().filter(|o| o.is_drain());
+        simulation.crash_at(80_000, (seed % 3) as usize);
+        simulation.run(700_000);
+        simulation.assert_sound(seed);
+        let drains = simulation.operators.iter().filter(|o| o.is_drain());
         let open: Vec<&str> = drains
             .map(|o| o.state())
             .filter(|s| !matches!(*s, "done" | "cancelled"))
@@ -430,33 +443,33 @@
 /// Two hundred machines, two controllers that end again and again, a zone that is cut off.
 #[test]
 fn two_hundred_machines_are_replaced_while_controllers_end() {
-    let mut world = busy(7, CALM, 50, 20_000);
-    world.budget = Budget {
+    let mut simulation = busy(7, CALM, 50, 20_000);
+    simulation.budget = Budget {
         cpus: 120.0,
         tasks: 60,
         stretch_cpus: 300.0,
         stretch_tasks: 150,
         ..TIGHT
     };
-    (0..NODES).for_each(|node| world.again(node));
+    (0..NODES).for_each(|node| simulation.again(node));
     let mut body = replace_all();
     body["at_once"] = json!(30);
     body["any_zone"] = json!(true);
-    let drain = world.add_drain(40_000, body);
+    let drain = simulation.add_drain(40_000, body);
     for i in 0..6 {
-        world.crash_at(50_000 + 9_000 * i, (i % 2) as usize);
+        simulation.crash_at(50_000 + 9_000 * i, (i % 2) as usize);
     }
-    world.cut_at(70_000, 79_000, "b");
-    world.run(40_000);
-    let before = old(&world, 40_000).len();
-    world.run(400_000);
-    world.assert_sound(7);
+    simulation.cut_at(70_000, 79_000, "b");
+    simulation.run(40_000);
+    let before = old(&simulation, 40_000).len();
+    simulation.run(400_000);
+    simulation.assert_sound(7);
     assert!(before >= 120, "{before}");
     assert_eq!(
-        world.operators[drain].state(),
+        simulation.operators[drain].state(),
         "done",
         "{}",
-        world.operators[drain].shown
+        simulation.operators[drain].shown
     );
-    assert_eq!(old(&world, 37_000), Vec::<String>::new());
+    assert_eq!(old(&simulation, 37_000), Vec::<String>::new());
 }
--- a/tests/meetings.rs
+++ b/tests/fault_combinations.rs
@@ -2,19 +2,21 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use snowshelf_world::meetings::{Meeting, OVER_MS, endless_jobs, holds, play, running};
-use snowshelf_world::troubles::Trouble;
-use snowshelf_world::{NODES, Sabotage, World};
+use snowshelf_simulation::fault_combinations::{
+    FaultSchedule, OVER_MS, endless_jobs, holds, play, running,
+};
+use snowshelf_simulation::faults::Fault;
+use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation};
 
 /// Refused at 60 s is one controller alone, and a while later everybody, until 140 s. From the seed 5 on the one's
 /// lease may have run out by then: its part is nobody's while the outage lasts, and its workers are lost.
-fn refused_alone_then_all(seed: u64, node: usize, cancelled: bool) -> World {
-    let mut world = endless_jobs(seed, 12, |n| (cancelled && n % 4 != 0).then_some(60_200));
-    world.refuse_at(60_000, 64_000, node);
-    world.outage_at(60_500 + 400 * (seed % 8), 140_000);
-    world.run(59_000);
-    assert!(running(&world) >= 30, "{}", running(&world));
-    world
+fn refused_alone_then_all(seed: u64, node: usize, cancelled: bool) -> Simulation {
+    let mut simulation = endless_jobs(seed, 12, |n| (cancelled && n % 4 != 0).then_some(60_200));
+    simulation.refuse_at(60_000, 64_000, node);
+    simulation.outage_at(60_500 + 400 * (seed % 8), 140_000);
+    simulation.run(59_000);
+    assert!(running(&simulation) >= 30, "{}", running(&simulation));
+    simulation
 }
 
 /// Guards against an old leader that keeps workers while it cannot learn: the state service refuses it alone, the
@@ -24,24 +26,27 @@
 fn cancelled_tasks_end_though_the_state_service_refuses_first_one_and_then_all() {
     for seed in 0..8 {
         for node in 0..NODES {
-            let mut world = refused_alone_then_all(seed, node, true);
-            world.run(139_000);
+            let mut simulation = refused_alone_then_all(seed, node, true);
+            simulation.run(139_000);
             assert_eq!(
-                world.broken,
+                simulation.broken,
                 Vec::<String>::new(),
                 "seed {seed}, node {node}"
             );
             if seed < 5 {
-                let kept = (running(&world) >= 9, world.expired());
+                let kept = (running(&simulation) >= 9, simulation.expired());
                 assert_eq!(kept, (true, 0), "seed {seed}, node {node}");
             }
-            world.run(200_000);
+            simulation.run(200_000);
             assert_eq!(
-                world.broken,
+                simulation.broken,
                 Vec::<String>::new(),
                 "seed {seed}, node {node}"
             );
-            let told = world.users.iter().filter(|u| u.told_cancelled.is_some());
+            let told = simulation
+                .users
+                .iter()
+                .filter(|u| u.told_cancelled.is_some());
             assert_eq!(told.count(), 9, "seed {seed}");
         }
     }
@@ -51,9 +56,13 @@
 #[test]
 fn an_outage_without_cancellations_kills_nothing_while_the_controllers_hear_each_other() {
     for seed in 0..4 {
-        let mut world = refused_alone_then_all(seed, 0, false);
-        world.run(139_000);
-        assert_eq!((running(&world), world.expired()), (36, 0), "seed {seed}");
+        let mut simulation = refused_alone_then_all(seed, 0, false);
+        simulation.run(139_000);
+        assert_eq!(
+            (running(&simulation), simulation.expired()),
+            (36, 0),
+            "seed {seed}"
+        );
     }
 }
 
@@ -63,14 +72,14 @@
 fn without_every_controllers_word_cancelled_tasks_end_with_their_leases() {
     for seed in 0..6 {
         for node in 0..NODES {
-            let mut world = refused_alone_then_all(seed, 0, true);
+            let mut simulation = refused_alone_then_all(seed, 0, true);
             match seed % 2 {
-                0 => world.mute_at(60_000, 140_000, node),
-                _ => world.crash_at(62_000 + 300 * seed, node),
+                0 => simulation.mute_at(60_000, 140_000, node),
+                _ => simulation.crash_at(62_000 + 300 * seed, node),
             }
-            world.run(200_000);
+            simulation.run(200_000);
             assert_eq!(
-                world.broken,
+                simulation.broken,
                 Vec::<String>::new(),
                 "seed {seed}, node {node}"
             );
@@ -83,11 +92,15 @@
 #[test]
 fn a_part_stays_with_its_owner_while_nobody_can_take_it() {
     for seed in 0..4 {
-        let mut world = endless_jobs(seed, 12, |_| None);
-        world.apart_at(60_000, 68_000, seed as usize % NODES);
-        world.outage_at(61_500, 140_000);
-        world.run(139_000);
-        assert_eq!((running(&world), world.expired()), (36, 0), "seed {seed}");
+        let mut simulation = endless_jobs(seed, 12, |_| None);
+        simulation.apart_at(60_000, 68_000, seed as usize % NODES);
+        simulation.outage_at(61_500, 140_000);
+        simulation.run(139_000);
+        assert_eq!(
+            (running(&simulation), simulation.expired()),
+            (36, 0),
+            "seed {seed}"
+        );
     }
 }
 
@@ -96,13 +109,13 @@
 #[test]
 fn an_outage_that_begins_while_a_part_is_taken() {
     for step in 0..14 {
-        let mut world = endless_jobs(step, 12, |n| {
+        let mut simulation = endless_jobs(step, 12, |n| {
             (n % 4 != 0).then_some(58_000 + 300 * n as u64)
         });
-        world.crash_at(60_000, step as usize % NODES);
-        world.outage_at(60_100 + 400 * step, 135_000);
-        world.run(200_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "step {step}");
+        simulation.crash_at(60_000, step as usize % NODES);
+        simulation.outage_at(60_100 + 400 * step, 135_000);
+        simulation.run(200_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "step {step}");
     }
 }
 
@@ -110,7 +123,7 @@
 /// back, all controllers end, and one is back within a second.
 #[test]
 fn parts_handed_over_and_back_while_all_controllers_end() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (28_000, 12_000, Deaf(node)),
@@ -127,7 +140,7 @@
 /// and users still reach it, and jobs are cancelled through the others.
 #[test]
 fn a_controller_cut_off_from_all_but_workers_and_users() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (28_000, 45_000, Apart(node)),
@@ -141,7 +154,7 @@
 /// Guards against a transaction that is carried out after newer ones of the same controller.
 #[test]
 fn transactions_carried_out_late_while_parts_change_hands() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (22_000, 45_000, LateWrites(0.4)),
@@ -156,7 +169,7 @@
 /// Guards against commands that reach a machine late: answers are held up, and the owner changes meanwhile.
 #[test]
 fn answers_held_up_while_the_owner_changes() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (24_000, 40_000, HeldAnswers(0.6)),
@@ -172,7 +185,7 @@
 /// one controller, then all of them for longer than the time for cancelling.
 #[test]
 fn a_slow_state_service_that_refuses_one_and_then_all() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (26_000, 20_000, Slow(1_500)),
@@ -187,7 +200,7 @@
 /// not hear the next owner.
 #[test]
 fn a_controller_ends_while_machines_do_not_hear() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (26_000, 25_000, DeafMachines(0.7)),
@@ -202,7 +215,7 @@
 /// Guards against conclusions from a report that comes after newer ones, of an earlier session or attempt.
 #[test]
 fn old_reports_after_newer_ones_while_parts_change_hands() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (15_000, 90_000, LateReports(0.6)),
@@ -218,7 +231,7 @@
 /// parts' owners change in between.
 #[test]
 fn small_jobs_whose_tasks_end_far_apart_while_owners_change() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         vec![
             (26_000, 0, Crash(node)),
@@ -230,38 +243,38 @@
     });
 }
 
-fn draw_trouble(rng: &mut StdRng) -> Trouble {
+fn draw_trouble(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..NODES);
     let share = [0.1, 0.3, 0.7][rng.random_range(0..3usize)];
     match rng.random_range(0..23u32) {
-        0 => Trouble::LateWrites(share),
-        1 => Trouble::LateReports(share),
-        2 => Trouble::DeafMachines(share),
-        3 => Trouble::HeldAnswers(share),
-        4 => Trouble::Refused(node),
-        5 => Trouble::Outage,
-        6 => Trouble::Apart(node),
-        7 => Trouble::Mute(node),
-        8 => Trouble::Deaf(node),
-        9 => Trouble::Crash(node),
-        10 => Trouble::Cut(["a", "b"][node % 2]),
-        11 => Trouble::Slow([300, 1_500, 4_000][node]),
-        12 => Trouble::AnswersLost(share),
-        13 => Trouble::KeptReports(share),
-        14 => Trouble::MuteMachines(share),
-        15 => Trouble::HungMachines(share),
-        16 => Trouble::CancelNow(2 + 3 * node, [0, 3_000, 9_000][rng.random_range(0..3usize)]),
-        17 => Trouble::ZoneCut(["a", "b"][rng.random_range(0..2usize)], node),
-        18 => Trouble::AllDown,
-        19 => Trouble::CloseLooks,
-        20 => Trouble::CancelAtEnd(share),
-        21 => Trouble::OddRequests,
-        _ => Trouble::CrashAll([0, 300, 2_000][rng.random_range(0..3usize)]),
+        0 => Fault::LateWrites(share),
+        1 => Fault::LateReports(share),
+        2 => Fault::DeafMachines(share),
+        3 => Fault::HeldAnswers(share),
+        4 => Fault::Refused(node),
+        5 => Fault::Outage,
+        6 => Fault::Apart(node),
+        7 => Fault::Mute(node),
+        8 => Fault::Deaf(node),
+        9 => Fault::Crash(node),
+        10 => Fault::Cut(["a", "b"][node % 2]),
+        11 => Fault::Slow([300, 1_500, 4_000][node]),
+        12 => Fault::AnswersLost(share),
+        13 => Fault::KeptReports(share),
+        14 => Fault::MuteMachines(share),
+        15 => Fault::HungMachines(share),
+        16 => Fault::CancelNow(2 + 3 * node, [0, 3_000, 9_000][rng.random_range(0..3usize)]),
+        17 => Fault::ZoneCut(["a", "b"][rng.random_range(0..2usize)], node),
+        18 => Fault::AllDown,
+        19 => Fault::CloseLooks,
+        20 => Fault::CancelAtEnd(share),
+        21 => Fault::OddRequests,
+        _ => Fault::CrashAll([0, 300, 2_000][rng.random_range(0..3usize)]),
     }
 }
 
 /// Two or three troubles with their moments near each other, twice.
-fn draw_meetings(seed: u64) -> Meeting {
+fn draw_fault_schedule(seed: u64) -> FaultSchedule {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x6d65_6574);
     let mut drawn = Vec::new();
     for about in [15_000..35_000u64, 60_000..80_000] {
@@ -270,8 +283,8 @@
             let at = about + rng.random_range(0..8_000u64);
             let for_ms = [1_000, 4_000, 12_000, 30_000, 48_000][rng.random_range(0..5usize)];
             let for_ms = for_ms + rng.random_range(0..1_000u64);
-            let trouble = draw_trouble(&mut rng);
-            drawn.push((at, for_ms.min(OVER_MS - at), trouble));
+            let fault = draw_trouble(&mut rng);
+            drawn.push((at, for_ms.min(OVER_MS - at), fault));
         }
     }
     drawn
@@ -284,11 +297,16 @@
     let (first, last) = asked.split_once('-').expect("FIRST-LAST");
     let seeds = first.parse::<u64>().unwrap()..=last.parse::<u64>().unwrap();
     let failed = |seed: &u64| {
-        let meeting = draw_meetings(*seed);
-        let world = play(*seed, Sabotage::default(), &meeting);
-        let open = world.users.len() - world.settled();
-        let sound = world.broken.is_empty() && open == 0;
-        (!sound).then(|| format!("seed {seed}: {:?}, {open} open, {meeting:?}", world.broken))
+        let schedule = draw_fault_schedule(*seed);
+        let simulation = play(*seed, DisabledSafeguards::default(), &schedule);
+        let open = simulation.users.len() - simulation.settled();
+        let sound = simulation.broken.is_empty() && open == 0;
+        (!sound).then(|| {
+            format!(
+                "seed {seed}: {:?}, {open} open, {schedule:?}",
+                simulation.broken
+            )
+        })
     };
     let failed: Vec<String> = seeds.filter_map(|seed| failed(&seed)).collect();
     assert!(failed.is_empty(), "{failed:#?}");
@@ -297,26 +315,21 @@
 /// Shows that the rules are looked at in meetings: without what guards them, they break.
 #[test]
 fn without_their_guards_rules_break_in_meetings() {
-    let none = Sabotage::default();
-    let no_conditions = Sabotage {
+    let none = DisabledSafeguards::default();
+    let no_conditions = DisabledSafeguards {
         no_conditions: true,
         ..none
     };
-    let no_order = Sabotage {
+    let no_order = DisabledSafeguards {
         no_order: true,
         ..none
     };
-    let late = |trouble| {
-        vec![
-            (15_000, 90_000, trouble),
-            (30_000, 0, Trouble::CrashAll(300)),
-        ]
-    };
-    for (sabotage, meeting) in [
-        (no_conditions, late(Trouble::LateWrites(0.5))),
-        (no_order, late(Trouble::LateReports(0.9))),
+    let late = |fault| vec![(15_000, 90_000, fault), (30_000, 0, Fault::CrashAll(300))];
+    for (safeguards, schedule) in [
+        (no_conditions, late(Fault::LateWrites(0.5))),
+        (no_order, late(Fault::LateReports(0.9))),
     ] {
-        let broken = (0..12).any(|seed| !play(seed, sabotage, &meeting).broken.is_empty());
-        assert!(broken, "{meeting:?}");
+        let broken = (0..12).any(|seed| !play(seed, safeguards, &schedule).broken.is_empty());
+        assert!(broken, "{schedule:?}");
     }
 }
--- a/tests/meetings_reports.rs
+++ b/tests/heartbeat_faults.rs
@@ -1,8 +1,8 @@
 //! Meetings of troubles about transactions, leaders, reports and outages (`docs/meetings.md`).
 
-use snowshelf_world::meetings::{holds, holds_without_end, play};
-use snowshelf_world::troubles::Trouble::*;
-use snowshelf_world::{NODES, Sabotage};
+use snowshelf_simulation::fault_combinations::{holds, holds_without_end, play};
+use snowshelf_simulation::faults::Fault::*;
+use snowshelf_simulation::{DisabledSafeguards, NODES};
 
 /// Guards against a writer that acts by what it knew before its write: it is carried out at once and the others read
 /// it, while the writer hears nothing. Accepted, cancelled, started, ended, handed over, leased.
@@ -40,7 +40,7 @@
 /// lease, and everything has ended on the machines meanwhile.
 #[test]
 fn all_controllers_away_for_longer_than_a_lease() {
-    let meeting = |node: usize| {
+    let schedule = |node: usize| {
         vec![
             (27_900, 0, CancelNow(3, 0)),
             (28_000, 13_000, AllDown),
@@ -51,15 +51,15 @@
             (100_000, 36_000, AllDown),
         ]
     };
-    holds(meeting);
-    holds_without_end(meeting);
+    holds(schedule);
+    holds_without_end(schedule);
 }
 
 /// Guards against conclusions from what is older than the owner: copies of reports, of earlier sessions and attempts
 /// too, reach every controller as an owner begins and when it has acted for seconds.
 #[test]
 fn kept_reports_reach_every_controller_as_an_owner_begins() {
-    let meeting = |node: usize| {
+    let schedule = |node: usize| {
         vec![
             (10_000, 120_000, KeptReports(0.6)),
             (26_000, 12_000, DeafMachines(0.5)),
@@ -71,8 +71,8 @@
             (100_000, 0, CrashAll(3_000)),
         ]
     };
-    holds(meeting);
-    holds_without_end(meeting);
+    holds(schedule);
+    holds_without_end(schedule);
 }
 
 /// Guards against a task that is counted as done, or started anew, by a report that was held back: nobody else has
@@ -96,7 +96,7 @@
 /// its lease and for longer, while jobs are cancelled and the owner changes.
 #[test]
 fn workers_reach_no_controller_while_direct_commands_reach_them() {
-    let meeting = |node: usize| {
+    let schedule = |node: usize| {
         vec![
             (26_000, 25_000, MuteMachines(0.6)),
             (27_000, 0, CancelNow(3, 0)),
@@ -108,15 +108,15 @@
             (76_000, 42_000, Outage),
         ]
     };
-    holds(meeting);
-    holds_without_end(meeting);
+    holds(schedule);
+    holds_without_end(schedule);
 }
 
 /// Guards against both sides of a cut that lasts longer than a lease: a zone's machines go on under the controller that
 /// is cut off with them, or are lost, and jobs of both sides are cancelled just before and meanwhile.
 #[test]
 fn a_zone_and_a_controller_cut_off_for_longer_than_a_lease() {
-    let meeting = |node: usize| {
+    let schedule = |node: usize| {
         vec![
             (27_900, 0, CancelNow(2, 0)),
             (28_000, 30_000, ZoneCut("a", node)),
@@ -127,27 +127,27 @@
             (80_000, 38_000, Outage),
         ]
     };
-    holds(meeting);
-    holds_without_end(meeting);
+    holds(schedule);
+    holds_without_end(schedule);
 }
 
 /// Guards against grants, tokens and leases that add up over owners: leaders change ten times in two minutes, also
 /// inside an outage, and jobs are cancelled meanwhile.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
-    let meeting = |node: usize| {
+    let schedule = |node: usize| {
         let crash = |n: usize| (22_000 + 11_000 * n as u64, 0, Crash((node + n / 2) % NODES));
-        let mut meeting: Vec<_> = (0..10).map(crash).collect();
-        meeting.extend([
+        let mut schedule: Vec<_> = (0..10).map(crash).collect();
+        schedule.extend([
             (45_000, 0, CancelNow(4, 0)),
             (55_000, 38_000, Outage),
             (56_000, 0, CancelNow(3, 0)),
             (99_000, 0, CancelNow(3, 2_000)),
         ]);
-        meeting
+        schedule
     };
-    holds(meeting);
-    holds_without_end(meeting);
+    holds(schedule);
+    holds_without_end(schedule);
 }
 
 /// Guards against a cancelled task that its machine goes on with: it hangs right at the cancellation, resumes within
@@ -173,29 +173,29 @@
 /// without the trouble they do not.
 #[test]
 fn without_their_guards_rules_break_in_these_meetings() {
-    let none = Sabotage::default();
-    let false_answers = Sabotage {
+    let none = DisabledSafeguards::default();
+    let false_answers = DisabledSafeguards {
         false_answers: true,
         ..none
     };
-    let no_age = Sabotage {
+    let no_age = DisabledSafeguards {
         no_order: true,
         no_tokens: true,
         ..none
     };
-    let no_leases = Sabotage {
+    let no_leases = DisabledSafeguards {
         no_leases: true,
         ..none
     };
-    let no_ends = Sabotage {
+    let no_ends = DisabledSafeguards {
         false_returns: true,
         ..no_leases
     };
-    let for_45_s = |trouble| (26_000, 45_000, trouble);
+    let for_45_s = |fault| (26_000, 45_000, fault);
     let call_off = (25_800, 0, CancelNow(9, 0));
     let crash = (30_000, 0, CrashAll(300));
-    let for_90_s = |trouble| (2_000, 90_000, trouble);
-    for (sabotage, trouble, rest) in [
+    let for_90_s = |fault| (2_000, 90_000, fault);
+    for (safeguards, fault, rest) in [
         (false_answers, for_90_s(AnswersLost(0.6)), vec![crash]),
         (no_age, for_90_s(KeptReports(0.1)), vec![crash]),
         (no_leases, for_45_s(AllDown), vec![call_off]),
@@ -209,8 +209,8 @@
         (no_ends, for_45_s(HungMachines(0.7)), vec![]),
         (no_ends, for_45_s(ZoneCut("a", 0)), vec![]),
     ] {
-        let whole = [vec![trouble], rest.clone()].concat();
-        let breaks = |seed, meeting| !play(seed, sabotage, meeting).broken.is_empty();
+        let whole = [vec![fault], rest.clone()].concat();
+        let breaks = |seed, schedule| !play(seed, safeguards, schedule).broken.is_empty();
         let shown = (0..12).any(|seed| breaks(seed, &whole) && !breaks(seed, &rest));
         assert!(shown, "{whole:?}");
     }
