--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,9 +4,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
-use snowshelf_world::meetings::{Meeting, OVER_MS, shifted};
-use snowshelf_world::troubles::Trouble::*;
-use snowshelf_world::{NODES, Sabotage, Weather, World};
+use snowshelf_simulation::fault_combinations::{FaultSchedule, OVER_MS, shifted};
+use snowshelf_simulation::faults::Fault::*;
+use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
 
 /// All users must have heard the end by then.
 const END_MS: u64 = 420_000;
@@ -15,42 +15,51 @@
 struct Site {
     limit: f64,
     pool: usize,
-    jobs: fn(&mut World, &mut StdRng),
+    jobs: fn(&mut Simulation, &mut StdRng),
 }
 
 const TEAMS: [&str; 2] = ["red", "blue"];
 
 /// A job, and where it stands among the users.
-fn add(world: &mut World, at: u64, spec: Value) -> usize {
-    world.add_user(at, spec);
-    world.users.len() - 1
+fn add(simulation: &mut Simulation, at: u64, spec: Value) -> usize {
+    simulation.add_user(at, spec);
+    simulation.users.len() - 1
 }
 
 /// A job that runs until its user calls it off.
-fn add_endless(world: &mut World, at: u64, cancel_at: u64, spec: Value) -> usize {
-    let n = add(world, at, spec);
-    world.users[n].cancel_at = Some(cancel_at);
-    let job = world.users[n].job.clone();
-    world.endless.insert(job);
+fn add_endless(simulation: &mut Simulation, at: u64, cancel_at: u64, spec: Value) -> usize {
+    let n = add(simulation, at, spec);
+    simulation.users[n].cancel_at = Some(cancel_at);
+    let job = simulation.users[n].job.clone();
+    simulation.endless.insert(job);
     n
 }
 
 /// Makes a job need another.
-fn add_need(world: &mut World, at: u64, need: usize, mut spec: Value) {
-    spec["Aguarda"] = json!([world.users[need].job]);
-    let n = add(world, at, spec);
-    world.users[n].needs = vec![need];
+fn add_need(simulation: &mut Simulation, at: u64, need: usize, mut spec: Value) {
+    spec["Aguarda"] = json!([simulation.users[need].job]);
+    let n = add(simulation, at, spec);
+    simulation.users[n].dependencies = vec![need];
 }
 
-fn play(seed: u64, sabotage: Sabotage, site: &Site, meeting: &Meeting) -> World {
+fn play(
+    seed: u64,
+    safeguards: DisabledSafeguards,
+    site: &Site,
+    schedule: &FaultSchedule,
+) -> Simulation {
     let size = (site.limit, site.pool);
-    let mut world = World::sized(seed, Weather::CALM, sabotage, 0, OVER_MS, size);
-    world.run_ms = [4_000, 9_000, 20_000][seed as usize % 3];
-    (site.jobs)(&mut world, &mut StdRng::seed_from_u64(seed ^ 0x6c69_6d69));
-    for (at, for_ms, trouble) in meeting {
-        world.bring(*at, *for_ms, *trouble);
+    let mut simulation =
+        Simulation::sized(seed, NetworkConditions::CALM, safeguards, 0, OVER_MS, size);
+    simulation.run_ms = [4_000, 9_000, 20_000][seed as usize % 3];
+    (site.jobs)(
+        &mut simulation,
+        &mut StdRng::seed_from_u64(seed ^ 0x6c69_6d69),
+    );
+    for (at, for_ms, fault) in schedule {
+        simulation.bring(*at, *for_ms, *fault);
     }
-    world
+    simulation
 }
 
 /// Further seeds on which earlier forms broke: a bound job whose part had no machine of its zone, and parts that each
@@ -59,7 +68,7 @@
 
 /// Holds every rule against a meeting, and has every user hear the end.
 #[track_caller]
-fn holds(site: &Site, meeting: impl Fn(usize) -> Meeting) {
+fn holds(site: &Site, schedule: impl Fn(usize) -> FaultSchedule) {
     let seeds: Vec<u64> = match std::env::var("MEETINGS") {
         Ok(asked) => {
             let (first, last) = asked.split_once('-').expect("FIRST-LAST");
@@ -70,16 +79,16 @@
     let failed: Vec<String> = seeds
         .into_iter()
         .filter_map(|seed| {
-            let mut world = play(
+            let mut simulation = play(
                 seed,
-                Sabotage::default(),
+                DisabledSafeguards::default(),
                 site,
-                &shifted(seed, meeting(seed as usize % NODES)),
+                &shifted(seed, schedule(seed as usize % NODES)),
             );
-            world.run(END_MS);
-            let open = world.users.len() - world.settled();
-            let sound = world.broken.is_empty() && open == 0;
-            (!sound).then(|| format!("seed {seed}: {:?}, {open} open", world.broken))
+            simulation.run(END_MS);
+            let open = simulation.users.len() - simulation.settled();
+            let sound = simulation.broken.is_empty() && open == 0;
+            (!sound).then(|| format!("seed {seed}: {:?}, {open} open", simulation.broken))
         })
         .collect();
     assert!(failed.is_empty(), "{failed:#?}");
@@ -88,15 +97,15 @@
 /// Whether a seed breaks this rule.
 fn breaks(
     rule: &str,
-    sabotage: Sabotage,
+    safeguards: DisabledSafeguards,
     site: &Site,
     seed: u64,
-    meeting: impl Fn(usize) -> Meeting,
+    schedule: impl Fn(usize) -> FaultSchedule,
 ) -> bool {
-    let meeting = shifted(seed, meeting(seed as usize % NODES));
-    let mut world = play(seed, sabotage, site, &meeting);
-    world.run(OVER_MS + 120_000);
-    world.broken.iter().any(|b| b.starts_with(rule))
+    let schedule = shifted(seed, schedule(seed as usize % NODES));
+    let mut simulation = play(seed, safeguards, site, &schedule);
+    simulation.run(OVER_MS + 120_000);
+    simulation.broken.iter().any(|b| b.starts_with(rule))
 }
 
 /// Both teams at their limits all the time: jobs without end that are called off one after the other, and more that
@@ -104,17 +113,17 @@
 const FULL: Site = Site {
     limit: 12.0,
     pool: 3,
-    jobs: |world, rng| {
+    jobs: |simulation, rng| {
         for n in 0..16u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(1..4u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": rng.random_bool(0.5)});
             let cancel_at = [28_000, 66_000][n as usize / 8] + rng.random_range(0..16_000);
-            add_endless(world, 2_000 + 150 * n, cancel_at, spec);
+            add_endless(simulation, 2_000 + 150 * n, cancel_at, spec);
         }
         for n in 0..12u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(2..6u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true});
-            add(world, 6_000 + 1_500 * n, spec);
+            add(simulation, 6_000 + 1_500 * n, spec);
         }
     },
 };
@@ -123,9 +132,9 @@
 /// that are cut off: they count until a report, a lease or a return proves them gone.
 #[test]
 fn teams_at_their_limits_while_machines_are_cut_off_and_the_leader_changes() {
-    let mut world = play(0, Sabotage::default(), &FULL, &Vec::new());
-    world.run(24_000);
-    let used = TEAMS.map(|team| world.used_by(team));
+    let mut simulation = play(0, DisabledSafeguards::default(), &FULL, &Vec::new());
+    simulation.run(24_000);
+    let used = TEAMS.map(|team| simulation.used_by(team));
     assert!(
         used.iter().all(|used| *used >= FULL.limit - 2.0),
         "{used:?}"
@@ -197,7 +206,7 @@
 const CALLED_OFF: Site = Site {
     limit: 16.0,
     pool: 2,
-    jobs: |world, rng| {
+    jobs: |simulation, rng| {
         for n in 0..20u64 {
             let at = [30_000, 75_000][n as usize % 2] + 700 * n + rng.random_range(0..900);
             // Some begin when they are called off.
@@ -208,20 +217,20 @@
             };
             let spec =
                 json!({"Cuadrilla": TEAMS[n as usize / 2 % 2], "Tarefas": 2, "Avulsas": true});
-            let needed = add_endless(world, submit_at, at, spec);
+            let needed = add_endless(simulation, submit_at, at, spec);
             if n.is_multiple_of(4) {
-                add_need(world, submit_at + 500, needed, json!({"Tarefas": 2}));
+                add_need(simulation, submit_at + 500, needed, json!({"Tarefas": 2}));
                 add_need(
-                    world,
+                    simulation,
                     submit_at + 1_000,
-                    world.users.len() - 1,
+                    simulation.users.len() - 1,
                     json!({"Tarefas": 1}),
                 );
             }
         }
         for n in 0..8u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": 3, "Avulsas": true});
-            add(world, 8_000 + 9_000 * n, spec);
+            add(simulation, 8_000 + 9_000 * n, spec);
         }
     },
 };
@@ -261,7 +270,7 @@
 const BOUND: Site = Site {
     limit: 40.0,
     pool: 2,
-    jobs: |world, rng| {
+    jobs: |simulation, rng| {
         for n in 0..24u64 {
             let tasks = rng.random_range(2..9u32);
             let mut spec = json!({"Cuadrilla": TEAMS[n as usize / 4 % 2], "Tarefas": tasks,
@@ -275,7 +284,7 @@
                     spec["Parcela"] = json!(["b", "a"][n as usize / 4 % 2]);
                 }
             }
-            add(world, 2_000 + 3_500 * n, spec);
+            add(simulation, 2_000 + 3_500 * n, spec);
         }
     },
 };
@@ -320,14 +329,14 @@
 const BURSTS: Site = Site {
     limit: 40.0,
     pool: 3,
-    jobs: |world, rng| {
+    jobs: |simulation, rng| {
         for n in 0..24u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(2..6u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true});
             let at = [2_000, 36_000, 72_000][n as usize / 8] + rng.random_range(0..4_000u64);
-            let n = add(world, at, spec);
+            let n = add(simulation, at, spec);
             if n.is_multiple_of(5) {
-                world.users[n].cancel_at = Some(at + 4_000);
+                simulation.users[n].cancel_at = Some(at + 4_000);
             }
         }
     },
@@ -357,14 +366,14 @@
 const SMALL: Site = Site {
     limit: 24.0,
     pool: 3,
-    jobs: |world, rng| {
-        world.run_ms = 1_500;
+    jobs: |simulation, rng| {
+        simulation.run_ms = 1_500;
         for n in 0..720u64 {
             let at = 10_000 + 250 * n;
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Avulsas": true, "Cpus": 1});
-            let n = add(world, at, spec);
+            let n = add(simulation, at, spec);
             if n.is_multiple_of(4) {
-                world.users[n].cancel_at = Some(at + rng.random_range(0..6_000u64));
+                simulation.users[n].cancel_at = Some(at + rng.random_range(0..6_000u64));
             }
         }
     },
@@ -379,14 +388,22 @@
         (90_000, 0, Crash(1)),
         (130_000, 0, Crash(2)),
     ];
-    for (seed, meeting) in [(0, Vec::new()), (1, crashes)] {
-        let mut world = play(seed, Sabotage::default(), &SMALL, &meeting);
-        world.run(2_000);
-        world.state.write_rate = Some(120.0);
-        world.run(260_000);
-        world.assert_sound(seed);
-        let kept = (world.state.throttled, world.longest_left() < 10_000);
-        assert_eq!(kept, (0, true), "seed {seed}: {}", world.longest_left());
+    for (seed, schedule) in [(0, Vec::new()), (1, crashes)] {
+        let mut simulation = play(seed, DisabledSafeguards::default(), &SMALL, &schedule);
+        simulation.run(2_000);
+        simulation.state.write_rate = Some(120.0);
+        simulation.run(260_000);
+        simulation.assert_sound(seed);
+        let kept = (
+            simulation.state.throttled,
+            simulation.longest_left() < 10_000,
+        );
+        assert_eq!(
+            kept,
+            (0, true),
+            "seed {seed}: {}",
+            simulation.longest_left()
+        );
     }
 }
 
@@ -394,13 +411,13 @@
 const CROWDED: Site = Site {
     limit: 24.0,
     pool: 1,
-    jobs: |world, rng| {
-        world.run_ms = 9_000;
+    jobs: |simulation, rng| {
+        simulation.run_ms = 9_000;
         for n in 0..60u64 {
             let priority = ["prod", "high", "normal", "idle"][n as usize % 4];
             let spec = json!({"Cuadrilla": TEAMS[n as usize / 4 % 2], "Tarefas": rng.random_range(1..5u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true, "Precedencia": priority});
-            add(world, 2_000 + 1_500 * n, spec);
+            add(simulation, 2_000 + 1_500 * n, spec);
         }
     },
 };
@@ -418,20 +435,20 @@
     });
     let mut ended = [0u64; 4];
     for seed in 0..3 {
-        let meeting = vec![(5_000, 130_000, SlowLinks(1_200))];
-        let mut world = play(seed, Sabotage::default(), &CROWDED, &meeting);
-        let mut open: Vec<usize> = (0..world.users.len()).collect();
-        while !open.is_empty() && world.now < END_MS {
-            let until = world.now + 1_000;
-            world.run(until);
+        let schedule = vec![(5_000, 130_000, SlowLinks(1_200))];
+        let mut simulation = play(seed, DisabledSafeguards::default(), &CROWDED, &schedule);
+        let mut open: Vec<usize> = (0..simulation.users.len()).collect();
+        while !open.is_empty() && simulation.now < END_MS {
+            let until = simulation.now + 1_000;
+            simulation.run(until);
             open.retain(|u| {
-                if world.users[*u].told_done {
-                    ended[u % 4] += until - world.users[*u].submit_at;
+                if simulation.users[*u].told_done {
+                    ended[u % 4] += until - simulation.users[*u].submit_at;
                 }
-                !world.users[*u].told_done
+                !simulation.users[*u].told_done
             });
         }
-        world.assert_sound(seed);
+        simulation.assert_sound(seed);
     }
     assert!(ended.is_sorted(), "{ended:?}");
 }
@@ -440,15 +457,15 @@
 const SIZES: Site = Site {
     limit: 40.0,
     pool: 2,
-    jobs: |world, rng| {
-        world.run_ms = 6_000;
+    jobs: |simulation, rng| {
+        simulation.run_ms = 6_000;
         for n in 0..6u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": 7, "Avulsas": true, "Tarefas": 1 + n / 4});
-            add(world, 30_000 + 8_000 * n, spec);
+            add(simulation, 30_000 + 8_000 * n, spec);
         }
         for n in 0..700u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": rng.random_range(1..3u32), "Avulsas": true});
-            add(world, 2_000 + 450 * n, spec);
+            add(simulation, 2_000 + 450 * n, spec);
         }
     },
 };
@@ -457,15 +474,15 @@
 const SPLINTERS: Site = Site {
     limit: 60.0,
     pool: 1,
-    jobs: |world, _| {
+    jobs: |simulation, _| {
         for n in 0..14u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": 3, "Avulsas": true});
-            add_endless(world, 2_000 + 400 * n, 300_000, spec);
+            add_endless(simulation, 2_000 + 400 * n, 300_000, spec);
         }
         for n in 0..4u64 {
             let (team, zone) = (TEAMS[n as usize % 2], ["a", "b"][n as usize % 2]);
             let spec = json!({"Cuadrilla": team, "Cpus": 1, "Avulsas": true, "Tarefas": 2, "Together": true, "Parcela": zone});
-            add(world, 40_000 + 1_000 * n, spec);
+            add(simulation, 40_000 + 1_000 * n, spec);
         }
     },
 };
@@ -475,10 +492,13 @@
 #[test]
 fn small_jobs_find_the_room_that_other_parts_cannot_use() {
     for seed in 0..12 {
-        let mut world = play(seed, Sabotage::default(), &SPLINTERS, &Vec::new());
-        world.run(150_000);
-        let done = world.users[14..].iter().filter(|u| u.told_done).count();
-        assert_eq!((done, &world.broken), (4, &Vec::new()), "seed {seed}");
+        let mut simulation = play(seed, DisabledSafeguards::default(), &SPLINTERS, &Vec::new());
+        simulation.run(150_000);
+        let done = simulation.users[14..]
+            .iter()
+            .filter(|u| u.told_done)
+            .count();
+        assert_eq!((done, &simulation.broken), (4, &Vec::new()), "seed {seed}");
     }
 }
 
@@ -486,10 +506,10 @@
 const LONG: Site = Site {
     limit: 12.0,
     pool: 2,
-    jobs: |world, _| {
+    jobs: |simulation, _| {
         for n in 0..6u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": 2, "Cpus": 2, "Avulsas": true});
-            add_endless(world, 5_000 + 1_000 * n, 300_000, spec);
+            add_endless(simulation, 5_000 + 1_000 * n, 300_000, spec);
         }
     },
 };
@@ -499,21 +519,21 @@
 #[test]
 fn the_largest_jobs_begin_within_four_minutes_under_shortage_by_size() {
     for seed in 0..2 {
-        let mut world = play(seed, Sabotage::default(), &SIZES, &Vec::new());
+        let mut simulation = play(seed, DisabledSafeguards::default(), &SIZES, &Vec::new());
         let mut began = [None; 6];
-        while world.now < 320_000 && began.contains(&None) {
-            world.run(world.now.next_multiple_of(1_000) + 1_000);
+        while simulation.now < 320_000 && began.contains(&None) {
+            simulation.run(simulation.now.next_multiple_of(1_000) + 1_000);
             for (n, at) in began.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
-                let user = &world.users[n];
-                let mut tasks = world.workers.values().flat_map(|w| &w.tasks);
+                let user = &simulation.users[n];
+                let mut tasks = simulation.workers.values().flat_map(|w| &w.tasks);
                 if tasks.any(|t| t.name.starts_with(&format!("{}/", user.job))) {
-                    *at = Some(world.now - user.submit_at);
+                    *at = Some(simulation.now - user.submit_at);
                 }
             }
         }
         let late = began.iter().filter(|at| at.is_none_or(|ms| ms > 240_000));
         assert_eq!(
-            (late.count(), &world.broken),
+            (late.count(), &simulation.broken),
             (0, &Vec::new()),
             "seed {seed}: {began:?}"
         );
@@ -523,17 +543,17 @@
 /// Shows that the rules are looked at here: without what guards them, they break.
 #[test]
 fn limits_places_and_waits_break_without_their_guards() {
-    let none = Sabotage::default();
-    let conditions = Sabotage {
+    let none = DisabledSafeguards::default();
+    let conditions = DisabledSafeguards {
         no_conditions: true,
         ..none
     };
-    let returns = Sabotage {
+    let returns = DisabledSafeguards {
         false_returns: true,
         no_leases: true,
         ..none
     };
-    let limits = Sabotage {
+    let limits = DisabledSafeguards {
         half_limits: true,
         ..none
     };
@@ -552,18 +572,18 @@
         ]
     };
     let none_at_all = |_| Vec::new();
-    for (rule, sabotage, site, meeting) in [
+    for (rule, safeguards, site, schedule) in [
         (
             "quota",
             conditions,
             &FULL,
-            &late as &dyn Fn(usize) -> Meeting,
+            &late as &dyn Fn(usize) -> FaultSchedule,
         ),
         ("quota", returns, &FULL, &cut),
         ("wrong_place", conditions, &BOUND, &late),
         ("left_waiting", limits, &LONG, &none_at_all),
     ] {
-        let seed = (0..12).find(|seed| breaks(rule, sabotage, site, *seed, meeting));
+        let seed = (0..12).find(|seed| breaks(rule, safeguards, site, *seed, schedule));
         assert!(seed.is_some(), "{rule}");
     }
     assert!(!breaks("left_waiting", none, &LONG, 0, none_at_all));
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,8 +1,8 @@
 //! The program as users run it: a real controller on loopback, spoken to by its own command line, killed
 //! and started again. The state service and the cloud are stand-ins on loopback too.
 
-use snowshelf::outbox::Method;
-use snowshelf_world::state::StateService;
+use snowshelf::effects::Method;
+use snowshelf_simulation::state::StateService;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -59,13 +59,13 @@
     }
 }
 
-fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
+fn read_request(list_watch: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
     let mut first = String::new();
-    reader.read_line(&mut first).ok().filter(|n| *n > 0)?;
+    list_watch.read_line(&mut first).ok().filter(|n| *n > 0)?;
     let mut long = 0;
     loop {
         let mut line = String::new();
-        reader.read_line(&mut line).ok()?;
+        list_watch.read_line(&mut line).ok()?;
         if let Some(n) = line.to_lowercase().strip_prefix("content-length:") {
             long = n.trim().parse().ok()?;
         }
@@ -74,15 +74,15 @@
         }
     }
     let mut body = vec![0; long];
-    reader.read_exact(&mut body).ok()?;
+    list_watch.read_exact(&mut body).ok()?;
     let mut words = first.split_whitespace().map(str::to_string);
     Some((words.next()?, words.next()?, body))
 }
 
 /// Serves one connection until its other side is gone.
 fn serve(stream: TcpStream, outside: &Shared) {
-    let mut reader = BufReader::new(stream);
-    while let Some((method, path, body)) = read_request(&mut reader) {
+    let mut list_watch = BufReader::new(stream);
+    while let Some((method, path, body)) = read_request(&mut list_watch) {
         let lock = || outside.lock().expect("no test thread has failed");
         let reply = lock().call(&method, &path, &body);
         let (status, body) = reply.unwrap_or_else(|caller| {
@@ -99,7 +99,7 @@
             "HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        let stream = reader.get_mut();
+        let stream = list_watch.get_mut();
         if stream
             .write_all(&[head.as_bytes(), &body].concat())
             .is_err()
@@ -476,5 +476,5 @@
     let now = std::time::SystemTime::now();
     let since = now.duration_since(std::time::UNIX_EPOCH).unwrap();
     let at = since.as_millis() as u64 + hours * 3_600_000;
-    snowshelf_calendar::entry::shown(snowshelf_model::ids::WallMs(at))
+    snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(at))
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,22 +2,25 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf::bookkeeping::mirror::{Final, Mirror, Versioned};
-use snowshelf::coordination::gateway::split;
-use snowshelf::coordination::graph::Graph;
-use snowshelf::coordination::ownership::{Verdict, verdict};
-use snowshelf::coordination::peers::{HEARD_BYTES, MISSING_BYTES, PartRoom, Turns};
-use snowshelf::coordination::placement::{Image, Seat, ZoneRule, place};
+use snowshelf::coordination::api::split;
+use snowshelf::coordination::dependencies::DependencyGraph;
+use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
+use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
+use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
+use snowshelf::storage::record_cache::{Final, RecordCache, Versioned};
 use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
-use snowshelf_model::ids::{Attempt, JobId, MachineId, PartId, TaskNo, Token, Version, WallMs};
+use snowshelf_model::ids::{
+    Attempt, FencingToken, JobId, MachineId, ShardId, TaskIndex, Version, WallClockMillis,
+};
 use snowshelf_model::protocol::user::{Submission, parse_submission};
-use snowshelf_model::protocol::worker::Report;
+use snowshelf_model::protocol::worker::Heartbeat;
 use snowshelf_model::records::packed;
 use snowshelf_model::records::{
-    Alloc, Format, Grant, JobRecord, JobState, QuotaRecord, Room, Step, StepKind, Terms,
+    AllocationChange, AllocationChangeKind, Grant, JobRecord, JobState, QuotaRecord, RecordFormat,
+    Resources, ShardAllocation, StorageLimits,
 };
-use snowshelf_model::spans::Spans;
-use snowshelf_world::frozen;
+use snowshelf_model::task_ranges::TaskRanges;
+use snowshelf_simulation::frozen;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -54,16 +57,16 @@
 }
 
 /// A share's short form, and back.
-fn pack(share: &Alloc) -> Option<String> {
+fn pack(share: &ShardAllocation) -> Option<String> {
     packed::pack(&share.waiting, &share.started, &share.finished)
 }
 
-fn unpack(text: &str) -> Option<Alloc> {
+fn unpack(text: &str) -> Option<ShardAllocation> {
     serde_json::from_value(serde_json::json!(text)).ok()
 }
 
-fn terms(format: Format, value_bytes: usize) -> Terms {
-    Terms {
+fn storage_limits(format: RecordFormat, value_bytes: usize) -> StorageLimits {
+    StorageLimits {
         format,
         value_bytes,
         txn_ops: 4,
@@ -73,7 +76,7 @@
 }
 
 /// A job that needs others, as it is kept.
-fn record(state: JobState, needs: &[usize], deadline_s: Option<f64>) -> JobRecord {
+fn record(state: JobState, dependencies: &[usize], deadline_s: Option<f64>) -> JobRecord {
     let mut spec = parse_submission(submission().to_string().as_bytes())
         .unwrap()
         .spec;
@@ -81,11 +84,11 @@
     JobRecord {
         state,
         tasks: spec.tasks,
-        parts: vec![PartId(0)],
-        submitted: WallMs(1_000),
+        shards: vec![ShardId(0)],
+        submitted: WallClockMillis(1_000),
         spec: Some(spec),
-        needs: needs.iter().map(|n| name(*n)).collect(),
-        needs_pieces: 0,
+        dependencies: dependencies.iter().map(|n| name(*n)).collect(),
+        dependency_chunks: 0,
         ended: None,
         run: false,
         pause_ms: 0,
@@ -97,7 +100,7 @@
 }
 
 /// The picture of jobs of which the final ones are kept apart, as the mirror does.
-fn graph_of(records: &[JobRecord]) -> Graph {
+fn graph_of(records: &[JobRecord]) -> DependencyGraph {
     let mut open = BTreeMap::new();
     let mut finals: BTreeMap<JobId, Final> = BTreeMap::new();
     for (n, r) in records.iter().enumerate() {
@@ -122,30 +125,30 @@
         }
     }
     let length = |_: &snowshelf_model::records::JobSpec| 10_000;
-    Graph::build(
+    DependencyGraph::build(
         &open,
-        |_, r| Some(r.needs.iter().collect()),
+        |_, r| Some(r.dependencies.iter().collect()),
         |id| finals.get(id).copied(),
         length,
-        WallMs(50_000),
-        &Graph::default(),
+        WallClockMillis(50_000),
+        &DependencyGraph::default(),
     )
 }
 
 /// The step that an owner looking at `view` would take for an operation.
-fn step_for(view: &Alloc, op: &Op) -> Step {
+fn step_for(view: &ShardAllocation, op: &Op) -> AllocationChange {
     let (task, machine, what) = match op {
-        Op::Start(t, m) => (*t, *m, StepKind::Start),
-        Op::Finish(t, m) => (*t, *m, StepKind::Finish),
-        Op::Requeue(t, m) => (*t, *m, StepKind::Requeue),
+        Op::Start(t, m) => (*t, *m, AllocationChangeKind::Start),
+        Op::Finish(t, m) => (*t, *m, AllocationChangeKind::Finish),
+        Op::Requeue(t, m) => (*t, *m, AllocationChangeKind::Requeue),
     };
     let machine = MachineId::new(&format!("n-{machine}"));
-    let task = TaskNo(task);
+    let task = TaskIndex(task);
     let attempt = match what {
-        StepKind::Start => view.waiting.get(task),
+        AllocationChangeKind::Start => view.waiting.get(task),
         _ => view.started_on(&machine, task),
     };
-    Step {
+    AllocationChange {
         task,
         attempt: attempt.unwrap_or(Attempt(999)),
         machine,
@@ -161,7 +164,7 @@
         let _ = parse_request(&bytes);
         let _ = parse_answer(&bytes, true);
         let _ = parse_submission(&bytes);
-        let _ = serde_json::from_slice::<Report>(&bytes);
+        let _ = serde_json::from_slice::<Heartbeat>(&bytes);
     }
 
     #[test]
@@ -204,14 +207,14 @@
 
     #[test]
     fn spans_behave_like_a_map(ops in proptest::collection::vec((any::<bool>(), 0..30u32, 1..4u32), 0..80), n in 0..40u32) {
-        let mut spans = Spans::default();
+        let mut spans = TaskRanges::default();
         let mut model: BTreeMap<u32, u32> = BTreeMap::new();
         for (put, task, attempt) in ops {
             if put {
-                spans.insert(TaskNo(task), Attempt(attempt));
+                spans.insert(TaskIndex(task), Attempt(attempt));
                 model.insert(task, attempt);
             } else {
-                prop_assert_eq!(spans.remove(TaskNo(task)).map(|a| a.0), model.remove(&task));
+                prop_assert_eq!(spans.remove(TaskIndex(task)).map(|a| a.0), model.remove(&task));
             }
             let listed: Vec<(u32, u32)> = spans.iter().map(|(t, a)| (t.0, a.0)).collect();
             let wanted: Vec<(u32, u32)> = model.iter().map(|(t, a)| (*t, *a)).collect();
@@ -221,7 +224,7 @@
                 prop_assert!(pair[0].1 < pair[1].0 || pair[0].2 != pair[1].2);
             }
             let text = serde_json::to_string(&spans).unwrap();
-            prop_assert_eq!(serde_json::from_str::<Spans>(&text).unwrap(), spans.clone());
+            prop_assert_eq!(serde_json::from_str::<TaskRanges>(&text).unwrap(), spans.clone());
         }
         let before = spans.clone();
         let taken = spans.split_last(n);
@@ -234,7 +237,7 @@
     /// only some, change nothing more, and no task is ever lost or in two places.
     #[test]
     fn steps_applied_twice_count_once(ops in proptest::collection::vec(op(), 0..60), kept in 0..60usize) {
-        let start = Alloc { waiting: Spans::range(0, 20, 1), ..Alloc::default() };
+        let start = ShardAllocation { waiting: TaskRanges::range(0, 20, 1), ..ShardAllocation::default() };
         let mut view = start.clone();
         let mut steps = Vec::new();
         let mut halfway = start.clone();
@@ -243,7 +246,7 @@
             let attempts_before = view.waiting.get(step.task);
             if view.apply(&step) {
                 steps.push(step.clone());
-                if step.what == StepKind::Requeue {
+                if step.what == AllocationChangeKind::Requeue {
                     prop_assert!(view.waiting.get(step.task).unwrap() > step.attempt);
                     prop_assert!(attempts_before.is_none());
                 }
@@ -273,29 +276,29 @@
         ops in proptest::collection::vec((0..6u32, 0..60u32, 0..400usize), 0..120),
         first in 0..60_000u32, attempt in 1..40u32,
     ) {
-        let terms = terms(Format::Wide, 2048);
-        let mut share = Alloc { waiting: Spans::range(first, first + 5_000, attempt), ..Alloc::default() };
+        let storage_limits = storage_limits(RecordFormat::V2, 2048);
+        let mut share = ShardAllocation { waiting: TaskRanges::range(first, first + 5_000, attempt), ..ShardAllocation::default() };
         for (what, machine, pick) in ops {
-            let started: Vec<(MachineId, TaskNo, Attempt)> = share.started.iter()
+            let started: Vec<(MachineId, TaskIndex, Attempt)> = share.started.iter()
                 .flat_map(|(m, s)| s.iter().map(|(t, a)| (m.clone(), t, a))).collect();
             if what < 3 {
                 // Several at once, as a pass of placement starts them.
-                let most = terms.startable(&share, share.started_count(), 8);
+                let most = storage_limits.startable(&share, share.started_count(), 8);
                 for _ in 0..most.min(pick as u32) {
                     let Some((task, attempt)) = share.waiting.first() else { break };
                     let machine = MachineId::new(&format!("n-{machine:06}"));
-                    share.apply(&Step { task, attempt, machine, what: StepKind::Start });
+                    share.apply(&AllocationChange { task, attempt, machine, what: AllocationChangeKind::Start });
                 }
             } else {
-                let step = if what == 3 { StepKind::Finish } else { StepKind::Requeue };
+                let step = if what == 3 { AllocationChangeKind::Finish } else { AllocationChangeKind::Requeue };
                 for (machine, task, attempt) in started.into_iter().skip(pick % 7).step_by(1 + pick % 3).take(pick) {
-                    share.apply(&Step { task, attempt, machine, what: step });
-                    let fits = terms.share(&share).is_some();
+                    share.apply(&AllocationChange { task, attempt, machine, what: step });
+                    let fits = storage_limits.encode_allocation(&share).is_some();
                     prop_assert!(fits, "{} bytes", pack(&share).unwrap().len());
                 }
             }
-            let value = terms.share(&share).unwrap();
-            let read: Alloc = serde_json::from_value(value).unwrap();
+            let value = storage_limits.encode_allocation(&share).unwrap();
+            let read: ShardAllocation = serde_json::from_value(value).unwrap();
             prop_assert_eq!(&read.started, &share.started);
             prop_assert_eq!(read.waiting.len(), share.waiting.len());
             prop_assert_eq!(read.finished.is_empty(), share.finished.is_empty());
@@ -321,23 +324,23 @@
             (0..6u8, proptest::collection::vec(0..14usize, 0..3), proptest::option::of(50.0..500.0f64)), 1..14),
         circles: bool,
     ) {
-        let records: Vec<JobRecord> = jobs.iter().enumerate().map(|(n, (state, needs, deadline))| {
+        let records: Vec<JobRecord> = jobs.iter().enumerate().map(|(n, (state, dependencies, deadline))| {
             let state = match state { 0 => JobState::Done, 1 => JobState::Cancelled, _ => JobState::Open };
-            let needs: BTreeSet<usize> = needs.iter().copied()
+            let dependencies: BTreeSet<usize> = dependencies.iter().copied()
                 .filter(|x| *x < jobs.len() && *x != n && (circles || *x < n)).collect();
-            record(state, &needs.into_iter().collect::<Vec<_>>(), *deadline)
+            record(state, &dependencies.into_iter().collect::<Vec<_>>(), *deadline)
         }).collect();
         let graph = graph_of(&records);
-        let needs = |n: usize| records[n].needs.iter().map(|id| id.as_str()[3..].parse::<usize>().unwrap()).collect::<Vec<_>>();
+        let dependencies = |n: usize| records[n].dependencies.iter().map(|id| id.as_str()[3..].parse::<usize>().unwrap()).collect::<Vec<_>>();
         for (n, r) in records.iter().enumerate().filter(|(_, r)| !r.is_final()) {
-            let ready = needs(n).iter().all(|x| records[*x].state == JobState::Done);
+            let ready = dependencies(n).iter().all(|x| records[*x].state == JobState::Done);
             prop_assert_eq!(graph.is_ready(&name(n), r), ready);
             // All that stands above, through open jobs.
             let mut above = BTreeSet::new();
-            let mut queue = needs(n);
+            let mut queue = dependencies(n);
             while let Some(x) = queue.pop() {
                 if above.insert(x) && !records[x].is_final() {
-                    queue.extend(needs(x));
+                    queue.extend(dependencies(x));
                 }
             }
             let doomed = above.iter().any(|x| records[*x].state == JobState::Cancelled);
@@ -350,9 +353,9 @@
             if let Some(deadline) = r.spec.as_ref().unwrap().deadline_s {
                 let own = 1_000 + (deadline * 1000.0) as u64 - 10_000;
                 // Outside of all pipelines the deadline counts where the aims do.
-                prop_assert!(mine.latest.map_or(needs(n).is_empty(), |at| at.0 <= own));
+                prop_assert!(mine.latest.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
             }
-            for x in needs(n).into_iter().filter(|x| !records[*x].is_final()) {
+            for x in dependencies(n).into_iter().filter(|x| !records[*x].is_final()) {
                 let theirs = graph.urgency(&name(x), records[x].spec.as_ref().unwrap());
                 prop_assert!(theirs.priority >= mine.priority);
                 if let Some(latest) = mine.latest {
@@ -366,12 +369,12 @@
     fn grants_never_pass_the_limit(moves in proptest::collection::vec((0..4u32, 0.0..50.0f64, 0.0..1.0f64), 0..60)) {
         let limit = Grant { cpus: 60.0, gpus: 6.0 };
         let mut record = QuotaRecord::default();
-        for (part, wish, share) in moves {
-            let have = record.grants.get(&PartId(part)).copied().unwrap_or_default();
+        for (shard_id, wish, share) in moves {
+            let have = record.grants.get(&ShardId(shard_id)).copied().unwrap_or_default();
             let used = Grant { cpus: have.cpus * share, gpus: have.gpus * share };
-            record = record.regrant(PartId(part), Grant { cpus: wish, gpus: wish / 10.0 }, used, limit);
+            record = record.regrant(ShardId(shard_id), Grant { cpus: wish, gpus: wish / 10.0 }, used, limit);
             prop_assert!(limit.covers(record.granted()));
-            prop_assert!(record.grants[&PartId(part)].covers(used));
+            prop_assert!(record.grants[&ShardId(shard_id)].covers(used));
         }
     }
 
@@ -380,13 +383,13 @@
         let Submission { job: id, mut spec, .. } = parse_submission(submission().to_string().as_bytes()).unwrap();
         spec.tasks = tasks;
         spec.together = bound;
-        let free: BTreeMap<PartId, PartRoom> = free.iter().enumerate().map(|(i, f)| (PartId(i as u32), PartRoom { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
+        let free: BTreeMap<ShardId, ShardCapacity> = free.iter().enumerate().map(|(i, f)| (ShardId(i as u32), ShardCapacity { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
         let shares = split(&id, &spec, 0.0, 3, &free);
-        let mut all = Spans::default();
+        let mut all = TaskRanges::default();
         for (_, spans) in &shares {
             all.merge(spans);
         }
-        prop_assert_eq!(all, Spans::range(0, tasks, 1));
+        prop_assert_eq!(all, TaskRanges::range(0, tasks, 1));
         prop_assert!(!bound || shares.len() == 1);
     }
 
@@ -395,13 +398,13 @@
         seats in proptest::collection::vec((0.0..20.0f64, 0..3usize, 0..9u32, any::<bool>()), 0..12),
         want in 1..40u32, together: bool, most in proptest::option::of(1..20u32),
     ) {
-        let task = Room { cpus: 2.0, gpus: 0.0, mem: 0.0 };
-        let seats: Vec<Seat> = seats.into_iter().map(|(cpus, zone, cap, has_image)| Seat {
-            free: Room { cpus, gpus: 0.0, mem: 1.0 }, zone, cap, spared: false,
+        let task = Resources { cpus: 2.0, gpus: 0.0, mem: 0.0 };
+        let seats: Vec<MachineCandidate> = seats.into_iter().map(|(cpus, zone, cap, has_image)| MachineCandidate {
+            free: Resources { cpus, gpus: 0.0, mem: 1.0 }, zone, cap, spared: false,
             image: if has_image { Image::Cached } else { Image::Absent }, fetches: 0, delay: 0,
         }).collect();
         let mut zones = ZoneRule { together, most, ..ZoneRule::default() };
-        let chosen = place(task, want, &seats, Room { cpus: 1.0, gpus: 0.0, mem: 0.0 }, &mut zones);
+        let chosen = place(task, want, &seats, Resources { cpus: 1.0, gpus: 0.0, mem: 0.0 }, &mut zones);
         let mut by_zone: BTreeMap<usize, u32> = BTreeMap::new();
         for (i, n) in &chosen {
             prop_assert!(task.times(f64::from(*n)).cpus <= seats[*i].free.cpus + 1e-6);
@@ -416,12 +419,12 @@
     /// Guards against late news: whatever order changes arrive in, the newest one stands.
     #[test]
     fn the_mirror_keeps_the_newest(order in Just((1..9u64).collect::<Vec<_>>()).prop_shuffle()) {
-        let mut mirror = Mirror::default();
+        let mut records = RecordCache::default();
         for version in order {
             let value = serde_json::json!({"owner": format!("n{version}"), "lease": version});
-            mirror.apply("part/0", (version != 8).then_some(&value), Version(version));
+            records.apply("part/0", (version != 8).then_some(&value), Version(version));
         }
-        prop_assert!(mirror.parts.is_empty());
+        prop_assert!(records.shard_owners.is_empty());
     }
 }
 
@@ -429,28 +432,34 @@
 fn a_part_is_taken_from_nobody_who_may_still_hold_it() {
     let v = Version(9);
     assert_eq!(
-        verdict(Some((false, v)), None, true, 99_999),
-        Verdict::Leave
+        decide_lease(Some((false, v)), None, true, 99_999),
+        LeaseDecision::Keep
     );
     assert_eq!(
-        verdict(Some((true, v)), Some(Token(9)), true, 0),
-        Verdict::Leave
+        decide_lease(Some((true, v)), Some(FencingToken(9)), true, 0),
+        LeaseDecision::Keep
     );
     // A name from an earlier life, or a claim whose answer was lost: taken again at once.
-    assert_eq!(verdict(Some((true, v)), None, false, 0), Verdict::Take(v));
     assert_eq!(
-        verdict(Some((true, v)), Some(Token(4)), true, 0),
-        Verdict::Take(v)
+        decide_lease(Some((true, v)), None, false, 0),
+        LeaseDecision::Acquire(v)
+    );
+    assert_eq!(
+        decide_lease(Some((true, v)), Some(FencingToken(4)), true, 0),
+        LeaseDecision::Acquire(v)
     );
-    assert_eq!(verdict(None, None, true, 0), Verdict::Take(Version(0)));
-    assert_eq!(verdict(None, None, false, 10), Verdict::Leave);
+    assert_eq!(
+        decide_lease(None, None, true, 0),
+        LeaseDecision::Acquire(Version(0))
+    );
+    assert_eq!(decide_lease(None, None, false, 10), LeaseDecision::Keep);
 }
 
 /// Samples of the records that the version before pipelines wrote: read for ever.
 #[test]
 fn records_of_the_version_before_are_read() {
     let share = serde_json::json!({"w":[[7,9,1]],"s":{"n-000231":[[0,3,1],[4,5,2]]},"f":[[3,4,0]]});
-    let read: Alloc = serde_json::from_value(share.clone()).unwrap();
+    let read: ShardAllocation = serde_json::from_value(share.clone()).unwrap();
     assert_eq!(
         (
             read.waiting.len(),
@@ -465,12 +474,12 @@
             "room":{"cpus":2.0,"gpus":0.0,"mem":4.9},"image":"i","pull_gb":1.8,"together":false,"apart":false,
             "spot":true,"estimate_s":9.5,"checkpoint_s":0.0,"save_s":0.0}});
     let read: JobRecord = serde_json::from_value(job.clone()).unwrap();
-    assert!(read.needs.is_empty() && !read.is_final());
+    assert!(read.dependencies.is_empty() && !read.is_final());
     assert_eq!(serde_json::to_value(&read).unwrap(), job);
     assert!(frozen::survives("job/wk-1", &job));
     let done = serde_json::json!({"state":"Done","tasks":2,"submitted":5});
-    let narrow = read.without_part(PartId(0), WallMs(9), Format::Narrow);
-    let narrow = narrow.without_part(PartId(2), WallMs(9), Format::Narrow);
+    let narrow = read.without_shard(ShardId(0), WallClockMillis(9), RecordFormat::V1);
+    let narrow = narrow.without_shard(ShardId(2), WallClockMillis(9), RecordFormat::V1);
     assert!(frozen::survives(
         "job/wk-1",
         &serde_json::to_value(narrow).unwrap()
@@ -483,9 +492,9 @@
     // The reader that stands for that version can say no: it would lose these.
     let waits = serde_json::to_value(record(JobState::Open, &[3], None)).unwrap();
     assert!(!frozen::survives("job/wk-1", &waits));
-    let short = terms(Format::Wide, 2048).share(&Alloc {
-        waiting: Spans::range(0, 9, 1),
-        ..Alloc::default()
+    let short = storage_limits(RecordFormat::V2, 2048).encode_allocation(&ShardAllocation {
+        waiting: TaskRanges::range(0, 9, 1),
+        ..ShardAllocation::default()
     });
     assert!(!frozen::survives("alloc/0/wk-1", &short.unwrap()));
 }
@@ -496,42 +505,42 @@
 #[test]
 fn a_share_written_under_larger_limits_comes_to_fit() {
     for lost in [false, true] {
-        let mut share = Alloc {
-            waiting: Spans::range(0, 3_000, 1),
-            ..Alloc::default()
+        let mut share = ShardAllocation {
+            waiting: TaskRanges::range(0, 3_000, 1),
+            ..ShardAllocation::default()
         };
         for i in 0..580u32 {
             let machine = MachineId::new(&format!("n-{i:06}"));
-            let step = Step {
-                task: TaskNo(2 * i),
+            let step = AllocationChange {
+                task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
-                what: StepKind::Start,
+                what: AllocationChangeKind::Start,
             };
             assert!(share.apply(&step));
         }
         assert!(serde_json::to_string(&share).unwrap().len() > 8 * 2048);
-        let terms = terms(Format::Wide, 2048);
-        assert_eq!(terms.startable(&share, 580, 8), 0);
+        let storage_limits = storage_limits(RecordFormat::V2, 2048);
+        assert_eq!(storage_limits.startable(&share, 580, 8), 0);
         let mut fits = 0;
         for i in 0..580u32 {
             let machine = MachineId::new(&format!("n-{i:06}"));
             let what = if lost {
-                StepKind::Requeue
+                AllocationChangeKind::Requeue
             } else {
-                StepKind::Finish
+                AllocationChangeKind::Finish
             };
-            assert!(share.apply(&Step {
-                task: TaskNo(2 * i),
+            assert!(share.apply(&AllocationChange {
+                task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
                 what
             }));
-            let small = terms.share(&share).is_some();
+            let small = storage_limits.encode_allocation(&share).is_some();
             assert!(small || fits == 0, "it fitted before");
             fits += u32::from(small);
         }
-        let more = terms.startable(&share, 0, 8);
+        let more = storage_limits.startable(&share, 0, 8);
         assert!(
             fits > 50 && more > 0,
             "{fits} {more} {}",
@@ -545,7 +554,7 @@
     let with = |list: serde_json::Value| {
         let mut body = submission();
         body["Aguarda"] = list;
-        parse_submission(body.to_string().as_bytes()).map(|s| s.needs)
+        parse_submission(body.to_string().as_bytes()).map(|s| s.dependencies)
     };
     assert_eq!(
         with(serde_json::json!(["wk-2", "wk-1", "wk-2"])).unwrap(),
@@ -568,56 +577,61 @@
 /// types of a deployment of ours fit as they are.
 #[test]
 fn every_record_fits_into_two_kib() {
-    let terms = terms(Format::Wide, 2048);
-    let needs: Vec<JobId> = (0..5_000)
+    let storage_limits = storage_limits(RecordFormat::V2, 2048);
+    let dependencies: Vec<JobId> = (0..5_000)
         .map(|n| JobId::new(&format!("wk-{n:06}")))
         .collect();
-    let pieces = terms.pieces(&needs);
-    assert_eq!(pieces.concat(), needs);
-    assert!(pieces.len() < 40 && pieces.iter().all(|p| terms.takes(&serde_json::json!(p))));
+    let pieces = storage_limits.dependency_chunks(&dependencies);
+    assert_eq!(pieces.concat(), dependencies);
+    assert!(
+        pieces.len() < 40
+            && pieces
+                .iter()
+                .all(|p| storage_limits.accepts(&serde_json::json!(p)))
+    );
 
-    let mut mirror = Mirror::default();
+    let mut records = RecordCache::default();
     let mut job = record(JobState::Open, &[], None);
-    job.needs_pieces = pieces.len() as u32;
-    let value = terms.job(&job, |_| true).unwrap();
-    mirror.apply("job/wk-1", Some(&value), Version(1));
+    job.dependency_chunks = pieces.len() as u32;
+    let value = storage_limits.encode_job(&job, |_| true).unwrap();
+    records.apply("job/wk-1", Some(&value), Version(1));
     let done = serde_json::json!({"state":"Done","tasks":1,"submitted":5});
-    for (n, need) in needs.iter().enumerate() {
-        mirror.apply(&format!("job/{need}"), Some(&done), Version(2 + n as u64));
+    for (n, need) in dependencies.iter().enumerate() {
+        records.apply(&format!("job/{need}"), Some(&done), Version(2 + n as u64));
     }
-    let ready = |mirror: &Mirror| {
-        let final_of = |id: &JobId| mirror.final_of(id);
-        let needs_of = |id: &JobId, r| mirror.needs_of(id, r);
+    let ready = |records: &RecordCache| {
+        let final_of = |id: &JobId| records.final_of(id);
+        let dependencies_of = |id: &JobId, r| records.dependencies_of(id, r);
         let length = |_: &snowshelf_model::records::JobSpec| 10_000;
-        let graph = Graph::build(
-            &mirror.jobs,
-            needs_of,
+        let graph = DependencyGraph::build(
+            &records.jobs,
+            dependencies_of,
             final_of,
             length,
-            WallMs(9),
-            &Graph::default(),
+            WallClockMillis(9),
+            &DependencyGraph::default(),
         );
-        graph.is_ready(&name(1), &mirror.jobs[&name(1)].value)
+        graph.is_ready(&name(1), &records.jobs[&name(1)].value)
     };
     for (n, piece) in pieces.iter().enumerate() {
-        assert!(!ready(&mirror), "before piece {n}");
-        mirror.apply(
+        assert!(!ready(&records), "before piece {n}");
+        records.apply(
             &format!("needs/wk-1/{n}"),
             Some(&serde_json::json!(piece)),
             Version(9_000),
         );
     }
-    assert!(ready(&mirror));
+    assert!(ready(&records));
 
     let mut quota = QuotaRecord::default();
-    for part in 0..16 {
+    for shard_id in 0..16 {
         let grant = Grant {
-            cpus: 1234.567890123456 + f64::from(part),
+            cpus: 1234.567890123456 + f64::from(shard_id),
             gpus: 0.0,
         };
-        quota.grants.insert(PartId(part), grant);
+        quota.grants.insert(ShardId(shard_id), grant);
     }
-    assert!(terms.takes(&serde_json::to_value(&quota).unwrap()));
+    assert!(storage_limits.accepts(&serde_json::to_value(&quota).unwrap()));
     let types: Vec<serde_json::Value> = (0..8)
         .map(|n| {
             serde_json::json!({"Label": format!("type-{n}"),
@@ -625,14 +639,14 @@
         "SpotPrice":4.5,"ReadyS":45.0,"Parcelas":["vale-norte","vale-sul","serra-alta"]})
         })
         .collect();
-    assert!(terms.takes(&serde_json::json!(types)));
+    assert!(storage_limits.accepts(&serde_json::json!(types)));
 }
 
 #[test]
 fn machines_spread_over_parts() {
     let mut counts = [0u32; 3];
     for n in 0..300 {
-        counts[snowshelf_model::ids::part_of(&format!("n-{n:06}"), 3).0 as usize] += 1;
+        counts[snowshelf_model::ids::shard_of(&format!("n-{n:06}"), 3).0 as usize] += 1;
     }
     assert!(counts.iter().all(|c| *c > 60), "{counts:?}");
 }
@@ -659,22 +673,22 @@
 #[test]
 fn names_of_ten_thousand_machines_are_told_in_turns_that_fit() {
     use prost::Message;
-    use snowshelf_model::protocol::peer::{Hint, MAX_FRAME, PartHint};
+    use snowshelf_model::protocol::peer::{MAX_FRAME, PeerStatus, ShardStatus};
     let mut names: BTreeSet<MachineId> = (0..10_000)
         .map(|n| MachineId::new(&format!("n-{n:06}")))
         .collect();
-    let (mut heard, mut missing) = (Turns::default(), Turns::default());
+    let (mut heard, mut missing) = (RoundRobinNames::default(), RoundRobinNames::default());
     let mut told: BTreeSet<String> = BTreeSet::new();
     for message in 0..6 {
-        let part = PartHint {
+        let shard_id = ShardStatus {
             heard: heard.next(&names, HEARD_BYTES),
-            ..PartHint::default()
+            ..ShardStatus::default()
         };
-        told.extend(part.heard.iter().cloned());
-        let hint = Hint {
+        told.extend(shard_id.heard.iter().cloned());
+        let hint = PeerStatus {
             missing: missing.next(&names, MISSING_BYTES),
-            parts: vec![part],
-            ..Hint::default()
+            shards: vec![shard_id],
+            ..PeerStatus::default()
         };
         let long = hint.encoded_len();
         assert!(long < MAX_FRAME - 8 * 1024, "{long}");
@@ -702,12 +716,12 @@
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
         use snowshelf::coordination::controller::own_rates;
-        let terms = Terms { rps, write_rps, ..terms(Format::Wide, 16_384) };
-        let of = |node: usize| own_rates(&terms, 5, owners.iter().filter(|o| **o == node).count());
+        let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
+        let of = |node: usize| own_rates(&storage_limits, 5, owners.iter().filter(|o| **o == node).count());
         let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
         prop_assert!(requests <= rps && writes <= write_rps, "{requests} of {rps}, {writes} of {write_rps}");
         prop_assert!(requests > 0.9 * rps && writes > 0.9 * write_rps);
-        let (alone, _) = own_rates(&terms, 5, 5);
-        prop_assert!(alone > 2.0 * own_rates(&terms, 5, 1).0);
+        let (alone, _) = own_rates(&storage_limits, 5, 5);
+        prop_assert!(alone > 2.0 * own_rates(&storage_limits, 5, 1).0);
     }
 }
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -3,10 +3,10 @@
 
 use serde_json::{Value, json};
 use snowshelf::coordination::controller::{Controller, TICK_MS};
+use snowshelf::effects::{CallOutcome, ControllerEvent, Effect, Request, Target};
 use snowshelf::operator::OperatorSettings;
-use snowshelf::outbox::{CallResult, Input, Output, Request, Target};
 use snowshelf::settings::Settings;
-use snowshelf_model::ids::{CallId, ConnId, Millis};
+use snowshelf_model::ids::{CallId, ConnectionId, MonotonicMillis};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -178,11 +178,11 @@
     controller: Controller,
     history: History,
     now: u64,
-    token: u64,
+    fencing_token: u64,
     too_old: usize,
     /// Reports that were not answered by a 200.
     sent_away: usize,
-    underway: Vec<Input>,
+    underway: Vec<ControllerEvent>,
 }
 
 /// When a start had come how far, in milliseconds.
@@ -212,23 +212,23 @@
         }
         let settings = Settings::parse(&text).unwrap();
         Play {
-            controller: Controller::new(settings, OperatorSettings::default(), Millis(1)),
+            controller: Controller::new(settings, OperatorSettings::default(), MonotonicMillis(1)),
             history,
             now: 1,
-            token: 0,
+            fencing_token: 0,
             too_old: 0,
             sent_away: 0,
             underway: Vec::new(),
         }
     }
 
-    fn ask(&self, conn: u64, method: &str, path: &str, body: Value) -> Input {
+    fn ask(&self, conn: u64, method: &str, path: &str, body: Value) -> ControllerEvent {
         let request = Request {
             method: method.into(),
             path: path.into(),
             body: body.to_string().into_bytes(),
         };
-        Input::Request(ConnId(conn), request)
+        ControllerEvent::Request(ConnectionId(conn), request)
     }
 
     /// Plays so long; feeds are answered only while `feed`.
@@ -239,33 +239,38 @@
             self.now += TICK_MS;
             // Answers take a tick.
             let mut inputs = std::mem::take(&mut self.underway);
-            inputs.push(Input::Tick);
+            inputs.push(ControllerEvent::Tick);
             // The first report comes before anything is known.
             if self.now % 500 < TICK_MS || self.now <= 1 + TICK_MS {
                 let report = json!({"Prensa": "n-9", "Modelo": "t", "Parcela": "a", "Jornada": 1,
-                    "Contagem": self.now, "Selo": self.token,
+                    "Contagem": self.now, "Selo": self.fencing_token,
                     "Tarefas": [{"Tarefa": "wk-7/0", "Tentativa": 1, "Estado": "running"}]});
                 inputs.push(self.ask(STRAY, "POST", "/checkin", report));
                 inputs.push(self.ask(READY, "GET", "/ready", json!({})));
             }
             for input in inputs {
-                for output in self.controller.handle(input, Millis(self.now), self.now) {
+                for output in self
+                    .controller
+                    .handle(input, MonotonicMillis(self.now), self.now)
+                {
                     match output {
-                        Output::Respond(conn, response) if response.status == 200 => {
+                        Effect::Respond(conn, response) if response.status == 200 => {
                             let body: Value =
                                 serde_json::from_slice(&response.body).unwrap_or_default();
-                            if conn == ConnId(READY) {
+                            if conn == ConnectionId(READY) {
                                 reached.users.get_or_insert(self.now);
                                 continue;
                             }
-                            self.token = body["Selo"].as_u64().unwrap();
+                            self.fencing_token = body["Selo"].as_u64().unwrap();
                             reached.answer.get_or_insert(self.now);
                             if body["Ordens"].as_array().is_some_and(|o| !o.is_empty()) {
                                 reached.command.get_or_insert(self.now);
                             }
                         }
-                        Output::Respond(conn, _) if conn == ConnId(STRAY) => self.sent_away += 1,
-                        Output::Call {
+                        Effect::Respond(conn, _) if conn == ConnectionId(STRAY) => {
+                            self.sent_away += 1
+                        }
+                        Effect::Call {
                             id,
                             target,
                             path,
@@ -283,7 +288,14 @@
         reached
     }
 
-    fn answer(&mut self, id: CallId, target: Target, path: &str, body: &[u8], feed: bool) -> Input {
+    fn answer(
+        &mut self,
+        id: CallId,
+        target: Target,
+        path: &str,
+        body: &[u8],
+        feed: bool,
+    ) -> ControllerEvent {
         let (status, value) = match (target, path) {
             (Target::State, "/leases") => (200, json!({"Arrendo": 7})),
             (Target::State, "/txn") => (200, self.history.txn(body)),
@@ -301,7 +313,7 @@
             self.history.requests += 1;
             self.history.bytes += body.len();
         }
-        Input::CallDone(id, CallResult::Answer { status, body })
+        ControllerEvent::CallDone(id, CallOutcome::Response { status, body })
     }
 }
 
@@ -384,37 +396,37 @@
 /// although nothing tells of them: what is known from before and is not found is gone.
 #[test]
 fn what_a_second_reading_does_not_find_is_gone() {
-    use snowshelf::bookkeeping::mirror::Mirror;
-    use snowshelf_model::ids::{JobId, PartId, Version};
-    let mut mirror = Mirror::default();
+    use snowshelf::storage::record_cache::RecordCache;
+    use snowshelf_model::ids::{JobId, ShardId, Version};
+    let mut records = RecordCache::default();
     let open = json!({"state": "Open", "tasks": 1, "parts": [0], "submitted": 5});
     let done = json!({"state": "Done", "tasks": 1, "submitted": 5});
     let share = json!({"w": [[0, 1, 1]]});
     for job in ["wk-1", "wk-2", "wk-3"] {
-        mirror.apply(&format!("job/{job}"), Some(&open), Version(5));
-        mirror.apply(&format!("alloc/0/{job}"), Some(&share), Version(5));
+        records.apply(&format!("job/{job}"), Some(&open), Version(5));
+        records.apply(&format!("alloc/0/{job}"), Some(&share), Version(5));
     }
-    mirror.open_read(Version(6));
-    mirror.end_reading();
-    mirror.begin_reading();
-    let known = mirror.open_keys();
+    records.open_read(Version(6));
+    records.end_reading();
+    records.begin_reading();
+    let known = records.open_keys();
     assert_eq!(known.len(), 6);
     assert!(known.is_sorted());
     // The feed tells of one job's end before the page that was sent earlier brings its beginning.
-    mirror.apply("job/wk-3", Some(&done), Version(20));
-    assert!(mirror.apply_read("job/wk-3", &open, Version(5)).is_none());
-    assert!(!mirror.jobs.contains_key(&JobId::new("wk-3")));
+    records.apply("job/wk-3", Some(&done), Version(20));
+    assert!(records.apply_read("job/wk-3", &open, Version(5)).is_none());
+    assert!(!records.jobs.contains_key(&JobId::new("wk-3")));
     // Made anew after the page was read: it stays.
-    mirror.apply("alloc/0/wk-1", Some(&share), Version(30));
-    assert!(mirror.absent("alloc/0/wk-1", Version(10)).is_none());
-    assert!(mirror.absent("alloc/0/wk-2", Version(10)).is_some());
-    mirror.absent("job/wk-2", Version(10));
+    records.apply("alloc/0/wk-1", Some(&share), Version(30));
+    assert!(records.absent("alloc/0/wk-1", Version(10)).is_none());
+    assert!(records.absent("alloc/0/wk-2", Version(10)).is_some());
+    records.absent("job/wk-2", Version(10));
     // Late news of what is gone does not bring it back.
-    mirror.apply("alloc/0/wk-2", Some(&share), Version(7));
-    assert_eq!(mirror.part_allocs(PartId(0)).count(), 2);
-    assert!(mirror.jobs.contains_key(&JobId::new("wk-1")));
-    assert!(!mirror.knows_job(&JobId::new("wk-2")));
-    mirror.open_read(Version(25));
-    mirror.end_reading();
-    assert_eq!(mirror.revision, Version(25));
+    records.apply("alloc/0/wk-2", Some(&share), Version(7));
+    assert_eq!(records.shard_allocations(ShardId(0)).count(), 2);
+    assert!(records.jobs.contains_key(&JobId::new("wk-1")));
+    assert!(!records.knows_job(&JobId::new("wk-2")));
+    records.open_read(Version(25));
+    records.end_reading();
+    assert_eq!(records.revision, Version(25));
 }
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf::coordination::fleet::{Have, Pool, Want, plan};
+use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::records::Room;
+use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn room(cpus: u32, mem: u32) -> Room {
-    Room {
+fn room(cpus: u32, mem: u32) -> Resources {
+    Resources {
         cpus: f64::from(cpus),
         gpus: 0.0,
         mem: f64::from(mem),
@@ -58,7 +58,7 @@
     let size = (1..6u32, 1..20u32, 0..60u32, 0..3u32);
     (size, of, zone, any::<bool>(), shut).prop_map(
         |((cpus, mem, tasks, late), types, zone, spot, shut)| Want {
-            room: room(cpus, mem),
+            resources: room(cpus, mem),
             tasks,
             beyond: 0.0,
             types,
@@ -87,7 +87,7 @@
                 .iter()
                 .any(|(zone, model)| *zone == pool.zone && *model == pool.model)
     };
-    let unit = |want: &Want, t: &MachineType, spot| match want.room.count_in(t.room()) {
+    let unit = |want: &Want, t: &MachineType, spot| match want.resources.count_in(t.room()) {
         0 => None,
         per => Some(t.price(spot) / f64::from(per)),
     };
@@ -112,8 +112,8 @@
     for want in order {
         let (mut left, mut reach) = (want.tasks, 0.0);
         for h in have.iter_mut().filter(|h| allows(want, &h.pool)) {
-            let n = want.room.count_in(h.free).min(left);
-            h.free.sub(want.room.times(f64::from(n)));
+            let n = want.resources.count_in(h.free).min(left);
+            h.free.sub(want.resources.times(f64::from(n)));
             left -= n;
             reach += types[&h.pool.model].cpus;
         }
@@ -126,10 +126,10 @@
         while left > 0 {
             let usable = pools
                 .iter()
-                .filter(|p| allows(want, p) && want.room.count_in(types[&p.model].room()) > 0);
+                .filter(|p| allows(want, p) && want.resources.count_in(types[&p.model].room()) > 0);
             let price = |p: &Pool| {
                 let t = &types[&p.model];
-                t.price(p.spot) / f64::from(want.room.count_in(t.room()).min(left))
+                t.price(p.spot) / f64::from(want.resources.count_in(t.room()).min(left))
             };
             let rented = |p: &Pool| rent.get(p).copied().unwrap_or(0);
             let best = usable.min_by(|a, b| {
@@ -139,20 +139,21 @@
             });
             let Some(pool) = best.cloned() else { break };
             let t = &types[&pool.model];
-            let work = backlog + want.beyond + f64::from(left) * want.room.cpus * want.estimate_s;
+            let work =
+                backlog + want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
             let dear = unit(want, t, pool.spot).is_none_or(|u| u > 1.5 * cheapest);
             if dear && want.patience_s > 0.0 && work <= reach * want.patience_s {
                 break;
             }
-            let n = want.room.count_in(t.room()).min(left);
+            let n = want.resources.count_in(t.room()).min(left);
             let mut free = t.room();
-            free.sub(want.room.times(f64::from(n)));
+            free.sub(want.resources.times(f64::from(n)));
             reach += t.cpus;
             left -= n;
             *rent.entry(pool.clone()).or_default() += 1;
             have.push(Have { pool, free });
         }
-        backlog += want.beyond + f64::from(left) * want.room.cpus * want.estimate_s;
+        backlog += want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
     }
     rent
 }
--- a/tests/reserving.rs
+++ b/tests/reserving.rs
@@ -1,37 +1,42 @@
 //! Reservations and windows in the stand-in world, with whole controllers.
 
 use serde_json::json;
-use snowshelf_world::{Sabotage, Weather, World};
+use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, Simulation};
 
-const CALM: Weather = Weather {
+const CALM: NetworkConditions = NetworkConditions {
     calendar: true,
-    ..Weather::CALM
+    ..NetworkConditions::CALM
 };
 
-const STORM: Weather = Weather {
+const STORM: NetworkConditions = NetworkConditions {
     calendar: true,
     short_estimates: true,
-    ..Weather::STORM
+    ..NetworkConditions::STORM
 };
 
-fn world(seed: u64, weather: Weather, sabotage: Sabotage, jobs: usize) -> World {
+fn simulation(
+    seed: u64,
+    conditions: NetworkConditions,
+    safeguards: DisabledSafeguards,
+    jobs: usize,
+) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
-    World::new(seed, weather, sabotage, jobs, 90_000)
+    Simulation::new(seed, conditions, safeguards, jobs, 90_000)
 }
 
 /// When the first task of a user's job was on a machine, if it was.
-fn first_start(world: &mut World, user: usize, until: u64) -> Option<u64> {
-    let job = format!("{}/", world.users[user].job);
-    let mut at = world.now;
+fn first_start(simulation: &mut Simulation, user: usize, until: u64) -> Option<u64> {
+    let job = format!("{}/", simulation.users[user].job);
+    let mut at = simulation.now;
     while at < until {
         at += 100;
-        world.run(at);
-        let on = |t: &snowshelf_world::workers::WorkerTask| {
+        simulation.run(at);
+        let on = |t: &snowshelf_simulation::workers::WorkerTask| {
             t.name.starts_with(&job) && t.state == "running"
         };
-        if world.workers.values().any(|w| w.tasks.iter().any(on)) {
+        if simulation.workers.values().any(|w| w.tasks.iter().any(on)) {
             return Some(at);
         }
     }
@@ -43,17 +48,20 @@
 #[test]
 fn a_closed_zone_is_empty_whatever_the_estimates_say() {
     for seed in 1..=20 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             short_estimates: true,
             ..CALM
         };
-        let mut world = world(seed, weather, Sabotage::default(), 14);
-        world.empty_after = Some(0);
-        world.add_window(5_000, "a", 25_000, 45_000);
-        world.add_window(6_000, "b", 50_000, 60_000);
-        world.run(200_000);
-        world.assert_sound(seed);
-        assert!(world.bookers.iter().all(|b| b.accepted()), "seed {seed}");
+        let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
+        simulation.empty_after = Some(0);
+        simulation.add_window(5_000, "a", 25_000, 45_000);
+        simulation.add_window(6_000, "b", 50_000, 60_000);
+        simulation.run(200_000);
+        simulation.assert_sound(seed);
+        assert!(
+            simulation.bookers.iter().all(|b| b.accepted()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -62,27 +70,27 @@
 #[test]
 fn a_window_opens_during_takeovers_and_an_outage() {
     for seed in 1..=24 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             short_estimates: true,
             ..CALM
         };
-        let mut world = world(seed, weather, Sabotage::default(), 14);
-        world.run_ms = 30_000;
-        world.add_window(5_000, "a", 30_000, 60_000);
+        let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
+        simulation.run_ms = 30_000;
+        simulation.add_window(5_000, "a", 30_000, 60_000);
         match seed % 4 {
-            0 => world.outage_at(25_000, 40_000),
-            1 => world.crash_at(28_000, (seed % 3) as usize),
-            2 => (0..3).for_each(|node| world.crash_at(29_500, node)),
+            0 => simulation.outage_at(25_000, 40_000),
+            1 => simulation.crash_at(28_000, (seed % 3) as usize),
+            2 => (0..3).for_each(|node| simulation.crash_at(29_500, node)),
             _ => {
-                world.crash_at(27_000, 0);
-                world.outage_at(29_000, 36_000);
+                simulation.crash_at(27_000, 0);
+                simulation.outage_at(29_000, 36_000);
             }
         }
         // A lease of a controller, a takeover, a redirected report and its commands; in an outage the
         // dead one's part is taken only after it, and its workers' tasks end with their lease.
-        world.empty_after = Some(20_000);
-        world.run(600_000);
-        world.assert_sound(seed);
+        simulation.empty_after = Some(20_000);
+        simulation.run(600_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -90,19 +98,19 @@
 /// short one does not wait.
 #[test]
 fn a_long_job_does_not_start_before_a_window() {
-    let mut world = world(3, CALM, Sabotage::default(), 0);
-    world.empty_after = Some(0);
-    world.add_window(5_000, "a", 60_000, 80_000);
-    world.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 100.0}));
-    world.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 4.0}));
-    world.add_user(15_000, json!({"Parcela": "b", "PrevisaoS": 100.0}));
-    let short = first_start(&mut world, 1, 55_000);
+    let mut simulation = simulation(3, CALM, DisabledSafeguards::default(), 0);
+    simulation.empty_after = Some(0);
+    simulation.add_window(5_000, "a", 60_000, 80_000);
+    simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 100.0}));
+    simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 4.0}));
+    simulation.add_user(15_000, json!({"Parcela": "b", "PrevisaoS": 100.0}));
+    let short = first_start(&mut simulation, 1, 55_000);
     assert!(short.is_some_and(|at| at < 40_000), "{short:?}");
-    let long = first_start(&mut world, 0, 150_000);
+    let long = first_start(&mut simulation, 0, 150_000);
     assert!(long.is_some_and(|at| at > 80_000), "{long:?}");
-    world.run(200_000);
-    assert_eq!(world.broken, Vec::<String>::new());
-    assert_eq!(world.settled(), 3);
+    simulation.run(200_000);
+    assert_eq!(simulation.broken, Vec::<String>::new());
+    assert_eq!(simulation.settled(), 3);
 }
 
 /// Guards against two controllers that give the last room to two users, against entries that are lost
@@ -111,19 +119,23 @@
 fn what_is_accepted_holds_in_storms() {
     let (mut accepted, mut refused) = (0, 0);
     for seed in 1..=60 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             roll: seed % 3 == 0,
             ..STORM
         };
-        let mut world = world(seed, weather, Sabotage::default(), 8);
-        world.draw_bookers(14);
-        world.run(280_000);
-        world.assert_sound(seed);
-        assert_eq!(world.overbooked(), Vec::<String>::new(), "seed {seed}");
-        let settled = world.bookers.iter().filter(|b| b.told.is_some()).count();
-        assert_eq!(settled, world.bookers.len(), "seed {seed}");
-        accepted += world.bookers.iter().filter(|b| b.accepted()).count();
-        refused += world.bookers.iter().filter(|b| !b.accepted()).count();
+        let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 8);
+        simulation.draw_bookers(14);
+        simulation.run(280_000);
+        simulation.assert_sound(seed);
+        assert_eq!(simulation.overbooked(), Vec::<String>::new(), "seed {seed}");
+        let settled = simulation
+            .bookers
+            .iter()
+            .filter(|b| b.told.is_some())
+            .count();
+        assert_eq!(settled, simulation.bookers.len(), "seed {seed}");
+        accepted += simulation.bookers.iter().filter(|b| b.accepted()).count();
+        refused += simulation.bookers.iter().filter(|b| !b.accepted()).count();
     }
     assert!(accepted > 100 && refused > 100, "{accepted} {refused}");
 }
@@ -131,17 +143,17 @@
 /// The check can fail: without conditions two controllers give the same room away.
 #[test]
 fn without_conditions_too_much_is_reserved() {
-    let sabotage = Sabotage {
+    let safeguards = DisabledSafeguards {
         no_conditions: true,
-        ..Sabotage::default()
+        ..DisabledSafeguards::default()
     };
     let found = (1..=40).any(|seed| {
-        let mut world = world(seed, CALM, sabotage, 0);
+        let mut simulation = simulation(seed, CALM, safeguards, 0);
         for n in 0..12 {
-            world.add_reservation(20_000 + n / 3, "red", 10.0, Some("a"), 60_000, 90_000);
+            simulation.add_reservation(20_000 + n / 3, "red", 10.0, Some("a"), 60_000, 90_000);
         }
-        world.run(40_000);
-        !world.overbooked().is_empty()
+        simulation.run(40_000);
+        !simulation.overbooked().is_empty()
     });
     assert!(found);
 }
@@ -152,22 +164,22 @@
 #[test]
 fn overrunning_tasks_yield_only_to_a_guarantee() {
     let wait = |tasks: u32| {
-        let mut world = world(9, CALM, Sabotage::default(), 0);
-        world.run_ms = 50_000;
-        world.add_reservation(5_000, "red", 20.0, Some("a"), 60_000, 150_000);
+        let mut simulation = simulation(9, CALM, DisabledSafeguards::default(), 0);
+        simulation.run_ms = 50_000;
+        simulation.add_reservation(5_000, "red", 20.0, Some("a"), 60_000, 150_000);
         for n in 0..6 {
             let spec = json!({"Cuadrilla": "blue", "Tarefas": 4, "Cpus": 4.0, "PrevisaoS": 4.0,
                 "Parcela": "a"});
-            world.add_user(42_000 + 1_000 * n, spec);
+            simulation.add_user(42_000 + 1_000 * n, spec);
         }
-        world.add_user(
+        simulation.add_user(
             61_000,
             json!({"Tarefas": tasks, "Cpus": 4.0, "Parcela": "a"}),
         );
-        let user = world.users.len() - 1;
-        world.run(61_000);
-        let start = first_start(&mut world, user, 140_000).expect("the job starts");
-        assert_eq!(world.broken, Vec::<String>::new());
+        let user = simulation.users.len() - 1;
+        simulation.run(61_000);
+        let start = first_start(&mut simulation, user, 140_000).expect("the job starts");
+        assert_eq!(simulation.broken, Vec::<String>::new());
         start - 61_000
     };
     let (guaranteed, beyond) = (wait(2), wait(3));
@@ -180,20 +192,20 @@
 #[test]
 fn reserved_room_is_there_under_a_flood() {
     let wait = |reserve: bool| {
-        let mut world = world(7, CALM, Sabotage::default(), 0);
+        let mut simulation = simulation(7, CALM, DisabledSafeguards::default(), 0);
         if reserve {
-            world.add_reservation(5_000, "red", 16.0, Some("a"), 60_000, 100_000);
+            simulation.add_reservation(5_000, "red", 16.0, Some("a"), 60_000, 100_000);
         }
         for n in 0..60 {
             let spec = json!({"Cuadrilla": "blue", "Tarefas": 12, "Cpus": 2.0, "PrevisaoS": 4.0,
                 "Parcela": "a"});
-            world.add_user(6_000 + 1_000 * n, spec);
+            simulation.add_user(6_000 + 1_000 * n, spec);
         }
-        world.add_user(64_000, json!({"Tarefas": 8, "Cpus": 2.0, "Parcela": "a"}));
-        let user = world.users.len() - 1;
-        world.run(64_000);
-        let start = first_start(&mut world, user, 120_000);
-        assert_eq!(world.broken, Vec::<String>::new());
+        simulation.add_user(64_000, json!({"Tarefas": 8, "Cpus": 2.0, "Parcela": "a"}));
+        let user = simulation.users.len() - 1;
+        simulation.run(64_000);
+        let start = first_start(&mut simulation, user, 120_000);
+        assert_eq!(simulation.broken, Vec::<String>::new());
         start.map(|at| at - 64_000)
     };
     let (with, without) = (wait(true), wait(false));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,32 +1,37 @@
 //! Whole controllers in the stand-in world: PROTOCOL's rules are checked after every event.
 
-use snowshelf_world::{Sabotage, Weather, World};
+use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, Simulation};
 
-const CALM: Weather = Weather::CALM;
-const STORM: Weather = Weather::STORM;
+const CALM: NetworkConditions = NetworkConditions::CALM;
+const STORM: NetworkConditions = NetworkConditions::STORM;
 
-const ROLL: Weather = Weather {
+const ROLL: NetworkConditions = NetworkConditions {
     roll: true,
     ..STORM
 };
 
-fn play(seed: u64, weather: Weather, sabotage: Sabotage, until: u64) -> World {
+fn play(
+    seed: u64,
+    conditions: NetworkConditions,
+    safeguards: DisabledSafeguards,
+    until: u64,
+) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
-    let mut world = World::new(seed, weather, sabotage, 14, 90_000);
-    world.run(until);
-    world
+    let mut simulation = Simulation::new(seed, conditions, safeguards, 14, 90_000);
+    simulation.run(until);
+    simulation
 }
 
 #[test]
 fn a_calm_day_runs_every_job() {
-    let world = play(1, CALM, Sabotage::default(), 150_000);
-    assert_eq!(world.broken, Vec::<String>::new());
-    assert_eq!(world.settled(), world.users.len());
-    assert!(world.starts > 0 && world.dangling > 0);
+    let simulation = play(1, CALM, DisabledSafeguards::default(), 150_000);
+    assert_eq!(simulation.broken, Vec::<String>::new());
+    assert_eq!(simulation.settled(), simulation.users.len());
+    assert!(simulation.starts > 0 && simulation.dangling > 0);
     // The list of machines was read beyond its first page.
-    assert!(world.cloud.later_pages > 0);
+    assert!(simulation.cloud.later_pages > 0);
 }
 
 #[test]
@@ -34,8 +39,8 @@
     // Seeds beyond the first thirty have found a team over its limit after a takeover (tasks that
     // the earlier owner knew to be gone were commanded again) and a job that was not apart.
     for seed in 1..=120 {
-        let world = play(seed, STORM, Sabotage::default(), 280_000);
-        world.assert_sound(seed);
+        let simulation = play(seed, STORM, DisabledSafeguards::default(), 280_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -44,8 +49,8 @@
 #[test]
 fn the_rules_hold_while_the_version_is_replaced() {
     for seed in 1..=60 {
-        let world = play(seed, ROLL, Sabotage::default(), 280_000);
-        world.assert_sound(seed);
+        let simulation = play(seed, ROLL, DisabledSafeguards::default(), 280_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -54,15 +59,16 @@
 #[test]
 fn the_rules_hold_where_starts_read_only_what_is_open() {
     for seed in 1..=40 {
-        let mut world = World::new(seed, STORM, Sabotage::default(), 14, 90_000);
-        world.state.long_history(400, 1 + seed as usize % 7);
+        let mut simulation =
+            Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
+        simulation.state.long_history(400, 1 + seed as usize % 7);
         for (i, at) in [20_000, 31_000, 45_000].into_iter().enumerate() {
-            for node in 0..snowshelf_world::NODES {
-                world.crash_at(at + (i * node) as u64 * 400, node);
+            for node in 0..snowshelf_simulation::NODES {
+                simulation.crash_at(at + (i * node) as u64 * 400, node);
             }
         }
-        world.run(280_000);
-        world.assert_sound(seed);
+        simulation.run(280_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -72,11 +78,12 @@
 #[test]
 fn the_rules_hold_in_storms_where_each_controller_ends_in_a_loop() {
     for seed in 1..=40 {
-        let mut world = World::new(seed, STORM, Sabotage::default(), 14, 90_000);
+        let mut simulation =
+            Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
         let life_ms = [120, 600, 1_500, 3_000][seed as usize % 4];
-        world.loops_at(15_000, 45_000, life_ms);
-        world.run(280_000);
-        world.assert_sound(seed);
+        simulation.loops_at(15_000, 45_000, life_ms);
+        simulation.run(280_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -85,18 +92,19 @@
 fn the_rules_hold_in_storms_with_deaf_controllers_and_cut_zones() {
     for seed in 1..=40 {
         let size = (60.0, 5);
-        let mut world = World::sized(seed, STORM, Sabotage::default(), 20, 90_000, size);
-        let nodes = snowshelf_world::NODES as u64;
+        let mut simulation =
+            Simulation::sized(seed, STORM, DisabledSafeguards::default(), 20, 90_000, size);
+        let nodes = snowshelf_simulation::NODES as u64;
         for i in 0..3 {
             let at = 9_000 + 24_000 * i + 1_700 * (seed % 11);
             let node = (seed + i) % nodes;
-            world.deaf_at(at, at + 3_000 + 1_300 * (seed % 13), node as usize);
+            simulation.deaf_at(at, at + 3_000 + 1_300 * (seed % 13), node as usize);
         }
         let at = 20_000 + 2_100 * (seed % 17);
         let zone = if seed % 2 == 0 { "a" } else { "b" };
-        world.cut_at(at, at + 5_000 + 1_900 * (seed % 9), zone);
-        world.run(280_000);
-        world.assert_sound(seed);
+        simulation.cut_at(at, at + 5_000 + 1_900 * (seed % 9), zone);
+        simulation.run(280_000);
+        simulation.assert_sound(seed);
     }
 }
 
@@ -110,21 +118,28 @@
     for (cut_ms, stay) in [(15_500, true), (30_000, false)] {
         let (mut before, mut left) = (0, 0);
         for seed in 1..=4 {
-            let mut world = World::sized(seed, CALM, Sabotage::default(), 120, 90_000, LARGE);
-            world.run_ms = 40_000;
-            world.cut_at(40_000, 40_000 + cut_ms, "a");
-            world.run(40_000);
-            let busy: Vec<String> = world
+            let mut simulation = Simulation::sized(
+                seed,
+                CALM,
+                DisabledSafeguards::default(),
+                120,
+                90_000,
+                LARGE,
+            );
+            simulation.run_ms = 40_000;
+            simulation.cut_at(40_000, 40_000 + cut_ms, "a");
+            simulation.run(40_000);
+            let busy: Vec<String> = simulation
                 .workers
                 .iter()
                 .filter(|(_, w)| w.zone == "a" && !w.tasks.is_empty())
                 .map(|(name, _)| name.clone())
                 .collect();
-            world.run(40_000 + cut_ms);
+            simulation.run(40_000 + cut_ms);
             before += busy.len();
             left += busy
                 .iter()
-                .filter(|n| world.workers.contains_key(*n))
+                .filter(|n| simulation.workers.contains_key(*n))
                 .count();
         }
         assert!(before > 20, "{before}");
@@ -143,18 +158,31 @@
 fn machines_that_died_while_nobody_led_are_missed() {
     let mut waits = Vec::new();
     for seed in 1..=6 {
-        let mut world = World::sized(seed, CALM, Sabotage::default(), 120, 90_000, LARGE);
-        world.run_ms = 40_000;
-        (0..snowshelf_world::NODES).for_each(|node| world.crash_at(40_000, node));
-        world.run(40_000);
-        let busy = world.workers.iter().filter(|(_, w)| !w.tasks.is_empty());
+        let mut simulation = Simulation::sized(
+            seed,
+            CALM,
+            DisabledSafeguards::default(),
+            120,
+            90_000,
+            LARGE,
+        );
+        simulation.run_ms = 40_000;
+        (0..snowshelf_simulation::NODES).for_each(|node| simulation.crash_at(40_000, node));
+        simulation.run(40_000);
+        let busy = simulation
+            .workers
+            .iter()
+            .filter(|(_, w)| !w.tasks.is_empty());
         let dead: Vec<String> = busy.map(|(name, _)| name.clone()).take(3).collect();
         for name in &dead {
-            world.workers.remove(name);
-            world.cloud.machines.remove(name);
+            simulation.workers.remove(name);
+            simulation.cloud.machines.remove(name);
         }
-        world.run(75_000);
-        waits.extend(dead.iter().map(|name| world.cloud.released[name] - 40_000));
+        simulation.run(75_000);
+        waits.extend(
+            dead.iter()
+                .map(|name| simulation.cloud.released[name] - 40_000),
+        );
     }
     // Controllers are back after 0.5 to 9 s; a lease and two reports are 13 s.
     let mean = waits.iter().sum::<u64>() / waits.len() as u64;
@@ -167,15 +195,26 @@
 fn a_part_goes_to_whom_its_machines_reach() {
     let mut expired = Vec::new();
     for seed in 1..=16 {
-        let mut world = World::sized(seed, CALM, Sabotage::default(), 120, 90_000, LARGE);
-        world.deaf_at(30_000, 70_000, seed as usize % snowshelf_world::NODES);
+        let mut simulation = Simulation::sized(
+            seed,
+            CALM,
+            DisabledSafeguards::default(),
+            120,
+            90_000,
+            LARGE,
+        );
+        simulation.deaf_at(30_000, 70_000, seed as usize % snowshelf_simulation::NODES);
         // Some of the days are all but over at their end.
-        world.run(30_000);
-        assert!(world.workers.len() > 12, "{}", world.workers.len());
-        world.run(75_000);
-        expired.push((world.expired(), world.workers.len()));
-        world.run(200_000);
-        world.assert_sound(seed);
+        simulation.run(30_000);
+        assert!(
+            simulation.workers.len() > 12,
+            "{}",
+            simulation.workers.len()
+        );
+        simulation.run(75_000);
+        expired.push((simulation.expired(), simulation.workers.len()));
+        simulation.run(200_000);
+        simulation.assert_sound(seed);
     }
     // Without it some 15 leases ran out in a day, 60 in the first four. What runs out in a day varies between 0 and
     // a dozen with what is drawn, so that four days say little of the mean, which is what is bounded: 5 a day.
@@ -188,22 +227,33 @@
 #[test]
 fn parts_go_past_controllers_that_no_worker_reaches_either() {
     for seed in 1..=12u64 {
-        let mut world = World::sized(seed, CALM, Sabotage::default(), 120, 90_000, LARGE);
-        world.run_ms = 20_000;
-        let alone = seed as usize % snowshelf_world::NODES;
-        for i in 1..snowshelf_world::NODES {
-            let node = (alone + i) % snowshelf_world::NODES;
-            world.deaf_at(30_000 + 400 * i as u64 * (seed % 5), 70_000, node);
+        let mut simulation = Simulation::sized(
+            seed,
+            CALM,
+            DisabledSafeguards::default(),
+            120,
+            90_000,
+            LARGE,
+        );
+        simulation.run_ms = 20_000;
+        let alone = seed as usize % snowshelf_simulation::NODES;
+        for i in 1..snowshelf_simulation::NODES {
+            let node = (alone + i) % snowshelf_simulation::NODES;
+            simulation.deaf_at(30_000 + 400 * i as u64 * (seed % 5), 70_000, node);
         }
-        world.run(30_000);
-        assert!(world.workers.len() > 12, "{}", world.workers.len());
-        world.run(55_000);
-        let owners = world.state.owners();
+        simulation.run(30_000);
+        assert!(
+            simulation.workers.len() > 12,
+            "{}",
+            simulation.workers.len()
+        );
+        simulation.run(55_000);
+        let owners = simulation.state.owners();
         let name = format!("n{alone}");
         assert!(owners.iter().all(|o| *o == name), "seed {seed}: {owners:?}");
         // Beyond the others' return; the jobs, of 20 s and in chains, last longer.
-        world.run(110_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        simulation.run(110_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -214,26 +264,33 @@
 fn one_controller_left_alone_takes_all_parts() {
     let (mut expired, mut machines) = (0, 0);
     for seed in 1..=3 {
-        let mut world = World::sized(seed, CALM, Sabotage::default(), 120, 90_000, LARGE);
-        world.run_ms = 40_000;
-        for i in 1..snowshelf_world::NODES {
-            let node = (seed as usize + i) % snowshelf_world::NODES;
-            world.away_at(30_000, 70_000, node);
+        let mut simulation = Simulation::sized(
+            seed,
+            CALM,
+            DisabledSafeguards::default(),
+            120,
+            90_000,
+            LARGE,
+        );
+        simulation.run_ms = 40_000;
+        for i in 1..snowshelf_simulation::NODES {
+            let node = (seed as usize + i) % snowshelf_simulation::NODES;
+            simulation.away_at(30_000, 70_000, node);
         }
-        world.run(30_000);
-        machines += world.workers.len() as u64;
-        let before = world.expired();
-        world.run(60_000);
-        let owners = world.state.owners();
-        assert_eq!(owners.len(), snowshelf_world::NODES, "seed {seed}");
+        simulation.run(30_000);
+        machines += simulation.workers.len() as u64;
+        let before = simulation.expired();
+        simulation.run(60_000);
+        let owners = simulation.state.owners();
+        assert_eq!(owners.len(), snowshelf_simulation::NODES, "seed {seed}");
         assert!(
             owners.iter().all(|o| *o == owners[0]),
             "seed {seed}: {owners:?}"
         );
-        expired += world.expired() - before;
+        expired += simulation.expired() - before;
         // Beyond the others' return; the jobs, of 40 s and in chains, last longer.
-        world.run(110_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        simulation.run(110_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
     }
     assert!(
         machines > 60 && expired * 2 < machines,
@@ -244,7 +301,7 @@
 #[test]
 fn a_day_follows_from_its_seed() {
     let (a, b) = (1..=2)
-        .map(|_| play(5, STORM, Sabotage::default(), 120_000))
+        .map(|_| play(5, STORM, DisabledSafeguards::default(), 120_000))
         .map(|w| (w.starts, w.state.revision, w.settled()))
         .fold((None, None), |(_, b), x| (b, Some(x)));
     assert_eq!(a, b);
@@ -254,40 +311,40 @@
 /// nothing from the others, each of which could have run the other's: every job stood still.
 #[test]
 fn parts_exchange_what_their_machines_cannot_run() {
-    let world = play(12, STORM, Sabotage::default(), 280_000);
+    let simulation = play(12, STORM, DisabledSafeguards::default(), 280_000);
     assert_eq!(
-        world.settled(),
-        world.users.len(),
+        simulation.settled(),
+        simulation.users.len(),
         "{:#?}",
-        world.unsettled()
+        simulation.unsettled()
     );
 }
 
 /// The checker can fail: without a safeguard some seed shows a broken rule.
-fn finds_something(sabotage: Sabotage) -> bool {
-    (1..=60).any(|seed| !play(seed, STORM, sabotage, 200_000).broken.is_empty())
+fn finds_something(safeguards: DisabledSafeguards) -> bool {
+    (1..=60).any(|seed| !play(seed, STORM, safeguards, 200_000).broken.is_empty())
 }
 
 #[test]
 fn without_conditions_in_transactions_a_rule_breaks() {
-    assert!(finds_something(Sabotage {
+    assert!(finds_something(DisabledSafeguards {
         no_conditions: true,
-        ..Sabotage::default()
+        ..DisabledSafeguards::default()
     }));
 }
 
 #[test]
 fn with_needs_that_are_not_told_a_rule_breaks() {
-    assert!(finds_something(Sabotage {
+    assert!(finds_something(DisabledSafeguards {
         no_needs: true,
-        ..Sabotage::default()
+        ..DisabledSafeguards::default()
     }));
 }
 
 #[test]
 fn with_returns_that_are_not_carried_out_a_rule_breaks() {
-    assert!(finds_something(Sabotage {
+    assert!(finds_something(DisabledSafeguards {
         false_returns: true,
-        ..Sabotage::default()
+        ..DisabledSafeguards::default()
     }));
 }
--- a/tests/running.rs
+++ b/tests/running.rs
@@ -4,25 +4,31 @@
 use snowshelf_dag::graph::{Graph, Schedule};
 use snowshelf_dag::run::Asked;
 use snowshelf_dag::schedule::run_of;
-use snowshelf_world::booking::BEGAN;
-use snowshelf_world::{SKEW_MS, Sabotage, Weather, World};
+use snowshelf_simulation::booking::BEGAN;
+use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, SKEW_MS, Simulation};
 use std::collections::BTreeMap;
 
-const CALM: Weather = Weather {
+const CALM: NetworkConditions = NetworkConditions {
     graphs: true,
-    ..Weather::CALM
+    ..NetworkConditions::CALM
 };
 
-const STORM: Weather = Weather {
+const STORM: NetworkConditions = NetworkConditions {
     graphs: true,
-    ..Weather::STORM
+    ..NetworkConditions::STORM
 };
 
-fn world(seed: u64, weather: Weather, jobs: usize) -> World {
+fn simulation(seed: u64, conditions: NetworkConditions, jobs: usize) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
-    World::new(seed, weather, Sabotage::default(), jobs, 90_000)
+    Simulation::new(
+        seed,
+        conditions,
+        DisabledSafeguards::default(),
+        jobs,
+        90_000,
+    )
 }
 
 fn harvest(run: &str) -> Asked {
@@ -52,8 +58,8 @@
     }
 }
 
-fn job_of(world: &World, run: usize, step: &str, copy: Option<usize>) -> String {
-    let plan = &world.runners[run].plan;
+fn job_of(simulation: &Simulation, run: usize, step: &str, copy: Option<usize>) -> String {
+    let plan = &simulation.runners[run].plan;
     let job = plan
         .jobs
         .iter()
@@ -62,55 +68,58 @@
     job.submission.job.as_str().to_string()
 }
 
-fn done(world: &World, job: &str) -> bool {
-    world.users.iter().any(|u| u.job == job && u.told_done)
+fn done(simulation: &Simulation, job: &str) -> bool {
+    simulation.users.iter().any(|u| u.job == job && u.told_done)
 }
 
 #[test]
 fn a_run_goes_through_and_its_steps_keep_their_order() {
-    let mut world = world(1, CALM, 4);
-    let run = world.add_run(8_000, &harvest("r1"));
-    world.run(120_000);
-    assert_eq!(world.broken, Vec::<String>::new());
-    let runner = &world.runners[run];
-    assert_eq!(runner.state, "success", "{:?}", world.unsettled());
+    let mut simulation = simulation(1, CALM, 4);
+    let run = simulation.add_run(8_000, &harvest("r1"));
+    simulation.run(120_000);
+    assert_eq!(simulation.broken, Vec::<String>::new());
+    let runner = &simulation.runners[run];
+    assert_eq!(runner.state, "success", "{:?}", simulation.unsettled());
     assert_eq!(runner.counts, json!({"success": 9, "skipped": 1}));
-    assert!(!done(&world, &job_of(&world, run, "alarm", None)));
-    assert!(done(&world, &job_of(&world, run, "last", None)));
+    assert!(!done(&simulation, &job_of(&simulation, run, "alarm", None)));
+    assert!(done(&simulation, &job_of(&simulation, run, "last", None)));
 }
 
 /// A step that fails wherever it starts fails for good after its retries; what waits below it never
 /// runs, what runs however it ends does, and nothing else is cancelled.
 #[test]
 fn a_failed_step_stops_what_waits_below_it() {
-    let mut world = world(2, CALM, 4);
-    let run = world.add_run(8_000, &harvest("r1"));
-    let bad = job_of(&world, run, "weigh", Some(2));
-    world.bad_jobs.insert(bad.clone());
-    world.run(200_000);
-    assert_eq!(world.broken, Vec::<String>::new());
-    let runner = &world.runners[run];
-    assert_eq!(runner.state, "failed", "{:?}", world.unsettled());
+    let mut simulation = simulation(2, CALM, 4);
+    let run = simulation.add_run(8_000, &harvest("r1"));
+    let bad = job_of(&simulation, run, "weigh", Some(2));
+    simulation.bad_jobs.insert(bad.clone());
+    simulation.run(200_000);
+    assert_eq!(simulation.broken, Vec::<String>::new());
+    let runner = &simulation.runners[run];
+    assert_eq!(runner.state, "failed", "{:?}", simulation.unsettled());
     assert_eq!(
         runner.counts,
         json!({"failed": 1, "success": 7, "upstream_failed": 2})
     );
-    let cancelled: Vec<&str> = world
+    let cancelled: Vec<&str> = simulation
         .users
         .iter()
         .filter(|u| u.told_cancelled.is_some())
         .map(|u| u.job.as_str())
         .collect();
-    let sheet = job_of(&world, run, "sheet", None);
+    let sheet = job_of(&simulation, run, "sheet", None);
     assert!(
         cancelled.iter().all(|j| *j == bad
             || *j == sheet
-            || world.users.iter().any(|u| u.job == *j && u.wants_cancel)),
+            || simulation
+                .users
+                .iter()
+                .any(|u| u.job == *j && u.wants_cancel)),
         "{cancelled:?}"
     );
     assert!(
-        done(&world, &job_of(&world, run, "alarm", None))
-            && done(&world, &job_of(&world, run, "tell", None))
+        done(&simulation, &job_of(&simulation, run, "alarm", None))
+            && done(&simulation, &job_of(&simulation, run, "tell", None))
     );
 }
 
@@ -120,25 +129,25 @@
 fn a_run_survives_a_kill_after_any_write() {
     let mut after = 0;
     loop {
-        let mut world = world(11, CALM, 0);
-        let run = world.add_run(8_000, &harvest("r1"));
-        world.run(7_900);
-        world.kill_after = Some(after);
-        world.run(200_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "after {after}");
-        let runner = &world.runners[run];
+        let mut simulation = simulation(11, CALM, 0);
+        let run = simulation.add_run(8_000, &harvest("r1"));
+        simulation.run(7_900);
+        simulation.kill_after = Some(after);
+        simulation.run(200_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "after {after}");
+        let runner = &simulation.runners[run];
         assert_eq!(
             runner.state,
             "success",
             "after {after}: {:?}",
-            world.unsettled()
+            simulation.unsettled()
         );
         assert_eq!(
             runner.counts,
             json!({"success": 9, "skipped": 1}),
             "after {after}"
         );
-        if world.kill_after.is_some() {
+        if simulation.kill_after.is_some() {
             // There were not so many writes.
             break;
         }
@@ -150,7 +159,7 @@
 /// What failed is run again, and what it held up, and nothing that had succeeded; in storms too.
 #[test]
 fn only_what_did_not_succeed_is_run_again() {
-    for (seed, weather) in [
+    for (seed, conditions) in [
         (2, CALM),
         (3, STORM),
         (4, STORM),
@@ -159,21 +168,21 @@
         (7, STORM),
         (8, STORM),
     ] {
-        let mut world = world(seed, weather, 2);
-        let run = world.add_run(8_000, &harvest("r1"));
-        let bad = job_of(&world, run, "weigh", Some(2));
-        world.bad_jobs.insert(bad);
-        while !world.runners[run].ended() && world.now < 300_000 {
-            let until = world.now + 1_000;
-            world.run(until);
+        let mut simulation = simulation(seed, conditions, 2);
+        let run = simulation.add_run(8_000, &harvest("r1"));
+        let bad = job_of(&simulation, run, "weigh", Some(2));
+        simulation.bad_jobs.insert(bad);
+        while !simulation.runners[run].ended() && simulation.now < 300_000 {
+            let until = simulation.now + 1_000;
+            simulation.run(until);
         }
-        assert!(world.runners[run].ended(), "seed {seed}");
-        let succeeded: Vec<(String, Option<usize>)> = world.runners[run]
+        assert!(simulation.runners[run].ended(), "seed {seed}");
+        let succeeded: Vec<(String, Option<usize>)> = simulation.runners[run]
             .plan
             .jobs
             .iter()
             .filter(|j| {
-                world
+                simulation
                     .finished
                     .get(j.submission.job.as_str())
                     .is_some_and(|f| f.len() == j.submission.spec.tasks as usize)
@@ -184,27 +193,27 @@
             after: vec!["r1".to_string()],
             ..harvest("r2")
         };
-        let next = world.rerun(world.now, run, &again);
-        world.run(600_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        let next = simulation.rerun(simulation.now, run, &again);
+        simulation.run(600_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
-            world.runners[next].state, "success",
+            simulation.runners[next].state, "success",
             "seed {seed}: {}",
-            world.runners[next].counts
+            simulation.runners[next].counts
         );
         for (step, copy) in &succeeded {
-            let job = job_of(&world, next, step, *copy);
+            let job = job_of(&simulation, next, step, *copy);
             assert!(
-                !world.finished.contains_key(&job),
+                !simulation.finished.contains_key(&job),
                 "seed {seed}: {step} {copy:?} ran again"
             );
         }
         assert!(
-            done(&world, &job_of(&world, next, "weigh", Some(2))),
+            done(&simulation, &job_of(&simulation, next, "weigh", Some(2))),
             "seed {seed}"
         );
         assert!(
-            done(&world, &job_of(&world, next, "sheet", None)),
+            done(&simulation, &job_of(&simulation, next, "sheet", None)),
             "seed {seed}"
         );
     }
@@ -214,19 +223,19 @@
 #[test]
 fn a_failed_step_waits_before_it_is_tried_again() {
     let ended = |pause_s: f64| {
-        let mut world = world(3, CALM, 0);
+        let mut simulation = simulation(3, CALM, 0);
         let mut asked = harvest("r1");
         asked.graph.steps.truncate(1);
         asked.graph.steps[0].job.tasks = None;
         asked.graph.defaults.retries = Some(2);
         asked.graph.defaults.retry_delay_s = Some(pause_s);
-        let run = world.add_run(8_000, &asked);
-        let bad = job_of(&world, run, "tally", None);
-        world.bad_jobs.insert(bad);
-        world.run(300_000);
-        assert_eq!(world.broken, Vec::<String>::new());
-        assert_eq!(world.runners[run].state, "failed");
-        world.runners[run].ended_at.unwrap()
+        let run = simulation.add_run(8_000, &asked);
+        let bad = job_of(&simulation, run, "tally", None);
+        simulation.bad_jobs.insert(bad);
+        simulation.run(300_000);
+        assert_eq!(simulation.broken, Vec::<String>::new());
+        assert_eq!(simulation.runners[run].state, "failed");
+        simulation.runners[run].ended_at.unwrap()
     };
     let (at_once, later) = (ended(0.0), ended(60.0));
     // Without a pause it waits for another machine than that on which it failed, some 30 s each time.
@@ -241,7 +250,7 @@
 #[test]
 fn a_graph_does_as_native_jobs_do() {
     let ends = |native: bool, seed: u64| -> (bool, u64) {
-        let mut world = world(seed, CALM, 0);
+        let mut simulation = simulation(seed, CALM, 0);
         let mut asked = harvest("r1");
         asked
             .graph
@@ -252,24 +261,24 @@
                 snowshelf_dag::plan::expand(&asked.graph, &asked.mapping, &asked.facts(), "g")
                     .unwrap();
             for job in &plan.jobs {
-                world.add_user(
+                simulation.add_user(
                     8_000,
                     snowshelf_model::protocol::user::submission_body(&job.submission),
                 );
-                let needs = job.after.clone();
-                let user = world.users.last_mut().unwrap();
-                user.needs = needs;
+                let dependencies = job.after.clone();
+                let user = simulation.users.last_mut().unwrap();
+                user.dependencies = dependencies;
                 user.job = job.submission.job.as_str().to_string();
             }
         } else {
-            world.add_run(8_000, &asked);
+            simulation.add_run(8_000, &asked);
         }
         let mut at = 8_000;
         while at < 120_000 {
             at += 100;
-            world.run(at);
-            let all = world.users.iter().all(|u| {
-                world
+            simulation.run(at);
+            let all = simulation.users.iter().all(|u| {
+                simulation
                     .finished
                     .get(&u.job)
                     .is_some_and(|f| f.len() == u.tasks as usize)
@@ -278,12 +287,12 @@
                 break;
             }
         }
-        assert_eq!(world.broken, Vec::<String>::new());
+        assert_eq!(simulation.broken, Vec::<String>::new());
         (
-            world
+            simulation
                 .users
                 .iter()
-                .all(|u| world.finished.contains_key(&u.job)),
+                .all(|u| simulation.finished.contains_key(&u.job)),
             at,
         )
     };
@@ -311,45 +320,45 @@
 fn runs_end_in_storms() {
     let mut ended: BTreeMap<String, u32> = BTreeMap::new();
     for seed in 1..=40 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             roll: seed % 4 == 0,
             ..STORM
         };
-        let mut world = world(seed, weather, 6);
+        let mut simulation = simulation(seed, conditions, 6);
         for n in 0..3 {
-            let run = world.add_run(4_000 + 9_000 * n, &harvest(&format!("r{n}")));
+            let run = simulation.add_run(4_000 + 9_000 * n, &harvest(&format!("r{n}")));
             if n == 1 {
-                world.runners[run].cancel_at = Some(15_000 + 1_000 * (seed % 20));
+                simulation.runners[run].cancel_at = Some(15_000 + 1_000 * (seed % 20));
             }
             if n == 2 && seed % 2 == 0 {
-                let bad = job_of(&world, run, "weigh", Some(1));
-                world.bad_jobs.insert(bad);
+                let bad = job_of(&simulation, run, "weigh", Some(1));
+                simulation.bad_jobs.insert(bad);
             }
         }
         // A step that fails everywhere is tried by each part that claims its job, after pauses of up to half a
         // minute and on a machine rented anew: seed 30 needs over 400 s.
-        world.run(600_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        for runner in &world.runners {
+        simulation.run(600_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        for runner in &simulation.runners {
             assert!(
                 runner.ended(),
                 "seed {seed}: {} {:#?}",
                 runner.state,
-                world.unsettled()
+                simulation.unsettled()
             );
             *ended.entry(runner.state.clone()).or_default() += 1;
         }
-        let own = world.users.iter().filter(|u| !u.by_run);
+        let own = simulation.users.iter().filter(|u| !u.by_run);
         assert!(
             own.into_iter()
                 .all(|u| u.told_done || u.told_cancelled.is_some()),
             "seed {seed}"
         );
         // A cancelled run leaves nothing behind.
-        for runner in world.runners.iter().filter(|r| r.state == "cancelled") {
+        for runner in simulation.runners.iter().filter(|r| r.state == "cancelled") {
             for job in &runner.plan.jobs {
                 let name = format!("{}/", job.submission.job);
-                let left = world.workers.values().flat_map(|w| &w.tasks);
+                let left = simulation.workers.values().flat_map(|w| &w.tasks);
                 assert!(
                     left.filter(|t| t.state != "exited")
                         .all(|t| !t.name.starts_with(&name)),
@@ -367,8 +376,8 @@
 /// a value and 4 changes a transaction before the run is begun.
 #[test]
 fn a_large_run_goes_in_pieces() {
-    let weather = Weather { roll: true, ..CALM };
-    let mut world = world(6, weather, 0);
+    let conditions = NetworkConditions { roll: true, ..CALM };
+    let mut simulation = simulation(6, conditions, 0);
     let mut asked = harvest("large");
     let step = asked.graph.steps[0].clone();
     asked.graph.steps = (0..240)
@@ -386,16 +395,16 @@
             ..step.clone()
         })
         .collect();
-    world.run_ms = 500;
-    let run = world.add_run(90_000, &asked);
-    world.run(600_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    simulation.run_ms = 500;
+    let run = simulation.add_run(90_000, &asked);
+    simulation.run(600_000);
+    assert_eq!(simulation.broken, Vec::<String>::new());
     assert_eq!(
-        world.runners[run].state, "success",
+        simulation.runners[run].state, "success",
         "{:?}",
-        world.runners[run].counts
+        simulation.runners[run].counts
     );
-    assert_eq!(world.runners[run].counts, json!({"success": 240}));
+    assert_eq!(simulation.runners[run].counts, json!({"success": 240}));
 }
 
 /// Guards against intervals that are left out, or run twice, by takeovers, outages, a roll, or clocks that
@@ -403,11 +412,11 @@
 #[test]
 fn every_interval_has_one_run() {
     for seed in 1..=24 {
-        let weather = Weather {
+        let conditions = NetworkConditions {
             roll: seed % 4 == 0,
             ..STORM
         };
-        let mut world = world(seed, weather, 2);
+        let mut simulation = simulation(seed, conditions, 2);
         let mut asked = harvest("kept");
         asked.graph.name = "clock".to_string();
         asked.graph.steps.truncate(1);
@@ -429,12 +438,12 @@
                     .unwrap(),
                 ..asked.clone()
             };
-            world.expect_run(&run);
+            simulation.expect_run(&run);
         }
-        world.keep_graph(5_000, &asked);
-        world.run(200_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        let dump = world.state.dump();
+        simulation.keep_graph(5_000, &asked);
+        simulation.run(200_000);
+        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        let dump = simulation.state.dump();
         let runs: BTreeMap<String, u64> = dump
             .iter()
             .filter_map(|line| {
@@ -496,37 +505,40 @@
 /// with it.
 #[test]
 fn a_users_own_job_is_never_the_runs() {
-    let mut world = world(4, CALM, 0);
-    world.run_ms = 20_000;
+    let mut simulation = simulation(4, CALM, 0);
+    simulation.run_ms = 20_000;
     let asked = harvest("r1");
     let plan =
         snowshelf_dag::plan::expand(&asked.graph, &asked.mapping, &asked.facts(), "g").unwrap();
     let theirs = plan.jobs[0].submission.job.as_str().to_string();
-    world.add_user(
+    simulation.add_user(
         3_000,
         json!({"Ref": theirs, "Tarefas": 2, "Cuadrilla": "blue"}),
     );
-    world.users[0].job = theirs.clone();
-    let run = world.add_run(15_000, &asked);
+    simulation.users[0].job = theirs.clone();
+    let run = simulation.add_run(15_000, &asked);
     // Who asks for the run's job of that name is told of the user's.
-    world.users[1].tasks = 2;
-    world.runners[run].cancel_at = Some(20_000);
-    world.run(30_000);
-    world.run(150_000);
+    simulation.users[1].tasks = 2;
+    simulation.runners[run].cancel_at = Some(20_000);
+    simulation.run(30_000);
+    simulation.run(150_000);
     assert!(
-        done(&world, &theirs),
+        done(&simulation, &theirs),
         "{:?} {:?}",
-        world.broken,
-        world.unsettled()
+        simulation.broken,
+        simulation.unsettled()
     );
     assert!(
-        world.broken.iter().all(|b| !b.contains(&theirs)),
+        simulation.broken.iter().all(|b| !b.contains(&theirs)),
         "{:?}",
-        world.broken
+        simulation.broken
     );
     assert!(
-        matches!(world.runners[run].state.as_str(), "cancelled" | "failed"),
+        matches!(
+            simulation.runners[run].state.as_str(),
+            "cancelled" | "failed"
+        ),
         "{}",
-        world.runners[run].state
+        simulation.runners[run].state
     );
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -10,9 +10,10 @@
 use snowshelf_drain::budget::Ledger;
 use snowshelf_drain::entry::Drain;
 use snowshelf_model::protocol::cloud::MachineType;
-use snowshelf_model::protocol::peer::{Hint, Proof};
+use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
 use snowshelf_model::records::{
-    Alloc, Format, FormatRecord, GraphRecord, JobRecord, PartRecord, QuotaRecord, RunRecord, Terms,
+    FormatRecord, GraphRecord, JobRecord, LeaseHolder, QuotaRecord, RecordFormat, RunRecord,
+    ShardAllocation, StorageLimits,
 };
 
 /// Values that earlier versions wrote, one JSON object a line: the key, and its value.
@@ -26,18 +27,21 @@
 
 /// An allocation in the format that it was written in.
 fn rewritten_allocation(value: &Value) -> Value {
-    let alloc: Alloc = serde_json::from_value(value.clone()).expect("the record can be read");
-    let terms = Terms {
+    let alloc: ShardAllocation =
+        serde_json::from_value(value.clone()).expect("the record can be read");
+    let storage_limits = StorageLimits {
         format: match value.is_string() {
-            true => Format::Wide,
-            false => Format::Narrow,
+            true => RecordFormat::V2,
+            false => RecordFormat::V1,
         },
         value_bytes: 16 * 1024,
         txn_ops: 12,
         rps: 1.0,
         write_rps: 1.0,
     };
-    terms.share(&alloc).expect("the record is small enough")
+    storage_limits
+        .encode_allocation(&alloc)
+        .expect("the record is small enough")
 }
 
 #[test]
@@ -51,7 +55,7 @@
         let again = match kind {
             "alloc" => rewritten_allocation(value),
             "job" => rewritten::<JobRecord>(value),
-            "part" | "leader" => rewritten::<PartRecord>(value),
+            "part" | "leader" => rewritten::<LeaseHolder>(value),
             "quota" => rewritten::<QuotaRecord>(value),
             "member" | "format" => rewritten::<FormatRecord>(value),
             "types" => rewritten::<Vec<MachineType>>(value),
@@ -173,7 +177,7 @@
         ),
     ]
     .concat();
-    let read = Hint::decode(&hint[..]).expect("a hint");
+    let read = PeerStatus::decode(&hint[..]).expect("a hint");
     assert_eq!(read.encode_to_vec(), hint);
 
     let request = [field(1, b"n0"), number(2, 21), number(3, 22), number(4, 23)].concat();
@@ -187,7 +191,7 @@
     ]
     .concat();
     let proof = [field(101, &request), field(102, &answer)].concat();
-    let read = Proof::decode(&proof[..]).expect("a message");
+    let read = PeerMessage::decode(&proof[..]).expect("a message");
     assert_eq!(read.encode_to_vec(), proof);
 }
 
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -3,35 +3,44 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
-use snowshelf_world::troubles::Trouble;
-use snowshelf_world::{CANCEL_MS, NODES, Sabotage, Weather, World};
+use snowshelf_simulation::faults::Fault;
+use snowshelf_simulation::{CANCEL_MS, DisabledSafeguards, NODES, NetworkConditions, Simulation};
 
 /// When the controllers begin to end again and again; it lasts for longer than the time for cancelling.
 const FROM_MS: u64 = 40_000;
 const UNTIL_MS: u64 = FROM_MS + 2 * CANCEL_MS;
 
 /// Jobs that run until they are stopped, three in four of them cancelled within the first seconds of the loop.
-fn cancelled_in_a_loop(seed: u64) -> World {
-    let mut world = World::new(seed, Weather::CALM, Sabotage::default(), 0, u64::MAX);
-    world.back_ms = Some(100);
+fn cancelled_in_a_loop(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(
+        seed,
+        NetworkConditions::CALM,
+        DisabledSafeguards::default(),
+        0,
+        u64::MAX,
+    );
+    simulation.back_ms = Some(100);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x6c6f_6f70);
     for n in 0..12 {
         let team = ["red", "blue"][n % 2];
-        world.add_user(2_000, json!({"Tarefas": 3, "Cuadrilla": team}));
+        simulation.add_user(2_000, json!({"Tarefas": 3, "Cuadrilla": team}));
         let at = FROM_MS + rng.random_range(0..6_000u64);
-        world.users[n].cancel_at = (n % 4 != 0).then_some(at - 2_000);
-        let job = world.users[n].job.clone();
-        world.endless.insert(job);
+        simulation.users[n].cancel_at = (n % 4 != 0).then_some(at - 2_000);
+        let job = simulation.users[n].job.clone();
+        simulation.endless.insert(job);
     }
-    world
+    simulation
 }
 
 /// Plays on until after the loop; nothing may have broken, and all that was asked for is settled.
 #[track_caller]
-fn sound(mut world: World, what: &str) {
-    world.run(UNTIL_MS + 60_000);
-    assert_eq!(world.broken, Vec::<String>::new(), "{what}");
-    let told = world.users.iter().filter(|u| u.told_cancelled.is_some());
+fn sound(mut simulation: Simulation, what: &str) {
+    simulation.run(UNTIL_MS + 60_000);
+    assert_eq!(simulation.broken, Vec::<String>::new(), "{what}");
+    let told = simulation
+        .users
+        .iter()
+        .filter(|u| u.told_cancelled.is_some());
     assert_eq!(told.count(), 9, "{what}");
 }
 
@@ -50,17 +59,17 @@
         (1_400, 200),
     ] {
         for seed in 0..3 {
-            let mut world = cancelled_in_a_loop(seed);
+            let mut simulation = cancelled_in_a_loop(seed);
             if slow_ms > 0 {
-                world.bring(FROM_MS - 1_000, UNTIL_MS - FROM_MS, Trouble::Slow(slow_ms));
+                simulation.bring(FROM_MS - 1_000, UNTIL_MS - FROM_MS, Fault::Slow(slow_ms));
             }
             let mut at = FROM_MS;
             while at < UNTIL_MS {
-                world.bring(at, 0, Trouble::CrashAll(50));
+                simulation.bring(at, 0, Fault::CrashAll(50));
                 at += every_ms;
             }
             sound(
-                world,
+                simulation,
                 &format!("every {every_ms} ms, slowed by {slow_ms} ms, seed {seed}"),
             );
         }
@@ -72,16 +81,16 @@
 fn cancelled_tasks_end_though_parts_go_from_one_owner_to_the_next() {
     for (every_ms, slow_ms) in [(700, 20), (1_900, 0), (3_100, 100)] {
         for seed in 0..4 {
-            let mut world = cancelled_in_a_loop(seed);
-            world.bring(FROM_MS, UNTIL_MS - FROM_MS, Trouble::Slow(slow_ms));
+            let mut simulation = cancelled_in_a_loop(seed);
+            simulation.bring(FROM_MS, UNTIL_MS - FROM_MS, Fault::Slow(slow_ms));
             let (mut at, mut node) = (FROM_MS, seed as usize);
             while at < UNTIL_MS {
-                world.bring(at, 0, Trouble::Crash(node % NODES));
+                simulation.bring(at, 0, Fault::Crash(node % NODES));
                 node += 1;
                 at += every_ms;
             }
             sound(
-                world,
+                simulation,
                 &format!("every {every_ms} ms, slowed by {slow_ms} ms, seed {seed}"),
             );
         }
@@ -92,14 +101,14 @@
 #[test]
 fn cancelled_tasks_end_on_machines_that_hear_one_answer_of_a_new_owner() {
     for seed in 0..6 {
-        let mut world = cancelled_in_a_loop(seed);
+        let mut simulation = cancelled_in_a_loop(seed);
         let node = seed as usize % NODES;
-        world.bring(FROM_MS, 0, Trouble::Crash(node));
+        simulation.bring(FROM_MS, 0, Fault::Crash(node));
         let after = FROM_MS + 1_500 + 900 * seed;
-        world.bring(after, CANCEL_MS, Trouble::DeafMachines(0.7));
-        world.bring(after + 9_000, 0, Trouble::CrashAll(500));
-        world.bring(after + 12_000, 8_000, Trouble::Cut("a"));
-        sound(world, &format!("seed {seed}"));
+        simulation.bring(after, CANCEL_MS, Fault::DeafMachines(0.7));
+        simulation.bring(after + 9_000, 0, Fault::CrashAll(500));
+        simulation.bring(after + 12_000, 8_000, Fault::Cut("a"));
+        sound(simulation, &format!("seed {seed}"));
     }
 }
 
@@ -109,16 +118,19 @@
 fn cancelled_tasks_end_on_machines_that_hang_while_owners_change() {
     for every_ms in [7_000, 9_000, 12_000] {
         for seed in 0..4 {
-            let mut world = cancelled_in_a_loop(seed);
-            world.bring(FROM_MS, 0, Trouble::CancelNow(12, CANCEL_MS + 20_000));
+            let mut simulation = cancelled_in_a_loop(seed);
+            simulation.bring(FROM_MS, 0, Fault::CancelNow(12, CANCEL_MS + 20_000));
             let mut at = FROM_MS + 2_000 + 500 * seed;
             while at < FROM_MS + CANCEL_MS {
-                world.bring(at, 0, Trouble::CrashAll(100));
+                simulation.bring(at, 0, Fault::CrashAll(100));
                 at += every_ms;
             }
-            world.run(UNTIL_MS + 60_000);
-            let told = world.users.iter().filter(|u| u.told_cancelled.is_some());
-            let sound = (told.count(), &world.broken);
+            simulation.run(UNTIL_MS + 60_000);
+            let told = simulation
+                .users
+                .iter()
+                .filter(|u| u.told_cancelled.is_some());
+            let sound = (told.count(), &simulation.broken);
             assert_eq!(sound, (12, &Vec::new()), "every {every_ms} ms, seed {seed}");
         }
     }
--- a/tests/told.rs
+++ b/tests/user_answers.rs
@@ -1,30 +1,32 @@
 //! What users are told: asked at any controller, at whatever moment, no answer is older than one given before.
 
 use serde_json::{Value, json};
-use snowshelf_world::meetings::{Meeting, OVER_MS, endless_jobs, holds, play, running, shifted};
-use snowshelf_world::troubles::Trouble;
-use snowshelf_world::troubles::odd_requests::{malformed, never_runs};
-use snowshelf_world::{NODES, Sabotage, Weather, World};
+use snowshelf_simulation::fault_combinations::{
+    FaultSchedule, OVER_MS, endless_jobs, holds, play, running, shifted,
+};
+use snowshelf_simulation::faults::Fault;
+use snowshelf_simulation::faults::odd_requests::{malformed, never_runs};
+use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
 
 const NEVER: Vec<String> = Vec::new();
 
 /// All day long, beside the troubles of the meeting.
-fn all_day(habits: &[Trouble], meeting: Meeting) -> Meeting {
+fn all_day(habits: &[Fault], schedule: FaultSchedule) -> FaultSchedule {
     let habits = habits.iter().map(|habit| (1_000, 139_000, *habit));
-    meeting.into_iter().chain(habits).collect()
+    schedule.into_iter().chain(habits).collect()
 }
 
 /// Guards against answers that come from a picture: all controllers are asked within milliseconds of what any of them
 /// has said, jobs are submitted again and some cancelled at once, with nothing else wrong.
 #[test]
 fn asked_at_all_controllers_within_milliseconds_none_answers_what_is_older() {
-    holds(|_| all_day(&[Trouble::CloseLooks], vec![]));
+    holds(|_| all_day(&[Fault::CloseLooks], vec![]));
 }
 
 /// Guards against a controller that answers before it knows: it has just started, one or all at a time.
 #[test]
 fn a_controller_that_has_just_started_answers_nothing_older() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
         let ends = [3_000, 12_000, 15_500, 19_000, 28_000, 60_000].map(|at| (at, 0, Crash(node)));
         let all = [(22_000, 0, CrashAll(300)), (40_000, 0, CrashAll(0))];
@@ -36,9 +38,9 @@
 /// are asked.
 #[test]
 fn asked_closely_while_writes_are_late_and_owners_end() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
-        let meeting = vec![
+        let schedule = vec![
             (4_000, 30_000, LateWrites(0.3)),
             (14_000, 0, Crash(node)),
             (24_000, 8_000, Refused((node + 1) % NODES)),
@@ -46,7 +48,7 @@
             (45_000, 30_000, LateWrites(0.6)),
             (52_000, 0, CrashAll(1_000)),
         ];
-        all_day(&[CloseLooks], meeting)
+        all_day(&[CloseLooks], schedule)
     });
 }
 
@@ -54,9 +56,9 @@
 /// 503, and nothing older.
 #[test]
 fn asked_closely_in_an_outage_and_around_it() {
-    use Trouble::*;
+    use Fault::*;
     holds(|node| {
-        let meeting = vec![
+        let schedule = vec![
             (5_000, 12_000, Slow(900)),
             (20_000, 6_000, Refused(node)),
             (23_000, 12_000, Outage),
@@ -64,7 +66,7 @@
             (60_000, 45_000, Outage),
             (62_000, 0, Crash(node)),
         ];
-        all_day(&[CloseLooks], meeting)
+        all_day(&[CloseLooks], schedule)
     });
 }
 
@@ -72,17 +74,17 @@
 /// task, with no other trouble and with one controller refused.
 #[test]
 fn a_job_called_off_as_it_ends_is_done_or_aborted_for_ever() {
-    use Trouble::*;
+    use Fault::*;
     let habits = |share| [CancelAtEnd(share), CloseLooks];
     holds(|_| all_day(&habits(0.5), vec![]));
     holds(|node| all_day(&habits(1.0), vec![(12_000, 40_000, Refused(node))]));
     let ends = (0..4u64).map(|seed| {
-        let world = play(
+        let simulation = play(
             seed,
-            Sabotage::default(),
+            DisabledSafeguards::default(),
             &all_day(&[CancelAtEnd(1.0)], vec![]),
         );
-        let off = world
+        let off = simulation
             .users
             .iter()
             .filter(|u| u.wants_cancel && u.cancel_at.is_none());
@@ -97,34 +99,43 @@
 /// jobs that a differing repeat is refused for, and ends that a cancellation changes.
 #[test]
 fn odd_requests_are_refused_with_the_reason_and_change_nothing() {
-    use Trouble::*;
+    use Fault::*;
     let habits = [OddRequests, CloseLooks];
     holds(|node| {
-        let meeting = vec![
+        let schedule = vec![
             (12_000, 0, Crash(node)),
             (20_000, 9_000, Refused((node + 1) % NODES)),
             (30_000, 10_000, Outage),
         ];
-        all_day(&habits, meeting)
+        all_day(&habits, schedule)
     });
-    let world = play(3, Sabotage::default(), &all_day(&habits, vec![]));
+    let simulation = play(3, DisabledSafeguards::default(), &all_day(&habits, vec![]));
     let kinds = (never_runs().len() + malformed().len()) as u64;
-    assert!(world.odd_refused > 3 * kinds, "{}", world.odd_refused);
+    assert!(
+        simulation.odd_refused > 3 * kinds,
+        "{}",
+        simulation.odd_refused
+    );
 }
 
 /// Jobs that run on, and what is written of them and on the machines, with these reports sent beside the workers' own.
 fn with_odd_reports(fields: &[Value]) -> (Vec<String>, Vec<String>, usize, u64) {
-    let mut world = endless_jobs(5, 6, |_| None);
+    let mut simulation = endless_jobs(5, 6, |_| None);
     for (n, fields) in fields.iter().enumerate() {
         for node in 0..NODES {
-            world.impossible_report(60_000 + 50 * n as u64, node, fields.clone());
+            simulation.impossible_report(60_000 + 50 * n as u64, node, fields.clone());
         }
     }
-    world.run(59_000);
-    let before = world.state.dump();
-    world.run(80_000);
-    assert_eq!(world.broken, NEVER);
-    (before, world.state.dump(), running(&world), world.expired())
+    simulation.run(59_000);
+    let before = simulation.state.dump();
+    simulation.run(80_000);
+    assert_eq!(simulation.broken, NEVER);
+    (
+        before,
+        simulation.state.dump(),
+        running(&simulation),
+        simulation.expired(),
+    )
 }
 
 /// Guards against conclusions from a report that cannot be: 400, and nothing has changed.
@@ -152,21 +163,21 @@
 /// go back; a job that loses on its way what it can never have is accepted.
 #[test]
 fn without_their_guards_answers_go_back() {
-    use Trouble::*;
-    let none = Sabotage::default();
-    let old_answers = Sabotage {
+    use Fault::*;
+    let none = DisabledSafeguards::default();
+    let old_answers = DisabledSafeguards {
         old_answers: true,
         ..none
     };
-    let no_conditions = Sabotage {
+    let no_conditions = DisabledSafeguards {
         no_conditions: true,
         ..none
     };
-    let no_needs = Sabotage {
+    let no_needs = DisabledSafeguards {
         no_needs: true,
         ..none
     };
-    for (sabotage, habits, rules) in [
+    for (safeguards, habits, rules) in [
         (old_answers, vec![CloseLooks], ["went_back", "forgotten"]),
         (
             no_conditions,
@@ -176,7 +187,7 @@
         (no_needs, vec![OddRequests], ["not refused"; 2]),
     ] {
         let told = |b: &String| rules.iter().any(|rule| b.starts_with(rule));
-        let red = |seed| play(seed, sabotage, &all_day(&habits, vec![])).broken;
+        let red = |seed| play(seed, safeguards, &all_day(&habits, vec![])).broken;
         assert!((0..8).any(|seed| red(seed).iter().any(told)), "{habits:?}");
     }
 }
@@ -186,9 +197,13 @@
 #[test]
 fn no_controller_says_what_is_older_than_what_it_has_said() {
     for seed in 0..9 {
-        let habits = [Trouble::CloseLooks, Trouble::CancelAtEnd(0.5)];
-        let world = play(seed, Sabotage::default(), &all_day(&habits, vec![]));
-        assert_eq!(world.contradictions, NEVER, "seed {seed}");
+        let habits = [Fault::CloseLooks, Fault::CancelAtEnd(0.5)];
+        let simulation = play(
+            seed,
+            DisabledSafeguards::default(),
+            &all_day(&habits, vec![]),
+        );
+        assert_eq!(simulation.contradictions, NEVER, "seed {seed}");
     }
 }
 
@@ -196,17 +211,19 @@
 /// cannot be: it is known, whatever its repeat says.
 #[test]
 fn a_malformed_repeat_of_an_accepted_job_is_answered_by_its_state() {
-    let mut world = endless_jobs(1, 3, |n| (n == 0).then_some(20_000));
-    world.run(40_000);
-    assert!(world.users.iter().all(|u| u.accepted) && world.users[0].told_cancelled.is_some());
+    let mut simulation = endless_jobs(1, 3, |n| (n == 0).then_some(20_000));
+    simulation.run(40_000);
+    assert!(
+        simulation.users.iter().all(|u| u.accepted) && simulation.users[0].told_cancelled.is_some()
+    );
     let named = malformed().into_iter().filter(|(field, _)| *field != "Ref");
     for (field, value) in named {
         for (u, node) in (0..3).flat_map(|u| (0..NODES).map(move |node| (u, node))) {
-            world.repeat(u, node, &json!({field: value}));
+            simulation.repeat(u, node, &json!({field: value}));
         }
     }
-    world.run(50_000);
-    assert_eq!(world.broken.first(), None);
+    simulation.run(50_000);
+    assert_eq!(simulation.broken.first(), None);
 }
 
 /// Guards against a report that cannot be, though its fields are of the right type: sessions start at 1, attempts too,
@@ -229,59 +246,71 @@
 /// owner of the part that the job does not name could write nothing more.
 #[test]
 fn a_job_submitted_again_while_its_batch_meets_a_conflict_is_taken_once() {
-    use Trouble::*;
+    use Fault::*;
     let (until, looks) = (139_000, 9_790);
     let habits = vec![(5_590, until, CancelAtEnd(1.0)), (looks, until, CloseLooks)];
     let found = habits.into_iter().chain([(12_390, 40_000, Refused(2))]);
-    play(83, Sabotage::default(), &found.collect()).assert_sound(83);
+    play(83, DisabledSafeguards::default(), &found.collect()).assert_sound(83);
 }
 
 /// The same with nothing but these questions: each of the later jobs shares a transaction with a repeat of the first.
 #[test]
 fn a_job_is_taken_once_whenever_its_repeat_comes() {
     for ms in 1..15u64 {
-        let mut world = World::new(ms, Weather::CALM, Sabotage::default(), 0, 60_000);
-        world.add_user(2_000, json!({}));
-        let first = world.users[0].job.clone();
-        world.endless.insert(first);
+        let mut simulation = Simulation::new(
+            ms,
+            NetworkConditions::CALM,
+            DisabledSafeguards::default(),
+            0,
+            60_000,
+        );
+        simulation.add_user(2_000, json!({}));
+        let first = simulation.users[0].job.clone();
+        simulation.endless.insert(first);
         for n in 1..5 {
-            world.add_user(20_000, json!({"Tarefas": 4}));
-            world.run(7_000 + 200 * n);
-            world.repeat(0, 0, &json!({}));
-            world.repeat(n as usize, 0, &json!({}));
-            world.run(7_000 + 200 * n + ms);
-            world.repeat(n as usize, 0, &json!({}));
+            simulation.add_user(20_000, json!({"Tarefas": 4}));
+            simulation.run(7_000 + 200 * n);
+            simulation.repeat(0, 0, &json!({}));
+            simulation.repeat(n as usize, 0, &json!({}));
+            simulation.run(7_000 + 200 * n + ms);
+            simulation.repeat(n as usize, 0, &json!({}));
         }
-        world.run(100_000);
-        let done = world.users[1..].iter().all(|user| user.told_done);
-        assert_eq!((&world.broken, done), (&NEVER, true), "{ms}");
+        simulation.run(100_000);
+        let done = simulation.users[1..].iter().all(|user| user.told_done);
+        assert_eq!((&simulation.broken, done), (&NEVER, true), "{ms}");
     }
 }
 
 /// Jobs of short tasks, each called off within seconds of its submission, on a day with this meeting.
-fn called_off_as_they_begin(seed: u64, meeting: Meeting) -> World {
-    let mut world = World::new(seed, Weather::CALM, Sabotage::default(), 0, OVER_MS);
+fn called_off_as_they_begin(seed: u64, schedule: FaultSchedule) -> Simulation {
+    let mut simulation = Simulation::new(
+        seed,
+        NetworkConditions::CALM,
+        DisabledSafeguards::default(),
+        0,
+        OVER_MS,
+    );
     for n in 0..24u64 {
         let (at, team) = (5_000 + 4_000 * n, ["red", "blue"][n as usize % 2]);
-        world.add_user(
+        simulation.add_user(
             at,
             json!({"Tarefas": 3, "Avulsas": true, "Cuadrilla": team}),
         );
-        world.users[n as usize].cancel_at = Some(at + 350 * (n % 12));
+        simulation.users[n as usize].cancel_at = Some(at + 350 * (n % 12));
     }
-    for (at, for_ms, trouble) in shifted(seed, meeting) {
-        world.bring(at, for_ms, trouble);
+    for (at, for_ms, fault) in shifted(seed, schedule) {
+        simulation.bring(at, for_ms, fault);
     }
-    world.run(OVER_MS + 20_000);
-    world
+    simulation.run(OVER_MS + 20_000);
+    simulation
 }
 
 /// Guards against a task that begins after its user was told that it is cancelled: only what is underway to a worker
 /// by then may, and workers drop that after four seconds.
 #[test]
 fn nothing_begins_after_its_cancellation_but_what_is_underway() {
-    use Trouble::*;
-    let meetings: [(u64, Meeting); 5] = [
+    use Fault::*;
+    let fault_combinations: [(u64, FaultSchedule); 5] = [
         (0, vec![]),
         (
             0,
@@ -309,17 +338,17 @@
         ),
     ];
     let mut seen = 0;
-    for (n, (latest, meeting)) in meetings.iter().enumerate() {
+    for (n, (latest, schedule)) in fault_combinations.iter().enumerate() {
         for seed in 0..3 {
-            let world = called_off_as_they_begin(seed, meeting.clone());
-            let late = (world.starts_after_cancel, world.latest_start);
+            let simulation = called_off_as_they_begin(seed, schedule.clone());
+            let late = (simulation.starts_after_cancel, simulation.latest_start);
             seen += late.0;
             assert!(
-                world.latest_start <= *latest,
+                simulation.latest_start <= *latest,
                 "meeting {n}, seed {seed}: {late:?}"
             );
             assert_eq!(
-                world.broken,
+                simulation.broken,
                 Vec::<String>::new(),
                 "meeting {n}, seed {seed}"
             );
