--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -1,8 +1,8 @@
 //! A submission until it waits to be written: what is wrong with it, known of it, needed by it.
 
 use super::job_status::{UNKNOWN_DEPENDENCIES, knows_confirmed};
-use super::{Accept, JobApi};
-use crate::coordination::context::{Context, ReadFor, Tag};
+use super::{Accept, JobApi, JobApiRequest, JobReadPurpose};
+use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority};
 use snowshelf_model::ids::{ConnectionId, JobId};
@@ -30,7 +30,7 @@
                 tracing::info!(%error, "submission rejected: malformed");
                 match user::named(body) {
                     // Guards against forgetting a job that was accepted: only the state service knows that it was not.
-                    Some(job) => self.read(conn, &job, ReadFor::Malformed(error), context),
+                    Some(job) => self.read(conn, &job, JobReadPurpose::Malformed(error), context),
                     None => {
                         let refused = Response::error(400, &error.to_string());
                         context.effects.respond(conn, refused);
@@ -40,7 +40,7 @@
             }
         };
         if let Some(end) = context.records.final_of(&job) {
-            self.tell_final(conn, &job, end, ReadFor::Resubmit, context);
+            self.tell_final(conn, &job, end, JobReadPurpose::Resubmit, context);
             return;
         }
         if context.types.is_empty() || !context.records.allocations_read {
@@ -56,7 +56,7 @@
         {
             // Guards against forgetting a job that was accepted under other limits: only the state
             // service knows that it was not.
-            self.read(conn, &job, ReadFor::Refuse(why), context);
+            self.read(conn, &job, JobReadPurpose::Refuse(why), context);
             return;
         }
         if !known && !dependencies.is_empty() && context.storage_limits.format == RecordFormat::V1 {
@@ -124,7 +124,10 @@
         // one that ended long ago may have been dropped.
         self.next += 1;
         for dependency in &unknown {
-            let tag = Tag::Needed(Some(self.next), dependency.clone());
+            let tag = KvRequest::JobApi(JobApiRequest::ReadDependency {
+                submission: self.next,
+                job: dependency.clone(),
+            });
             context
                 .kv
                 .get(context.effects, tag, &job_key(dependency), 1_500);
@@ -194,7 +197,7 @@
         match (result, why) {
             (_, Some(why)) => {
                 for conn in accept.conns {
-                    self.read(conn, &accept.job, ReadFor::Refuse(why), context);
+                    self.read(conn, &accept.job, JobReadPurpose::Refuse(why), context);
                 }
             }
             (GetOutcome::Failed, None) => {
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellations: by a user, and of jobs that need a cancelled one.
 
-use super::JobApi;
-use crate::coordination::context::{Context, Tag};
+use super::{JobApi, JobApiRequest};
+use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::Final;
@@ -106,9 +106,11 @@
         }
         self.next += 1;
         self.cascades.insert(self.next, batch);
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::Cascade(self.next), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::JobApi(JobApiRequest::Cascade(self.next)),
+            &swap,
+        );
     }
 
     /// The answer to a cascade; the jobs whose keys have changed.
@@ -129,7 +131,7 @@
                     if keys.contains(&key) {
                         context.kv.get(
                             context.effects,
-                            Tag::Needed(None, job.clone()),
+                            KvRequest::JobLookup(job.clone()),
                             &key,
                             1_500,
                         );
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -1,7 +1,7 @@
 //! Acceptance: submissions written together, long lists of needs before them in pieces.
 
-use super::{Accept, Batch, Dividing, JobApi, split};
-use crate::coordination::context::{Context, ReadFor, Tag};
+use super::{Accept, Batch, Dividing, JobApi, JobApiRequest, JobReadPurpose, split};
+use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::placement::slowest_fetch;
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -104,7 +104,7 @@
                     continue;
                 }
                 for conn in accept.conns {
-                    let why = ReadFor::Refuse("its record would be too large");
+                    let why = JobReadPurpose::Refuse("its record would be too large");
                     self.read(conn, &accept.job, why, context);
                 }
                 continue;
@@ -150,9 +150,11 @@
         self.next += 1;
         let accepts = batch;
         self.batches.insert(self.next, Batch { accepts, written });
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::Accept(self.next), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::JobApi(JobApiRequest::Commit(self.next)),
+            &swap,
+        );
     }
 
     pub fn accepted(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
@@ -189,13 +191,13 @@
                     if keys.contains(&job_key(&accept.job)) {
                         if accept.run {
                             // It is there already, or somebody else's is.
-                            let tag = Tag::Needed(None, accept.job.clone());
+                            let tag = KvRequest::JobLookup(accept.job.clone());
                             context
                                 .kv
                                 .get(context.effects, tag, &job_key(&accept.job), 1_500);
                         }
                         for conn in accept.conns {
-                            self.read(conn, &accept.job, ReadFor::Resubmit, context);
+                            self.read(conn, &accept.job, JobReadPurpose::Resubmit, context);
                         }
                     } else if let Some(same) = self.waiting().find(|a| a.job == accept.job) {
                         // Guards against a transaction that holds a job twice, divided anew each time: its repeat
@@ -251,9 +253,11 @@
                 continue;
             }
             dividing.underway = swap.mutations.len();
-            context
-                .kv
-                .compare_and_swap(context.effects, Tag::Pieces(*id), &swap);
+            context.kv.compare_and_swap(
+                context.effects,
+                KvRequest::JobApi(JobApiRequest::WriteDependencies(*id)),
+                &swap,
+            );
         }
         for id in done {
             if let Some(mut dividing) = self.dividing.remove(&id) {
@@ -275,7 +279,7 @@
         };
         for conn in accept.conns {
             if let SwapOutcome::Conflict(_) = result {
-                self.read(conn, &accept.job, ReadFor::Resubmit, context);
+                self.read(conn, &accept.job, JobReadPurpose::Resubmit, context);
             } else {
                 // The retry writes the same pieces again.
                 let later = Response::later(503, "the state service did not answer", 1);
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -1,7 +1,7 @@
 //! Polls and other questions about one job.
 
-use super::{Cancel, JobApi};
-use crate::coordination::context::{Context, ReadFor, Tag};
+use super::{Cancel, JobApi, JobApiRequest, JobReadPurpose};
+use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
 use crate::storage::record_cache::Final;
@@ -28,12 +28,18 @@
 }
 
 impl JobApi {
-    pub fn read(&mut self, conn: ConnectionId, job: &JobId, why: ReadFor, context: &mut Context) {
+    pub fn read(
+        &mut self,
+        conn: ConnectionId,
+        job: &JobId,
+        why: JobReadPurpose,
+        context: &mut Context,
+    ) {
         if let Some(end) = context.records.final_of(job) {
             self.tell_final(conn, job, end, why, context);
             return;
         }
-        if matches!(why, ReadFor::Poll)
+        if matches!(why, JobReadPurpose::Poll)
             && context.records.jobs.contains_key(job)
             && !context.dependency_graph.doomed.contains(job)
         {
@@ -51,21 +57,26 @@
         &mut self,
         conn: ConnectionId,
         job: &JobId,
-        why: ReadFor,
+        why: JobReadPurpose,
         context: &mut Context,
     ) {
         let class = match why {
-            ReadFor::Poll => RequestPriority::Reads,
-            ReadFor::Resubmit | ReadFor::Refuse(_) | ReadFor::Malformed(_) | ReadFor::Cancel => {
-                RequestPriority::Accept
-            }
+            JobReadPurpose::Poll => RequestPriority::Reads,
+            JobReadPurpose::Resubmit
+            | JobReadPurpose::Refuse(_)
+            | JobReadPurpose::Malformed(_)
+            | JobReadPurpose::Cancel => RequestPriority::Accept,
         };
         if !context.kv.may(context.now(), class, 0) {
             let later = Response::later(503, "too many requests", 1);
             context.effects.respond(conn, later);
             return;
         }
-        let tag = Tag::Read(conn, job.clone(), why);
+        let tag = KvRequest::JobApi(JobApiRequest::Read {
+            connection: conn,
+            job: job.clone(),
+            purpose: why,
+        });
         context.kv.get(context.effects, tag, &job_key(job), 1_500);
     }
 
@@ -95,7 +106,7 @@
                 });
             self.next += 1;
             self.polled.insert(self.next, batch);
-            let tag = Tag::Polls(self.next);
+            let tag = KvRequest::JobApi(JobApiRequest::CheckPolls(self.next));
             context
                 .kv
                 .check_versions(context.effects, tag, &swap, POLLS_MS);
@@ -112,19 +123,21 @@
                         context.records.final_of(&job),
                         context.records.jobs.get(&job),
                     ) {
-                        (Some(end), _) => self.tell_final(conn, &job, end, ReadFor::Poll, context),
+                        (Some(end), _) => {
+                            self.tell_final(conn, &job, end, JobReadPurpose::Poll, context)
+                        }
                         (None, Some(v)) => {
                             let record = v.value.clone();
-                            self.tell_open(conn, &job, &record, ReadFor::Poll, context);
+                            self.tell_open(conn, &job, &record, JobReadPurpose::Poll, context);
                         }
-                        (None, None) => self.read_alone(conn, &job, ReadFor::Poll, context),
+                        (None, None) => self.read_alone(conn, &job, JobReadPurpose::Poll, context),
                     }
                 }
             }
             SwapOutcome::Conflict(keys) => {
                 for (conn, job) in batch {
                     if keys.contains(&job_key(&job)) {
-                        self.read_alone(conn, &job, ReadFor::Poll, context);
+                        self.read_alone(conn, &job, JobReadPurpose::Poll, context);
                     } else {
                         // Compared once more, without those that have changed.
                         self.polls_since = MonotonicMillis(0);
@@ -147,7 +160,7 @@
         conn: ConnectionId,
         job: &JobId,
         record: &JobRecord,
-        why: ReadFor,
+        why: JobReadPurpose,
         context: &mut Context,
     ) {
         // Guards against calling a job open whose need another controller has confirmed as cancelled over
@@ -161,7 +174,7 @@
         let (done, running) = context.records.counts(job, &record.shards, record.tasks);
         let word = user::state_word(record.state, running);
         let body = match why {
-            ReadFor::Poll => user::full(job, word, done, running),
+            JobReadPurpose::Poll => user::full(job, word, done, running),
             _ => user::brief(job, word),
         };
         context.effects.respond(conn, Response::new(200, body));
@@ -172,7 +185,7 @@
         conn: ConnectionId,
         job: &JobId,
         end: Final,
-        why: ReadFor,
+        why: JobReadPurpose,
         context: &mut Context,
     ) {
         if end.state == JobState::Cancelled {
@@ -180,7 +193,7 @@
         }
         let word = user::state_word(end.state, 0);
         let body = match why {
-            ReadFor::Poll => {
+            JobReadPurpose::Poll => {
                 let done = if end.state == JobState::Done {
                     end.tasks
                 } else {
@@ -188,9 +201,10 @@
                 };
                 user::full(job, word, done, 0)
             }
-            ReadFor::Resubmit | ReadFor::Refuse(_) | ReadFor::Malformed(_) | ReadFor::Cancel => {
-                user::brief(job, word)
-            }
+            JobReadPurpose::Resubmit
+            | JobReadPurpose::Refuse(_)
+            | JobReadPurpose::Malformed(_)
+            | JobReadPurpose::Cancel => user::brief(job, word),
         };
         self.cancel_tries.remove(&conn);
         context.effects.respond(conn, Response::new(200, body));
@@ -200,7 +214,7 @@
         &mut self,
         conn: ConnectionId,
         job: &JobId,
-        why: ReadFor,
+        why: JobReadPurpose,
         result: GetOutcome,
         context: &mut Context,
     ) {
@@ -248,8 +262,8 @@
         let Some((record, version)) = newest else {
             self.cancel_tries.remove(&conn);
             let refused = match why {
-                ReadFor::Refuse(why) => Response::error(422, why),
-                ReadFor::Malformed(why) => Response::error(400, &why.to_string()),
+                JobReadPurpose::Refuse(why) => Response::error(422, why),
+                JobReadPurpose::Malformed(why) => Response::error(400, &why.to_string()),
                 _ => Response::error(404, "no such job"),
             };
             context.effects.respond(conn, refused);
@@ -259,7 +273,10 @@
         // cancelled first.
         let doomed = context.dependency_graph.doomed.contains(job);
         match why {
-            ReadFor::Poll | ReadFor::Resubmit | ReadFor::Refuse(_) | ReadFor::Malformed(_)
+            JobReadPurpose::Poll
+            | JobReadPurpose::Resubmit
+            | JobReadPurpose::Refuse(_)
+            | JobReadPurpose::Malformed(_)
                 if !doomed =>
             {
                 self.tell_open(conn, job, &record, why, context);
@@ -285,9 +302,11 @@
                     tries,
                 };
                 self.cancels.insert(self.next, cancel);
-                context
-                    .kv
-                    .compare_and_swap(context.effects, Tag::Cancel(self.next), &swap);
+                context.kv.compare_and_swap(
+                    context.effects,
+                    KvRequest::JobApi(JobApiRequest::Cancel(self.next)),
+                    &swap,
+                );
             }
         }
     }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -10,13 +10,54 @@
 pub use admission::never_runs;
 pub use partitioning::split;
 
-use super::context::ReadFor;
+use super::context::Context;
 use super::gossip::ShardCapacity;
+use crate::storage::kv_client::{GetOutcome, KvResponse, unexpected_response};
+use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId, Team};
+use snowshelf_model::protocol::user::BadField;
 use snowshelf_model::records::JobSpec;
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
+/// What the job API asks of the key-value store; numbers are those of what is underway.
+#[derive(Clone, Debug)]
+pub enum JobApiRequest {
+    /// Writes accepted submissions.
+    Commit(u64),
+    /// Reads a job's record for a user's request.
+    Read {
+        connection: ConnectionId,
+        job: JobId,
+        purpose: JobReadPurpose,
+    },
+    /// Writes a part of the long list of jobs that a submission depends on.
+    WriteDependencies(u64),
+    /// Compares versions for polls that the record cache can answer.
+    CheckPolls(u64),
+    Cancel(u64),
+    /// Reads the record of a job that a submission depends on.
+    ReadDependency {
+        submission: u64,
+        job: JobId,
+    },
+    /// Cancels jobs that depend on cancelled ones.
+    Cascade(u64),
+}
+
+/// Why a job's record is read for a user.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum JobReadPurpose {
+    Poll,
+    /// An idempotent request: the job may have been accepted before.
+    Resubmit,
+    /// A submission that can never run, unless the job was accepted before; the reason.
+    Refuse(&'static str),
+    /// A submission with a field that is wrong or missing, unless the job was accepted before.
+    Malformed(BadField),
+    Cancel,
+}
+
 struct Accept {
     conns: Vec<ConnectionId>,
     job: JobId,
@@ -43,7 +84,7 @@
     conn: ConnectionId,
     job: JobId,
     next: serde_json::Value,
-    why: ReadFor,
+    why: JobReadPurpose,
     tries: u32,
 }
 
@@ -92,4 +133,54 @@
         gateway.confirmed.begin(now);
         gateway
     }
+
+    /// Takes a response of the key-value store in: the records that have changed by it.
+    pub fn on_response(
+        &mut self,
+        request: JobApiRequest,
+        response: KvResponse,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
+        match (request, response) {
+            (JobApiRequest::Commit(id), KvResponse::Swap(outcome)) => {
+                self.accepted(id, outcome, context);
+            }
+            (
+                JobApiRequest::Read {
+                    connection,
+                    job,
+                    purpose,
+                },
+                KvResponse::Get(outcome),
+            ) => {
+                self.read_done(connection, &job, purpose, outcome, context);
+                return vec![RecordChange::Job(job)];
+            }
+            (JobApiRequest::WriteDependencies(id), KvResponse::Swap(outcome)) => {
+                self.pieces_done(id, outcome, context);
+            }
+            (JobApiRequest::CheckPolls(id), KvResponse::Swap(outcome)) => {
+                self.polls_done(id, outcome, context);
+            }
+            (JobApiRequest::Cancel(id), KvResponse::Swap(outcome)) => {
+                let job = self.cancelled(id, outcome, context);
+                return job.into_iter().map(RecordChange::Job).collect();
+            }
+            (JobApiRequest::ReadDependency { submission, job }, KvResponse::Get(outcome)) => {
+                if let GetOutcome::Found(item) = &outcome {
+                    context
+                        .records
+                        .apply(&item.key, Some(&item.value), item.version);
+                }
+                self.needed(submission, &job, &outcome, context);
+                return vec![RecordChange::Job(job)];
+            }
+            (JobApiRequest::Cascade(id), KvResponse::Swap(outcome)) => {
+                let jobs = self.cascaded(id, outcome, context);
+                return jobs.into_iter().map(RecordChange::Job).collect();
+            }
+            (request, _) => unexpected_response(&request),
+        }
+        Vec::new()
+    }
 }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -1,7 +1,13 @@
 //! What an actor is lent while it handles a message.
 
+use super::api::JobApiRequest;
+use super::dag_runs::DagRunsRequest;
 use super::dependencies::DependencyGraph;
 use super::drains::Draining;
+use super::leases::LeaseRequest;
+use super::list_watch::ListWatchRequest;
+use super::reservations::ReservationsRequest;
+use super::shard::ShardRequest;
 use crate::effects::{CallOutcome, Effects, Method, Target};
 use crate::operator::OperatorSettings;
 use crate::settings::Settings;
@@ -10,83 +16,42 @@
 use serde_json::Value;
 use snowshelf_calendar::guard::Guard;
 use snowshelf_model::ids::{
-    CallId, ConnectionId, FencingToken, JobId, MachineId, Member, MonotonicMillis, ShardId,
-    WallClockMillis,
+    CallId, FencingToken, JobId, MachineId, Member, MonotonicMillis, ShardId, WallClockMillis,
 };
 use snowshelf_model::protocol::cloud::{MachineType, release_body};
-use snowshelf_model::protocol::state::CompareAndSwap;
-use snowshelf_model::protocol::user::BadField;
-use snowshelf_model::records::{Capability, JobRecord, RunId, StorageLimits};
+use snowshelf_model::records::{Capability, JobRecord, StorageLimits};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Whom an answer of the state service is for.
+/// A request to the key-value store: the actor that its response is for, and what that actor asked.
 #[derive(Clone, Debug)]
-pub enum Tag {
-    LeaseNew,
-    LeaseRenew(MonotonicMillis),
-    /// Taking or giving up a part or the leadership; the key.
-    AcquireRole(Role),
-    ReloadPage,
-    /// Jobs that changed before the feed was followed.
-    LookBack,
-    Watch,
-    ShardSwap(ShardId, FencingToken),
-    ShardRead(ShardId, FencingToken, String),
-    QuotaSwap(ShardId, FencingToken),
-    QuotaRead(ShardId, FencingToken, String),
-    ClaimSwap(ShardId, FencingToken, JobId, CompareAndSwap),
-    Accept(u64),
-    Read(ConnectionId, JobId, ReadFor),
-    /// A part of the long list of jobs that a submission needs.
-    Pieces(u64),
-    /// Polls answered by the mirror if it is not behind.
-    Polls(u64),
-    Cancel(u64),
-    /// A job that waiting ones, or a submission, need.
-    Needed(Option<u64>, JobId),
-    /// Cancellation of jobs that need a cancelled one.
-    Cascade(u64),
-    /// Requests to the calendar, decided together.
-    Reservations(u64),
-    /// A part of a run's beginning.
-    RunBegin,
-    /// Whether the picture of a run is behind, for a question.
-    RunAsk(u64),
-    RunWrite(u64),
-    /// A job of an earlier run of the same.
-    RunEarlier(RunId, JobId),
-    GraphWrite(u64),
-    /// Keys of ended runs go.
-    RunTidy(Vec<String>),
-    /// A request on drains or budgets, or a step of the leader's.
+pub enum KvRequest {
+    Leases(LeaseRequest),
+    ListWatch(ListWatchRequest),
+    /// Of the shard's leader that holds this fencing token; a later leader ignores the response.
+    Shard(ShardId, FencingToken, ShardRequest),
+    JobApi(JobApiRequest),
+    /// Reads the record of a job that jobs depend on, or that a heartbeat lists.
+    JobLookup(JobId),
+    Reservations(ReservationsRequest),
+    DagRuns(DagRunsRequest),
+    /// A request on drains or budgets, or a step of the leader's, by its number.
     Drains(u64),
-    /// A charge of a team's budget.
-    Disrupt(ShardId, FencingToken),
-    /// An entry that was over goes: its key.
-    BookingsTidy(String),
-    GiveUp(ShardId),
-    PublishTypes(Vec<MachineType>),
-    /// This controller's word on what it can, or all of theirs: the key and its value.
-    Declare(String, Value),
+    /// Declares what this controller, or every controller, can read and do.
+    FormatMigration {
+        key: String,
+        value: Value,
+    },
+    /// Stores the machine types for all controllers.
+    PublishMachineTypes(Vec<MachineType>),
 }
 
+/// What a controller may be elected to.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Role {
     ShardLeader(ShardId),
     ClusterLeader,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ReadFor {
-    Poll,
-    Resubmit,
-    /// A submission that can never run, unless the job was accepted before; the reason.
-    Refuse(&'static str),
-    /// A submission with a field that is wrong or missing, unless the job was accepted before.
-    Malformed(BadField),
-    Cancel,
-}
-
 /// Whom an answer of the cloud is for.
 #[derive(Clone, Debug)]
 pub enum CloudTag {
@@ -162,7 +127,7 @@
 
 pub struct Context<'a> {
     pub effects: &'a mut Effects,
-    pub kv: &'a mut KvClient<Tag>,
+    pub kv: &'a mut KvClient<KvRequest>,
     pub cloud: &'a mut CloudClient,
     pub records: &'a mut RecordCache,
     pub config: &'a Config,
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -8,7 +8,7 @@
 
 use super::api::JobApi;
 use super::autoscaler::Autoscaler;
-use super::context::{CloudClient, Config, Context, Role, Tag};
+use super::context::{CloudClient, Config, Context, KvRequest, Role};
 use super::dag_runs::DagRuns;
 use super::dependencies::DependencyGraph;
 use super::drains::{Draining, Drains};
@@ -63,7 +63,7 @@
 pub struct Controller {
     config: Config,
     effects: Effects,
-    kv: KvClient<Tag>,
+    kv: KvClient<KvRequest>,
     cloud: CloudClient,
     records: RecordCache,
     types: BTreeMap<String, MachineType>,
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -1,14 +1,18 @@
 //! Answers of the state service and the cloud, each to the actor that asked.
 
 use super::{Controller, OWNER_CLOUD};
+use crate::coordination::api::JobApiRequest;
 use crate::coordination::autoscaler::Autoscaler;
-use crate::coordination::context::{CloudTag, Context, Role, Tag};
+use crate::coordination::context::{CloudTag, Context, KvRequest, Role};
+use crate::coordination::leases::{LeaseRequest, RoleChange};
 use crate::coordination::list_watch::ListWatch;
-use crate::coordination::shard::Shard;
+use crate::coordination::shard::{Shard, ShardRequest};
 use crate::effects::CallOutcome;
-use crate::storage::kv_client::{GetOutcome, KvResponse, RequestPriority, SwapOutcome};
+use crate::storage::kv_client::{
+    GetOutcome, KvResponse, RequestPriority, SwapOutcome, unexpected_response,
+};
 use crate::storage::record_cache::{RecordChange, TYPES_KEY};
-use snowshelf_model::ids::{CallId, JobId, ShardId, Version};
+use snowshelf_model::ids::{CallId, FencingToken, JobId, ShardId, Version};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::LEADER_KEY;
@@ -17,8 +21,8 @@
 impl Controller {
     pub(super) fn call_done(&mut self, id: CallId, result: &CallOutcome) {
         let now = self.effects.now;
-        if let Some((tag, reply)) = self.kv.done(now, id, result) {
-            self.reply(tag, reply);
+        if let Some((request, response)) = self.kv.done(now, id, result) {
+            self.on_kv_response(request, response);
             return;
         }
         if self.reachability.done(id, result) {
@@ -71,206 +75,149 @@
             .compare(TYPES_KEY.to_string(), version)
             .mutate(Mutation::put(TYPES_KEY.to_string(), &types));
         self.publishing = true;
-        self.kv
-            .compare_and_swap(&mut self.effects, Tag::PublishTypes(types), &swap);
+        self.kv.compare_and_swap(
+            &mut self.effects,
+            KvRequest::PublishMachineTypes(types),
+            &swap,
+        );
     }
 
-    fn reply(&mut self, tag: Tag, reply: KvResponse) {
-        match (tag, reply) {
-            (Tag::LeaseNew, KvResponse::Lease(lease)) => {
-                let mut leases = std::mem::take(&mut self.leases);
-                leases.lease_new(lease, &self.context());
-                self.leases = leases;
-            }
-            (Tag::LeaseRenew(sent), KvResponse::Renewed(result)) => {
-                let mut leases = std::mem::take(&mut self.leases);
-                let lost = leases.renewed(sent, result, &self.context());
-                self.leases = leases;
-                if lost {
-                    self.drop_all();
-                }
-            }
-            (Tag::AcquireRole(role), KvResponse::Swap(result)) => {
-                let mut leases = std::mem::take(&mut self.leases);
-                let fencing_token = leases.acquired(role, result, &mut self.context());
-                self.leases = leases;
-                let now = self.effects.now;
-                match (role, fencing_token) {
-                    (Role::ShardLeader(shard_id), Some(fencing_token)) => {
-                        if let Some(mut old) = self.shards.remove(&shard_id) {
-                            old.drop_held(&mut self.context());
-                        }
-                        self.shards
-                            .insert(shard_id, Shard::new(shard_id, fencing_token, now));
-                        self.open_doors();
-                    }
-                    (Role::ClusterLeader, Some(fencing_token)) => {
-                        let nodes = f64::from(self.config.shard_count);
-                        let rps = (1.0 - nodes * OWNER_CLOUD).max(0.3)
-                            * self.config.settings.deployment.cloud.rps;
-                        self.autoscaler = Some(Autoscaler::new(fencing_token, 0.95 * rps, now));
-                    }
-                    (_, None) => {}
-                }
-            }
-            (Tag::GiveUp(shard_id), KvResponse::Swap(result)) => {
-                let mut leases = std::mem::take(&mut self.leases);
-                leases.gave(shard_id, result, &mut self.context());
-                self.leases = leases;
-            }
-            (Tag::ReloadPage, KvResponse::RangePage(page)) => {
-                self.read(|list_watch, context| list_watch.page(page, context));
-            }
-            (Tag::LookBack, KvResponse::WatchEvents(result)) => {
-                self.read(|list_watch, context| list_watch.looked_back(result, context));
-            }
-            (Tag::Watch, KvResponse::WatchEvents(result)) => {
-                self.read(|list_watch, context| list_watch.changes(result, context));
-            }
-            (Tag::ShardSwap(shard_id, fencing_token), KvResponse::Swap(result)) => {
-                self.with_shard(shard_id, |shard, context| {
-                    if shard.fencing_token == fencing_token {
-                        shard.txn_done(result, context);
-                    }
+    /// Hands a response of the key-value store to the actor that asked.
+    fn on_kv_response(&mut self, request: KvRequest, response: KvResponse) {
+        match request {
+            KvRequest::Leases(request) => self.on_lease_response(request, response),
+            KvRequest::ListWatch(request) => {
+                self.read(|list_watch, context| list_watch.on_response(request, response, context));
+            }
+            KvRequest::Shard(shard_id, fencing_token, request) => {
+                self.on_shard_response(shard_id, fencing_token, request, response);
+            }
+            KvRequest::JobApi(request) => {
+                let commits = matches!(request, JobApiRequest::Commit(_));
+                let changed = self.with_job_api(|job_api, context| {
+                    job_api.on_response(request, response, context)
                 });
+                if commits {
+                    self.refresh_new();
+                }
+                self.changed(changed);
             }
-            (Tag::ShardRead(shard_id, fencing_token, key), KvResponse::Get(result)) => {
-                self.with_shard(shard_id, |shard, context| {
-                    if shard.fencing_token == fencing_token {
-                        shard.read_done(&key, result, context);
-                    }
+            KvRequest::JobLookup(job) => self.on_job_lookup(job, response),
+            KvRequest::Reservations(request) => {
+                let changed = self.with_reservations(|reservations, context| {
+                    reservations.on_response(request, response, context)
                 });
+                self.changed(changed);
             }
-            (Tag::QuotaSwap(shard_id, fencing_token), KvResponse::Swap(result)) => {
-                self.with_shard(shard_id, |shard, context| {
-                    if shard.fencing_token == fencing_token {
-                        shard.quota_done(result, context);
-                    }
+            KvRequest::DagRuns(request) => {
+                self.with_dag_runs(|dag_runs, context| {
+                    dag_runs.on_response(request, response, context)
                 });
             }
-            (Tag::QuotaRead(_, _, key), KvResponse::Get(result)) => match result {
-                GetOutcome::Found(item) => {
-                    self.records.apply(&key, Some(&item.value), item.version);
+            KvRequest::Drains(id) => match response {
+                KvResponse::Swap(outcome) => {
+                    self.with_drains(|drains, context| drains.done(id, outcome, context));
                 }
-                GetOutcome::NotFound(revision) => {
-                    self.records.apply(&key, None, revision);
-                }
-                GetOutcome::Failed => {}
+                _ => unexpected_response(&request),
             },
-            (Tag::ClaimSwap(shard_id, fencing_token, job, swap), KvResponse::Swap(result)) => {
-                self.with_shard(shard_id, |shard, context| {
-                    if shard.fencing_token == fencing_token {
-                        shard.claim_done(&swap, result, context);
-                    }
-                });
-                self.changed(vec![RecordChange::Job(job)]);
-            }
-            (Tag::Accept(id), KvResponse::Swap(result)) => {
-                self.with_job_api(|job_api, context| job_api.accepted(id, result, context));
-                self.refresh_new();
-            }
-            (Tag::Read(conn, job, why), KvResponse::Get(result)) => {
-                self.with_job_api(|job_api, context| {
-                    job_api.read_done(conn, &job, why, result, context)
-                });
-                self.changed(vec![RecordChange::Job(job)]);
-            }
-            (Tag::Pieces(id), KvResponse::Swap(result)) => {
-                self.with_job_api(|job_api, context| job_api.pieces_done(id, result, context));
-            }
-            (Tag::Polls(id), KvResponse::Swap(result)) => {
-                self.with_job_api(|job_api, context| job_api.polls_done(id, result, context));
-            }
-            (Tag::Needed(asker, job), KvResponse::Get(result)) => {
-                if let GetOutcome::Found(item) = &result {
-                    self.records
-                        .apply(&item.key, Some(&item.value), item.version);
+            KvRequest::FormatMigration { ref key, ref value } => match response {
+                KvResponse::Swap(outcome) => {
+                    let mut format_migration = std::mem::take(&mut self.format_migration);
+                    format_migration.declared(key, value, outcome, &mut self.context());
+                    self.format_migration = format_migration;
                 }
-                if asker.is_none()
-                    && let Some(asked) = self.listed_asked.remove(&job)
-                {
-                    match &result {
-                        GetOutcome::Found(_) => self.list_watch.read_alone(&job, asked),
-                        GetOutcome::NotFound(_) => {
-                            self.listed_absent.insert(job.clone());
-                        }
-                        GetOutcome::Failed => {}
-                    }
-                }
-                if let Some(id) = asker {
-                    self.with_job_api(|job_api, context| {
-                        job_api.needed(id, &job, &result, context)
-                    });
-                } else if let GetOutcome::NotFound(_) = result {
-                    tracing::error!(job = %job, "job record not found");
-                }
-                self.changed(vec![RecordChange::Job(job)]);
-            }
-            (Tag::Cascade(id), KvResponse::Swap(result)) => {
-                let jobs =
-                    self.with_job_api(|job_api, context| job_api.cascaded(id, result, context));
-                self.changed(jobs.into_iter().map(RecordChange::Job).collect());
-            }
-            (Tag::RunBegin, KvResponse::Swap(result)) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.begun(result, context));
-            }
-            (Tag::RunAsk(id), KvResponse::Swap(result)) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.answered(id, result, context));
-            }
-            (Tag::GraphWrite(id), KvResponse::Swap(result)) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.graph_written(id, result, context));
-            }
-            (Tag::RunEarlier(run, job), KvResponse::Get(result)) => {
-                if let GetOutcome::Found(item) = &result {
-                    let value = Some(&item.value);
-                    self.records.apply(&item.key, value, item.version);
+                _ => unexpected_response(&request),
+            },
+            KvRequest::PublishMachineTypes(types) => self.on_types_published(&types, response),
+        }
+    }
+
+    fn on_lease_response(&mut self, request: LeaseRequest, response: KvResponse) {
+        let mut leases = std::mem::take(&mut self.leases);
+        let change = leases.on_response(request, response, &mut self.context());
+        self.leases = leases;
+        let now = self.effects.now;
+        match change {
+            RoleChange::Unchanged => {}
+            RoleChange::Acquired(Role::ShardLeader(shard_id), fencing_token) => {
+                if let Some(mut old) = self.shards.remove(&shard_id) {
+                    old.drop_held(&mut self.context());
                 }
-                let missing = matches!(result, GetOutcome::NotFound(_));
-                self.dag_runs.earlier(&run, &job, missing);
-            }
-            (Tag::RunTidy(keys), KvResponse::Swap(result)) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.tidied(&keys, result, context));
-            }
-            (Tag::RunWrite(id), KvResponse::Swap(result)) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.written(id, result, context));
-            }
-            (Tag::Reservations(id), KvResponse::Swap(result)) => {
-                let changed = self.with_reservations(|b, context| b.done(id, result, context));
-                self.changed(changed);
-            }
-            (Tag::BookingsTidy(key), KvResponse::Swap(result)) => {
-                let changed = self.with_reservations(|b, context| b.tidied(&key, result, context));
-                self.changed(changed);
-            }
-            (Tag::Drains(id), KvResponse::Swap(result)) => {
-                self.with_drains(|drains, context| drains.done(id, result, context));
-            }
-            (Tag::Disrupt(shard_id, fencing_token), KvResponse::Swap(result)) => {
-                self.with_shard(shard_id, |shard, context| {
-                    if shard.fencing_token == fencing_token {
-                        shard.charge_done(result, context);
-                    }
-                });
+                let shard = Shard::new(shard_id, fencing_token, now);
+                self.shards.insert(shard_id, shard);
+                self.open_doors();
             }
-            (Tag::Declare(key, value), KvResponse::Swap(result)) => {
-                let mut format_migration = std::mem::take(&mut self.format_migration);
-                format_migration.declared(&key, &value, result, &mut self.context());
-                self.format_migration = format_migration;
+            RoleChange::Acquired(Role::ClusterLeader, fencing_token) => {
+                let controllers = f64::from(self.config.shard_count);
+                let cloud = &self.config.settings.deployment.cloud;
+                let rps = (1.0 - controllers * OWNER_CLOUD).max(0.3) * cloud.rps;
+                self.autoscaler = Some(Autoscaler::new(fencing_token, 0.95 * rps, now));
             }
-            (Tag::Cancel(id), KvResponse::Swap(result)) => {
-                let job =
-                    self.with_job_api(|job_api, context| job_api.cancelled(id, result, context));
-                self.changed(job.into_iter().map(RecordChange::Job).collect());
-            }
-            (Tag::PublishTypes(types), KvResponse::Swap(result)) => {
-                self.publishing = false;
-                if let SwapOutcome::Done(revision) = result {
-                    let value = serde_json::to_value(&types).unwrap_or_default();
-                    self.records.apply(TYPES_KEY, Some(&value), revision);
-                    self.changed(vec![RecordChange::Types]);
+            RoleChange::AllLost => self.drop_all(),
+        }
+    }
+
+    fn on_shard_response(
+        &mut self,
+        shard_id: ShardId,
+        fencing_token: FencingToken,
+        request: ShardRequest,
+        response: KvResponse,
+    ) {
+        if let (ShardRequest::ReadQuota { key }, KvResponse::Get(outcome)) = (&request, &response) {
+            self.records.apply_outcome(key, outcome);
+            return;
+        }
+        let stolen = match &request {
+            ShardRequest::Steal { job, .. } => Some(job.clone()),
+            _ => None,
+        };
+        self.with_shard(shard_id, |shard, context| {
+            if shard.fencing_token == fencing_token {
+                shard.on_response(request, response, context);
+            }
+        });
+        // Every allocation of the job has changed hands in the record cache, whoever leads the shard by now.
+        if let Some(job) = stolen {
+            self.changed(vec![RecordChange::Job(job)]);
+        }
+    }
+
+    /// The record of a job that jobs depend on, or that a heartbeat lists.
+    fn on_job_lookup(&mut self, job: JobId, response: KvResponse) {
+        let KvResponse::Get(outcome) = response else {
+            unexpected_response(&KvRequest::JobLookup(job));
+            return;
+        };
+        if let GetOutcome::Found(item) = &outcome {
+            self.records
+                .apply(&item.key, Some(&item.value), item.version);
+        }
+        if let Some(asked) = self.listed_asked.remove(&job) {
+            match &outcome {
+                GetOutcome::Found(_) => self.list_watch.read_alone(&job, asked),
+                GetOutcome::NotFound(_) => {
+                    self.listed_absent.insert(job.clone());
                 }
+                GetOutcome::Failed => {}
             }
-            (tag, _) => tracing::error!(?tag, "response of unexpected kind"),
+        }
+        if let GetOutcome::NotFound(_) = outcome {
+            tracing::error!(job = %job, "job record not found");
+        }
+        self.changed(vec![RecordChange::Job(job)]);
+    }
+
+    fn on_types_published(&mut self, types: &[MachineType], response: KvResponse) {
+        let KvResponse::Swap(outcome) = response else {
+            unexpected_response(&KvRequest::PublishMachineTypes(types.to_vec()));
+            return;
+        };
+        self.publishing = false;
+        if let SwapOutcome::Done(revision) = outcome {
+            let value = serde_json::to_value(types).unwrap_or_default();
+            self.records.apply(TYPES_KEY, Some(&value), revision);
+            self.changed(vec![RecordChange::Types]);
         }
     }
 
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -1,7 +1,8 @@
 //! Requests of users, workers and health checks, by path.
 
 use super::{Controller, UNSERVED_MS};
-use crate::coordination::context::{ReadFor, Tag};
+use crate::coordination::api::JobReadPurpose;
+use crate::coordination::context::KvRequest;
 use crate::coordination::dag_runs;
 use crate::coordination::drains;
 use crate::coordination::query;
@@ -82,11 +83,11 @@
                     return;
                 };
                 let (id, why) = match rest.strip_suffix("/cancel") {
-                    Some(id) => (id, ReadFor::Cancel),
-                    None => (rest, ReadFor::Poll),
+                    Some(id) => (id, JobReadPurpose::Cancel),
+                    None => (rest, JobReadPurpose::Poll),
                 };
                 let wanted = match why {
-                    ReadFor::Cancel => "POST",
+                    JobReadPurpose::Cancel => "POST",
                     _ => "GET",
                 };
                 if !user::is_job_id(id) {
@@ -236,7 +237,7 @@
             {
                 self.listed_asked.insert(job.clone(), now);
                 let key = job_key(&job);
-                let tag = Tag::Needed(None, job);
+                let tag = KvRequest::JobLookup(job);
                 self.kv.get(&mut self.effects, tag, &key, LISTED_MS);
             }
         }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -1,7 +1,7 @@
 //! The regular work: every actor's turn, and what this controller tells the others.
 
 use super::{Controller, UNSERVED_MS, own_rates};
-use crate::coordination::context::{Role, Tag};
+use crate::coordination::context::{KvRequest, Role};
 use crate::coordination::dependencies::DependencyGraph;
 use crate::coordination::format_migration::storage_limits;
 use crate::coordination::gossip::{HEARD_BYTES, MISSING_BYTES};
@@ -265,7 +265,7 @@
         // Ended long ago and dropped from the mirror, or not come yet.
         for job in self.dependency_graph.unknown.iter().take(LOOK_UPS) {
             if self.kv.may(now, RequestPriority::Ends, 0) {
-                let tag = Tag::Needed(None, job.clone());
+                let tag = KvRequest::JobLookup(job.clone());
                 self.kv.get(&mut self.effects, tag, &job_key(job), 1_500);
             }
         }
--- a/src/coordination/dag_runs/beginning.rs
+++ b/src/coordination/dag_runs/beginning.rs
@@ -2,9 +2,9 @@
 //! count, and only then is anybody told.
 
 use super::living::asked_of;
-use super::{DagRuns, brief};
+use super::{DagRuns, DagRunsRequest, brief};
 use crate::coordination::api::never_runs;
-use crate::coordination::context::{Context, Tag};
+use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use serde::Serialize;
@@ -232,9 +232,11 @@
             return;
         }
         first.underway = swap.mutations.len();
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::RunBegin, &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::DagRuns(DagRunsRequest::Begin),
+            &swap,
+        );
     }
 
     /// The answer to a part of a beginning.
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -13,10 +13,12 @@
 pub use asking::{Ask, Read, read};
 
 use super::api::JobApi;
-use super::context::{Context, Tag};
+use super::context::{Context, KvRequest};
 use super::leases::Leases;
 use crate::effects::Response;
-use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::kv_client::{
+    GetOutcome, KvResponse, RequestPriority, SwapOutcome, unexpected_response,
+};
 use crate::storage::record_cache::RecordCache;
 use beginning::Beginning;
 use living::Live;
@@ -55,6 +57,23 @@
     limit: usize,
 }
 
+/// What DAG runs ask of the key-value store; numbers are those of what is underway.
+#[derive(Clone, Debug)]
+pub enum DagRunsRequest {
+    /// Writes a part of a run's, or a graph's, definition or record.
+    Begin,
+    /// Compares versions to answer a question.
+    Answer(u64),
+    /// Writes a run's record.
+    Write(u64),
+    /// Reads a job of an earlier run with the same plan.
+    ReadEarlierJob { run: RunId, job: JobId },
+    /// Writes a graph's record.
+    WriteGraph(u64),
+    /// Deletes keys of runs that have ended.
+    RemoveEnded { keys: Vec<String> },
+}
+
 #[derive(Default)]
 pub struct DagRuns {
     beginning: VecDeque<Beginning>,
@@ -137,9 +156,12 @@
         let known = context.records.runs.get(&run).map(|v| v.version);
         let swap = CompareAndSwap::default().compare(run_key(&run), known.unwrap_or_default());
         self.next += 1;
-        context
-            .kv
-            .check_versions(context.effects, Tag::RunAsk(self.next), &swap, 1_500);
+        context.kv.check_versions(
+            context.effects,
+            KvRequest::DagRuns(DagRunsRequest::Answer(self.next)),
+            &swap,
+            1_500,
+        );
         let question = Question {
             conn,
             run,
@@ -149,6 +171,39 @@
         self.questions.insert(self.next, question);
     }
 
+    /// Takes a response of the key-value store in.
+    pub fn on_response(
+        &mut self,
+        request: DagRunsRequest,
+        response: KvResponse,
+        context: &mut Context,
+    ) {
+        match (request, response) {
+            (DagRunsRequest::Begin, KvResponse::Swap(outcome)) => self.begun(outcome, context),
+            (DagRunsRequest::Answer(id), KvResponse::Swap(outcome)) => {
+                self.answered(id, outcome, context);
+            }
+            (DagRunsRequest::Write(id), KvResponse::Swap(outcome)) => {
+                self.written(id, outcome, context);
+            }
+            (DagRunsRequest::WriteGraph(id), KvResponse::Swap(outcome)) => {
+                self.graph_written(id, outcome, context);
+            }
+            (DagRunsRequest::ReadEarlierJob { run, job }, KvResponse::Get(outcome)) => {
+                if let GetOutcome::Found(item) = &outcome {
+                    let value = Some(&item.value);
+                    context.records.apply(&item.key, value, item.version);
+                }
+                let missing = matches!(outcome, GetOutcome::NotFound(_));
+                self.earlier(&run, &job, missing);
+            }
+            (DagRunsRequest::RemoveEnded { keys }, KvResponse::Swap(outcome)) => {
+                self.tidied(&keys, outcome, context);
+            }
+            (request, _) => unexpected_response(&request),
+        }
+    }
+
     /// The answer to such a question.
     pub fn answered(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let Some(question) = self.questions.remove(&id) else {
@@ -255,9 +310,11 @@
             .compare(key.clone(), version)
             .mutate(Mutation::put(key, &record));
         self.next += 1;
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::RunWrite(self.next), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::DagRuns(DagRunsRequest::Write(self.next)),
+            &swap,
+        );
         self.writing.insert(self.next, (conn, id, record));
     }
 
@@ -347,9 +404,11 @@
             swap = swap.mutate(Mutation::Delete { key: key.clone() });
         }
         self.tidying = true;
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::RunTidy(keys), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::DagRuns(DagRunsRequest::RemoveEnded { keys }),
+            &swap,
+        );
     }
 
     /// The answer to such a removal.
@@ -423,7 +482,10 @@
         if !live.inherits() {
             for job in live.inherit(MOST_AT_ONCE, context) {
                 if context.kv.may(now, RequestPriority::Reads, 0) {
-                    let tag = Tag::RunEarlier(id.clone(), job.clone());
+                    let tag = KvRequest::DagRuns(DagRunsRequest::ReadEarlierJob {
+                        run: id.clone(),
+                        job: job.clone(),
+                    });
                     context.kv.get(context.effects, tag, &job_key(&job), 1_500);
                 }
             }
--- a/src/coordination/dag_runs/timing.rs
+++ b/src/coordination/dag_runs/timing.rs
@@ -1,9 +1,9 @@
 //! Graphs that are kept, and the runs that their schedules begin: one for each interval. That a run's key
 //! did not exist when it was written is the proof.
 
-use super::DagRuns;
 use super::beginning::{Beginning, beginning_of, full, pieces, planned};
-use crate::coordination::context::{Context, Tag};
+use super::{DagRuns, DagRunsRequest};
+use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::leases::Leases;
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -191,9 +191,11 @@
             .compare(key.clone(), version)
             .mutate(Mutation::put(key, &record));
         self.next += 1;
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::GraphWrite(self.next), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::DagRuns(DagRunsRequest::WriteGraph(self.next)),
+            &swap,
+        );
         let waiting = (conn, name.to_string(), record);
         self.timing.writing.insert(self.next, waiting);
     }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -11,7 +11,7 @@
 pub use guard::{Closed, Draining};
 pub use leading::Heard;
 
-use super::context::{Context, Tag};
+use super::context::{Context, KvRequest};
 use super::pending_requests::{PendingRequests, Waiting};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -122,7 +122,7 @@
             });
         }
         self.next += 1;
-        let tag = Tag::Drains(self.next);
+        let tag = KvRequest::Drains(self.next);
         match write.changes {
             true => context.kv.compare_and_swap(context.effects, tag, &swap),
             false => context
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -2,7 +2,7 @@
 //! controller says durably what it can; what all can is settled for good, and each acts on it only
 //! after reading that.
 
-use super::context::{Context, Tag};
+use super::context::{Context, KvRequest};
 use crate::settings::StateLimits;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::Versioned;
@@ -91,9 +91,11 @@
             .mutate(change);
         tracing::info!(key, format = record.format, can = ?record.can, "record format and capabilities declared");
         self.underway = true;
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::Declare(key, value), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::FormatMigration { key, value },
+            &swap,
+        );
     }
 
     /// The answer; whatever it leaves open, the change feed tells.
--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -1,7 +1,7 @@
 //! Who owns which part, and who leads: keys of the state service attached to this process's lease.
 
-use super::context::{Config, Context, Role, Tag};
-use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use super::context::{Config, Context, KvRequest, Role};
+use crate::storage::kv_client::{KvResponse, RequestPriority, SwapOutcome, unexpected_response};
 use snowshelf_model::ids::{FencingToken, LeaseId, MonotonicMillis, ShardId, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{LEADER_KEY, LeaseHolder, shard_key};
@@ -14,6 +14,29 @@
 /// The steady clock may run fast or slow by 0.05%; a tenth of that again for measuring.
 const DRIFT_PER_MILLE: u64 = 1;
 
+/// What the leases ask of the key-value store.
+#[derive(Clone, Debug)]
+pub enum LeaseRequest {
+    /// Grants this process a lease.
+    Grant,
+    Renew {
+        sent_at: MonotonicMillis,
+    },
+    /// Attaches a role's key to the lease.
+    Acquire(Role),
+    /// Deletes a shard's key, so that another controller may acquire it.
+    Release(ShardId),
+}
+
+/// What a response changes of the roles that this controller holds.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum RoleChange {
+    Unchanged,
+    Acquired(Role, FencingToken),
+    /// The lease has expired, and every role with it.
+    AllLost,
+}
+
 #[derive(Default)]
 pub struct Leases {
     pub lease: Option<LeaseId>,
@@ -114,7 +137,9 @@
                 let idle = self.asked_lease.is_none_or(|at| now.since(at) > 1_600);
                 if idle && context.kv.may(now, RequestPriority::Leases, 0) {
                     self.asked_lease = Some(now);
-                    context.kv.lease(context.effects, Tag::LeaseNew, ttl);
+                    context
+                        .kv
+                        .lease(context.effects, KvRequest::Leases(LeaseRequest::Grant), ttl);
                 }
             }
             Some(lease) => {
@@ -126,9 +151,11 @@
                     && context.kv.may(now, RequestPriority::Leases, 0)
                 {
                     self.renewing = Some(now);
-                    context
-                        .kv
-                        .renew(context.effects, Tag::LeaseRenew(now), lease);
+                    context.kv.renew(
+                        context.effects,
+                        KvRequest::Leases(LeaseRequest::Renew { sent_at: now }),
+                        lease,
+                    );
                 }
             }
         }
@@ -189,9 +216,11 @@
             });
         self.acquiring.insert(role);
         tracing::info!(?role, version = version.0, "acquiring lease");
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::AcquireRole(role), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::Leases(LeaseRequest::Acquire(role)),
+            &swap,
+        );
     }
 
     /// Gives a part back to its home member once that is up again, so that the load is shared.
@@ -241,19 +270,48 @@
             .mutate(Mutation::Delete {
                 key: shard_key(shard_id),
             });
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::GiveUp(shard_id), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::Leases(LeaseRequest::Release(shard_id)),
+            &swap,
+        );
+    }
+
+    /// Takes a response of the key-value store in.
+    pub fn on_response(
+        &mut self,
+        request: LeaseRequest,
+        response: KvResponse,
+        context: &mut Context,
+    ) -> RoleChange {
+        match (request, response) {
+            (LeaseRequest::Grant, KvResponse::Lease(lease)) => self.granted(lease, context),
+            (LeaseRequest::Renew { sent_at }, KvResponse::Renewed(result)) => {
+                if self.renewed(sent_at, result, context) {
+                    return RoleChange::AllLost;
+                }
+            }
+            (LeaseRequest::Acquire(role), KvResponse::Swap(outcome)) => {
+                if let Some(fencing_token) = self.acquired(role, outcome, context) {
+                    return RoleChange::Acquired(role, fencing_token);
+                }
+            }
+            (LeaseRequest::Release(shard_id), KvResponse::Swap(outcome)) => {
+                self.released(shard_id, outcome, context);
+            }
+            (request, _) => unexpected_response(&request),
+        }
+        RoleChange::Unchanged
     }
 
-    pub fn gave(&mut self, shard_id: ShardId, result: SwapOutcome, context: &mut Context) {
+    fn released(&mut self, shard_id: ShardId, result: SwapOutcome, context: &mut Context) {
         self.giving = None;
         if let SwapOutcome::Done(revision) = result {
             context.records.apply(&shard_key(shard_id), None, revision);
         }
     }
 
-    pub fn lease_new(&mut self, lease: Option<LeaseId>, context: &Context) {
+    fn granted(&mut self, lease: Option<LeaseId>, context: &Context) {
         let now = context.effects.now;
         let Some(asked) = self.asked_lease else {
             return;
@@ -279,12 +337,7 @@
     }
 
     /// The answer to a renewal; true if the lease, and all that hung on it, is lost.
-    pub fn renewed(
-        &mut self,
-        sent: MonotonicMillis,
-        result: Option<bool>,
-        context: &Context,
-    ) -> bool {
+    fn renewed(&mut self, sent: MonotonicMillis, result: Option<bool>, context: &Context) -> bool {
         if self.renewing == Some(sent) {
             self.renewing = None;
         }
@@ -309,7 +362,7 @@
     }
 
     /// The answer to a claim; the token if it was won.
-    pub fn acquired(
+    fn acquired(
         &mut self,
         role: Role,
         result: SwapOutcome,
--- a/src/coordination/list_watch.rs
+++ b/src/coordination/list_watch.rs
@@ -4,8 +4,8 @@
 //! decides. The feed is followed meanwhile, so that a reading that takes longer than the service keeps
 //! changes for ends all the same.
 
-use super::context::{Context, Tag};
-use crate::storage::kv_client::RequestPriority;
+use super::context::{Context, KvRequest};
+use crate::storage::kv_client::{KvResponse, RequestPriority, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{RangePage, WatchEvents};
@@ -21,6 +21,16 @@
 /// Only jobs' keys are looked back for.
 const JOBS: &str = "job/";
 
+/// What is asked of the key-value store to keep the record cache current.
+#[derive(Clone, Copy, Debug)]
+pub enum ListWatchRequest {
+    /// A page of keys.
+    Page,
+    /// The changes of jobs' records before the watch began.
+    RecentChanges,
+    Watch,
+}
+
 /// A reading underway.
 #[derive(Default)]
 struct Reading {
@@ -129,9 +139,13 @@
                 match (&ask, reading.followed) {
                     (Ask::LookBack { revisions }, Some(from)) => {
                         let after = Version(from.0.saturating_sub(*revisions));
-                        context
-                            .kv
-                            .changes(context.effects, Tag::LookBack, JOBS, after, 0);
+                        context.kv.changes(
+                            context.effects,
+                            KvRequest::ListWatch(ListWatchRequest::RecentChanges),
+                            JOBS,
+                            after,
+                            0,
+                        );
                     }
                     (Ask::LookBack { .. }, None) => self.pages.busy = false,
                     (
@@ -141,9 +155,13 @@
                             limit,
                         },
                         _,
-                    ) => context
-                        .kv
-                        .page(context.effects, Tag::ReloadPage, starts, after, *limit),
+                    ) => context.kv.page(
+                        context.effects,
+                        KvRequest::ListWatch(ListWatchRequest::Page),
+                        starts,
+                        after,
+                        *limit,
+                    ),
                 }
                 reading.asked = Some(ask);
             }
@@ -163,9 +181,13 @@
             // Asked often enough that an owner's knowledge is never old.
             let wait_ms =
                 FEED_WAIT_MS.min((context.config.settings.answering_ms() / 4).max(FEED_GAP_MS));
-            context
-                .kv
-                .changes(context.effects, Tag::Watch, "", from, wait_ms);
+            context.kv.changes(
+                context.effects,
+                KvRequest::ListWatch(ListWatchRequest::Watch),
+                "",
+                from,
+                wait_ms,
+            );
         }
     }
 
@@ -180,7 +202,29 @@
         Some((reading, ask))
     }
 
-    pub fn page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
+    /// Takes a response of the key-value store in.
+    pub fn on_response(
+        &mut self,
+        request: ListWatchRequest,
+        response: KvResponse,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
+        match (request, response) {
+            (ListWatchRequest::Page, KvResponse::RangePage(page)) => self.page(page, context),
+            (ListWatchRequest::RecentChanges, KvResponse::WatchEvents(result)) => {
+                self.looked_back(result, context)
+            }
+            (ListWatchRequest::Watch, KvResponse::WatchEvents(result)) => {
+                self.changes(result, context)
+            }
+            (request, _) => {
+                unexpected_response(&request);
+                Vec::new()
+            }
+        }
+    }
+
+    fn page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
         let Some(page) = page else {
             self.pages.busy = false;
             let again = context.effects.retry_at(150, self.pages.failures.min(3));
@@ -225,7 +269,7 @@
     }
 
     /// The answer to looking back: jobs that changed lately.
-    pub fn looked_back(
+    fn looked_back(
         &mut self,
         result: Result<WatchEvents, bool>,
         context: &mut Context,
@@ -302,7 +346,7 @@
         }
     }
 
-    pub fn changes(
+    fn changes(
         &mut self,
         result: Result<WatchEvents, bool>,
         context: &mut Context,
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -11,12 +11,12 @@
 
 pub use asking::{Ask, Asked, read_ask};
 
-use super::context::{Context, Tag};
+use super::context::{Context, KvRequest};
 use super::pending_requests::{PendingRequests, Waiting};
 use crate::effects::Response;
 use crate::operator::{CalendarSettings, KnownCapacity};
 use crate::settings::TeamLimits;
-use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::kv_client::{KvResponse, RequestPriority, SwapOutcome, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use deciding::Decided;
 use snowshelf_calendar::amount::Amount;
@@ -50,6 +50,15 @@
     decided: Vec<Decided>,
 }
 
+/// What reservations and maintenance windows ask of the key-value store.
+#[derive(Clone, Debug)]
+pub enum ReservationsRequest {
+    /// Writes, or checks, what a request decided, by its number.
+    Decide(u64),
+    /// Deletes an entry whose time is over.
+    RemoveExpired { key: String },
+}
+
 #[derive(Default)]
 pub struct Reservations {
     calendar: Calendar,
@@ -266,7 +275,7 @@
             waiting,
             decided,
         });
-        let tag = Tag::Reservations(self.next);
+        let tag = KvRequest::Reservations(ReservationsRequest::Decide(self.next));
         if swap.mutations.is_empty() {
             context
                 .kv
@@ -276,13 +285,29 @@
         }
     }
 
-    /// The answer to a transaction; what has changed by it.
-    pub fn done(
+    /// Takes a response of the key-value store in: the records that have changed by it.
+    pub fn on_response(
         &mut self,
-        id: u64,
-        result: SwapOutcome,
+        request: ReservationsRequest,
+        response: KvResponse,
         context: &mut Context,
     ) -> Vec<RecordChange> {
+        match (request, response) {
+            (ReservationsRequest::Decide(id), KvResponse::Swap(outcome)) => {
+                self.done(id, outcome, context)
+            }
+            (ReservationsRequest::RemoveExpired { key }, KvResponse::Swap(outcome)) => {
+                self.tidied(&key, outcome, context)
+            }
+            (request, _) => {
+                unexpected_response(&request);
+                Vec::new()
+            }
+        }
+    }
+
+    /// The answer to a transaction; what has changed by it.
+    fn done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) -> Vec<RecordChange> {
         let Some(underway) = self.underway.take_if(|u| u.id == id) else {
             return Vec::new();
         };
@@ -371,13 +396,15 @@
         let swap = CompareAndSwap::default()
             .compare(key.clone(), version)
             .mutate(Mutation::Delete { key: key.clone() });
-        context
-            .kv
-            .compare_and_swap(context.effects, Tag::BookingsTidy(key), &swap);
+        context.kv.compare_and_swap(
+            context.effects,
+            KvRequest::Reservations(ReservationsRequest::RemoveExpired { key }),
+            &swap,
+        );
     }
 
     /// The answer to a removal; what has changed by it.
-    pub fn tidied(
+    fn tidied(
         &mut self,
         key: &str,
         result: SwapOutcome,
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -1,10 +1,10 @@
 //! Machines that a drain empties: nothing starts on them, what ends soon is waited for, and the rest is
 //! stopped as far as its team's budget allows. What may be stopped is durable before it is commanded.
 
-use super::Shard;
 use super::machine::Drained;
 use super::persistence::REFUSED_MS;
-use crate::coordination::context::{Context, Tag};
+use super::{Shard, ShardRequest};
+use crate::coordination::context::Context;
 use crate::coordination::drains::facts::{TeamWork, tried, with_picture};
 use crate::coordination::shard::reservations::stay_ms;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -212,7 +212,7 @@
             .mutate(Mutation::put(key, &ledger));
         context.kv.compare_and_swap(
             context.effects,
-            Tag::Disrupt(self.id, self.fencing_token),
+            self.kv_request(ShardRequest::ChargeBudget),
             &swap,
         );
         self.charging = Some(Charging { team, ledger });
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -16,8 +16,10 @@
 mod scale_in;
 mod work_stealing;
 
-use super::context::Context;
+use super::context::{Context, KvRequest};
+
 use super::gossip::ShardCapacity;
+use crate::storage::kv_client::{KvResponse, unexpected_response};
 use job::{PendingChange, ShardJob};
 use machine::Machine;
 use persistence::InFlightSwap;
@@ -29,6 +31,7 @@
 use snowshelf_model::ids::{
     Attempt, FencingToken, JobId, MachineId, MonotonicMillis, ShardId, TaskIndex, Team,
 };
+use snowshelf_model::protocol::state::CompareAndSwap;
 use snowshelf_model::protocol::worker::{Heartbeat, TaskState};
 use snowshelf_model::records::{
     AllocationChange, AllocationChangeKind, QuotaRecord, ShardAllocation,
@@ -41,6 +44,29 @@
 /// How often machines and grants are looked over.
 const TEND_MS: u64 = 200;
 
+/// What a shard's leader asks of the key-value store.
+#[derive(Clone, Debug)]
+pub enum ShardRequest {
+    /// Writes changes of allocations.
+    WriteAllocations,
+    /// Reads an allocation back whose write has no known outcome, or was in conflict.
+    ReadAllocation {
+        key: String,
+    },
+    /// Moves a team's quota grant.
+    RegrantQuota,
+    ReadQuota {
+        key: String,
+    },
+    /// Takes waiting tasks of a job over from another shard.
+    Steal {
+        job: JobId,
+        swap: CompareAndSwap,
+    },
+    /// Charges evictions to a team's disruption budget.
+    ChargeBudget,
+}
+
 pub struct Shard {
     pub id: ShardId,
     pub fencing_token: FencingToken,
@@ -178,6 +204,38 @@
         }
     }
 
+    fn kv_request(&self, request: ShardRequest) -> KvRequest {
+        KvRequest::Shard(self.id, self.fencing_token, request)
+    }
+
+    /// Takes a response of the key-value store in. Responses to [`ShardRequest::ReadQuota`] concern the record cache
+    /// alone, and do not come here.
+    pub fn on_response(
+        &mut self,
+        request: ShardRequest,
+        response: KvResponse,
+        context: &mut Context,
+    ) {
+        match (request, response) {
+            (ShardRequest::WriteAllocations, KvResponse::Swap(outcome)) => {
+                self.txn_done(outcome, context);
+            }
+            (ShardRequest::ReadAllocation { key }, KvResponse::Get(outcome)) => {
+                self.read_done(&key, outcome, context);
+            }
+            (ShardRequest::RegrantQuota, KvResponse::Swap(outcome)) => {
+                self.quota_done(outcome, context);
+            }
+            (ShardRequest::Steal { swap, .. }, KvResponse::Swap(outcome)) => {
+                self.claim_done(&swap, outcome, context);
+            }
+            (ShardRequest::ChargeBudget, KvResponse::Swap(outcome)) => {
+                self.charge_done(outcome, context);
+            }
+            (request, _) => unexpected_response(&request),
+        }
+    }
+
     pub fn room(&self) -> ShardCapacity {
         ShardCapacity {
             free: self.free_cpus,
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -1,8 +1,8 @@
 //! How an owner's steps become durable: batched transactions, and reading back what is unsure.
 
-use super::Shard;
 use super::job::WritePriority;
-use crate::coordination::context::{Context, Tag};
+use super::{Shard, ShardRequest};
+use crate::coordination::context::Context;
 use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
 use serde_json::Value;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version, WallClockMillis};
@@ -154,7 +154,7 @@
         }
         context.kv.compare_and_swap(
             context.effects,
-            Tag::ShardSwap(self.id, self.fencing_token),
+            self.kv_request(ShardRequest::WriteAllocations),
             &swap,
         );
         self.flight = Some(InFlightSwap { jobs });
@@ -254,7 +254,9 @@
             job.reading = true;
         }
         // Reading what an unanswered write did comes before any new one.
-        let tag = Tag::ShardRead(self.id, self.fencing_token, key.to_string());
+        let tag = self.kv_request(ShardRequest::ReadAllocation {
+            key: key.to_string(),
+        });
         context.kv.get(context.effects, tag, key, 1_500);
     }
 
@@ -296,7 +298,7 @@
         for id in again.into_iter().take(8) {
             if context.kv.may(now, RequestPriority::Ends, 0) {
                 let key = allocation_key(self.id, &id);
-                let tag = Tag::ShardRead(self.id, self.fencing_token, key.clone());
+                let tag = self.kv_request(ShardRequest::ReadAllocation { key: key.clone() });
                 context.kv.get(context.effects, tag, &key, 1_500);
             }
         }
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -1,8 +1,8 @@
 //! A team's limit, divided into grants by part: asked for, given up, and never overdrawn.
 
-use super::Shard;
 use super::persistence::REFUSED_MS;
-use crate::coordination::context::{Context, Tag};
+use super::{Shard, ShardRequest};
+use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use snowshelf_fair_share::grants::{ShardDemand, regrant_fairly};
 use snowshelf_model::ids::{MonotonicMillis, ShardId, Team, Version};
@@ -133,7 +133,7 @@
             }
             context.kv.compare_and_swap(
                 context.effects,
-                Tag::QuotaSwap(self.id, self.fencing_token),
+                self.kv_request(ShardRequest::RegrantQuota),
                 &swap,
             );
             self.quota_flight = Some((team, next));
@@ -163,7 +163,7 @@
                     return;
                 }
                 state.retry_at = now.plus(100);
-                let tag = Tag::QuotaRead(self.id, self.fencing_token, key.clone());
+                let tag = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
                 context.kv.get(context.effects, tag, &key, 1_500);
             }
             // The same write would be refused again.
@@ -172,7 +172,7 @@
             SwapOutcome::Unknown => {
                 // A lowered grant stays lowered until a later write settles the key.
                 state.retry_at = now.plus(500);
-                let tag = Tag::QuotaRead(self.id, self.fencing_token, key.clone());
+                let tag = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
                 context.kv.get(context.effects, tag, &key, 1_500);
             }
         }
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -1,8 +1,8 @@
 //! A part with idle machines takes over tasks that wait in another one.
 
 use super::placement::MachineClass;
-use super::{Shard, StealOffer};
-use crate::coordination::context::{Context, Tag};
+use super::{Shard, ShardRequest, StealOffer};
+use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use snowshelf_fair_share::backfill::WAITED_MS;
 use snowshelf_model::ids::{JobId, ShardId, Team, Version, WallClockMillis};
@@ -175,7 +175,10 @@
         self.claimed_at = now;
         context.kv.compare_and_swap(
             context.effects,
-            Tag::ClaimSwap(self.id, self.fencing_token, id, swap.clone()),
+            self.kv_request(ShardRequest::Steal {
+                job: id,
+                swap: swap.clone(),
+            }),
             &swap,
         );
     }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -131,6 +131,11 @@
     Renewed(Option<bool>),
 }
 
+/// Logs a response that does not belong to the request it came for.
+pub fn unexpected_response(request: &impl std::fmt::Debug) {
+    tracing::error!(?request, "response of unexpected kind");
+}
+
 #[derive(Clone, Copy)]
 enum Kind {
     Swap,
--- a/src/storage/record_cache.rs
+++ b/src/storage/record_cache.rs
@@ -2,6 +2,7 @@
 //!
 //! The picture may lag. Whoever decides by it makes the write conditional on the version seen.
 
+use super::kv_client::GetOutcome;
 use serde::Deserialize;
 use serde_json::Value;
 use snowshelf_calendar::entry::{Name, Reservation, Window};
@@ -371,6 +372,15 @@
         None
     }
 
+    /// Takes in the outcome of reading a single key.
+    pub fn apply_outcome(&mut self, key: &str, outcome: &GetOutcome) {
+        match outcome {
+            GetOutcome::Found(item) => self.apply(key, Some(&item.value), item.version),
+            GetOutcome::NotFound(revision) => self.apply(key, None, *revision),
+            GetOutcome::Failed => None,
+        };
+    }
+
     /// Begins a full reading.
     pub fn begin_reading(&mut self) {
         self.reading = true;
