--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,5 +1,6 @@
-//! How many connections a controller keeps, by its sockets and memory; whom it lets go of when it is full,
-//! so that neither workers nor users, nor whoever connects and says nothing, can crowd the others out.
+//! Admission control for client connections: how many a controller accepts within its sockets and memory, and
+//! which idle connection it closes for a new one, so that workers, users and silent clients cannot starve each other.
+//! Nothing here does input or output.
 
 pub mod limits;
 pub mod table;
--- a/crates/connections/src/limits.rs
+++ b/crates/connections/src/limits.rs
@@ -1,75 +1,86 @@
-//! The numbers, worked out from what a process may use.
+//! Limits on connections, computed from the resources of the process.
 
-/// What a process may use.
+/// The resources that a process may use, as its settings name them.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
+    /// Open sockets and files.
     pub sockets: usize,
+    /// Memory, in bytes.
     pub mem_bytes: usize,
-    /// Controllers, this one included.
-    pub nodes: usize,
+    /// Controllers of the cluster, this one included.
+    pub controllers: usize,
     /// Connections that this process opens itself, to services and single workers.
-    pub own: usize,
+    pub outgoing: usize,
 }
 
-/// What a connection holds while nothing is underway on it, as measured (docs/sizes.md), rounded up.
-pub const IDLE_BYTES: usize = 4 * 1024;
-/// Buffers of an idle connection above this are given back.
-pub const KEPT_BYTES: usize = 2 * 1024;
-/// The share of the memory that connections may take: half of it when idle, half for what is underway.
-const MEMORY_SHARE: usize = 4;
-/// Files that are no connections: listeners, the event loop, the standard ones, and some to spare.
-const FILES: usize = 24;
-/// Connections that one peer may have here at a time: those of its last lives may not be noticed as dead yet.
-const LIVES: usize = 4;
-/// Connections in a hundred that are left to what the kernel still holds of closed ones.
-const SPARE: usize = 5;
-/// Of a hundred connections, those that workers and users can always have, and those for whoever has not said
-/// yet what it is.
-const WORKERS: usize = 70;
-const USERS: usize = 20;
-/// From so many of a hundred on, users are asked to connect anew for each request.
-const PRESSED: usize = 85;
-/// Probes of load balancers and operators, at the least.
-const PROBES: usize = 4;
+/// Memory of an idle connection in bytes: as measured (docs/capacity.md), rounded up.
+pub const IDLE_CONNECTION_BYTES: usize = 4 * 1024;
+/// Capacity in bytes above which the buffers of an idle connection are freed.
+pub const RETAINED_BUFFER_BYTES: usize = 2 * 1024;
+/// One part in so many of the memory may go to connections: half of it while idle, half to partial requests.
+const MEMORY_DIVISOR: usize = 4;
+/// File descriptors that are no connections: listeners, the event loop, the standard streams, and some to spare.
+const NON_CONNECTION_FILES: usize = 24;
+/// Connections that one peer may have here at a time: those of its earlier processes may not be noticed as dead yet.
+const CONNECTIONS_PER_PEER: usize = 4;
+/// Percentage of the sockets left to closed connections that the kernel has not released yet.
+const KERNEL_RESERVE_PERCENT: usize = 5;
+/// Percentage of the client connections guaranteed to workers.
+const WORKER_PERCENT: usize = 70;
+/// Percentage of the client connections guaranteed to users.
+const USER_PERCENT: usize = 20;
+/// Percentage of the client connections in use from which users are asked to reconnect for each request.
+const RECONNECT_PERCENT: usize = 85;
+/// Connections guaranteed to the probes of load balancers and operators.
+const PROBE_FLOOR: usize = 4;
+/// Client connections that a process serves however few resources it has.
+const MIN_CLIENTS: usize = 16;
 
+/// Limits on the connections that other programs open to a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ConnectionLimits {
-    /// Connections of workers, users and probes.
-    pub most: usize,
-    /// As many workers and users can never be crowded out by others.
-    pub workers: usize,
-    pub users: usize,
-    pub probes: usize,
-    /// Most connections that have not asked for anything yet.
-    pub strangers: usize,
-    /// From so many connections on, users are asked to connect anew for each request.
-    pub pressed: usize,
-    /// Connections of other controllers.
-    pub peers: usize,
-    /// Bytes of requests that have come in part only, all together.
-    pub underway_bytes: usize,
+    /// Most connections of workers, users and probes together.
+    pub max_clients: usize,
+    /// Connections guaranteed to workers.
+    pub worker_floor: usize,
+    /// Connections guaranteed to users.
+    pub user_floor: usize,
+    /// Connections guaranteed to probes.
+    pub probe_floor: usize,
+    /// Most connections on which nothing has been requested yet.
+    pub max_unidentified: usize,
+    /// Number of client connections from which users are asked to reconnect for each request.
+    pub reconnect_threshold: usize,
+    /// Most connections of other controllers.
+    pub max_peers: usize,
+    /// Most bytes of partially received requests, all together.
+    pub max_partial_bytes: usize,
 }
 
-impl ConnectionLimits {
-    pub fn of(means: ProcessLimits) -> ConnectionLimits {
-        let peers = LIVES * means.nodes.max(1);
-        let reserved = FILES + peers + means.nodes + means.own;
-        let by_sockets = means.sockets.saturating_sub(reserved) * (100 - SPARE) / 100;
-        let memory = means.mem_bytes / MEMORY_SHARE;
-        let by_memory = memory / 2 / IDLE_BYTES;
-        // A process that is given next to nothing serves a few all the same.
-        let most = by_sockets.min(by_memory).max(16);
-        let percentage_of_most = |percent: usize| (most * percent / 100).max(1);
-        let (workers, users) = (percentage_of_most(WORKERS), percentage_of_most(USERS));
+impl From<ProcessLimits> for ConnectionLimits {
+    fn from(process: ProcessLimits) -> ConnectionLimits {
+        let max_peers = CONNECTIONS_PER_PEER * process.controllers.max(1);
+        let reserved = NON_CONNECTION_FILES + max_peers + process.controllers + process.outgoing;
+        let by_sockets =
+            process.sockets.saturating_sub(reserved) * (100 - KERNEL_RESERVE_PERCENT) / 100;
+        let memory = process.mem_bytes / MEMORY_DIVISOR;
+        let by_memory = memory / 2 / IDLE_CONNECTION_BYTES;
+        let max_clients = by_sockets.min(by_memory).max(MIN_CLIENTS);
+        let percentage = |percent: usize| (max_clients * percent / 100).max(1);
+        let worker_floor = percentage(WORKER_PERCENT);
+        let user_floor = percentage(USER_PERCENT);
+        let max_unidentified = (max_clients - worker_floor - user_floor)
+            .saturating_sub(PROBE_FLOOR)
+            .max(1);
         ConnectionLimits {
-            most,
-            workers,
-            users,
-            probes: PROBES,
-            strangers: (most - workers - users).saturating_sub(PROBES).max(1),
-            pressed: percentage_of_most(PRESSED),
-            peers,
-            underway_bytes: memory / 2,
+            max_clients,
+            worker_floor,
+            user_floor,
+            probe_floor: PROBE_FLOOR,
+            max_unidentified,
+            reconnect_threshold: percentage(RECONNECT_PERCENT),
+            max_peers,
+            max_partial_bytes: memory / 2,
         }
     }
 }
--- a/crates/connections/src/table.rs
+++ b/crates/connections/src/table.rs
@@ -1,4 +1,5 @@
-//! Who is connected, what for, and since when nothing was asked: decides whom a newcomer takes the place of.
+//! The table of client connections: the kind of each client and since when it is idle. Decides which connection is
+//! closed for a new one.
 
 use crate::limits::ConnectionLimits;
 use serde::Serialize;
@@ -6,17 +7,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// What a connection is for, by the last thing that was asked on it.
+/// The kind of a client, by the last request on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum ClientKind {
-    /// Nothing has been asked yet.
+    /// No request has been received yet.
     Unidentified,
+    /// A load balancer or an operator that reads the readiness.
     Probe,
+    /// A user of the job API, or an operator.
     User,
+    /// A worker that sends heartbeats.
     Worker,
 }
 
-const KINDS: [ClientKind; 4] = [
+const KIND_COUNT: usize = 4;
+const KINDS: [ClientKind; KIND_COUNT] = [
     ClientKind::Unidentified,
     ClientKind::Probe,
     ClientKind::User,
@@ -24,8 +29,9 @@
 ];
 
 impl ClientKind {
-    /// By the path that is asked for.
-    pub fn of(path: &str) -> ClientKind {
+    /// The kind of client that requests this path.
+    #[must_use]
+    pub fn from_path(path: &str) -> ClientKind {
         match path.split('?').next() {
             Some("/checkin") => ClientKind::Worker,
             Some("/ready") => ClientKind::Probe,
@@ -34,79 +40,96 @@
     }
 }
 
-/// What becomes of a connection that comes.
+/// The decision on a new connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission<I> {
-    In,
-    /// It comes in and this one, which is idle, goes.
-    InsteadOf(I),
-    /// Everybody who may be let go of is being served.
+    /// It is accepted.
+    Admitted,
+    /// It is accepted, and this idle connection is to be closed for it.
+    Replaces(I),
+    /// It is refused: no connection that may be closed is idle.
     Refused,
 }
 
 struct Connection {
     kind: ClientKind,
-    /// When it last came to be idle.
-    since: MonotonicMillis,
-    /// Something that it asked for is being worked on.
+    /// When it last became idle.
+    idle_since: MonotonicMillis,
+    /// A request on it awaits its response.
     busy: bool,
 }
 
-/// What has been counted since the start, for the log and operators.
+/// Connections now, and counters since the start of the process, for the log and operators.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize)]
 pub struct ConnectionStats {
+    /// Connections of workers.
     pub workers: usize,
+    /// Connections of users.
     pub users: usize,
-    pub strangers: usize,
-    pub most: usize,
-    /// Connections refused, and idle ones let go of for others.
+    /// Connections without a request so far.
+    #[serde(rename = "strangers")]
+    pub unidentified: usize,
+    /// Most client connections at a time.
+    #[serde(rename = "most")]
+    pub max_clients: usize,
+    /// Connections refused.
     pub refused: u64,
-    pub let_go: u64,
-    /// Answers after which a user was asked to connect anew.
-    pub asked_anew: u64,
-    /// Requests given up on since too much was underway.
-    pub given_up: u64,
+    /// Idle connections closed for new ones.
+    #[serde(rename = "let_go")]
+    pub evicted: u64,
+    /// Responses with which a user was asked to reconnect.
+    #[serde(rename = "asked_anew")]
+    pub reconnects_requested: u64,
+    /// Requests aborted because too many bytes of partial requests were buffered.
+    #[serde(rename = "given_up")]
+    pub partial_aborted: u64,
 }
 
+/// The client connections of a controller, by their identifiers.
 pub struct ConnectionTable<I> {
-    bounds: ConnectionLimits,
-    conns: HashMap<I, Connection>,
-    /// The idle ones of each kind, the longest idle first.
-    idle: [BTreeSet<(MonotonicMillis, I)>; 4],
-    counts: [usize; 4],
+    limits: ConnectionLimits,
+    connections: HashMap<I, Connection>,
+    /// The idle connections of each kind, the longest idle first.
+    idle: [BTreeSet<(MonotonicMillis, I)>; KIND_COUNT],
+    counts: [usize; KIND_COUNT],
     stats: ConnectionStats,
 }
 
 impl<I: Copy + Ord + Hash> ConnectionTable<I> {
-    pub fn new(bounds: ConnectionLimits) -> ConnectionTable<I> {
+    /// An empty table.
+    #[must_use]
+    pub fn new(limits: ConnectionLimits) -> ConnectionTable<I> {
         ConnectionTable {
-            bounds,
-            conns: HashMap::new(),
+            limits,
+            connections: HashMap::new(),
             idle: Default::default(),
-            counts: [0; 4],
+            counts: [0; KIND_COUNT],
             stats: ConnectionStats::default(),
         }
     }
 
+    /// The number of connections.
     pub fn len(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
-        self.conns.is_empty()
+        self.connections.is_empty()
     }
 
+    /// The number of connections of a kind.
     pub fn count(&self, kind: ClientKind) -> usize {
         self.counts[kind as usize]
     }
 
-    /// As many of a kind are never let go of for others.
+    /// The number of connections guaranteed to a kind.
     fn floor(&self, kind: ClientKind) -> usize {
         match kind {
             ClientKind::Unidentified => 0,
-            ClientKind::Probe => self.bounds.probes,
-            ClientKind::User => self.bounds.users,
-            ClientKind::Worker => self.bounds.workers,
+            ClientKind::Probe => self.limits.probe_floor,
+            ClientKind::User => self.limits.user_floor,
+            ClientKind::Worker => self.limits.worker_floor,
         }
     }
 
@@ -114,9 +137,9 @@
         self.idle[kind as usize].first().map(|(_, id)| *id)
     }
 
-    /// Whom a newcomer takes the place of: strangers if they are many; else, of the kind that is furthest
-    /// above what it can always have, the one idle for longest; else the stranger who has said nothing for longest.
-    fn victim(&self) -> Option<I> {
+    /// The connection to close when the table is full: the longest idle one of the kind furthest above its floor;
+    /// without such a kind, the longest idle unidentified one.
+    fn eviction_candidate(&self) -> Option<I> {
         let above = KINDS
             .into_iter()
             .filter(|k| *k != ClientKind::Unidentified && !self.idle[*k as usize].is_empty())
@@ -129,23 +152,25 @@
         }
     }
 
-    /// A connection comes; whoever goes for it has left by this.
-    pub fn enter(&mut self, id: I, now: MonotonicMillis) -> Admission<I> {
-        let crowd = self.count(ClientKind::Unidentified) >= self.bounds.strangers;
-        let goes = if crowd {
-            // Guards against connections that say nothing: they take one another's place only.
+    /// Decides on a new connection; a connection that it replaces is removed from the table.
+    #[must_use = "a replaced connection must be closed, and a refused one dropped"]
+    pub fn admit(&mut self, id: I, now: MonotonicMillis) -> Admission<I> {
+        let unidentified_full =
+            self.count(ClientKind::Unidentified) >= self.limits.max_unidentified;
+        let replaced = if unidentified_full {
+            // Silent connections replace only each other.
             Some(self.longest_idle(ClientKind::Unidentified))
-        } else if self.len() >= self.bounds.most {
-            Some(self.victim())
+        } else if self.len() >= self.limits.max_clients {
+            Some(self.eviction_candidate())
         } else {
             None
         };
-        let entry = match goes {
-            None => Admission::In,
+        let admission = match replaced {
+            None => Admission::Admitted,
             Some(Some(other)) => {
-                self.leaves(other);
-                self.stats.let_go += 1;
-                Admission::InsteadOf(other)
+                self.remove(other);
+                self.stats.evicted += 1;
+                Admission::Replaces(other)
             }
             Some(None) => {
                 self.stats.refused += 1;
@@ -154,66 +179,72 @@
         };
         self.counts[ClientKind::Unidentified as usize] += 1;
         self.idle[ClientKind::Unidentified as usize].insert((now, id));
-        let conn = Connection {
+        let connection = Connection {
             kind: ClientKind::Unidentified,
-            since: now,
+            idle_since: now,
             busy: false,
         };
-        self.conns.insert(id, conn);
-        entry
+        self.connections.insert(id, connection);
+        admission
     }
 
-    /// Something is asked on a connection.
-    pub fn asks(&mut self, id: I, kind: ClientKind) {
-        let Some(conn) = self.conns.get_mut(&id) else {
+    /// Notes that a request has been received.
+    pub fn request_started(&mut self, id: I, kind: ClientKind) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        self.idle[conn.kind as usize].remove(&(conn.since, id));
-        self.counts[conn.kind as usize] -= 1;
+        self.idle[connection.kind as usize].remove(&(connection.idle_since, id));
+        self.counts[connection.kind as usize] -= 1;
         self.counts[kind as usize] += 1;
-        (conn.kind, conn.busy) = (kind, true);
+        (connection.kind, connection.busy) = (kind, true);
     }
 
-    /// Whether the answer that follows should be the connection's last: it is a user's, and there is little
-    /// room left. Users connect anew without harm, and go where there is more room.
-    pub fn ends(&mut self, id: I) -> bool {
-        let user = self
-            .conns
+    /// Whether the connection is to be closed with the response that follows: it is a user's, and the table is nearly
+    /// full. Users reconnect without harm, possibly to a controller that has more capacity. Counts such responses.
+    #[must_use]
+    pub fn closes_after_response(&mut self, id: I) -> bool {
+        let is_user = self
+            .connections
             .get(&id)
             .is_some_and(|c| c.kind == ClientKind::User);
-        let ends = user && self.len() >= self.bounds.pressed;
-        self.stats.asked_anew += u64::from(ends);
-        ends
+        let closes = is_user && self.len() >= self.limits.reconnect_threshold;
+        self.stats.reconnects_requested += u64::from(closes);
+        closes
     }
 
-    /// What was asked for has been answered.
-    pub fn answered(&mut self, id: I, now: MonotonicMillis) {
-        if let Some(conn) = self.conns.get_mut(&id).filter(|c| c.busy) {
-            (conn.busy, conn.since) = (false, now);
-            self.idle[conn.kind as usize].insert((now, id));
+    /// Notes that the response has been written: the connection is idle.
+    pub fn request_finished(&mut self, id: I, now: MonotonicMillis) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|c| c.busy) {
+            (connection.busy, connection.idle_since) = (false, now);
+            self.idle[connection.kind as usize].insert((now, id));
         }
     }
 
-    pub fn leaves(&mut self, id: I) {
-        if let Some(conn) = self.conns.remove(&id) {
-            self.counts[conn.kind as usize] -= 1;
-            self.idle[conn.kind as usize].remove(&(conn.since, id));
+    /// Forgets a connection that is closed.
+    pub fn remove(&mut self, id: I) {
+        if let Some(connection) = self.connections.remove(&id) {
+            self.counts[connection.kind as usize] -= 1;
+            self.idle[connection.kind as usize].remove(&(connection.idle_since, id));
         }
     }
 
-    /// Whether a request that has come in part only is given up on, with so many bytes of such underway.
-    pub fn gives_up(&mut self, underway_bytes: usize) -> bool {
-        let much = underway_bytes > self.bounds.underway_bytes;
-        self.stats.given_up += u64::from(much);
-        much
+    /// Whether a partial request is to be aborted, with so many bytes of partial requests buffered. Counts the aborted
+    /// ones.
+    #[must_use]
+    pub fn aborts_partial(&mut self, partial_bytes: usize) -> bool {
+        let exceeded = partial_bytes > self.limits.max_partial_bytes;
+        self.stats.partial_aborted += u64::from(exceeded);
+        exceeded
     }
 
+    /// The connections now and the counters since the start.
+    #[must_use]
     pub fn stats(&self) -> ConnectionStats {
         ConnectionStats {
             workers: self.count(ClientKind::Worker),
             users: self.count(ClientKind::User),
-            strangers: self.count(ClientKind::Unidentified),
-            most: self.bounds.most,
+            unidentified: self.count(ClientKind::Unidentified),
+            max_clients: self.limits.max_clients,
             ..self.stats
         }
     }
--- a/crates/connections/tests/connection_table.rs
+++ b/crates/connections/tests/connection_table.rs
@@ -1,21 +1,21 @@
-//! The doors against a plain model, for drawn orders of events, and the bounds for drawn means.
+//! The connection table against a plain model, for drawn orders of events, and the limits for drawn resources.
 
 use proptest::prelude::*;
-use snowshelf_connections::limits::{ConnectionLimits, IDLE_BYTES, ProcessLimits};
+use snowshelf_connections::limits::{ConnectionLimits, IDLE_CONNECTION_BYTES, ProcessLimits};
 use snowshelf_connections::table::{Admission, ClientKind, ConnectionTable};
 use snowshelf_model::ids::MonotonicMillis;
 use std::collections::BTreeMap;
 
-fn bounds(most: usize) -> ConnectionLimits {
+fn limits(most: usize) -> ConnectionLimits {
     ConnectionLimits {
-        most,
-        workers: most / 2,
-        users: most / 4,
-        probes: 1,
-        strangers: most / 8 + 1,
-        pressed: most - 1,
-        peers: 4,
-        underway_bytes: 1_000,
+        max_clients: most,
+        worker_floor: most / 2,
+        user_floor: most / 4,
+        probe_floor: 1,
+        max_unidentified: most / 8 + 1,
+        reconnect_threshold: most - 1,
+        max_peers: 4,
+        max_partial_bytes: 1_000,
     }
 }
 
@@ -59,8 +59,8 @@
         most in 16..48usize,
         events in prop::collection::vec(event(), 0..400),
     ) {
-        let bounds = bounds(most);
-        let mut doors: ConnectionTable<u32> = ConnectionTable::new(bounds);
+        let limits = limits(most);
+        let mut table: ConnectionTable<u32> = ConnectionTable::new(limits);
         let mut plain: Plain = BTreeMap::new();
         let pick = |plain: &Plain, at: usize| plain.keys().nth(at % plain.len().max(1)).copied();
         for (now, event) in events.into_iter().enumerate() {
@@ -69,19 +69,19 @@
                 Event::Enter => {
                     let id = now.0 as u32 + 1_000;
                     let before = plain.clone();
-                    match doors.enter(id, now) {
-                        Admission::In => {
+                    match table.admit(id, now) {
+                        Admission::Admitted => {
                             prop_assert!(before.len() < most);
                             plain.insert(id, (ClientKind::Unidentified, false));
                         }
-                        Admission::InsteadOf(other) => {
+                        Admission::Replaces(other) => {
                             let (kind, busy) = before[&other];
                             prop_assert!(!busy, "somebody who is being served was let go of");
                             let floor = match kind {
                                 ClientKind::Unidentified => 0,
-                                ClientKind::Probe => bounds.probes,
-                                ClientKind::User => bounds.users,
-                                ClientKind::Worker => bounds.workers,
+                                ClientKind::Probe => limits.probe_floor,
+                                ClientKind::User => limits.user_floor,
+                                ClientKind::Worker => limits.worker_floor,
                             };
                             prop_assert!(count(&before, kind) > floor, "{kind:?} below its floor");
                             plain.remove(&other);
@@ -91,23 +91,23 @@
                             // Only if nobody who is idle may be let go of.
                             let idle = |k: ClientKind| before.values().any(|(kind, busy)| *kind == k && !busy);
                             prop_assert!(!idle(ClientKind::Unidentified));
-                            if count(&before, ClientKind::Unidentified) < bounds.strangers {
+                            if count(&before, ClientKind::Unidentified) < limits.max_unidentified {
                                 let (users, workers) = (count(&before, ClientKind::User), count(&before, ClientKind::Worker));
-                                prop_assert!(users <= bounds.users || !idle(ClientKind::User));
-                                prop_assert!(workers <= bounds.workers || !idle(ClientKind::Worker));
+                                prop_assert!(users <= limits.user_floor || !idle(ClientKind::User));
+                                prop_assert!(workers <= limits.worker_floor || !idle(ClientKind::Worker));
                             }
                         }
                     }
                 }
                 Event::Asks(at, kind) => {
                     if let Some(id) = pick(&plain, at) {
-                        doors.asks(id, kind);
+                        table.request_started(id, kind);
                         plain.insert(id, (kind, true));
                     }
                 }
                 Event::Answered(at) => {
                     if let Some(id) = pick(&plain, at) {
-                        doors.answered(id, now);
+                        table.request_finished(id, now);
                         if let Some(conn) = plain.get_mut(&id) {
                             conn.1 = false;
                         }
@@ -115,15 +115,15 @@
                 }
                 Event::Leaves(at) => {
                     if let Some(id) = pick(&plain, at) {
-                        doors.leaves(id);
+                        table.remove(id);
                         plain.remove(&id);
                     }
                 }
             }
-            prop_assert!(doors.len() <= most);
-            prop_assert_eq!(doors.len(), plain.len());
+            prop_assert!(table.len() <= most);
+            prop_assert_eq!(table.len(), plain.len());
             for kind in [ClientKind::Unidentified, ClientKind::Probe, ClientKind::User, ClientKind::Worker] {
-                prop_assert_eq!(doors.count(kind), count(&plain, kind));
+                prop_assert_eq!(table.count(kind), count(&plain, kind));
             }
         }
     }
@@ -134,12 +134,12 @@
         sockets in 32..20_000usize, mem_mb in 1..1_000usize, nodes in 1..64usize, own in 0..100usize,
     ) {
         let mem_bytes = mem_mb << 20;
-        let b = ConnectionLimits::of(ProcessLimits { sockets, mem_bytes, nodes, own });
-        let all = b.most + b.peers + nodes + own;
-        prop_assert!(b.most == 16 || all < sockets, "{all} of {sockets}");
-        prop_assert!(b.most == 16 || b.most * IDLE_BYTES + b.underway_bytes <= mem_bytes / 4);
-        prop_assert!(b.workers > 0 && b.users > 0 && b.strangers > 0 && b.pressed <= b.most);
-        prop_assert!(b.workers + b.users + b.strangers <= b.most + 2);
+        let b = ConnectionLimits::from(ProcessLimits { sockets, mem_bytes, controllers: nodes, outgoing: own });
+        let all = b.max_clients + b.max_peers + nodes + own;
+        prop_assert!(b.max_clients == 16 || all < sockets, "{all} of {sockets}");
+        prop_assert!(b.max_clients == 16 || b.max_clients * IDLE_CONNECTION_BYTES + b.max_partial_bytes <= mem_bytes / 4);
+        prop_assert!(b.worker_floor > 0 && b.user_floor > 0 && b.max_unidentified > 0 && b.reconnect_threshold <= b.max_clients);
+        prop_assert!(b.worker_floor + b.user_floor + b.max_unidentified <= b.max_clients + 2);
     }
 }
 
@@ -150,18 +150,18 @@
         (ClientKind::Worker, ClientKind::User),
         (ClientKind::User, ClientKind::Worker),
     ] {
-        let bounds = bounds(40);
-        let mut doors: ConnectionTable<u32> = ConnectionTable::new(bounds);
+        let limits = limits(40);
+        let mut table: ConnectionTable<u32> = ConnectionTable::new(limits);
         let mut come = |id: u32, kind: Option<ClientKind>| {
-            let entry = doors.enter(id, MonotonicMillis(u64::from(id)));
+            let entry = table.admit(id, MonotonicMillis(u64::from(id)));
             if let Some(kind) = kind.filter(|_| entry != Admission::Refused) {
-                doors.asks(id, kind);
-                doors.answered(id, MonotonicMillis(u64::from(id)));
+                table.request_started(id, kind);
+                table.request_finished(id, MonotonicMillis(u64::from(id)));
             }
             (
                 entry,
-                doors.count(ClientKind::Worker),
-                doors.count(ClientKind::User),
+                table.count(ClientKind::Worker),
+                table.count(ClientKind::User),
             )
         };
         // Alone, a kind may have everything.
@@ -170,18 +170,18 @@
         // The other kind then takes what is above the floor, and no more.
         let (_, workers, users) = (40..200).map(|id| come(id, Some(then))).last().unwrap();
         assert!(
-            workers >= bounds.workers && users >= bounds.users,
+            workers >= limits.worker_floor && users >= limits.user_floor,
             "{workers}, {users}"
         );
         // Silent ones take their own few places.
         let (_, workers, users) = (200..900).map(|id| come(id, None)).last().unwrap();
         assert!(
-            workers >= bounds.workers && users >= bounds.users,
+            workers >= limits.worker_floor && users >= limits.user_floor,
             "{workers}, {users}"
         );
         // And whoever comes then still gets in.
         let (entry, ..) = come(1_000, Some(ClientKind::Probe));
-        assert!(matches!(entry, Admission::InsteadOf(_)), "{entry:?}");
+        assert!(matches!(entry, Admission::Replaces(_)), "{entry:?}");
     }
 }
 
@@ -196,22 +196,22 @@
         (1_200, 72, 3, 624, 200),
     ] {
         let mem_bytes = mem_mb << 20;
-        let b = ConnectionLimits::of(ProcessLimits {
+        let b = ConnectionLimits::from(ProcessLimits {
             sockets,
             mem_bytes,
-            nodes,
-            own: 40,
+            controllers: nodes,
+            outgoing: 40,
         });
         assert!(
-            b.most >= machines + users,
+            b.max_clients >= machines + users,
             "{} of {}",
-            b.most,
+            b.max_clients,
             machines + users
         );
         assert!(
-            b.workers >= machines * 10 / 11,
+            b.worker_floor >= machines * 10 / 11,
             "{} of {machines}",
-            b.workers
+            b.worker_floor
         );
     }
 }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -128,7 +128,7 @@
             me: Member::new(&settings.member),
             members: settings.members(),
             shard_count: settings.deployment.nodes,
-            can: ops.can(),
+            can: ops.capabilities(),
             settings,
             ops,
         };
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -120,7 +120,7 @@
 pub fn storage_limits(format: RecordFormat, refused: bool, state: &StateLimits) -> StorageLimits {
     let lowered = format == RecordFormat::V2 || refused;
     let limits = if lowered {
-        state.smaller()
+        state.effective()
     } else {
         state.clone()
     };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! snowshelf: a cluster scheduler. See `docs/design.md`.
+//! snowshelf, a cluster scheduler. `docs/architecture.md` shows how its modules work together, `docs/design.md` why.
 
 pub mod coordination;
 pub mod effects;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,10 @@
 //! The command line; everything else is in the library.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use snowshelf::operator::OperatorSettings;
-use snowshelf::settings::Settings;
+use snowshelf::operator::{OperatorFile, OperatorSettings, OperatorSettingsError};
+use snowshelf::settings::{Settings, SettingsError};
 use snowshelf_client::Commands;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// A cluster scheduler that keeps its promises while machines, controllers and networks fail.
@@ -48,65 +48,110 @@
     Mapping,
 }
 
-fn load(files: &Files) -> Result<(Settings, OperatorSettings), String> {
-    let read = |path: &PathBuf| {
-        std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+/// Exit code for a wrong command line or settings that are not valid.
+const USAGE_ERROR: u8 = 2;
+
+/// Why the settings could not be loaded.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error("{}: {source}", path.display())]
+    Read {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Operator(#[from] OperatorSettingsError),
+}
+
+/// All settings of a controller.
+struct LoadedSettings {
+    settings: Settings,
+    operator: OperatorSettings,
+}
+
+fn read_file(path: &Path) -> Result<String, LoadError> {
+    std::fs::read_to_string(path).map_err(|source| LoadError::Read {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+fn load(files: &Files) -> Result<LoadedSettings, LoadError> {
+    let settings = Settings::parse(&read_file(&files.config)?)?;
+    let operator_files: Vec<OperatorFile> = files
+        .operator
+        .iter()
+        .map(|path| {
+            let text = read_file(path)?;
+            let name = path.display().to_string();
+            Ok(OperatorFile { name, text })
+        })
+        .collect::<Result<_, LoadError>>()?;
+    let operator = OperatorSettings::merge(&operator_files)?;
+    Ok(LoadedSettings { settings, operator })
+}
+
+/// Logs to standard error, at the level that the environment variable `LOG_LEVEL` names.
+fn start_logging() {
+    let level = match std::env::var("LOG_LEVEL").as_deref() {
+        Ok("debug") => tracing::Level::DEBUG,
+        Ok("info") => tracing::Level::INFO,
+        _ => tracing::Level::ERROR,
+    };
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .init();
+}
+
+fn print_schema(of: Described) {
+    let schema = match of {
+        Described::Operator => OperatorSettings::schema(),
+        Described::Graph => snowshelf_dag::native::schema(),
+        Described::Mapping => snowshelf_dag::mapping::schema(),
     };
-    let settings = Settings::parse(&read(&files.config)?).map_err(|e| e.to_string())?;
-    let texts = files.operator.iter().map(|path| {
-        let text = read(path)?;
-        Ok((path.display().to_string(), text))
-    });
-    let ops = OperatorSettings::merge(&texts.collect::<Result<Vec<_>, String>>()?)?;
-    Ok((settings, ops))
+    println!("{schema:#}");
+}
+
+fn run_controller(loaded: LoadedSettings) -> ExitCode {
+    start_logging();
+    match snowshelf::transport::event_loop::run(loaded.settings, loaded.operator) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            tracing::error!(%error, "cannot run");
+            ExitCode::FAILURE
+        }
+    }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let files = match (&cli.command, &cli.files) {
         (Some(Command::Schema { of }), _) => {
-            let schema = match of {
-                Described::Operator => OperatorSettings::schema(),
-                Described::Graph => snowshelf_dag::native::schema(),
-                Described::Mapping => snowshelf_dag::mapping::schema(),
-            };
-            println!("{schema:#}");
+            print_schema(*of);
             return ExitCode::SUCCESS;
         }
         (Some(Command::Client(command)), _) => return command.run().print().into(),
         (Some(Command::Check(files)), _) | (None, Some(files)) => files,
         (None, None) => {
             eprintln!("snowshelf: --config FILE is needed; see --help");
-            return ExitCode::from(2);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
-    let (settings, ops) = match load(files) {
+    let loaded = match load(files) {
         Ok(loaded) => loaded,
-        Err(why) => {
-            eprintln!("snowshelf: {}", why.replace('\n', " "));
-            return ExitCode::from(2);
+        Err(error) => {
+            eprintln!("snowshelf: {}", error.to_string().replace('\n', " "));
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     if cli.command.is_some() {
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => tracing::Level::DEBUG,
-        Ok("info") => tracing::Level::INFO,
-        _ => tracing::Level::ERROR,
-    };
-    tracing_subscriber::fmt()
-        .with_max_level(level)
-        .with_writer(std::io::stderr)
-        .with_ansi(false)
-        .with_target(false)
-        .init();
-    match snowshelf::transport::net::run(settings, ops) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            tracing::error!(%error, "cannot run");
-            ExitCode::FAILURE
-        }
-    }
+    run_controller(loaded)
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' own settings: JSON, described by a schema, every field optional. They may stand in
-//! several files, one for each feature, which are merged.
+//! The operators' own settings: JSON, described by a schema, every field optional. They may be spread over several
+//! files, one for each feature, which are merged.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,6 +9,58 @@
 use snowshelf_model::records::Capability;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Why operators' settings were not accepted.
+#[derive(Debug, thiserror::Error)]
+pub enum OperatorSettingsError {
+    /// The text is not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// The schema itself cannot be used.
+    #[error("schema: {0}")]
+    Schema(#[source] Box<jsonschema::ValidationError<'static>>),
+    /// A value does not meet the schema.
+    #[error("{instance_path}: {reason} (schema {schema_path})")]
+    Invalid {
+        /// The place of the value, as a JSON pointer.
+        instance_path: String,
+        /// What is wrong with it.
+        reason: String,
+        /// The place in the schema that it does not meet.
+        schema_path: String,
+    },
+    /// The settings meet the schema but cannot be read.
+    #[error(transparent)]
+    Unreadable(#[from] serde_json::Error),
+    /// One of several files was not accepted.
+    #[error("{file}: {error}")]
+    InFile {
+        /// The name of the file.
+        file: String,
+        /// Why it was not accepted.
+        #[source]
+        error: Box<OperatorSettingsError>,
+    },
+    /// Two files give a field different values.
+    #[error("{field}: {first} and {second} differ")]
+    Conflict {
+        /// The field, as a JSON pointer.
+        field: String,
+        /// The name of the earlier file.
+        first: String,
+        /// The name of the later file.
+        second: String,
+    },
+}
+
+/// A file of operators' settings.
+#[derive(Clone, Debug)]
+pub struct OperatorFile {
+    /// Its name, for error messages.
+    pub name: String,
+    /// Its content.
+    pub text: String,
+}
+
 /// What an operator may tune; the defaults serve without the file.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
@@ -16,58 +68,59 @@
     /// Run time counted for a job whose owner gave no estimate, in seconds.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub default_run_s: f64,
-    /// How long a machine may stand idle before it is returned, in seconds.
+    /// How long a machine may be idle before it is scaled in, in seconds.
     #[schemars(range(min = 1.0, max = 86400.0))]
     pub idle_release_s: f64,
-    /// How long an answer to a worker may wait for a commit, in milliseconds.
+    /// How long the response to a heartbeat may wait for a commit, in milliseconds.
     #[schemars(range(min = 0.0, max = 2000.0))]
     pub hold_ms: u64,
-    /// Share of the demand (running and waiting) that rented capacity is fitted to.
+    /// Share of the demand (running and waiting) to which the rented capacity is scaled.
     #[schemars(range(min = 0.1, max = 4.0))]
     pub capacity_factor: f64,
-    /// Share of the time that a job's tasks may wait by the aims for which they wait for cheap
-    /// machines before dear ones are rented.
+    /// Share of the waiting time that the objectives allow a job's tasks, for which they wait for spot instances
+    /// before on-demand ones are rented.
     #[schemars(range(min = 0.0, max = 10.0))]
     pub dear_patience: f64,
-    /// Share of the time that a job's tasks may wait by the aims for which they leave machines
-    /// without their image to jobs that need no fetch there.
+    /// Share of the waiting time that the objectives allow a job's tasks, for which they leave machines without their
+    /// image to jobs that need no fetch there.
     #[schemars(range(min = 0.0, max = 10.0))]
     pub image_patience: f64,
-    /// Keeps this controller from saying that it reads the wide format of records, so that the step
-    /// to it, which cannot be taken back, is not made yet.
+    /// Keeps this controller from declaring that it reads the wide format of records, so that the migration to it,
+    /// which cannot be undone, is not made yet.
     pub hold_format: bool,
     /// Reservations and maintenance windows.
     pub calendar: CalendarSettings,
-    /// Runs of graphs.
+    /// Runs of DAGs.
     pub graphs: GraphSettings,
-    /// Drains of machines, and what they may disturb.
+    /// Drains of machines, and the disruption that they may cause.
     pub drains: DrainSettings,
 }
 
-/// Drains of machines in steps, within the teams' budgets of disruption. See docs/drains.md.
+/// Drains of machines in steps, within the teams' disruption budgets. See docs/drains.md.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSettings {
-    /// Whether this controller takes drains. They are taken once every controller has this on; what has
-    /// been taken goes on even where it is off.
+    /// Whether this controller accepts drains. They are accepted once every controller has this on; accepted drains
+    /// go on even where it is off.
     pub enabled: bool,
-    /// Drains at once that have not ended.
+    /// Most drains at a time that have not ended.
     #[schemars(range(min = 1, max = 1000))]
     pub most: usize,
-    /// The budget of each team for which operators have set none.
+    /// The disruption budget of each team for which operators have set none.
     pub budget: Budget,
-    /// Drains that are asked for by the settings: each once, by its name.
+    /// Drains that the settings request: each once, by its name.
     pub planned: Vec<PlannedDrain>,
 }
 
-/// A drain that the leader asks for by itself.
+/// A drain that the cluster leader requests by itself.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedDrain {
-    /// So many seconds after it has begun to lead, at the earliest.
+    /// The earliest time, in seconds after the cluster leader was elected.
     #[serde(default)]
     #[schemars(range(min = 0.0, max = 1e9))]
     pub after_s: f64,
+    /// The drain.
     pub drain: DrainRequest,
 }
 
@@ -82,17 +135,17 @@
     }
 }
 
-/// Runs of graphs. See docs/graphs.md.
+/// Runs of DAGs. See docs/graphs.md.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct GraphSettings {
-    /// Whether this controller takes runs. They are taken once every controller has this on; what has
-    /// been taken goes on even where it is off.
+    /// Whether this controller accepts runs. They are accepted once every controller has this on; accepted runs go on
+    /// even where it is off.
     pub enabled: bool,
-    /// Jobs of one run at the most.
+    /// Most jobs of one run.
     #[schemars(range(min = 1, max = 100000))]
     pub most_jobs: usize,
-    /// Runs open at once, of all graphs.
+    /// Most runs open at a time, of all graphs.
     #[schemars(range(min = 1, max = 10000))]
     pub most_runs: usize,
 }
@@ -107,34 +160,38 @@
     }
 }
 
-/// Reservations of capacity ahead, and maintenance windows. See docs/reservations.md.
+/// Reservations of capacity, and maintenance windows. See docs/reservations.md.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct CalendarSettings {
-    /// Whether this controller takes reservations and windows. They are taken once every controller
-    /// has this on; what has been taken is honoured even where it is off.
+    /// Whether this controller accepts reservations and windows. They are accepted once every controller has this on;
+    /// accepted ones are honoured even where it is off.
     pub enabled: bool,
-    /// How many times its estimate a task is taken to run when it is asked whether it would run into
+    /// The factor by which a task's estimated run time is multiplied when it is checked whether the task would overlap
     /// a window or a reservation.
     #[schemars(range(min = 1.0, max = 10.0))]
     pub margin: f64,
     /// How far ahead reservations and one-time windows may lie, in days.
     #[schemars(range(min = 1, max = 1000))]
     pub horizon_days: u32,
-    /// Most reservations and windows together.
+    /// Most reservations and windows, counted together.
     #[schemars(range(min = 1, max = 100000))]
     pub most_entries: usize,
-    /// The most machines of a type that the cloud gives in a zone, as far as the operators know.
-    /// Where nothing is said, only the teams' limits bound what may be reserved.
+    /// The most machines of a type that the cloud offers in a zone, as far as the operators know. Without an entry only
+    /// the teams' limits bound what may be reserved.
     pub capacity: Vec<KnownCapacity>,
 }
 
+/// The most machines of a type that the cloud offers in a zone.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KnownCapacity {
+    /// The zone.
     pub zone: String,
+    /// The machine type.
     #[serde(rename = "type")]
     pub model: String,
+    /// The number of machines.
     pub machines: u32,
 }
 
@@ -168,66 +225,79 @@
 }
 
 impl OperatorSettings {
+    /// The JSON Schema of the operators' files.
+    #[must_use]
     pub fn schema() -> serde_json::Value {
         serde_json::to_value(schemars::schema_for!(OperatorSettings)).unwrap_or_default()
     }
 
-    /// The features that are switched on here and that all controllers must know.
-    pub fn can(&self) -> BTreeSet<Capability> {
+    /// The features that are switched on here and that every controller must support.
+    #[must_use]
+    pub fn capabilities(&self) -> BTreeSet<Capability> {
         let calendar = self.calendar.enabled.then(Capability::calendar);
         let graphs = self.graphs.enabled.then(Capability::graphs);
         let drains = self.drains.enabled.then(Capability::drains);
         calendar.into_iter().chain(graphs).chain(drains).collect()
     }
 
-    /// Reads the settings; the error names the place in the schema that was not met.
-    pub fn parse(text: &str) -> Result<OperatorSettings, String> {
-        let value = Self::checked(text)?;
-        serde_json::from_value(value).map_err(|e| e.to_string())
+    /// Reads one file of settings.
+    ///
+    /// # Errors
+    /// Names the value and the place in the schema that it does not meet.
+    pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
+        let value = Self::validated(text)?;
+        Ok(serde_json::from_value(value)?)
     }
 
-    /// Reads settings that stand in several files, each named; where two of them say different things
-    /// of the same field, the error names both and the field.
-    pub fn merge(files: &[(String, String)]) -> Result<OperatorSettings, String> {
-        let mut said: BTreeMap<String, (usize, Value)> = BTreeMap::new();
-        let mut whole = Value::Object(Default::default());
-        for (at, (name, text)) in files.iter().enumerate() {
-            let value = Self::checked(text).map_err(|why| format!("{name}: {why}"))?;
+    /// Reads several files and merges them.
+    ///
+    /// # Errors
+    /// Names the file that is not accepted, or the field that two files give different values, and both files.
+    pub fn merge(files: &[OperatorFile]) -> Result<OperatorSettings, OperatorSettingsError> {
+        let mut merged = Value::Object(serde_json::Map::default());
+        let mut given: BTreeMap<String, (&OperatorFile, Value)> = BTreeMap::new();
+        for file in files {
+            let value =
+                Self::validated(&file.text).map_err(|error| OperatorSettingsError::InFile {
+                    file: file.name.clone(),
+                    error: Box::new(error),
+                })?;
             let mut fields = Vec::new();
             flatten("", &value, &mut fields);
-            for (field, value) in fields {
-                match said.get(&field) {
-                    Some((by, other)) if *other != value => {
-                        let other = &files[*by].0;
-                        return Err(format!("{field}: {other} and {name} differ"));
-                    }
-                    _ => {
-                        put(&mut whole, &field, &value);
-                        said.insert(field, (at, value));
-                    }
+            for (path, value) in fields {
+                if let Some((earlier, other)) = given.get(&path)
+                    && *other != value
+                {
+                    return Err(OperatorSettingsError::Conflict {
+                        first: earlier.name.clone(),
+                        second: file.name.clone(),
+                        field: path,
+                    });
                 }
+                set_at(&mut merged, &path, &value);
+                given.insert(path, (file, value));
             }
         }
-        serde_json::from_value(whole).map_err(|e| e.to_string())
+        Ok(serde_json::from_value(merged)?)
     }
 
-    fn checked(text: &str) -> Result<Value, String> {
-        let value: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
-        let validator =
-            jsonschema::validator_for(&Self::schema()).map_err(|e| format!("schema: {e}"))?;
+    /// The JSON value of a file that meets the schema.
+    fn validated(text: &str) -> Result<Value, OperatorSettingsError> {
+        let value: Value = serde_json::from_str(text).map_err(OperatorSettingsError::NotJson)?;
+        let validator = jsonschema::validator_for(&Self::schema())
+            .map_err(|error| OperatorSettingsError::Schema(Box::new(error)))?;
         if let Err(error) = validator.validate(&value) {
-            return Err(format!(
-                "{}: {} (schema {})",
-                error.instance_path(),
-                error,
-                error.schema_path()
-            ));
+            return Err(OperatorSettingsError::Invalid {
+                instance_path: error.instance_path().to_string(),
+                reason: error.to_string(),
+                schema_path: error.schema_path().to_string(),
+            });
         }
         Ok(value)
     }
 }
 
-/// Every field that is not an object, with its path: a list counts as one value.
+/// Collects every field that is not an object, with its path as a JSON pointer; a list counts as one value.
 fn flatten(path: &str, value: &Value, fields: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(map) => {
@@ -239,14 +309,14 @@
     }
 }
 
-/// Sets the field at a path, making the objects above it.
-fn put(whole: &mut Value, path: &str, value: &Value) {
-    let mut at = whole;
+/// Sets the field at a path, creating the objects above it.
+fn set_at(root: &mut Value, path: &str, value: &Value) {
+    let mut target = root;
     for key in path.split('/').skip(1) {
-        if !at.is_object() {
-            *at = Value::Object(Default::default());
+        if !target.is_object() {
+            *target = Value::Object(serde_json::Map::default());
         }
-        at = &mut at[key];
+        target = &mut target[key];
     }
-    *at = value.clone();
+    *target = value.clone();
 }
--- /dev/null
+++ b/src/transport/event_loop/outgoing.rs
@@ -0,0 +1,253 @@
+//! Calls to the key-value store, the cloud and single workers, and the connections that they use.
+
+use super::{SocketId, Transport};
+use crate::effects::{CallOutcome, ControllerEvent, Target};
+use crate::transport::http::{self, Parsed};
+use crate::transport::socket::{ReadEnd, Socket};
+use calloop::RegistrationToken;
+use snowshelf_model::ids::{CallId, MonotonicMillis};
+use std::net::SocketAddrV4;
+
+/// Outgoing connections that are unused for longer are closed, in milliseconds.
+const IDLE_TIMEOUT_MS: u64 = 30_000;
+/// Connections to the key-value store at a time: watches, a write for each shard, reads and polls.
+const MAX_KV_CONNECTIONS: usize = 16;
+/// Connections to the cloud, and to any one worker, at a time.
+const MAX_OTHER_CONNECTIONS: usize = 4;
+/// Workers that are called at a time: one, and earlier ones that did not answer.
+const MAX_CALLED_WORKERS: usize = 4;
+/// All connections that this process opens itself, except those to other controllers.
+pub(super) const MAX_OUTGOING_CONNECTIONS: usize =
+    MAX_KV_CONNECTIONS + MAX_OTHER_CONNECTIONS + MAX_CALLED_WORKERS;
+/// Receive buffers of more bytes are freed after a response.
+const RETAINED_INPUT_BYTES: usize = 64 * 1024;
+
+/// A connection to an outside service; one call at a time uses it.
+pub(super) struct OutgoingConnection {
+    socket: Socket,
+    registration: RegistrationToken,
+    target: Target,
+    /// The call whose response is awaited on it.
+    call: Option<CallId>,
+    idle_since: MonotonicMillis,
+}
+
+/// A call that has not ended.
+pub(super) struct PendingCall {
+    /// The request, until a connection takes it over.
+    request: Vec<u8>,
+    deadline: MonotonicMillis,
+    /// The connection that it uses, once it has one.
+    socket: Option<SocketId>,
+}
+
+impl PendingCall {
+    pub(super) fn new(request: Vec<u8>, deadline: MonotonicMillis) -> PendingCall {
+        PendingCall {
+            request,
+            deadline,
+            socket: None,
+        }
+    }
+}
+
+impl Transport {
+    pub(super) fn address(&self, target: Target) -> SocketAddrV4 {
+        match target {
+            Target::State => self.kv_address,
+            Target::Cloud => self.cloud_address,
+            Target::Worker(address) => address,
+        }
+    }
+
+    /// Starts the queued calls of a target, as far as it has connections for them.
+    pub(super) fn start_calls(&mut self, target: Target) {
+        loop {
+            let queue = self.queued_calls.get_mut(&target);
+            let Some(id) = queue.and_then(|queue| queue.pop_front()) else {
+                return;
+            };
+            if !self.calls.contains_key(&id) {
+                continue;
+            }
+            if let Some(socket) = self.idle_connection(target) {
+                self.send_call(id, socket);
+            } else if !self.may_connect(target) {
+                self.queued_calls.entry(target).or_default().push_front(id);
+                return;
+            } else if let Some(socket) = self.connect(target) {
+                self.send_call(id, socket);
+            } else {
+                self.finish_call(id, CallOutcome::NotSent);
+            }
+        }
+    }
+
+    fn idle_connection(&self, target: Target) -> Option<SocketId> {
+        self.outgoing
+            .iter()
+            .find(|(_, connection)| connection.target == target && connection.call.is_none())
+            .map(|(socket, _)| *socket)
+    }
+
+    fn may_connect(&self, target: Target) -> bool {
+        let max = match target {
+            Target::State => MAX_KV_CONNECTIONS,
+            Target::Cloud | Target::Worker(_) => MAX_OTHER_CONNECTIONS,
+        };
+        let connections = self.outgoing.values();
+        connections.filter(|c| c.target == target).count() < max
+    }
+
+    fn send_call(&mut self, id: CallId, socket: SocketId) {
+        let call = self.calls.get_mut(&id);
+        let connection = self.outgoing.get_mut(&socket);
+        if let (Some(call), Some(connection)) = (call, connection) {
+            call.socket = Some(socket);
+            connection.call = Some(id);
+            connection.socket.output = std::mem::take(&mut call.request);
+            if !connection.socket.send() {
+                self.drop_outgoing(socket);
+            }
+        }
+    }
+
+    fn connect(&mut self, target: Target) -> Option<SocketId> {
+        let socket = Socket::connect(self.address(target)).ok()?;
+        let id = self.next_socket_id();
+        let registration = self.register(&socket, id, Transport::outgoing_ready)?;
+        let connection = OutgoingConnection {
+            socket,
+            registration,
+            target,
+            call: None,
+            idle_since: self.now(),
+        };
+        self.outgoing.insert(id, connection);
+        Some(id)
+    }
+
+    fn outgoing_ready(&mut self, id: SocketId) {
+        let Some(connection) = self.outgoing.get_mut(&id) else {
+            return;
+        };
+        match connection.socket.finish_connect() {
+            Ok(true) => {}
+            Ok(false) => return,
+            Err(_) => {
+                self.drop_outgoing(id);
+                return;
+            }
+        }
+        if !connection.socket.send() {
+            self.drop_outgoing(id);
+            return;
+        }
+        let end = connection
+            .socket
+            .receive(http::MAX_RESPONSE_BODY_BYTES + http::MAX_HEAD_BYTES);
+        match connection.call {
+            Some(call) => self.receive_response(id, call, end),
+            // Nothing is expected on an idle connection.
+            None if end != ReadEnd::Open || !connection.socket.input.is_empty() => {
+                self.drop_outgoing(id);
+            }
+            None => {}
+        }
+    }
+
+    /// Ends a call if its response is complete, or cannot be completed any more.
+    fn receive_response(&mut self, id: SocketId, call: CallId, end: ReadEnd) {
+        let now = self.now();
+        let Some(connection) = self.outgoing.get_mut(&id) else {
+            return;
+        };
+        let socket = &mut connection.socket;
+        match http::parse_response(&socket.input, end == ReadEnd::Closed) {
+            Parsed::Complete {
+                message: response,
+                consumed,
+                close,
+            } => {
+                socket.input.drain(..consumed);
+                connection.call = None;
+                connection.idle_since = now;
+                let target = connection.target;
+                let unusable = close || end != ReadEnd::Open || !socket.input.is_empty();
+                if socket.input.capacity() > RETAINED_INPUT_BYTES {
+                    socket.input = Vec::new();
+                }
+                if unusable {
+                    self.drop_outgoing(id);
+                }
+                let outcome = CallOutcome::Response {
+                    status: response.status,
+                    body: response.body,
+                };
+                self.finish_call(call, outcome);
+                self.start_calls(target);
+            }
+            Parsed::Partial if end == ReadEnd::Open => {}
+            Parsed::Partial | Parsed::Invalid(_) => self.drop_outgoing(id),
+        }
+    }
+
+    /// Closes an outgoing connection; the call on it, if any, ends without a response.
+    fn drop_outgoing(&mut self, id: SocketId) {
+        let Some(connection) = self.outgoing.remove(&id) else {
+            return;
+        };
+        self.handle.remove(connection.registration);
+        if let Some(call) = connection.call {
+            let outcome = if connection.socket.connecting {
+                CallOutcome::NotSent
+            } else {
+                CallOutcome::Unanswered
+            };
+            self.finish_call(call, outcome);
+        }
+        self.start_calls(connection.target);
+    }
+
+    fn finish_call(&mut self, id: CallId, outcome: CallOutcome) {
+        if self.calls.remove(&id).is_some() {
+            // Queued, since this may run while the controller's effects are being executed.
+            self.events
+                .push_back(ControllerEvent::CallDone(id, outcome));
+        }
+    }
+
+    /// Ends the calls whose deadline has passed.
+    pub(super) fn time_out_calls(&mut self, now: MonotonicMillis) {
+        let late: Vec<CallId> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.deadline <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in late {
+            match self.calls.get(&id).and_then(|call| call.socket) {
+                Some(socket) => self.drop_outgoing(socket),
+                None => self.finish_call(id, CallOutcome::NotSent),
+            }
+        }
+    }
+
+    /// Closes outgoing connections that are unused, and starts queued calls.
+    pub(super) fn close_idle_outgoing(&mut self, now: MonotonicMillis) {
+        let idle: Vec<SocketId> = self
+            .outgoing
+            .iter()
+            .filter(|(_, c)| c.call.is_none() && now.since(c.idle_since) > IDLE_TIMEOUT_MS)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in idle {
+            self.drop_outgoing(id);
+        }
+        let targets: Vec<Target> = self.queued_calls.keys().copied().collect();
+        for target in targets {
+            self.start_calls(target);
+        }
+        self.queued_calls.retain(|_, queue| !queue.is_empty());
+    }
+}
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,25 +1,54 @@
-//! HTTP/1.1 messages over httparse: what is read and written on a connection.
+//! Parsing and writing of HTTP/1.1 messages, over `httparse`.
 
 use crate::effects::{Method, Request, Response};
 use std::net::SocketAddrV4;
 
-/// Most bytes of a message's head.
-pub const MAX_HEAD: usize = 8 * 1024;
-/// Most bytes of a request's body.
-pub const MAX_BODY: usize = 64 * 1024;
-/// Most bytes of an answer that an outside service may send.
-pub const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// Most bytes of the head of a message.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Most bytes of the body of a request.
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
+/// Most bytes of the body of a response that an outside service may send.
+pub const MAX_RESPONSE_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Most header fields of a message.
 const MAX_HEADERS: usize = 48;
+/// The end of a line and of a chunk.
+const CRLF: &[u8] = b"\r\n";
 
+/// The result of parsing the bytes received on a connection.
+#[must_use]
 #[derive(Debug)]
 pub enum Parsed<T> {
+    /// The message is not complete yet.
     Partial,
-    /// The message, how many bytes it took, and whether the connection ends after it.
-    Whole(T, usize, bool),
-    /// Cannot be read: the status to answer with; the connection ends.
-    Bad(u16),
+    /// A complete message.
+    Complete {
+        /// The message.
+        message: T,
+        /// The bytes that it took.
+        consumed: usize,
+        /// Whether the connection is to be closed after it.
+        close: bool,
+    },
+    /// The message is malformed or too large: the status to respond with. The connection is to be closed.
+    Invalid(u16),
 }
 
+/// A response of an outside service.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct ReceivedResponse {
+    /// The status code.
+    pub status: u16,
+    /// The body, without its transfer coding.
+    pub body: Vec<u8>,
+}
+
+/// A message that breaks the syntax of HTTP, or is larger than allowed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("malformed HTTP message")]
+struct MalformedMessage;
+
+/// How the end of a response's body is found.
+
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Framing {
     Length(usize),
@@ -27,142 +56,171 @@
     UntilClose,
 }
 
-fn value_of<'a>(headers: &'a [httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
+fn header_value<'a>(headers: &'a [httparse::Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers
         .iter()
-        .find(|h| h.name.eq_ignore_ascii_case(name))
-        .map(|h| h.value)
+        .find(|header| header.name.eq_ignore_ascii_case(name))
+        .map(|header| header.value)
 }
 
-fn says(headers: &[httparse::Header], name: &str, word: &str) -> bool {
-    value_of(headers, name)
-        .and_then(|v| std::str::from_utf8(v).ok())
-        .is_some_and(|v| {
-            v.split(',')
-                .any(|part| part.trim().eq_ignore_ascii_case(word))
+/// Whether a header with a comma-separated list has this item.
+fn header_lists(headers: &[httparse::Header<'_>], name: &str, item: &str) -> bool {
+    header_value(headers, name)
+        .and_then(|value| std::str::from_utf8(value).ok())
+        .is_some_and(|value| {
+            value
+                .split(',')
+                .any(|listed| listed.trim().eq_ignore_ascii_case(item))
         })
 }
 
-/// The body's length; `Err` for a length that is no number or that is said twice differently.
-fn length(headers: &[httparse::Header]) -> Result<Option<usize>, ()> {
+/// The `Content-Length`, if any; an error if it is no number, or given twice with different values.
+fn content_length(headers: &[httparse::Header<'_>]) -> Result<Option<usize>, MalformedMessage> {
     let mut found = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(header.value).map_err(|_| ())?.trim();
-            if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(());
+            let text = std::str::from_utf8(header.value)
+                .map_err(|_| MalformedMessage)?
+                .trim();
+            if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
+                return Err(MalformedMessage);
             }
-            let n: usize = text.parse().map_err(|_| ())?;
-            if found.is_some_and(|f| f != n) {
-                return Err(());
+            let length: usize = text.parse().map_err(|_| MalformedMessage)?;
+            if found.is_some_and(|earlier| earlier != length) {
+                return Err(MalformedMessage);
             }
-            found = Some(n);
+            found = Some(length);
         }
     }
     Ok(found)
 }
 
-pub fn parse_request(buf: &[u8]) -> Parsed<Request> {
+/// Parses a request from the start of the bytes received.
+pub fn parse_request(received: &[u8]) -> Parsed<Request> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let size = match head.parse(buf) {
-        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD => size,
-        Ok(httparse::Status::Complete(_)) => return Parsed::Bad(431),
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => return Parsed::Bad(431),
+    let head_size = match head.parse(received) {
+        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
+        Ok(httparse::Status::Complete(_)) => return Parsed::Invalid(431),
+        Ok(httparse::Status::Partial) if received.len() > MAX_HEAD_BYTES => {
+            return Parsed::Invalid(431);
+        }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Bad(431),
-        Err(_) => return Parsed::Bad(400),
+        Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
+        Err(_) => return Parsed::Invalid(400),
     };
-    if value_of(head.headers, "transfer-encoding").is_some() {
-        return Parsed::Bad(411);
+    if header_value(head.headers, "transfer-encoding").is_some() {
+        return Parsed::Invalid(411);
     }
-    let Ok(body) = length(head.headers) else {
-        return Parsed::Bad(400);
+    let Ok(body_size) = content_length(head.headers) else {
+        return Parsed::Invalid(400);
     };
-    let body = body.unwrap_or(0);
-    if body > MAX_BODY {
-        return Parsed::Bad(413);
+    let body_size = body_size.unwrap_or(0);
+    if body_size > MAX_REQUEST_BODY_BYTES {
+        return Parsed::Invalid(413);
     }
-    if buf.len() < size + body {
+    let consumed = head_size + body_size;
+    if received.len() < consumed {
         return Parsed::Partial;
     }
-    let close = says(head.headers, "connection", "close")
-        || (head.version == Some(0) && !says(head.headers, "connection", "keep-alive"));
-    let request = Request {
+    let close = header_lists(head.headers, "connection", "close")
+        || (head.version == Some(0) && !header_lists(head.headers, "connection", "keep-alive"));
+    let message = Request {
         method: head.method.unwrap_or("").to_string(),
         path: head.path.unwrap_or("").to_string(),
-        body: buf[size..size + body].to_vec(),
+        body: received[head_size..consumed].to_vec(),
     };
-    Parsed::Whole(request, size + body, close)
+    Parsed::Complete {
+        message,
+        consumed,
+        close,
+    }
 }
 
-/// Reads an answer; `ended` says that the other side has closed.
-pub fn parse_answer(buf: &[u8], ended: bool) -> Parsed<(u16, Vec<u8>)> {
+/// Parses a response from the start of the bytes received; `ended`: the other side has closed the connection.
+pub fn parse_response(received: &[u8], ended: bool) -> Parsed<ReceivedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let size = match head.parse(buf) {
+    let head_size = match head.parse(received) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => return Parsed::Bad(502),
+        Ok(httparse::Status::Partial) if received.len() > MAX_HEAD_BYTES => {
+            return Parsed::Invalid(502);
+        }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Bad(502),
+        Err(_) => return Parsed::Invalid(502),
     };
     let status = head.code.unwrap_or(0);
-    let framing = if says(head.headers, "transfer-encoding", "chunked") {
+    let framing = if header_lists(head.headers, "transfer-encoding", "chunked") {
         Framing::Chunked
     } else {
-        match length(head.headers) {
-            Ok(Some(n)) => Framing::Length(n),
+        match content_length(head.headers) {
+            Ok(Some(length)) => Framing::Length(length),
             Ok(None) if status == 204 || status == 304 => Framing::Length(0),
             Ok(None) => Framing::UntilClose,
-            Err(()) => return Parsed::Bad(502),
+            Err(MalformedMessage) => return Parsed::Invalid(502),
         }
     };
-    let close = says(head.headers, "connection", "close");
-    let rest = &buf[size..];
+    let close = header_lists(head.headers, "connection", "close");
+    let rest = &received[head_size..];
+    let complete = |body: Vec<u8>, body_size: usize, close: bool| Parsed::Complete {
+        message: ReceivedResponse { status, body },
+        consumed: head_size + body_size,
+        close,
+    };
     match framing {
-        Framing::Length(n) if n > MAX_ANSWER => Parsed::Bad(502),
-        Framing::Length(n) if rest.len() < n => Parsed::Partial,
-        Framing::Length(n) => Parsed::Whole((status, rest[..n].to_vec()), size + n, close),
-        Framing::UntilClose if ended => Parsed::Whole((status, rest.to_vec()), buf.len(), true),
+        Framing::Length(length) if length > MAX_RESPONSE_BODY_BYTES => Parsed::Invalid(502),
+        Framing::Length(length) if rest.len() < length => Parsed::Partial,
+        Framing::Length(length) => complete(rest[..length].to_vec(), length, close),
+        Framing::UntilClose if ended => complete(rest.to_vec(), rest.len(), true),
         Framing::UntilClose => Parsed::Partial,
-        Framing::Chunked => match chunks(rest) {
-            Ok(Some((body, used))) => Parsed::Whole((status, body), size + used, close),
+        Framing::Chunked => match decode_chunks(rest) {
+            Ok(Some(chunked)) => complete(chunked.body, chunked.consumed, close),
             Ok(None) => Parsed::Partial,
-            Err(()) => Parsed::Bad(502),
+            Err(MalformedMessage) => Parsed::Invalid(502),
         },
     }
 }
 
-fn chunks(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ()> {
-    let whole = rest.len();
+/// A body in the chunked transfer coding, decoded.
+struct ChunkedBody {
+    body: Vec<u8>,
+    /// The bytes that its encoded form took.
+    consumed: usize,
+}
+
+/// Decodes a chunked body; `None` if it is not complete yet.
+fn decode_chunks(mut rest: &[u8]) -> Result<Option<ChunkedBody>, MalformedMessage> {
+    let received = rest.len();
     let mut body = Vec::new();
     loop {
         match httparse::parse_chunk_size(rest) {
-            Ok(httparse::Status::Complete((at, size))) => {
-                let size = usize::try_from(size).map_err(|_| ())?;
-                if size > MAX_ANSWER {
-                    return Err(());
+            Ok(httparse::Status::Complete((start, size))) => {
+                let size = usize::try_from(size).map_err(|_| MalformedMessage)?;
+                if size > MAX_RESPONSE_BODY_BYTES {
+                    return Err(MalformedMessage);
                 }
-                let end = at + size + 2;
+                let end = start + size + CRLF.len();
                 if rest.len() < end {
                     return Ok(None);
                 }
-                if &rest[at + size..end] != b"\r\n" {
-                    return Err(());
+                if &rest[start + size..end] != CRLF {
+                    return Err(MalformedMessage);
                 }
-                body.extend_from_slice(&rest[at..at + size]);
+                body.extend_from_slice(&rest[start..start + size]);
                 rest = &rest[end..];
                 if size == 0 {
-                    return Ok(Some((body, whole - rest.len())));
+                    let consumed = received - rest.len();
+                    return Ok(Some(ChunkedBody { body, consumed }));
                 }
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(()),
+            Err(_) => return Err(MalformedMessage),
         }
     }
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status that this program responds with.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -180,24 +238,27 @@
     }
 }
 
-pub fn write_response(out: &mut Vec<u8>, response: &Response, close: bool) {
+/// Appends a response to `output`; `close` says in its head that the connection ends with it.
+pub fn write_response(output: &mut Vec<u8>, response: &Response, close: bool) {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
-    if let Some(after) = response.retry_after_s {
-        head.push_str(&format!("Retry-After: {after}\r\n"));
+    if let Some(seconds) = response.retry_after_s {
+        head.push_str(&format!("Retry-After: {seconds}\r\n"));
     }
     if close {
         head.push_str("Connection: close\r\n");
     }
     head.push_str("\r\n");
-    out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(&response.body);
+    output.extend_from_slice(head.as_bytes());
+    output.extend_from_slice(&response.body);
 }
 
+/// The bytes of a request.
+#[must_use]
 pub fn write_request(method: Method, path: &str, host: SocketAddrV4, body: &[u8]) -> Vec<u8> {
     let head = match method {
         Method::Get => format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n"),
@@ -206,9 +267,9 @@
             body.len()
         ),
     };
-    let mut out = head.into_bytes();
+    let mut output = head.into_bytes();
     if method == Method::Post {
-        out.extend_from_slice(body);
+        output.extend_from_slice(body);
     }
-    out
+    output
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets and the event loop. Nothing here decides anything.
+//! Sockets, HTTP and the event loop around one controller. Nothing here decides anything about jobs or machines.
 
+pub mod event_loop;
 pub mod http;
-pub mod net;
 pub mod socket;
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,25 +1,39 @@
-//! A connection with its buffers, registered once with the loop for edge-triggered readiness.
+//! A non-blocking TCP connection with its buffers, made for edge-triggered readiness.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use std::rc::Rc;
 
+/// Bytes received by one system call at the most.
+pub const READ_CHUNK_BYTES: usize = 16 * 1024;
+
+/// A non-blocking connection and what is buffered on it.
 pub struct Socket {
+    /// The stream, shared with the event loop that watches it.
     pub stream: Rc<TcpStream>,
+    /// Bytes received and not consumed yet.
     pub input: Vec<u8>,
+    /// Bytes to send; the first `sent` of them have been sent.
     pub output: Vec<u8>,
     sent: usize,
+    /// Whether the connection is not established yet.
     pub connecting: bool,
 }
 
+/// The state of a connection after all available bytes were received.
+#[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadEnd {
+    /// More may follow.
     Open,
+    /// The other side has closed it.
     Closed,
+    /// It failed, or more was received than allowed.
     Failed,
 }
 
 impl Socket {
+    /// Makes an accepted or connected stream non-blocking.
     pub fn new(stream: TcpStream, connecting: bool) -> std::io::Result<Socket> {
         stream.set_nonblocking(true)?;
         let _ = stream.set_nodelay(true);
@@ -32,23 +46,24 @@
         })
     }
 
-    /// Begins a connection without waiting for it.
+    /// Starts to connect, without waiting for the connection to be established.
     pub fn connect(address: SocketAddrV4) -> std::io::Result<Socket> {
         use socket2::{Domain, Protocol, Type};
         let socket = socket2::Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&address.into()) {
             Ok(()) => Socket::new(socket.into(), false),
-            Err(e)
-                if e.kind() == ErrorKind::WouldBlock || e.raw_os_error() == Some(EINPROGRESS) =>
+            Err(error)
+                if error.kind() == ErrorKind::WouldBlock
+                    || error.raw_os_error() == Some(EINPROGRESS) =>
             {
                 Socket::new(socket.into(), true)
             }
-            Err(e) => Err(e),
+            Err(error) => Err(error),
         }
     }
 
-    /// Whether a connection that was begun has come about; `Err` if it failed.
+    /// Whether a connection that was started is established now; an error if it failed.
     pub fn finish_connect(&mut self) -> std::io::Result<bool> {
         if !self.connecting {
             return Ok(true);
@@ -61,39 +76,40 @@
                 self.connecting = false;
                 Ok(true)
             }
-            Err(e) if e.kind() == ErrorKind::NotConnected => Ok(false),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == ErrorKind::NotConnected => Ok(false),
+            Err(error) => Err(error),
         }
     }
 
-    /// Reads all there is, up to `most` bytes held.
-    pub fn fill(&mut self, most: usize) -> ReadEnd {
-        let mut chunk = [0u8; 16 * 1024];
+    /// Receives all available bytes, until more than `max_bytes` are buffered.
+    pub fn receive(&mut self, max_bytes: usize) -> ReadEnd {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
-            if self.input.len() > most {
+            if self.input.len() > max_bytes {
                 return ReadEnd::Failed;
             }
             match (&*self.stream).read(&mut chunk) {
                 Ok(0) => return ReadEnd::Closed,
-                Ok(n) => self.input.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadEnd::Open,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Ok(size) => self.input.extend_from_slice(&chunk[..size]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadEnd::Open,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return ReadEnd::Failed,
             }
         }
     }
 
-    /// Writes what can be written; false if the connection failed.
-    pub fn drain(&mut self) -> bool {
+    /// Sends what the kernel takes of the output; false if the connection failed.
+    #[must_use]
+    pub fn send(&mut self) -> bool {
         if self.connecting {
             return true;
         }
         while self.sent < self.output.len() {
             match (&*self.stream).write(&self.output[self.sent..]) {
                 Ok(0) => return false,
-                Ok(n) => self.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Ok(size) => self.sent += size,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
@@ -102,24 +118,27 @@
         true
     }
 
-    /// Gives back what empty buffers hold above `kept` bytes: most connections are idle most of the time.
-    pub fn give_back(&mut self, kept: usize) {
+    /// Frees empty buffers of more than `retained_bytes`: most connections are idle most of the time.
+    pub fn shrink_buffers(&mut self, retained_bytes: usize) {
         for buffer in [&mut self.input, &mut self.output] {
-            if buffer.is_empty() && buffer.capacity() > kept {
+            if buffer.is_empty() && buffer.capacity() > retained_bytes {
                 *buffer = Vec::new();
             }
         }
     }
 
+    /// Whether all of the output has been sent.
+    #[must_use]
     pub fn flushed(&self) -> bool {
         self.output.is_empty()
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes of the output that have not been sent.
+    #[must_use]
     pub fn backlog(&self) -> usize {
         self.output.len() - self.sent
     }
 }
 
-/// Linux's number for a connection that is on its way.
+/// Linux's error number for a connection that is being established.
 const EINPROGRESS: i32 = 115;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,7 +8,7 @@
 use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
 use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
 use snowshelf::storage::record_cache::{Final, RecordCache, Versioned};
-use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
+use snowshelf::transport::http::{Parsed, parse_request, parse_response};
 use snowshelf_model::ids::{
     Attempt, FencingToken, JobId, MachineId, ShardId, TaskIndex, Version, WallClockMillis,
 };
@@ -162,7 +162,7 @@
     #[test]
     fn parsers_survive_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&bytes);
-        let _ = parse_answer(&bytes, true);
+        let _ = parse_response(&bytes, true);
         let _ = parse_submission(&bytes);
         let _ = serde_json::from_slice::<Heartbeat>(&bytes);
     }
@@ -181,8 +181,12 @@
         }
         whole.extend(std::iter::repeat_n(b'G', extra));
         match parse_request(&whole) {
-            Parsed::Whole(request, used, close) => {
-                prop_assert_eq!(used, size);
+            Parsed::Complete {
+                message: request,
+                consumed,
+                close,
+            } => {
+                prop_assert_eq!(consumed, size);
                 prop_assert_eq!(request.body, body);
                 prop_assert_eq!(request.path, "/api/jobs");
                 prop_assert!(!close);
@@ -657,13 +661,16 @@
         "POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         64 * 1024 + 1
     );
-    assert!(matches!(parse_request(long.as_bytes()), Parsed::Bad(413)));
+    assert!(matches!(
+        parse_request(long.as_bytes()),
+        Parsed::Invalid(413)
+    ));
     assert!(matches!(
         parse_request(b"\0\0 rubbish\r\n\r\n"),
-        Parsed::Bad(400)
+        Parsed::Invalid(400)
     ));
     let twice = b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n";
-    assert!(matches!(parse_request(twice), Parsed::Bad(400)));
+    assert!(matches!(parse_request(twice), Parsed::Invalid(400)));
     let unknown = JobId::new("x");
     assert_eq!(unknown.as_str(), "x");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: what is sound is taken, what is not is named.
 
-use snowshelf::operator::OperatorSettings;
+use snowshelf::operator::{OperatorFile, OperatorSettings};
 use snowshelf::settings::Settings;
 
 const SOUND: &str = include_str!("sound.toml");
@@ -39,7 +39,7 @@
             "[deployment.cloud]",
             &format!("[deployment.state.next]\n{next}\n[deployment.cloud]"),
         );
-        Settings::parse(&text).map(|s| s.deployment.state.smaller())
+        Settings::parse(&text).map(|s| s.deployment.state.effective())
     };
     let least = with("value_kb = 2.0\ntxn_ops = 40").unwrap();
     assert_eq!((least.value_bytes(), least.txn_ops), (2048, 12));
@@ -69,7 +69,9 @@
     ] {
         assert!(OperatorSettings::parse(wrong).is_err(), "{wrong}");
     }
-    let error = OperatorSettings::parse(r#"{"idle_release_s": 0}"#).unwrap_err();
+    let error = OperatorSettings::parse(r#"{"idle_release_s": 0}"#)
+        .unwrap_err()
+        .to_string();
     assert!(
         error.contains("idle_release_s") && error.contains("minimum"),
         "{error}"
@@ -80,9 +82,12 @@
 #[test]
 fn several_files_are_merged_and_a_conflict_names_both() {
     let merge = |files: &[(&str, &str)]| {
-        let files: Vec<(String, String)> = files
+        let files: Vec<OperatorFile> = files
             .iter()
-            .map(|(name, text)| (name.to_string(), text.to_string()))
+            .map(|(name, text)| OperatorFile {
+                name: name.to_string(),
+                text: text.to_string(),
+            })
             .collect();
         OperatorSettings::merge(&files)
     };
@@ -92,17 +97,20 @@
     ])
     .unwrap();
     assert_eq!((both.hold_ms, both.calendar.margin), (5, 2.0));
-    assert!(both.calendar.enabled && both.can().len() == 1);
-    assert!(merge(&[]).unwrap().can().is_empty());
+    assert!(both.calendar.enabled && both.capabilities().len() == 1);
+    assert!(merge(&[]).unwrap().capabilities().is_empty());
     let error = merge(&[
         ("a.json", r#"{"calendar": {"margin": 1.5}}"#),
         ("b.json", r#"{"calendar": {"margin": 2.0}}"#),
     ])
-    .unwrap_err();
+    .unwrap_err()
+    .to_string();
     for named in ["a.json", "b.json", "/calendar/margin"] {
         assert!(error.contains(named), "{error}");
     }
-    let error = merge(&[("a.json", "{}"), ("b.json", r#"{"calendar": {"on": 1}}"#)]).unwrap_err();
+    let error = merge(&[("a.json", "{}"), ("b.json", r#"{"calendar": {"on": 1}}"#)])
+        .unwrap_err()
+        .to_string();
     assert!(
         error.starts_with("b.json") && error.contains("/calendar"),
         "{error}"
