--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles: two failures that each rule survives alone, brought about together (`docs/meetings.md`).
+//! Meetings of troubles: two failures that each rule survives alone, brought about together (`docs/fault-combinations.md`).
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/tests/heartbeat_faults.rs
+++ b/tests/heartbeat_faults.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles about transactions, leaders, reports and outages (`docs/meetings.md`).
+//! Meetings of troubles about transactions, leaders, reports and outages (`docs/fault-combinations.md`).
 
 use snowshelf_simulation::fault_combinations::{holds, holds_without_end, play};
 use snowshelf_simulation::faults::Fault::*;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
 //! Teams at their limits, parts that change hands, zones, new machines, bursts and shortage, each met by troubles
-//! (`docs/meetings.md`).
+//! (`docs/fault-combinations.md`).
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Cancelled tasks while owners follow each other faster than a task is halted (`docs/meetings.md`).
+//! Cancelled tasks while owners follow each other faster than a task is halted (`docs/fault-combinations.md`).
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
