--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -75,7 +75,7 @@
         });
         for job in context
             .dependency_graph
-            .doomed
+            .unsatisfiable
             .iter()
             .chain(&self.own_cancels)
         {
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -50,7 +50,7 @@
         self.given.retain(|(at, _, _)| now.since(*at) < GIVEN_MS);
         let mut rooms = self.rooms.clone();
         for (_, shard_id, cpus) in &self.given {
-            rooms.entry(*shard_id).or_default().give(*cpus);
+            rooms.entry(*shard_id).or_default().assign(*cpus);
         }
         let mut swap = CompareAndSwap::default();
         let mut batch = Vec::new();
@@ -118,7 +118,7 @@
             for (shard_id, waiting) in shares {
                 if !waits {
                     let cpus = f64::from(waiting.len()) * accept.spec.resources.cpus;
-                    rooms.entry(shard_id).or_default().give(cpus);
+                    rooms.entry(shard_id).or_default().assign(cpus);
                     self.given.push_back((now, shard_id, cpus));
                 }
                 let alloc = ShardAllocation {
@@ -295,7 +295,7 @@
     let state_of = |dependency: &JobId| context.records.final_of(dependency).map(|end| end.state);
     let lost = |dependency: &JobId| {
         state_of(dependency) == Some(JobState::Cancelled)
-            || context.dependency_graph.doomed.contains(dependency)
+            || context.dependency_graph.unsatisfiable.contains(dependency)
     };
     let record = JobRecord {
         state: JobState::Open,
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -41,7 +41,7 @@
         }
         if matches!(why, JobReadPurpose::Poll)
             && context.records.jobs.contains_key(job)
-            && !context.dependency_graph.doomed.contains(job)
+            && !context.dependency_graph.unsatisfiable.contains(job)
         {
             if self.polls.is_empty() {
                 self.polls_since = context.now();
@@ -271,7 +271,7 @@
         };
         // Whoever asks for a job that needs a cancelled one is not told that it waits: it is
         // cancelled first.
-        let doomed = context.dependency_graph.doomed.contains(job);
+        let doomed = context.dependency_graph.unsatisfiable.contains(job);
         match why {
             JobReadPurpose::Poll
             | JobReadPurpose::Resubmit
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -11,7 +11,7 @@
 pub use partitioning::split;
 
 use super::context::Context;
-use super::gossip::ShardCapacity;
+use super::shard_capacity::ShardCapacity;
 use crate::storage::kv_client::{GetOutcome, KvResponse, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId, Team};
--- a/src/coordination/api/partitioning.rs
+++ b/src/coordination/api/partitioning.rs
@@ -1,6 +1,6 @@
 //! How a job is divided over parts.
 
-use crate::coordination::gossip::ShardCapacity;
+use crate::coordination::shard_capacity::ShardCapacity;
 use snowshelf_model::ids::{JobId, ShardId, shard_of};
 use snowshelf_model::records::{JobKind, JobSpec};
 use snowshelf_model::task_ranges::TaskRanges;
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -6,7 +6,8 @@
 
 pub use planning::{Have, Pool, Want, plan};
 
-use super::context::{CloudClient, CloudTag, Context};
+use super::cloud_client::{CloudClient, CloudRequest};
+use super::context::Context;
 use super::placement::patience_s;
 use super::shard::reservations::stay_ms;
 use crate::effects::{CallOutcome, Effects, Method};
@@ -103,12 +104,12 @@
         let now = context.now();
         let types_due = self.types_at.is_none_or(|at| now.since(at) > 30_000)
             || (context.types.is_empty() && self.types_at.is_none_or(|at| now.since(at) > 4_500));
-        if types_due && self.cloud.may(now) {
+        if types_due && self.cloud.may_call(now) {
             self.types_at = Some(now);
             let path = "/machine_types".to_string();
             self.cloud.call(
                 context.effects,
-                CloudTag::Types,
+                CloudRequest::ListMachineTypes,
                 Method::Get,
                 path,
                 Vec::new(),
@@ -117,7 +118,7 @@
         let lag = seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s).max(2_000);
         let list_due = self.list_at.is_none_or(|at| now.since(at) > lag)
             || (self.listing.is_some() && self.list_at.is_some_and(|at| now.since(at) > 4_500));
-        if list_due && self.cloud.may(now) {
+        if list_due && self.cloud.may_call(now) {
             self.list_at = Some(now);
             self.listing = Some((String::new(), Vec::new()));
             self.list_page(context);
@@ -129,13 +130,13 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in again {
-            if self.cloud.may(now) {
+            if self.cloud.may_call(now) {
                 self.order(&name, context);
             }
         }
         if self.have_list && now.since(self.plan_at) >= 500 && !context.types.is_empty() {
             self.plan_at = now;
-            if self.cloud.may(now) {
+            if self.cloud.may_call(now) {
                 self.rent(context);
             }
             self.give_back(owned, context);
@@ -155,7 +156,7 @@
         };
         self.cloud.call(
             context.effects,
-            CloudTag::List,
+            CloudRequest::ListMachines,
             Method::Get,
             path,
             Vec::new(),
@@ -169,7 +170,7 @@
         result: &CallOutcome,
         context: &mut Context,
     ) -> Option<Option<Vec<MachineType>>> {
-        let tag = self.cloud.done(id, result)?;
+        let tag = self.cloud.on_response(id, result)?;
         let now = context.now();
         let (status, body): (u16, &[u8]) = match result {
             CallOutcome::Response { status, body } => (*status, body),
@@ -177,20 +178,24 @@
             CallOutcome::Unanswered => (0, b""),
         };
         match tag {
-            CloudTag::Types if status == 200 => match serde_json::from_slice::<TypesAnswer>(body) {
-                Ok(answer) => return Some(Some(answer.types)),
-                Err(error) => tracing::error!(%error, "machine types response unreadable"),
-            },
-            CloudTag::List if status == 200 => match serde_json::from_slice::<ListAnswer>(body) {
-                Ok(answer) => self.list_done(answer, context),
-                Err(error) => {
-                    tracing::error!(%error, "machine list response unreadable");
-                    self.listing = None;
+            CloudRequest::ListMachineTypes if status == 200 => {
+                match serde_json::from_slice::<TypesAnswer>(body) {
+                    Ok(answer) => return Some(Some(answer.types)),
+                    Err(error) => tracing::error!(%error, "machine types response unreadable"),
                 }
-            },
-            CloudTag::List => self.listing = None,
-            CloudTag::Rent(name) => self.rent_done(&name, status, body, context.effects),
-            CloudTag::LeaderScaleIn(names) => {
+            }
+            CloudRequest::ListMachines if status == 200 => {
+                match serde_json::from_slice::<ListAnswer>(body) {
+                    Ok(answer) => self.list_done(answer, context),
+                    Err(error) => {
+                        tracing::error!(%error, "machine list response unreadable");
+                        self.listing = None;
+                    }
+                }
+            }
+            CloudRequest::ListMachines => self.listing = None,
+            CloudRequest::ScaleOut(name) => self.rent_done(&name, status, body, context.effects),
+            CloudRequest::LeaderScaleIn(names) => {
                 self.releasing = false;
                 if status == 200 {
                     for name in names {
@@ -202,7 +207,7 @@
                     }
                 }
             }
-            CloudTag::Types | CloudTag::ShardScaleIn(..) => {}
+            CloudRequest::ListMachineTypes | CloudRequest::ShardScaleIn(..) => {}
         }
         Some(None)
     }
@@ -327,7 +332,7 @@
             if !context.dependency_graph.is_ready(id, &record.value) {
                 continue;
             }
-            let waited_s = context.dependency_graph.waited_s(id, &record.value);
+            let waited_s = context.dependency_graph.blocked_s(id, &record.value);
             let mut tasks = 0;
             for shard_id in &record.value.shards {
                 if let Some(a) = context.records.allocations.get(&(*shard_id, id.clone())) {
@@ -415,7 +420,7 @@
             brings(b).total_cmp(&brings(a))
         });
         for (pool, number) in orders {
-            if !self.cloud.may(now) {
+            if !self.cloud.may_call(now) {
                 break;
             }
             self.next_name += 1;
@@ -440,7 +445,7 @@
         if let Some(rent) = self.rents.get_mut(name) {
             rent.underway = true;
             let body = rent.body.clone();
-            let tag = CloudTag::Rent(name.to_string());
+            let tag = CloudRequest::ScaleOut(name.to_string());
             self.cloud
                 .call(context.effects, tag, Method::Post, "/hosts".into(), body);
         }
@@ -473,11 +478,11 @@
             }
         }
         back.truncate(100);
-        if !back.is_empty() && self.cloud.may(now) {
+        if !back.is_empty() && self.cloud.may_call(now) {
             self.releasing = true;
             self.cloud.release(
                 context.effects,
-                CloudTag::LeaderScaleIn(back.clone()),
+                CloudRequest::LeaderScaleIn(back.clone()),
                 &back,
             );
         }
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -1,129 +1,150 @@
-//! Drains in the regular work: what is kept to, what the leader does next, what the owners tell.
+//! Drains: what placement and scaling must respect of them, the leader's next step, and what shard leaders say of them.
 
-use super::{Controller, UNSERVED_MS};
+use super::Controller;
 use crate::coordination::drains::{Draining, Heard};
 use snowshelf_drain::budget::Amount;
-use snowshelf_model::ids::{MachineId, ShardId, Team};
+use snowshelf_model::ids::{MachineId, MonotonicMillis, ShardId, Team};
 use snowshelf_model::protocol::peer::{DrainProgress, LostTasks, RestartedTasks, ShardStatus};
 use std::collections::BTreeSet;
 
-/// A picture as old as this is not asked what is away.
-const FEED_MS: u64 = 3_000;
-/// Names and reasons in one part's hint at the most.
-const MOST_NAMES: usize = 50;
-const MOST_HELD: usize = 5;
-/// Jobs of which it is told how many tasks run again; of others all count as away.
-const MOST_AGAIN: usize = 200;
-/// How often it is looked at what runs again.
-const LOOK_MS: u64 = 100;
+/// Disruption budgets are not computed from a record cache whose watch lags by more than this.
+const MAX_WATCH_LAG_MS: u64 = 3_000;
+/// Most names in one shard's status.
+const MAX_NAMES: usize = 50;
+/// Most names of empty machines in one shard's status.
+const MAX_EMPTY_MACHINES: usize = 3 * MAX_NAMES;
+/// Most reasons for which evictions wait in one status.
+const MAX_REASONS: usize = 5;
+/// Most jobs in one shard's status of which it says how many tasks run again; of others all count as disrupted.
+const MAX_RESTARTED_JOBS: usize = 200;
+/// How often lost and restarted tasks are counted.
+const COUNT_INTERVAL_MS: u64 = 100;
+
+/// What placement and scaling must respect of the drains, and as of when.
+#[derive(Default)]
+pub(super) struct DrainTracker {
+    constraints: Draining,
+    /// The record cache's count of drain changes that the constraints reflect.
+    drain_changes: u64,
+    counted_at: MonotonicMillis,
+}
+
+impl DrainTracker {
+    pub(super) fn constraints_mut(&mut self) -> &mut Draining {
+        &mut self.constraints
+    }
+}
 
 impl Controller {
-    /// Keeps to the drains' records, and answers those who ask about them.
+    /// Follows the records of drains, and decides requests on drains.
     pub(super) fn tick_drains(&mut self) {
-        let now = self.effects.now;
-        if self.draining_of != self.records.drain_changes {
-            self.draining_of = self.records.drain_changes;
-            self.drain_state = Draining::of(&self.records.drains);
+        let env = &mut self.env;
+        if env.drains.drain_changes != env.records.drain_changes {
+            env.drains.drain_changes = env.records.drain_changes;
+            env.drains.constraints = Draining::of(&env.records.drains);
+        }
+        let is_due = env.now().since(env.drains.counted_at) >= COUNT_INTERVAL_MS;
+        if !env.drains.constraints.is_idle() && is_due {
+            self.count_disrupted_tasks();
         }
-        if !self.drain_state.is_idle() && now.since(self.draining_at) >= LOOK_MS {
-            self.draining_at = now;
-            let away = now.since(self.list_watch.feed_at) > FEED_MS;
-            self.drain_state.fresh = self.records.loaded && !away;
-            self.drain_state.lost = self.gossip.lost(now);
-            self.drain_state.again = self.gossip.again(now);
-            let shards: Vec<ShardId> = self.shards.keys().copied().collect();
-            for shard_id in shards {
-                self.with_shard(shard_id, |shard, context| {
-                    let again = shard.again(context).into_iter();
-                    context
-                        .drains
-                        .again
-                        .extend(again.map(|(job, n)| ((shard_id, job), n)));
-                });
-            }
+        match self.env.is_served() {
+            true => self.drains.tick(&mut self.env.context()),
+            false => self.drains.refuse_all(&mut self.env.context()),
         }
-        let away = self.state_silent_ms() >= UNSERVED_MS;
-        self.with_drains(|drains, context| match away {
-            true => drains.refuse_all(context),
-            false => drains.tick(context),
+    }
+
+    /// Counts the tasks that are lost, and those that run again, in all shards.
+    fn count_disrupted_tasks(&mut self) {
+        let now = self.env.now();
+        let watch_lags = now.since(self.list_watch.feed_at) > MAX_WATCH_LAG_MS;
+        self.env.drains.counted_at = now;
+        let constraints = &mut self.env.drains.constraints;
+        constraints.fresh = self.env.records.loaded && !watch_lags;
+        constraints.lost = self.gossip.lost_tasks(now);
+        constraints.again = self.gossip.restarted_tasks(now);
+        self.for_each_shard(|shard, context| {
+            let shard_id = shard.id;
+            let restarted = shard.again(context).into_iter();
+            let restarted = restarted.map(|(job, tasks)| ((shard_id, job), tasks));
+            context.drains.again.extend(restarted);
         });
     }
 
-    /// The next step of the drains, where this controller leads.
-    pub(super) fn lead_drains(&mut self, fresh: bool) {
-        let Some(autoscaler) = self.autoscaler.take() else {
-            let heard = match self.drain_state.active {
-                true => self.gossip.drain_waits(self.effects.now),
+    /// Takes the next step of the drains, where this controller leads the cluster.
+    pub(super) fn tick_drain_leader(&mut self) {
+        let now = self.env.now();
+        let is_active = self.env.drains.constraints.active;
+        if self.autoscaler.is_none() {
+            let progress = match is_active {
+                true => self.gossip.drain_progress(now),
                 false => Default::default(),
             };
-            self.drains.follow(heard);
+            self.drains.follow(progress);
             return;
+        }
+        let may_lead = self.leases.is_valid(now) && self.env.records.loaded && self.env.is_served();
+        if !may_lead || !self.drains.due(&self.env.context()) {
+            return;
+        }
+        let observations = match is_active {
+            true => self.observe_drains(),
+            false => Heard::default(),
         };
-        let may = fresh && self.records.loaded && self.state_silent_ms() < UNSERVED_MS;
-        if may && self.with_drains(|drains, context| drains.due(context)) {
-            let heard = match self.drain_state.active {
-                true => self.heard_of_drains(),
-                false => Heard::default(),
-            };
-            self.with_drains(|drains, context| drains.lead(&autoscaler, heard, context));
+        if let Some(autoscaler) = &self.autoscaler {
+            self.drains
+                .lead(autoscaler, observations, &mut self.env.context());
         }
-        self.autoscaler = Some(autoscaler);
     }
 
-    /// What the leader tells the others that drains wait for.
-    pub(super) fn drain_waits(&self) -> Vec<DrainProgress> {
-        if self.autoscaler.is_none() || !self.drain_state.active {
+    /// What all shard leaders observe of the drains, this controller among them.
+    fn observe_drains(&mut self) -> Heard {
+        let now = self.env.now();
+        let mut observations = self.gossip.drain_observations(now);
+        let mut led: BTreeSet<ShardId> = self.gossip.led_shards(now);
+        led.extend(self.shards.keys());
+        self.for_each_shard(|shard, context| {
+            observations.empty.extend(shard.emptied(context));
+            observations.sick.extend(shard.sick().cloned());
+            observations.held.extend(shard.held_back.iter().cloned());
+        });
+        let mut shards = (0..self.env.config.shard_count).map(ShardId);
+        observations.whole = shards.all(|shard_id| led.contains(&shard_id));
+        observations
+    }
+
+    /// What drains wait for, as the cluster leader tells the others.
+    pub(super) fn drain_progress(&self) -> Vec<DrainProgress> {
+        if self.autoscaler.is_none() || !self.env.drains.constraints.active {
             return Vec::new();
         }
-        let reasons = self.drains.reasons().take(MOST_NAMES);
+        let reasons = self.drains.reasons().take(MAX_NAMES);
         reasons
             .map(|(name, reason)| DrainProgress {
                 drain: name.as_str().to_string(),
                 waits: reason.waits.clone(),
-                held: reason.held.iter().take(MOST_HELD).cloned().collect(),
+                held: reason.held.iter().take(MAX_REASONS).cloned().collect(),
             })
             .collect()
     }
 
-    fn heard_of_drains(&mut self) -> Heard {
-        let now = self.effects.now;
-        let mut heard = self.gossip.of_drains(now);
-        let owners: BTreeSet<ShardId> = self.gossip.owned(now);
-        let mine: Vec<ShardId> = self.shards.keys().copied().collect();
-        for shard_id in &mine {
-            self.with_shard(*shard_id, |shard, context| {
-                heard.empty.extend(shard.emptied(context));
-                heard.sick.extend(shard.sick().cloned());
-                heard.held.extend(shard.held_back.iter().cloned());
-            });
-        }
-        let mut shards = (0..self.config.shard_count).map(ShardId);
-        heard.whole = shards.all(|p| mine.contains(&p) || owners.contains(&p));
-        heard
-    }
-
-    /// What the leader and the other owners are told of the parts owned here, while there are drains.
-    pub(super) fn hint_drains(&mut self, shards: &mut [ShardStatus]) {
-        if self.drain_state.is_idle() {
+    /// Adds to the statuses of the shards led here what concerns drains, while there are any.
+    pub(super) fn add_drain_status(&mut self, statuses: &mut [ShardStatus]) {
+        if self.env.drains.constraints.is_idle() {
             return;
         }
-        let now = self.effects.now;
-        let text = |m: &MachineId| m.as_str().to_string();
-        for hint in shards {
-            self.with_shard(ShardId(hint.shard_id), |shard, context| {
-                hint.empty = shard.emptied(context).iter().map(text).collect();
-                hint.empty.truncate(3 * MOST_NAMES);
-                hint.sick = shard.sick().map(text).take(MOST_NAMES).collect();
-                hint.held = shard.held_back.iter().take(MOST_HELD).cloned().collect();
+        let now = self.env.now();
+        let text = |machine: &MachineId| machine.as_str().to_string();
+        for status in statuses {
+            self.with_shard(ShardId(status.shard_id), |shard, context| {
+                status.empty = shard.emptied(context).iter().map(text).collect();
+                status.empty.truncate(MAX_EMPTY_MACHINES);
+                status.sick = shard.sick().map(text).take(MAX_NAMES).collect();
+                let reasons = shard.held_back.iter().take(MAX_REASONS);
+                status.held = reasons.cloned().collect();
                 let lost = shard.losing(now, context).into_iter();
-                let lost = lost.map(|(team, amount): (Team, Amount)| LostTasks {
-                    team: team.as_str().to_string(),
-                    cpus: amount.cpus,
-                    tasks: amount.tasks,
-                });
-                hint.lost = lost.collect();
-                let again = shard.again(context).into_iter().take(MOST_AGAIN);
-                hint.again = again
+                status.lost = lost.map(lost_tasks).collect();
+                let restarted = shard.again(context).into_iter().take(MAX_RESTARTED_JOBS);
+                status.again = restarted
                     .map(|(job, tasks)| RestartedTasks {
                         job: job.as_str().to_string(),
                         tasks,
@@ -133,3 +154,11 @@
         }
     }
 }
+
+fn lost_tasks((team, amount): (Team, Amount)) -> LostTasks {
+    LostTasks {
+        team: team.as_str().to_string(),
+        cpus: amount.cpus,
+        tasks: amount.tasks,
+    }
+}
--- /dev/null
+++ b/src/coordination/controller/heartbeats.rs
@@ -0,0 +1,145 @@
+//! Admission of heartbeats: each goes to the leader of its machine's shard if that is here, is deferred until that leader
+//! is elected or the jobs that it lists are read, or is redirected.
+
+use super::Controller;
+use crate::effects::Response;
+use snowshelf_model::ids::{ConnectionId, Member, MonotonicMillis, ShardId, shard_of};
+use snowshelf_model::protocol::worker::{Heartbeat, redirect};
+use snowshelf_watermark::renewal::RenewalRefusal;
+
+/// For so long after its start a controller defers heartbeats for shards that it is about to lead.
+const STARTING_MS: u64 = 5_000;
+/// For so long a heartbeat is deferred until its shard is led here: a worker waits 4 s for a response.
+const MAX_WAIT_FOR_LEADERSHIP_MS: u64 = 1_000;
+/// For so long a heartbeat is deferred until the jobs that it lists have been read.
+const MAX_WAIT_FOR_JOBS_MS: u64 = 3_000;
+/// The status of a response that redirects a worker to the leader of its shard.
+const HTTP_MISDIRECTED_REQUEST: u16 = 421;
+
+/// A heartbeat that has not been responded to.
+pub(super) struct ReceivedHeartbeat {
+    conn: ConnectionId,
+    heartbeat: Heartbeat,
+    received_at: MonotonicMillis,
+}
+
+impl Controller {
+    /// Handles a heartbeat that has just come.
+    pub(super) fn check_in(&mut self, conn: ConnectionId, body: &[u8]) {
+        let heartbeat = match Heartbeat::parse(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                tracing::info!(%error, "heartbeat rejected: malformed");
+                let response = Response::error(400, &error.to_string());
+                self.env.effects.respond(conn, response);
+                return;
+            }
+        };
+        let received_at = self.env.now();
+        self.admit_heartbeat(ReceivedHeartbeat {
+            conn,
+            heartbeat,
+            received_at,
+        });
+    }
+
+    /// Handles the deferred heartbeats again.
+    pub(super) fn retry_deferred_heartbeats(&mut self) {
+        for received in std::mem::take(&mut self.deferred_heartbeats) {
+            self.admit_heartbeat(received);
+        }
+    }
+
+    fn admit_heartbeat(&mut self, mut received: ReceivedHeartbeat) {
+        let now = self.env.now();
+        let waited_ms = now.since(received.received_at);
+        let machine = received.heartbeat.machine.as_str();
+        let shard_id = shard_of(machine, self.env.config.shard_count);
+        let is_led_here =
+            self.leases.fencing_token(shard_id).is_some() && self.shards.contains_key(&shard_id);
+        self.reachability
+            .on_heartbeat(&received.heartbeat, shard_id, is_led_here, now);
+        if is_led_here && self.may_respond_to_workers() {
+            match self.pass_to_shard(shard_id, received) {
+                Ok(()) => return,
+                Err((refusal, refused)) => {
+                    received = refused;
+                    if refusal == RenewalRefusal::Unread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
+                        self.look_up_listed_jobs(shard_id, &received.heartbeat);
+                        self.deferred_heartbeats.push(received);
+                        return;
+                    }
+                }
+            }
+        }
+        // A worker redirected a moment before its shard is led here would look for the leader, a second at a time, while
+        // its lease runs out.
+        let defers = !is_led_here && waited_ms < MAX_WAIT_FOR_LEADERSHIP_MS;
+        if defers && self.will_lead(shard_id) {
+            self.deferred_heartbeats.push(received);
+            return;
+        }
+        self.redirect(received.conn, shard_id, is_led_here);
+    }
+
+    /// Passes a heartbeat to the leader of its shard, which responds to it, or refuses to renew the worker's lease.
+    fn pass_to_shard(
+        &mut self,
+        shard_id: ShardId,
+        received: ReceivedHeartbeat,
+    ) -> Result<(), (RenewalRefusal, ReceivedHeartbeat)> {
+        let ReceivedHeartbeat {
+            conn,
+            heartbeat,
+            received_at,
+        } = received;
+        let mut refused = None;
+        self.with_shard(shard_id, |shard, context| {
+            refused = shard.check_in(conn, heartbeat, received_at, context);
+        });
+        match refused {
+            None => Ok(()),
+            Some((refusal, heartbeat)) => {
+                let received = ReceivedHeartbeat {
+                    conn,
+                    heartbeat,
+                    received_at,
+                };
+                Err((refusal, received))
+            }
+        }
+    }
+
+    /// Whether this controller is about to lead a shard: it has just started, and the shard's key names it, or nobody
+    /// and it is the home member.
+    fn will_lead(&self, shard_id: ShardId) -> bool {
+        let config = &self.env.config;
+        let holder = self.shard_holder(shard_id);
+        let is_expected = *holder.unwrap_or(config.home(shard_id)) == config.me;
+        let is_starting = self.env.now().since(self.env.started_at) <= STARTING_MS;
+        is_expected
+            && is_starting
+            && !self.reachability.unreachable_by_workers()
+            && self.env.is_served()
+    }
+
+    /// The holder of a shard's lease, as far as the record cache knows.
+    fn shard_holder(&self, shard_id: ShardId) -> Option<&Member> {
+        let holder = self.env.records.shard_owners.get(&shard_id);
+        holder.map(|v| &v.value.owner)
+    }
+
+    /// Redirects a worker to the leader of its shard, or to any other controller.
+    fn redirect(&mut self, conn: ConnectionId, shard_id: ShardId, is_led_here: bool) {
+        let now = self.env.now();
+        // A worker redirected to a leader that no worker reaches waits there for 4 s, and comes back.
+        let leader = self.shard_holder(shard_id).filter(|holder| {
+            **holder != self.env.config.me
+                && !is_led_here
+                && !self.gossip.is_unreachable_by_workers(now, holder)
+        });
+        let body = redirect(leader.map(Member::as_str));
+        let response = Response::new(HTTP_MISDIRECTED_REQUEST, body);
+        self.env.effects.respond(conn, response);
+    }
+}
--- /dev/null
+++ b/src/coordination/controller/peer_status.rs
@@ -0,0 +1,159 @@
+//! The status that this controller sends to the others a few times a second.
+
+use super::Controller;
+use super::tick::RECENT_HEARTBEAT_MS;
+use crate::coordination::gossip::{HEARTBEAT_NAMES_BYTES, MISSING_NAMES_BYTES, RoundRobinNames};
+use crate::coordination::shard::{Shard, StealOffer};
+use crate::effects::Effect;
+use snowshelf_model::ids::{MachineId, MonotonicMillis};
+use snowshelf_model::protocol::peer::{
+    FailingJob, ForeignHeartbeats, PeerStatus, PoolSize, ReservedCpus, ShardStatus,
+};
+use std::collections::BTreeSet;
+
+const SEND_INTERVAL_MS: u64 = 400;
+/// A machine counts as heard by a controller that does not lead its shard for so many heartbeat intervals.
+const FOREIGN_HEARTBEAT_INTERVALS: u64 = 2;
+/// Most failing jobs in one shard's status.
+const MAX_FAILING_JOBS: usize = 100;
+
+/// When the status was last sent, and which names of machines are next.
+#[derive(Default)]
+pub(super) struct PeerStatusSender {
+    sent_at: MonotonicMillis,
+    heartbeat_names: RoundRobinNames,
+    missing_names: RoundRobinNames,
+}
+
+impl Controller {
+    /// Sends this controller's status to the others, if it is due.
+    pub(super) fn tick_peer_status(&mut self) {
+        let now = self.env.now();
+        if now.since(self.peer_status.sent_at) < SEND_INTERVAL_MS {
+            return;
+        }
+        self.peer_status.sent_at = now;
+        let status = self.status();
+        for member in self.env.config.other_members() {
+            let effect = Effect::PeerStatus(member.clone(), status.clone());
+            self.env.effects.outputs.push(effect);
+        }
+    }
+
+    fn status(&mut self) -> PeerStatus {
+        let now = self.env.now();
+        let shards = self.shards.values();
+        let short_of = shards.flat_map(|shard| shard.short_of.keys());
+        let short_of: BTreeSet<String> = short_of.map(|t| t.as_str().to_string()).collect();
+        let shards = self.shard_statuses();
+        PeerStatus {
+            member: self.env.config.me.as_str().to_string(),
+            state_silent_ms: self.env.unserved_ms(),
+            up_ms: now.since(self.env.started_at),
+            shards,
+            short_of: short_of.into_iter().collect(),
+            missing: self.missing_machines(),
+            feed_silent_ms: now.since(self.list_watch.feed_at),
+            deaf: self.reachability.unreachable_by_workers() || self.receives_no_heartbeats(),
+            strangers: self.foreign_heartbeats(),
+            waits: self.drain_progress(),
+        }
+    }
+
+    /// The statuses of the shards led here.
+    fn shard_statuses(&mut self) -> Vec<ShardStatus> {
+        let is_reserved = !self.env.guard.holds.is_empty();
+        let shards = self.shards.values();
+        let mut statuses: Vec<ShardStatus> = shards
+            .map(|shard| shard_status(shard, is_reserved))
+            .collect();
+        self.add_drain_status(&mut statuses);
+        // Machines of all shards are in the first one's status: the cluster leader reads those of all together.
+        if let Some(first) = statuses.first_mut() {
+            let now = self.env.now();
+            let machines = self.shards.values();
+            let machines: BTreeSet<MachineId> = machines
+                .flat_map(|shard| shard.heard(now, RECENT_HEARTBEAT_MS))
+                .cloned()
+                .collect();
+            let names = &mut self.peer_status.heartbeat_names;
+            first.heard = names.next(&machines, HEARTBEAT_NAMES_BYTES);
+        }
+        statuses
+    }
+
+    /// Machines that this controller, as the cluster leader, misses in the cloud's list.
+    fn missing_machines(&mut self) -> Vec<String> {
+        let missing: BTreeSet<MachineId> = self
+            .autoscaler
+            .iter()
+            .flat_map(|leader| leader.missing.keys().cloned())
+            .collect();
+        let names = &mut self.peer_status.missing_names;
+        names.next(&missing, MISSING_NAMES_BYTES)
+    }
+
+    fn foreign_heartbeats(&mut self) -> Vec<ForeignHeartbeats> {
+        let heartbeat_interval_ms = self.env.config.settings.report_ms();
+        let within_ms = FOREIGN_HEARTBEAT_INTERVALS * heartbeat_interval_ms;
+        let shards = self
+            .reachability
+            .foreign_heartbeats(self.env.now(), within_ms);
+        shards
+            .into_iter()
+            .map(|(shard_id, machines)| ForeignHeartbeats {
+                shard_id: shard_id.0,
+                machines,
+            })
+            .collect()
+    }
+}
+
+/// A shard's status, but for its machines and what concerns drains.
+fn shard_status(shard: &Shard, is_reserved: bool) -> ShardStatus {
+    let failing = shard.failing().take(MAX_FAILING_JOBS);
+    let reserved = shard.kept_room.iter();
+    ShardStatus {
+        shard_id: shard.id.0,
+        free_cpus: shard.free_cpus,
+        capacity_cpus: shard.room().capacity,
+        waiting_cpus: shard.waiting_cpus,
+        pools: match is_reserved {
+            true => pool_sizes(shard),
+            false => Vec::new(),
+        },
+        failing: failing
+            .map(|(job, errors)| FailingJob {
+                job: job.as_str().to_string(),
+                errors,
+            })
+            .collect(),
+        kept: reserved
+            .map(|(team, room)| ReservedCpus {
+                team: team.as_str().to_string(),
+                cpus: room.promised,
+            })
+            .collect(),
+        stranded: offered_jobs(shard, StealOffer::Stranded),
+        overdue: offered_jobs(shard, StealOffer::Overdue),
+        ..ShardStatus::default()
+    }
+}
+
+/// The jobs that a shard offers to be stolen for this reason.
+fn offered_jobs(shard: &Shard, reason: StealOffer) -> Vec<String> {
+    let offers = shard.offers().iter().filter(|(_, offer)| *offer == reason);
+    offers.map(|(job, _)| job.as_str().to_string()).collect()
+}
+
+fn pool_sizes(shard: &Shard) -> Vec<PoolSize> {
+    let pools = shard.pools().into_iter();
+    pools
+        .map(|(pool, (ordinary, spot))| PoolSize {
+            zone: pool.zone.to_string(),
+            model: pool.model.to_string(),
+            ordinary,
+            spot,
+        })
+        .collect()
+}
--- /dev/null
+++ b/src/coordination/controller/record_changes.rs
@@ -0,0 +1,48 @@
+//! Tells the actors that records in the cache have changed.
+
+use super::Controller;
+use crate::storage::record_cache::RecordChange;
+use snowshelf_model::ids::JobId;
+use std::collections::BTreeSet;
+
+impl Controller {
+    /// Has every actor take changed records over from the cache.
+    pub(super) fn on_record_changes(&mut self, changes: Vec<RecordChange>) {
+        if self.reservations.is_built() {
+            self.reservations.changed(&changes, &mut self.env.context());
+        }
+        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        for change in changes {
+            match change {
+                RecordChange::Job(job) | RecordChange::ShardAllocation(_, job) => {
+                    jobs.insert(job);
+                }
+                RecordChange::Types => self.env.machine_types.refresh(&self.env.records),
+                _ => {}
+            }
+        }
+        if jobs.is_empty() {
+            return;
+        }
+        self.for_each_shard(|shard, context| {
+            for job in &jobs {
+                shard.refresh(job, context);
+            }
+        });
+    }
+
+    /// Has the shards take allocations over that the job API of this controller has just written.
+    pub(super) fn refresh_new_allocations(&mut self) {
+        self.for_each_shard(|shard, context| {
+            let new: Vec<JobId> = context
+                .records
+                .shard_allocations(shard.id)
+                .filter(|(job, _)| !shard.knows(job))
+                .map(|(job, _)| job.clone())
+                .collect();
+            for job in new {
+                shard.refresh(&job, context);
+            }
+        });
+    }
+}
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -1,290 +1,158 @@
-//! Requests of users, workers and health checks, by path.
+//! Requests of users, workers and health checks, routed by path.
 
-use super::{Controller, UNSERVED_MS};
+use super::Controller;
 use crate::coordination::api::JobReadPurpose;
-use crate::coordination::context::KvRequest;
 use crate::coordination::dag_runs;
 use crate::coordination::drains;
 use crate::coordination::query;
-use crate::coordination::reservations::{Asked, read_ask};
-use crate::coordination::shard::ShardProgress;
+use crate::coordination::reservations::{Ask, Asked, read_ask};
 use crate::effects::{Request, Response};
-use crate::storage::kv_client::RequestPriority;
 use serde_json::json;
 use snowshelf_calendar::entry::Malformed;
-use snowshelf_model::ids::{
-    ConnectionId, JobId, MonotonicMillis, ShardId, WallClockMillis, shard_of,
-};
+use snowshelf_model::ids::{ConnectionId, JobId, WallClockMillis};
 use snowshelf_model::protocol::user;
-use snowshelf_model::protocol::worker::{Heartbeat, redirect};
-use snowshelf_model::records::job_key;
-use snowshelf_watermark::renewal::RenewalRefusal;
-use std::collections::BTreeSet;
 
-/// For so long after its start a controller has workers wait that it will soon be the owner for, and
-/// for so long each of them waits at the most: a worker gives an answer up after 4 s.
-const STARTING_MS: u64 = 5_000;
-const AT_DOOR_MS: u64 = 1_000;
-/// For so long a worker waits until its jobs have been read; its task is known to run on or is halted then.
-const READ_FIRST_MS: u64 = 3_000;
-/// So many jobs are read by themselves at once, which leaves the reading its room; and how long each may take.
-const LISTED_UNDERWAY: usize = 8;
-const LISTED_MS: u64 = 1_500;
-const WRONG_METHOD: &str = "this path does not take that method";
+const JOBS_PATH: &str = "/api/jobs";
+const JOB_PATH_PREFIX: &str = "/api/jobs/";
 
 fn malformed(why: &Malformed) -> Response {
     Response::json(400, &json!({"error": why.to_string(), "field": why.field}))
 }
 
+fn no_such_path() -> Response {
+    Response::error(404, "no such path")
+}
+
+fn no_such_entry() -> Response {
+    Response::error(404, "no such entry")
+}
+
+fn wrong_method() -> Response {
+    Response::error(405, "this path does not take that method")
+}
+
+/// A request on reservations, or the response to one that cannot be read.
+fn reservations_request(read: Asked) -> Result<Ask, Response> {
+    match read {
+        Asked::Ask(ask) => Ok(ask),
+        Asked::Malformed(why) => Err(malformed(&why)),
+        Asked::NoSuchPath => Err(no_such_path()),
+        Asked::NoSuchEntry => Err(no_such_entry()),
+        Asked::WrongMethod => Err(wrong_method()),
+    }
+}
+
+/// A request on drains or budgets, or the response to one that cannot be read.
+fn drains_request(read: drains::Read) -> Result<drains::Ask, Response> {
+    match read {
+        drains::Read::Ask(ask) => Ok(ask),
+        drains::Read::Malformed(why) => Err(malformed(&why)),
+        drains::Read::NoSuchPath => Err(no_such_path()),
+        drains::Read::NoSuchEntry => Err(no_such_entry()),
+        drains::Read::WrongMethod => Err(wrong_method()),
+    }
+}
+
+/// A request on runs of graphs, or the response to one that cannot be read.
+fn dag_runs_request(read: dag_runs::Read) -> Result<dag_runs::Ask, Response> {
+    match read {
+        dag_runs::Read::Ask(ask) => Ok(ask),
+        dag_runs::Read::Malformed(why) => Err(Response::error(400, &why)),
+        dag_runs::Read::NoSuchPath => Err(no_such_path()),
+        dag_runs::Read::WrongMethod => Err(wrong_method()),
+    }
+}
+
 impl Controller {
-    pub(super) fn request(&mut self, conn: ConnectionId, request: Request) {
+    /// Routes a request by its path.
+    pub(super) fn on_request(&mut self, conn: ConnectionId, request: &Request) {
         let (path, _) = query::split(&request.path);
         match (request.method.as_str(), path) {
-            ("GET", "/ready") => self.ready(conn),
+            ("GET", "/ready") => self.respond_ready(conn),
             ("POST", "/checkin") => self.check_in(conn, &request.body),
-            ("POST", "/api/jobs") => {
-                let mut job_api = std::mem::take(&mut self.job_api);
-                if self.state_silent_ms() >= UNSERVED_MS && user::named(&request.body).is_some() {
-                    let later = Response::later(503, "the state service is away", 2);
-                    self.effects.respond(conn, later);
-                } else {
-                    job_api.submit(conn, &request.body, &mut self.context());
-                }
-                self.job_api = job_api;
+            ("POST", JOBS_PATH) => self.submit_job(conn, &request.body),
+            (_, "/ready" | "/checkin" | JOBS_PATH) => {
+                self.env.effects.respond(conn, wrong_method());
             }
-            (_, "/ready" | "/checkin" | "/api/jobs") => self.wrong_method(conn),
             (method, path) => {
-                if self.config.ops.calendar.enabled
-                    && let Some(asked) = read_ask(method, &request.path, &request.body)
-                {
-                    self.asked(conn, asked);
-                    return;
-                }
-                if self.config.ops.drains.enabled
-                    && let Some(read) = drains::read(
-                        method,
-                        &request.path,
-                        &request.body,
-                        WallClockMillis(self.effects.wall_ms),
-                    )
-                {
-                    self.asked_of_drains(conn, read);
-                    return;
-                }
-                if self.config.ops.graphs.enabled
-                    && let Some(read) = dag_runs::read(method, &request.path, &request.body)
-                {
-                    self.graphs(conn, read);
-                    return;
-                }
-                let Some(rest) = path.strip_prefix("/api/jobs/") else {
-                    self.effects
-                        .respond(conn, Response::error(404, "no such path"));
-                    return;
-                };
-                let (id, why) = match rest.strip_suffix("/cancel") {
-                    Some(id) => (id, JobReadPurpose::Cancel),
-                    None => (rest, JobReadPurpose::Poll),
-                };
-                let wanted = match why {
-                    JobReadPurpose::Cancel => "POST",
-                    _ => "GET",
-                };
-                if !user::is_job_id(id) {
-                    self.effects
-                        .respond(conn, Response::error(404, "no such job"));
-                } else if method != wanted {
-                    self.wrong_method(conn);
-                } else {
-                    self.with_job_api(|job_api, context| {
-                        job_api.read(conn, &JobId::new(id), why, context)
-                    });
+                if !self.route_to_feature(conn, request) {
+                    self.route_to_job(conn, method, path);
                 }
             }
         }
     }
 
-    /// A request to the calendar.
-    fn asked(&mut self, conn: ConnectionId, asked: Asked) {
-        let response = match asked {
-            Asked::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
-            }
-            Asked::Ask(ask) => {
-                self.with_reservations(|reservations, context| {
-                    reservations.take(conn, ask, context)
-                });
-                return;
-            }
-            Asked::Malformed(why) => malformed(&why),
-            Asked::NoSuchPath => Response::error(404, "no such path"),
-            Asked::NoSuchEntry => Response::error(404, "no such entry"),
-            Asked::WrongMethod => Response::error(405, WRONG_METHOD),
-        };
-        self.effects.respond(conn, response);
+    fn submit_job(&mut self, conn: ConnectionId, body: &[u8]) {
+        if !self.env.is_served() && user::named(body).is_some() {
+            let response = Response::kv_store_unavailable();
+            self.env.effects.respond(conn, response);
+        } else {
+            self.job_api.submit(conn, body, &mut self.env.context());
+        }
     }
 
-    /// A request to drains or budgets.
-    fn asked_of_drains(&mut self, conn: ConnectionId, read: drains::Read) {
-        let response = match read {
-            drains::Read::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
+    /// Routes a request to the features that the operators have enabled; false if its path is of none of them.
+    fn route_to_feature(&mut self, conn: ConnectionId, request: &Request) -> bool {
+        let Request { method, path, body } = request;
+        let ops = &self.env.config.ops;
+        if ops.calendar.enabled
+            && let Some(read) = read_ask(method, path, body)
+        {
+            if let Some(ask) = self.accept_read(conn, reservations_request(read)) {
+                self.reservations.take(conn, ask, &mut self.env.context());
             }
-            drains::Read::Ask(ask) => {
-                self.with_drains(|drains, context| drains.take(conn, ask, context));
-                return;
+            return true;
+        }
+        let wall_time = WallClockMillis(self.env.effects.wall_ms);
+        if ops.drains.enabled
+            && let Some(read) = drains::read(method, path, body, wall_time)
+        {
+            if let Some(ask) = self.accept_read(conn, drains_request(read)) {
+                self.drains.take(conn, ask, &mut self.env.context());
             }
-            drains::Read::Malformed(why) => malformed(&why),
-            drains::Read::NoSuchPath => Response::error(404, "no such path"),
-            drains::Read::NoSuchEntry => Response::error(404, "no such entry"),
-            drains::Read::WrongMethod => Response::error(405, WRONG_METHOD),
-        };
-        self.effects.respond(conn, response);
+            return true;
+        }
+        if ops.graphs.enabled
+            && let Some(read) = dag_runs::read(method, path, body)
+        {
+            if let Some(ask) = self.accept_read(conn, dag_runs_request(read)) {
+                self.dag_runs.take(conn, ask, &mut self.env.context());
+            }
+            return true;
+        }
+        false
     }
 
-    /// A request to graphs' runs.
-    fn graphs(&mut self, conn: ConnectionId, read: dag_runs::Read) {
+    /// The request if it can be decided; otherwise responds.
+    fn accept_read<R>(&mut self, conn: ConnectionId, read: Result<R, Response>) -> Option<R> {
         let response = match read {
-            dag_runs::Read::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
-            }
-            dag_runs::Read::Ask(ask) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.take(conn, ask, context));
-                return;
-            }
-            dag_runs::Read::Malformed(why) => Response::error(400, &why),
-            dag_runs::Read::NoSuchPath => Response::error(404, "no such path"),
-            dag_runs::Read::WrongMethod => Response::error(405, WRONG_METHOD),
+            Ok(request) if self.env.is_served() => return Some(request),
+            Ok(_) => Response::kv_store_unavailable(),
+            Err(response) => response,
         };
-        self.effects.respond(conn, response);
+        self.env.effects.respond(conn, response);
+        None
     }
 
-    fn wrong_method(&mut self, conn: ConnectionId) {
-        self.effects
-            .respond(conn, Response::error(405, WRONG_METHOD));
-    }
-
-    fn ready(&mut self, conn: ConnectionId) {
-        let silent = self.state_silent_ms();
-        let decides = self.records.allocations_read && !self.types.is_empty();
-        // In an outage that everybody shares, leaving the load balancer would only delay the return.
-        let served = silent < 3_000 || self.outage();
-        let response = if decides && served {
-            let shards: Vec<ShardProgress> = self.shards.values().map(|s| s.progress()).collect();
-            let reads = self.list_watch.stage();
-            let deaf = self.reachability.deaf;
-            let connections = &self.connections;
-            Response::json(
-                200,
-                &json!({"reads": reads, "deaf": deaf, "doors": connections, "parts": shards}),
-            )
-        } else {
-            let reads = self.list_watch.stage().unwrap_or("nothing");
-            Response::later(503, &format!("not ready, reads {reads}"), 1)
+    /// Polls or cancels a job.
+    fn route_to_job(&mut self, conn: ConnectionId, method: &str, path: &str) {
+        let Some(rest) = path.strip_prefix(JOB_PATH_PREFIX) else {
+            self.env.effects.respond(conn, no_such_path());
+            return;
         };
-        self.effects.respond(conn, response);
-    }
-
-    fn check_in(&mut self, conn: ConnectionId, body: &[u8]) {
-        let report = match Heartbeat::parse(body) {
-            Ok(report) => report,
-            Err(error) => {
-                tracing::info!(%error, "heartbeat rejected: malformed");
-                self.effects
-                    .respond(conn, Response::error(400, &error.to_string()));
-                return;
-            }
+        let (id, purpose, expected_method) = match rest.strip_suffix("/cancel") {
+            Some(id) => (id, JobReadPurpose::Cancel, "POST"),
+            None => (rest, JobReadPurpose::Poll, "GET"),
         };
-        let now = self.effects.now;
-        self.report(conn, report, now);
-    }
-
-    /// Whether this controller is about to own a part: nobody does, or its key has this one's name, and
-    /// it has just started.
-    fn will_own(&self, shard_id: ShardId) -> bool {
-        let owner = self
-            .records
-            .shard_owners
-            .get(&shard_id)
-            .map(|v| &v.value.owner);
-        let mine = owner.map_or(*self.config.home(shard_id) == self.config.me, |o| {
-            *o == self.config.me
-        });
-        let starting = self.effects.now.since(self.started) <= STARTING_MS;
-        mine && starting && !self.reachability.deaf && self.state_silent_ms() < UNSERVED_MS
-    }
-
-    /// Answers the workers that wait for this controller to own their part and to read of their jobs, once it has or
-    /// they have waited for long.
-    pub(super) fn open_doors(&mut self) {
-        for (conn, report, since) in std::mem::take(&mut self.at_door) {
-            self.report(conn, report, since);
-        }
-    }
-
-    /// Reads the jobs by themselves that a waiting report lists, where a whole reading takes long.
-    fn read_listed(&mut self, shard_id: ShardId, report: &Heartbeat) {
-        let now = self.effects.now;
-        let unread: BTreeSet<JobId> = self
-            .context()
-            .unread(shard_id, &report.tasks)
-            .cloned()
-            .collect();
-        for job in unread {
-            if self.listed_asked.len() < LISTED_UNDERWAY
-                && !self.listed_asked.contains_key(&job)
-                && self.kv.may(now, RequestPriority::Accept, 0)
-            {
-                self.listed_asked.insert(job.clone(), now);
-                let key = job_key(&job);
-                let tag = KvRequest::JobLookup(job);
-                self.kv.get(&mut self.effects, tag, &key, LISTED_MS);
-            }
-        }
-    }
-
-    /// Handles a report that came at `since`.
-    fn report(&mut self, conn: ConnectionId, report: Heartbeat, since: MonotonicMillis) {
-        let now = self.effects.now;
-        let shard_id = shard_of(report.machine.as_str(), self.config.shard_count);
-        let held =
-            self.leases.fencing_token(shard_id).is_some() && self.shards.contains_key(&shard_id);
-        self.reachability.heard(&report, held, shard_id, now);
-        let mut report = report;
-        if held && self.serves() {
-            let mut refused = None;
-            self.with_shard(shard_id, |shard, context| {
-                refused = shard.check_in(conn, report, since, context);
-            });
-            match refused {
-                None => return,
-                Some((why, back)) => {
-                    report = back;
-                    if why == RenewalRefusal::Unread && now.since(since) < READ_FIRST_MS {
-                        self.read_listed(shard_id, &report);
-                        self.at_door.push((conn, report, since));
-                        return;
-                    }
-                }
-            }
-        }
-        // Guards against a worker sent away a moment before its part is taken here, to look for an owner
-        // a second at a time while its lease runs out.
-        if !held && now.since(since) < AT_DOOR_MS && self.will_own(shard_id) {
-            self.at_door.push((conn, report, since));
-            return;
+        if !user::is_job_id(id) {
+            let response = Response::error(404, "no such job");
+            self.env.effects.respond(conn, response);
+        } else if method != expected_method {
+            self.env.effects.respond(conn, wrong_method());
+        } else {
+            let job = JobId::new(id);
+            self.job_api
+                .read(conn, &job, purpose, &mut self.env.context());
         }
-        let owner = self
-            .records
-            .shard_owners
-            .get(&shard_id)
-            .map(|v| v.value.owner.clone())
-            // A worker sent to an owner whom no worker reaches waits there for 4 s, and is here again.
-            .filter(|owner| *owner != self.config.me && !held && !self.gossip.is_deaf(now, owner));
-        let response = match owner {
-            Some(owner) => Response::new(421, redirect(Some(owner.as_str()))),
-            None => Response::new(421, redirect(None)),
-        };
-        self.effects.respond(conn, response);
     }
 }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -1,421 +1,268 @@
-//! The regular work: every actor's turn, and what this controller tells the others.
+//! The periodic work: one function for each actor, in an order that matters.
 
-use super::{Controller, UNSERVED_MS, own_rates};
-use crate::coordination::context::{KvRequest, Role};
-use crate::coordination::dependencies::DependencyGraph;
-use crate::coordination::format_migration::storage_limits;
-use crate::coordination::gossip::{HEARD_BYTES, MISSING_BYTES};
-use crate::coordination::placement::{estimate, slowest_fetch};
-use crate::coordination::shard::{Shard, StealOffer};
-use crate::effects::Effect;
-use crate::storage::kv_client::RequestPriority;
-use snowshelf_model::ids::{JobId, MachineId, ShardId, Team, WallClockMillis, seconds_to_ms};
-use snowshelf_model::protocol::peer::{
-    FailingJob, ForeignHeartbeats, PeerStatus, PoolSize, ReservedCpus, ShardStatus,
-};
-use snowshelf_model::records::{JobSpec, job_key};
+use super::Controller;
+use crate::coordination::context::Role;
+use crate::coordination::storage_budget::{RequestRates, storage_limits};
+use snowshelf_model::ids::{JobId, ShardId};
 use snowshelf_reconciliation::silence;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-const HINT_MS: u64 = 400;
-/// Machines heard within this time are told of to the leader.
-const HEARD_MS: u64 = 10_000;
-/// For so many report intervals a machine that came here is told of to its part's owner.
-const STRANGERS_REPORTS: u64 = 2;
-/// The least time between two workings out of what needs what.
-const GRAPH_MS: u64 = 50;
-/// Most jobs at once that are read because waiting ones need them and nothing is known of them.
-const LOOK_UPS: usize = 4;
-/// The pause between two such readings.
-const LOOK_UP_MS: u64 = 500;
+/// How often shards are told the sizes of the others' pools.
+const POOL_SIZES_INTERVAL_MS: u64 = 400;
+/// The autoscaler is told of machines whose last heartbeat is no older than this.
+pub(super) const RECENT_HEARTBEAT_MS: u64 = 10_000;
 
 impl Controller {
     pub(super) fn tick(&mut self) {
-        let now = self.effects.now;
-        let mut list_watch = std::mem::take(&mut self.list_watch);
-        list_watch.tick(&mut self.context());
-        self.list_watch = list_watch;
-        self.tick_terms();
-        self.tick_graph();
-        self.tick_bookings();
+        self.list_watch.tick(&mut self.env.context());
+        self.format_migration.tick(&mut self.env.context());
+        self.tick_storage_limits();
+        self.tick_dependencies();
+        self.tick_reservations();
         self.tick_drains();
-        let up_homes = self.gossip.up_homes(now, &self.config);
-        let mut leases = std::mem::take(&mut self.leases);
-        leases.tick(&up_homes, &mut self.context());
-        self.leases = leases;
-        self.check_held();
-        let fresh = self.leases.fresh(now);
-        self.tick_hearing();
-        self.open_doors();
-        let short: BTreeSet<Team> = self.gossip.short_of(now);
-        let mut missing = self.gossip.missing(now);
-        missing.extend(
-            self.autoscaler
-                .iter()
-                .flat_map(|f| f.missing.keys().cloned()),
-        );
-        if !self.guard.holds.is_empty() && now.since(self.pools_at) >= HINT_MS {
-            self.pools_at = now;
-            self.share_pools();
+        self.tick_leases();
+        self.drop_lost_roles();
+        self.tick_reachability();
+        self.retry_deferred_heartbeats();
+        self.tick_pool_sizes();
+        self.tick_watermark();
+        self.tick_shards();
+        self.tick_dag_runs();
+        self.tick_job_api();
+        self.tick_autoscaler();
+        self.tick_drain_leader();
+        self.tick_peer_status();
+    }
+
+    /// Applies the limits of the record format that is agreed on, and this controller's part of the request budget.
+    fn tick_storage_limits(&mut self) {
+        let env = &mut self.env;
+        let state = &env.config.settings.deployment.state;
+        let limits = storage_limits(env.records.format, env.kv.refused, state);
+        if limits != env.storage_limits {
+            tracing::info!(format = ?limits.format, value_bytes = limits.value_bytes, txn_ops = limits.txn_ops,
+                rps = limits.rps, write_rps = limits.write_rps, "storage limits changed");
+            env.storage_limits = limits;
         }
-        let shards: Vec<ShardId> = self.shards.keys().copied().collect();
-        self.tick_horizon();
-        let serves = self.serves();
-        let mut offered = self.gossip.offered(now);
-        for shard in self.shards.values() {
-            let offers = shard.offers().iter();
-            offered.extend(offers.map(|(job, offer)| ((shard.id, job.clone()), *offer)));
+        // A controller that starts counts as the leader of a shard: it is about to be one, and reads most now.
+        let is_starting = usize::from(!env.records.loaded);
+        let led_shards = self.leases.led_shards().len().max(is_starting);
+        let shard_count = env.config.shard_count;
+        let rates = RequestRates::of_controller(&env.storage_limits, shard_count, led_shards);
+        env.kv.set_rates(rates.requests_per_s, rates.writes_per_s);
+    }
+
+    fn tick_reservations(&mut self) {
+        let leads_cluster = self.autoscaler.is_some() && self.leases.is_valid(self.env.now());
+        if !self.env.is_served() {
+            self.reservations.refuse_all(&mut self.env.context());
         }
-        let offered = Rc::new(offered);
-        for shard_id in shards {
-            self.with_shard(shard_id, |shard, context| {
-                shard.offered = offered.clone();
-                shard.tick(fresh, &short, &missing, context);
-                if !serves {
-                    shard.drop_held(context);
-                }
-            });
+        let guard = self
+            .reservations
+            .tick(leads_cluster, &mut self.env.context());
+        if let Some(guard) = guard {
+            self.env.guard = guard;
         }
-        let mut rooms = self.gossip.rooms(now);
-        rooms.extend(self.shards.values().map(|s| (s.id, s.room())));
-        let mut kept = self.gossip.kept(now);
-        for s in self.shards.values() {
-            let leases = s.kept_room.iter();
-            kept.extend(leases.map(|(team, k)| ((s.id, team.clone()), k.promised)));
+    }
+
+    fn tick_leases(&mut self) {
+        let homes = self
+            .gossip
+            .available_homes(self.env.now(), &self.env.config);
+        self.leases.tick(&homes, &mut self.env.context());
+    }
+
+    /// Drops the roles that another controller holds, as far as the record cache shows.
+    fn drop_lost_roles(&mut self) {
+        if !self.env.records.loaded {
+            return;
         }
-        let away = self.state_silent_ms() >= UNSERVED_MS;
-        if !away && fresh {
-            self.tick_runs();
+        self.drop_lost_shards();
+        let now = self.env.now();
+        let records = &self.env.records;
+        let cached = records.leader.as_ref().map(|v| v.version.0);
+        if let Some(fencing_token) = self.leases.cluster_fencing_token()
+            && records.revision.0 >= fencing_token.0
+            && cached != Some(fencing_token.0)
+        {
+            self.leases.drop_role(Role::ClusterLeader, now);
         }
-        let mut job_api = std::mem::take(&mut self.job_api);
-        job_api.rooms = rooms;
-        job_api.kept = kept;
-        job_api.flush_polls(&mut self.context());
-        job_api.flush_pieces(&mut self.context());
-        if away {
-            self.with_dag_runs(|dag_runs, context| dag_runs.refuse_all(context));
-            job_api.refuse_all(&mut self.context());
-        } else {
-            job_api.flush(&mut self.context());
-            if fresh {
-                let mine = self.shards.keys().copied().collect();
-                job_api.cascade(&mine, &mut self.context());
-            }
+        let fencing_token = self.leases.cluster_fencing_token();
+        if let Some(autoscaler) = &self.autoscaler
+            && Some(autoscaler.fencing_token) != fencing_token
+        {
+            self.autoscaler = None;
         }
-        self.job_api = job_api;
-        if let Some(mut autoscaler) = self.autoscaler.take() {
-            if fresh && self.records.loaded {
-                let owned = self.records.shard_owners.len() == self.config.shard_count as usize
-                    && self.gossip.fresh(now).count() + 1 == self.config.members.len();
-                if autoscaler.wants_heard(now) {
-                    let mut heard = self.gossip.heard_machines(now);
-                    for shard in self.shards.values() {
-                        heard.extend(shard.heard(now, HEARD_MS).map(|m| m.as_str().to_string()));
-                    }
-                    autoscaler.note_heard(now, heard.into_iter());
-                }
-                autoscaler.tick(owned, &mut self.context());
+    }
+
+    fn drop_lost_shards(&mut self) {
+        let now = self.env.now();
+        let records = &self.env.records;
+        for (shard_id, fencing_token) in self.leases.led_shards() {
+            if records.revision.0 < fencing_token.0 {
+                continue;
+            }
+            let cached = records.shard_owners.get(&shard_id).map(|v| v.version.0);
+            if cached != Some(fencing_token.0) {
+                tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "shard owned by another controller");
+                self.leases.drop_role(Role::ShardLeader(shard_id), now);
             }
-            self.autoscaler = Some(autoscaler);
         }
-        self.lead_drains(fresh);
-        if now.since(self.hint_at) >= HINT_MS {
-            self.hint_at = now;
-            self.hint();
+        let leases = &self.leases;
+        let lost: Vec<ShardId> = self
+            .shards
+            .values()
+            .filter(|shard| leases.fencing_token(shard.id) != Some(shard.fencing_token))
+            .map(|shard| shard.id)
+            .collect();
+        for shard_id in lost {
+            self.drop_shard(shard_id);
         }
     }
 
-    /// Whether no machine of any part owned here reaches this controller.
-    fn hears_none(&self) -> bool {
-        let report_ms = self.config.settings.report_ms();
-        let mut shards = self.shards.values().map(|s| s.heartbeat_summary());
-        !self.shards.is_empty() && shards.all(|h| silence::deaf(h, self.effects.now, report_ms))
-    }
-
-    /// Hands a part over whose machines reach others and not this controller.
-    fn tick_hearing(&mut self) {
-        let now = self.effects.now;
-        let report_ms = self.config.settings.report_ms();
-        let hand_over: BTreeSet<ShardId> = self
+    /// Hands a shard over whose workers reach other controllers and not this one.
+    fn tick_reachability(&mut self) {
+        let now = self.env.now();
+        let heartbeat_interval_ms = self.env.config.settings.report_ms();
+        let unreachable: BTreeSet<ShardId> = self
             .shards
             .values()
             .filter(|shard| {
-                let elsewhere = self.gossip.strangers(now, shard.id);
-                silence::hand_over(shard.heartbeat_summary(), elsewhere, now, report_ms)
+                let elsewhere = self.gossip.most_foreign_heartbeats(now, shard.id);
+                let heartbeats = shard.heartbeat_summary();
+                silence::hand_over(heartbeats, elsewhere, now, heartbeat_interval_ms)
             })
             .map(|shard| shard.id)
             .collect();
-        // Guards against handing a part to nobody: while the state service is away it is neither given nor taken.
-        let served = self.leases.fresh(now) && self.state_silent_ms() < UNSERVED_MS;
-        if served && let Some(shard_id) = self.reachability.hand_over(&hand_over, now) {
-            let mut leases = std::mem::take(&mut self.leases);
-            leases.hand_over(shard_id, &mut self.context());
-            self.leases = leases;
+        // While the key-value store does not serve this controller, no other one can acquire the shard.
+        let may_hand_over = self.leases.is_valid(now) && self.env.is_served();
+        if may_hand_over
+            && let Some(shard_id) = self.reachability.choose_handover(&unreachable, now)
+        {
+            self.leases.hand_over(shard_id, &mut self.env.context());
         }
-        self.leases.deaf = self.reachability.deaf;
-        let mut reachability = std::mem::take(&mut self.reachability);
-        reachability.probe(&mut self.context());
-        self.reachability = reachability;
+        self.leases.unreachable_by_workers = self.reachability.unreachable_by_workers();
+        self.reachability.probe(&mut self.env.context());
     }
 
-    /// Tells the parts owned here what machines the others have: a reservation is shared by that.
-    fn share_pools(&mut self) {
-        let mut pools = self.gossip.pools(self.effects.now);
+    /// Tells the shards led here how many machines the others have: a reservation is divided by that.
+    fn tick_pool_sizes(&mut self) {
+        let now = self.env.now();
+        let is_due = now.since(self.pool_sizes_shared_at) >= POOL_SIZES_INTERVAL_MS;
+        if self.env.guard.holds.is_empty() || !is_due {
+            return;
+        }
+        self.pool_sizes_shared_at = now;
+        let mut sizes = self.gossip.pool_sizes(now);
         for shard in self.shards.values() {
-            let leases = shard.pools().into_iter();
-            pools.extend(leases.map(|(pool, count)| ((shard.id, pool), count)));
+            let own = shard.pools().into_iter();
+            sizes.extend(own.map(|(pool, counts)| ((shard.id, pool), counts)));
         }
-        let pools = Rc::new(pools);
+        let sizes = Rc::new(sizes);
         for shard in self.shards.values_mut() {
-            shard.elsewhere = pools.clone();
+            shard.elsewhere = sizes.clone();
         }
     }
 
-    fn tick_runs(&mut self) {
-        // Which of a run's jobs have ended must be known, or they would be submitted again.
-        let known = self.records.loaded && !self.list_watch.reads_ended();
-        if !known || self.types.is_empty() || self.dag_runs.idle(&self.records) {
-            return;
-        }
-        let mut errors = self.gossip.failing(self.effects.now);
+    fn tick_shards(&mut self) {
+        let now = self.env.now();
+        let lease_valid = self.leases.is_valid(now);
+        let short_of_quota = self.gossip.teams_short_of_quota(now);
+        let mut missing = self.gossip.missing_machines(now);
+        let leader_missing = self.autoscaler.iter();
+        missing.extend(leader_missing.flat_map(|leader| leader.missing.keys().cloned()));
+        let may_respond = self.may_respond_to_workers();
+        let mut offers = self.gossip.steal_offers(now);
         for shard in self.shards.values() {
-            errors.extend(shard.failing().map(|(job, n)| (job.clone(), n)));
+            let own = shard.offers().iter();
+            offers.extend(own.map(|(job, offer)| ((shard.id, job.clone()), *offer)));
         }
-        let mut dag_runs = std::mem::take(&mut self.dag_runs);
-        let mut job_api = std::mem::take(&mut self.job_api);
-        let leases = std::mem::take(&mut self.leases);
-        dag_runs.tick(&leases, &errors, &mut job_api, &mut self.context());
-        if self.autoscaler.is_some() {
-            dag_runs.tidy(&mut self.context());
-        }
-        self.leases = leases;
-        self.job_api = job_api;
-        self.dag_runs = dag_runs;
-    }
-
-    fn tick_bookings(&mut self) {
-        let leads = self.autoscaler.is_some() && self.leases.fresh(self.effects.now);
-        let away = self.state_silent_ms() >= UNSERVED_MS;
-        let guard = self.with_reservations(|reservations, context| {
-            if away {
-                reservations.refuse_all(context);
+        let offers = Rc::new(offers);
+        self.for_each_shard(|shard, context| {
+            shard.offered = offers.clone();
+            shard.tick(lease_valid, &short_of_quota, &missing, context);
+            if !may_respond {
+                shard.drop_held(context);
             }
-            reservations.tick(leads, context)
         });
-        if let Some(guard) = guard {
-            self.guard = guard;
-        }
     }
 
-    /// Keeps to what may be written by now.
-    fn tick_terms(&mut self) {
-        let mut format_migration = std::mem::take(&mut self.format_migration);
-        format_migration.tick(&mut self.context());
-        self.format_migration = format_migration;
-        let state = &self.config.settings.deployment.state;
-        let now = storage_limits(self.records.format, self.kv.refused, state);
-        if now != self.storage_limits {
-            tracing::info!(format = ?now.format, value_bytes = now.value_bytes, txn_ops = now.txn_ops,
-                rps = now.rps, write_rps = now.write_rps, "storage limits changed");
-            self.storage_limits = now;
-        }
-        // A start counts as an owner: it is about to be one, and reads most now.
-        let shards = self
-            .leases
-            .shards()
-            .len()
-            .max(usize::from(!self.records.loaded));
-        let (rps, write_rps) = own_rates(&self.storage_limits, self.config.shard_count, shards);
-        self.kv.set_rates(rps, write_rps);
-    }
-
-    /// Works out anew what needs what, if a job has changed since, and reads what is not known.
-    fn tick_graph(&mut self) {
-        let now = self.effects.now;
-        if self.graph_of != self.records.job_changes && now.since(self.graph_at) >= GRAPH_MS {
-            self.graph_of = self.records.job_changes;
-            self.graph_at = now;
-            let slowest = slowest_fetch(self.types.values());
-            let default_s = self.config.ops.default_run_s;
-            let length_ms =
-                |spec: &JobSpec| seconds_to_ms(estimate(spec, default_s) + spec.pull_gb / slowest);
-            let records = &self.records;
-            let wall = WallClockMillis(self.effects.wall_ms);
-            let final_of = |id: &JobId| records.final_of(id);
-            let dependencies_of = |id: &JobId, record| records.dependencies_of(id, record);
-            let graph = DependencyGraph::build(
-                &records.jobs,
-                dependencies_of,
-                final_of,
-                length_ms,
-                wall,
-                &self.dependency_graph,
-            );
-            self.dependency_graph = graph;
-        }
-        let reads = !self.records.loaded;
-        if reads
-            || self.dependency_graph.unknown.is_empty()
-            || now.since(self.looked_up) < LOOK_UP_MS
-        {
+    fn tick_dag_runs(&mut self) {
+        let now = self.env.now();
+        if !self.env.is_served() || !self.leases.is_valid(now) {
             return;
         }
-        self.looked_up = now;
-        // Ended long ago and dropped from the mirror, or not come yet.
-        for job in self.dependency_graph.unknown.iter().take(LOOK_UPS) {
-            if self.kv.may(now, RequestPriority::Ends, 0) {
-                let tag = KvRequest::JobLookup(job.clone());
-                self.kv.get(&mut self.effects, tag, &job_key(job), 1_500);
-            }
-        }
-    }
-
-    /// Lets go of what the mirror shows to be another's.
-    fn check_held(&mut self) {
-        if !self.records.loaded {
+        // It must be known which of a run's jobs have ended, or they would be submitted again.
+        let can_decide = self.env.records.loaded
+            && !self.list_watch.reads_ended()
+            && self.env.machine_types.are_known();
+        if !can_decide || self.dag_runs.idle(&self.env.records) {
             return;
         }
-        let now = self.effects.now;
-        for (shard_id, fencing_token) in self.leases.shards() {
-            if self.records.revision.0 < fencing_token.0 {
-                continue;
-            }
-            let version = self
-                .records
-                .shard_owners
-                .get(&shard_id)
-                .map(|v| v.version.0);
-            if version != Some(fencing_token.0) {
-                tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "shard owned by another controller");
-                self.leases.lose(Role::ShardLeader(shard_id), now);
-            }
-        }
-        let leases = &self.leases;
-        let gone: Vec<ShardId> = self
-            .shards
-            .values()
-            .filter(|s| leases.fencing_token(s.id) != Some(s.fencing_token))
-            .map(|s| s.id)
-            .collect();
-        for shard_id in gone {
-            if let Some(mut shard) = self.shards.remove(&shard_id) {
-                shard.drop_held(&mut self.context());
-            }
-        }
-        if let Some(fencing_token) = self.leases.leads()
-            && self.records.revision.0 >= fencing_token.0
-            && self.records.leader.as_ref().map(|v| v.version.0) != Some(fencing_token.0)
-        {
-            self.leases.lose(Role::ClusterLeader, now);
+        let mut failing: BTreeMap<JobId, u32> = self.gossip.failing_jobs(now);
+        for shard in self.shards.values() {
+            failing.extend(shard.failing().map(|(job, errors)| (job.clone(), errors)));
         }
-        let leads = self.leases.leads();
-        if self
-            .autoscaler
-            .as_ref()
-            .is_some_and(|f| Some(f.fencing_token) != leads)
-        {
-            self.autoscaler = None;
+        let job_api = &mut self.job_api;
+        self.dag_runs
+            .tick(&self.leases, &failing, job_api, &mut self.env.context());
+        if self.autoscaler.is_some() {
+            self.dag_runs.tidy(&mut self.env.context());
         }
     }
 
-    fn hint(&mut self) {
-        let now = self.effects.now;
-        let mut short_of: BTreeSet<String> = BTreeSet::new();
-        let mut shards = Vec::new();
+    fn tick_job_api(&mut self) {
+        let now = self.env.now();
+        let mut capacities = self.gossip.shard_capacities(now);
+        capacities.extend(self.shards.values().map(|shard| (shard.id, shard.room())));
+        self.job_api.rooms = capacities;
+        let mut reserved = self.gossip.reserved_cpus(now);
         for shard in self.shards.values() {
-            short_of.extend(shard.short_of.keys().map(|t| t.as_str().to_string()));
-            shards.push(ShardStatus {
-                shard_id: shard.id.0,
-                free_cpus: shard.free_cpus,
-                capacity_cpus: shard.room().capacity,
-                waiting_cpus: shard.waiting_cpus,
-                pools: if self.guard.holds.is_empty() {
-                    Vec::new()
-                } else {
-                    pool_hints(shard)
-                },
-                failing: shard
-                    .failing()
-                    .take(MOST_FAILING)
-                    .map(|(job, errors)| FailingJob {
-                        job: job.as_str().to_string(),
-                        errors,
-                    })
-                    .collect(),
-                kept: shard
-                    .kept_room
-                    .iter()
-                    .map(|(team, k)| ReservedCpus {
-                        team: team.as_str().to_string(),
-                        cpus: k.promised,
-                    })
-                    .collect(),
-                heard: Vec::new(),
-                stranded: offers(shard, StealOffer::Stranded),
-                overdue: offers(shard, StealOffer::Overdue),
-                ..ShardStatus::default()
-            });
+            let own = shard.kept_room.iter();
+            reserved.extend(own.map(|(team, room)| ((shard.id, team.clone()), room.promised)));
+        }
+        self.job_api.kept = reserved;
+        self.job_api.flush_polls(&mut self.env.context());
+        self.job_api.flush_pieces(&mut self.env.context());
+        if !self.env.is_served() {
+            self.dag_runs.refuse_all(&mut self.env.context());
+            self.job_api.refuse_all(&mut self.env.context());
+            return;
         }
-        self.hint_drains(&mut shards);
-        // All of them in the first part's hint: the leader asks for all parts' together.
-        if let Some(first) = shards.first_mut() {
-            let heard = self.shards.values().flat_map(|s| s.heard(now, HEARD_MS));
-            let heard: BTreeSet<MachineId> = heard.cloned().collect();
-            first.heard = self.heard_turns.next(&heard, HEARD_BYTES);
+        self.job_api.flush(&mut self.env.context());
+        if self.leases.is_valid(now) {
+            let led = self.shards.keys().copied().collect();
+            self.job_api.cascade(&led, &mut self.env.context());
         }
-        let missing = self
-            .autoscaler
-            .iter()
-            .flat_map(|f| f.missing.keys().cloned());
-        let missing: BTreeSet<MachineId> = missing.collect();
-        let missing = self.missing_turns.next(&missing, MISSING_BYTES);
-        let within_ms = STRANGERS_REPORTS * self.config.settings.report_ms();
-        let strangers = self.reachability.strangers(now, within_ms).into_iter();
-        let hint = PeerStatus {
-            deaf: self.reachability.deaf || self.hears_none(),
-            strangers: strangers
-                .map(|(shard_id, machines)| ForeignHeartbeats {
-                    shard_id: shard_id.0,
-                    machines,
-                })
-                .collect(),
-            member: self.config.me.as_str().to_string(),
-            state_silent_ms: self.state_silent_ms(),
-            up_ms: now.since(self.started),
-            feed_silent_ms: now.since(self.list_watch.feed_at),
-            shards,
-            short_of: short_of.into_iter().collect(),
-            missing,
-            waits: self.drain_waits(),
+    }
+
+    fn tick_autoscaler(&mut self) {
+        let now = self.env.now();
+        let may_scale = self.leases.is_valid(now) && self.env.records.loaded;
+        let Some(autoscaler) = self.autoscaler.as_mut().filter(|_| may_scale) else {
+            return;
         };
-        for member in &self.config.members {
-            if *member != self.config.me {
-                self.effects
-                    .outputs
-                    .push(Effect::PeerStatus(member.clone(), hint.clone()));
+        let config = &self.env.config;
+        let all_shards_led = self.env.records.shard_owners.len() == config.shard_count as usize
+            && self.gossip.recent(now).count() + 1 == config.members.len();
+        if autoscaler.wants_heard(now) {
+            let mut machines = self.gossip.machines_with_heartbeats(now);
+            for shard in self.shards.values() {
+                let own = shard.heard(now, RECENT_HEARTBEAT_MS);
+                machines.extend(own.map(|machine| machine.as_str().to_string()));
             }
+            autoscaler.note_heard(now, machines.into_iter());
         }
+        autoscaler.tick(all_shards_led, &mut self.env.context());
     }
-}
-
-/// Failing jobs told of at once.
-const MOST_FAILING: usize = 100;
 
-/// The jobs that a part offers for this reason.
-fn offers(shard: &Shard, why: StealOffer) -> Vec<String> {
-    let offers = shard.offers().iter().filter(|(_, offer)| *offer == why);
-    offers.map(|(job, _)| job.as_str().to_string()).collect()
-}
-
-fn pool_hints(shard: &Shard) -> Vec<PoolSize> {
-    let pools = shard.pools().into_iter();
-    pools
-        .map(|(pool, (ordinary, spot))| PoolSize {
-            zone: pool.zone.to_string(),
-            model: pool.model.to_string(),
-            ordinary,
-            spot,
-        })
-        .collect()
+    /// Whether no worker of any shard led here reaches this controller.
+    pub(super) fn receives_no_heartbeats(&self) -> bool {
+        let now = self.env.now();
+        let heartbeat_interval_ms = self.env.config.settings.report_ms();
+        let mut shards = self.shards.values().map(|s| s.heartbeat_summary());
+        !self.shards.is_empty()
+            && shards.all(|heartbeats| silence::deaf(heartbeats, now, heartbeat_interval_ms))
+    }
 }
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -1,179 +1,221 @@
-//! For how long this controller keeps workers while it cannot learn what users are told: its knowledge horizon,
-//! and the rounds in which the others say what they have confirmed.
+//! The cancellation watermark: up to when this controller knows every cancellation that was confirmed to a user, by the
+//! record cache or by the confirmations of all peers. Workers' leases are renewed for a while after that only.
 
-use super::{Controller, UNSERVED_MS};
+use super::Controller;
+use crate::coordination::config::Config;
 use crate::effects::Effect;
 use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
 use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage};
-use snowshelf_watermark::confirmation_round::PeerConfirmation;
+use snowshelf_watermark::CancellationWatermark;
+use snowshelf_watermark::confirmation_round::{ConfirmationRounds, PeerConfirmation};
 use snowshelf_watermark::renewal::{FEED_LATE_MS, known};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Less than this and workers are let go by a feed that is only slow.
-const LITTLE_ROOM_MS: u64 = 4_000;
-/// Most jobs named in one attestation, so that it stays within its frame; beyond that it is incomplete.
-const MOST_NAMED: usize = 2_000;
+/// With less time for renewals than this, a watch that is only slow makes workers end their tasks.
+const SMALL_MARGIN_MS: u64 = 4_000;
+/// Most jobs in one confirmation, so that it stays within its frame; with more it is incomplete.
+const MAX_CONFIRMED_JOBS: usize = 2_000;
 
-impl Controller {
-    /// Whether answering workers is of use: where the state service serves hardly anybody, nobody can have taken the
-    /// part. That is a hint; that answers break no rule follows from the renewal that each of them needs.
-    pub(super) fn serves(&self) -> bool {
-        self.leases.fresh(self.effects.now) || (self.leases.lease.is_some() && self.outage())
+/// What this controller knows of cancellations that were confirmed to users.
+pub(super) struct CancellationKnowledge {
+    watermark: CancellationWatermark,
+    /// Rounds of confirmation requests. Their incarnation is 0 until the first event tells the time of day.
+    rounds: ConfirmationRounds,
+    /// Jobs whose cancellation a peer has confirmed, and when it said so.
+    peer_confirmed: BTreeMap<JobId, MonotonicMillis>,
+    /// The watermark is too old for workers' leases to be renewed.
+    renewal_suspended: bool,
+}
+
+impl Default for CancellationKnowledge {
+    fn default() -> CancellationKnowledge {
+        CancellationKnowledge {
+            watermark: CancellationWatermark::default(),
+            rounds: ConfirmationRounds::new(0),
+            peer_confirmed: BTreeMap::new(),
+            renewal_suspended: false,
+        }
     }
+}
 
-    /// Asks the others what they have confirmed while the state service does not say it.
-    pub(super) fn tick_horizon(&mut self) {
-        let now = self.effects.now;
-        self.tell_of_horizon();
-        let Some(at) = self.watermark.at() else {
-            return;
-        };
-        // Where the state service answers all but the feed, that does not say it either.
-        let feed_late = self
-            .watermark
-            .feed()
-            .is_none_or(|feed| now.since(feed) > FEED_LATE_MS);
-        if self.shards.is_empty() || (self.state_silent_ms() < UNSERVED_MS && !feed_late) {
-            return;
+impl CancellationKnowledge {
+    pub(super) fn watermark(&self) -> CancellationWatermark {
+        self.watermark
+    }
+
+    pub(super) fn peer_confirmed(&self) -> &BTreeMap<JobId, MonotonicMillis> {
+        &self.peer_confirmed
+    }
+
+    /// Gives this process its incarnation, by which peers tell it from the one before a restart.
+    pub(super) fn begin_incarnation(&mut self, wall_ms: u64) {
+        if self.rounds.incarnation() == 0 {
+            self.rounds = ConfirmationRounds::new(wall_ms.max(1));
         }
-        let others: BTreeSet<Member> = self.others().cloned().collect();
-        if others.is_empty() {
-            // Nobody else tells users anything.
-            self.watermark.attest(now);
+    }
+
+    /// The record cache has every record as of this time.
+    pub(super) fn on_records_current(&mut self, at: MonotonicMillis) {
+        self.watermark.read(at);
+        // What peers confirmed before is in the record cache.
+        self.peer_confirmed
+            .retain(|_, confirmed_at| *confirmed_at >= at);
+    }
+
+    /// Whether the watch of records advances the watermark too late.
+    fn is_watch_late(&self, now: MonotonicMillis) -> bool {
+        let read_at = self.watermark.feed();
+        read_at.is_none_or(|at| now.since(at) > FEED_LATE_MS)
+    }
+
+    /// Logs when workers' leases are no longer renewed, and when they are again.
+    fn log_suspension(&mut self, now: MonotonicMillis, answering_ms: u64) {
+        let watermark = self.watermark.at();
+        let is_suspended = watermark.is_some_and(|at| !known(Some(at), now, answering_ms));
+        if is_suspended == self.renewal_suspended {
             return;
         }
-        let Some(question) = self.confirmation_rounds.ask(now, at, others) else {
-            return;
-        };
-        let request = ConfirmationRequest {
-            member: self.config.me.as_str().to_string(),
-            incarnation: question.incarnation,
-            sequence: question.sequence,
-            window_ms: question.window_ms,
-        };
-        for member in self.others().cloned().collect::<Vec<_>>() {
-            let proof = PeerMessage {
-                request: Some(request.clone()),
-                attestation: None,
-            };
-            self.effects
-                .outputs
-                .push(Effect::PeerMessage(member, proof));
+        self.renewal_suspended = is_suspended;
+        let behind_ms = watermark.map(|at| now.since(at));
+        match is_suspended {
+            true => tracing::info!(
+                behind_ms,
+                "lease renewal suspended: cancellation watermark too old"
+            ),
+            false => tracing::info!(behind_ms, "lease renewal resumed"),
         }
     }
 
-    /// Says at the start where the settings leave hardly any room for answering without the state service.
-    pub(super) fn tell_of_room(&self) {
-        let answering_ms = self.config.settings.answering_ms();
-        if answering_ms < LITTLE_ROOM_MS {
-            let workers = &self.config.settings.deployment.workers;
-            tracing::error!(
-                cancel_s = workers.cancel_s,
-                lease_s = workers.lease_s,
-                answering_ms,
-                "cancel_s leaves little margin beyond lease_s: worker leases are not renewed once cancellations are known late"
-            );
+    /// Handles a peer's answer to a confirmation request.
+    fn on_confirmation(&mut self, now: MonotonicMillis, confirmation: Confirmation) {
+        let cancelled = confirmation.cancelled.iter();
+        let confirmation = PeerConfirmation {
+            from: Member::new(&confirmation.member),
+            incarnation: confirmation.asker_incarnation,
+            sequence: confirmation.sequence,
+            complete: confirmation.complete,
+            cancelled: cancelled.map(|job| JobId::new(job)).collect(),
+        };
+        let completed_round = match self.rounds.take(now, &confirmation) {
+            Ok(completed_round) => completed_round,
+            Err(why) => {
+                tracing::info!(member = %confirmation.from, sequence = confirmation.sequence, ?why,
+                    "peer confirmation ignored");
+                return;
+            }
+        };
+        // Their tasks are stopped at once, whether or not the other peers have answered yet.
+        for job in confirmation.cancelled {
+            if self.peer_confirmed.insert(job.clone(), now).is_none() {
+                tracing::info!(job = %job, by = %confirmation.from, "job cancellation confirmed by peer");
+            }
+        }
+        if let Some(asked_at) = completed_round {
+            self.watermark.attest(asked_at);
         }
     }
+}
 
-    fn others(&self) -> impl Iterator<Item = &Member> + '_ {
-        self.config.members.iter().filter(|m| **m != self.config.me)
+/// Logs at the start that the settings leave little time for renewals without the key-value store.
+pub(super) fn log_small_margin(config: &Config) {
+    let answering_ms = config.settings.answering_ms();
+    if answering_ms < SMALL_MARGIN_MS {
+        let workers = &config.settings.deployment.workers;
+        tracing::error!(
+            cancel_s = workers.cancel_s,
+            lease_s = workers.lease_s,
+            answering_ms,
+            "cancel_s leaves little margin beyond lease_s: worker leases are not renewed once cancellations are known late"
+        );
     }
+}
 
-    /// One line for operators when workers are let go, and when they are answered again.
-    fn tell_of_horizon(&mut self) {
-        let now = self.effects.now;
-        let answering_ms = self.config.settings.answering_ms();
-        let lets_go = self
-            .watermark
-            .at()
-            .is_some_and(|at| !known(Some(at), now, answering_ms));
-        if lets_go != self.lets_go {
-            self.lets_go = lets_go;
-            let behind_ms = self.watermark.at().map(|at| now.since(at));
-            match lets_go {
-                true => tracing::info!(
-                    behind_ms,
-                    "lease renewal suspended: cancellation watermark too old"
-                ),
-                false => tracing::info!(behind_ms, "lease renewal resumed"),
-            }
+impl Controller {
+    /// Asks the peers which cancellations they have confirmed while the key-value store does not say it.
+    pub(super) fn tick_watermark(&mut self) {
+        let now = self.env.now();
+        let answering_ms = self.env.config.settings.answering_ms();
+        let cancellations = &mut self.env.cancellations;
+        cancellations.log_suspension(now, answering_ms);
+        let Some(watermark) = cancellations.watermark.at() else {
+            return;
+        };
+        let watch_late = cancellations.is_watch_late(now);
+        if self.shards.is_empty() || (self.env.is_served() && !watch_late) {
+            return;
         }
+        self.request_confirmations(watermark);
     }
 
-    /// The mirror is current as of a new moment.
-    pub(super) fn read_as_of(&mut self, at: MonotonicMillis) {
-        self.watermark.read(at);
-        // What was said before that is in the mirror if it is true.
-        self.attested.retain(|_, said| *said >= at);
+    /// Starts a round of confirmation requests, if one is due.
+    fn request_confirmations(&mut self, watermark: MonotonicMillis) {
+        let env = &mut self.env;
+        let now = env.effects.now;
+        let peers: BTreeSet<Member> = env.config.other_members().cloned().collect();
+        if peers.is_empty() {
+            // Nobody else confirms cancellations.
+            env.cancellations.watermark.attest(now);
+            return;
+        }
+        let Some(round) = env.cancellations.rounds.ask(now, watermark, peers) else {
+            return;
+        };
+        let request = ConfirmationRequest {
+            member: env.config.me.as_str().to_string(),
+            incarnation: round.incarnation,
+            sequence: round.sequence,
+            window_ms: round.window_ms,
+        };
+        for member in env.config.other_members() {
+            let message = PeerMessage {
+                request: Some(request.clone()),
+                attestation: None,
+            };
+            let effect = Effect::PeerMessage(member.clone(), message);
+            env.effects.outputs.push(effect);
+        }
     }
 
-    /// A message that is no hint, of another controller.
-    pub(super) fn proof(&mut self, proof: PeerMessage) {
-        if let Some(request) = proof.request {
-            self.attest(&request);
+    /// Handles a message of a peer that safety depends on.
+    pub(super) fn on_peer_message(&mut self, message: PeerMessage) {
+        if let Some(request) = message.request {
+            self.confirm_cancellations(&request);
         }
-        if let Some(attestation) = proof.attestation {
-            self.attested(attestation);
+        if let Some(confirmation) = message.attestation {
+            let now = self.env.now();
+            self.env.cancellations.on_confirmation(now, confirmation);
         }
     }
 
-    fn attest(&mut self, request: &ConfirmationRequest) {
-        let asker = Member::new(&request.member);
-        if !self.others().any(|m| *m == asker) {
-            tracing::info!(member = %asker, "confirmation request rejected: unknown member");
+    /// Answers a peer which cancellations this controller has confirmed to users lately.
+    fn confirm_cancellations(&mut self, request: &ConfirmationRequest) {
+        let env = &mut self.env;
+        let peer = Member::new(&request.member);
+        if !env.config.other_members().any(|member| *member == peer) {
+            tracing::info!(member = %peer, "confirmation request rejected: unknown member");
             return;
         }
-        let stats = self
-            .job_api
-            .confirmed
-            .within(self.effects.now, request.window_ms);
-        let stats = stats.filter(|jobs| jobs.len() <= MOST_NAMED);
-        let complete = stats.is_some();
-        let cancelled = stats.into_iter().flatten();
-        let attestation = Confirmation {
-            member: self.config.me.as_str().to_string(),
-            incarnation: self.confirmation_rounds.incarnation(),
+        let confirmed = &self.job_api.confirmed;
+        let cancelled = confirmed
+            .within(env.effects.now, request.window_ms)
+            .filter(|jobs| jobs.len() <= MAX_CONFIRMED_JOBS);
+        let confirmation = Confirmation {
+            member: env.config.me.as_str().to_string(),
+            incarnation: env.cancellations.rounds.incarnation(),
             asker_incarnation: request.incarnation,
             sequence: request.sequence,
-            complete,
-            cancelled: cancelled.map(|job| job.as_str().to_string()).collect(),
+            complete: cancelled.is_some(),
+            cancelled: cancelled
+                .into_iter()
+                .flatten()
+                .map(|job| job.as_str().to_string())
+                .collect(),
         };
-        let proof = PeerMessage {
+        let message = PeerMessage {
             request: None,
-            attestation: Some(attestation),
-        };
-        self.effects.outputs.push(Effect::PeerMessage(asker, proof));
-    }
-
-    fn attested(&mut self, attestation: Confirmation) {
-        let now = self.effects.now;
-        let answer = PeerConfirmation {
-            from: Member::new(&attestation.member),
-            incarnation: attestation.asker_incarnation,
-            sequence: attestation.sequence,
-            complete: attestation.complete,
-            cancelled: attestation
-                .cancelled
-                .iter()
-                .map(|j| JobId::new(j))
-                .collect(),
+            attestation: Some(confirmation),
         };
-        match self.confirmation_rounds.take(now, &answer) {
-            Err(why) => {
-                tracing::info!(member = %answer.from, sequence = answer.sequence, ?why, "peer confirmation ignored");
-            }
-            Ok(complete) => {
-                // Halted at once, whether or not the others have answered yet.
-                for job in answer.cancelled {
-                    if self.attested.insert(job.clone(), now).is_none() {
-                        tracing::info!(job = %job, by = %answer.from, "job cancellation confirmed by peer");
-                    }
-                }
-                if let Some(asked) = complete {
-                    self.watermark.attest(asked);
-                }
-            }
-        }
+        let effect = Effect::PeerMessage(peer, message);
+        env.effects.outputs.push(effect);
     }
 }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -1,177 +1,241 @@
-//! Jobs that need other jobs: which may start, which can never, and how urgent each is through those
-//! that need it. A pure function of the records; nothing is remembered that they do not show, but
-//! when a job that may start was first seen to.
+//! The graph of jobs that depend on other jobs: which are ready to start, which can never start, and how urgent each is
+//! by itself and through the jobs that depend on it.
+//!
+//! The graph follows from the records of jobs alone, but for when a ready job was first seen to be ready.
 
 use crate::storage::record_cache::{Final, Versioned};
 use snowshelf_model::ids::{JobId, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Priority};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
-/// What a job is to be treated as, for itself and for the jobs that need it.
+const MS_PER_S: f64 = 1000.0;
+
+/// How urgent a job is, by itself and through the jobs that depend on it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Urgency {
+    /// The highest priority among them.
     pub priority: Priority,
-    /// When it should start so that every deadline below it can be met; `None`: no deadline.
-    pub latest: Option<WallClockMillis>,
+    /// When the job must start so that every deadline among them can be met; `None`: no deadline.
+    pub latest_start: Option<WallClockMillis>,
+}
+
+impl Urgency {
+    /// The more urgent of both, in each respect.
+    #[must_use]
+    pub fn max(self, other: Urgency) -> Urgency {
+        let latest_start = match (self.latest_start, other.latest_start) {
+            (Some(a), Some(b)) => Some(a.min(b)),
+            (a, b) => a.or(b),
+        };
+        Urgency {
+            priority: self.priority.max(other.priority),
+            latest_start,
+        }
+    }
+}
+
+/// What the graph is built from.
+pub struct GraphSource<'a, 's> {
+    /// The records of jobs that have not ended, and maybe of some that have.
+    pub jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
+    /// The dependencies of a job; `None` if they are not all known.
+    #[expect(
+        clippy::type_complexity,
+        reason = "the type is the signature of a lookup"
+    )]
+    pub dependencies_of: &'s dyn Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
+    /// How a job has ended; `None` if it has not, or is not known.
+    pub final_of: &'s dyn Fn(&JobId) -> Option<Final>,
+    /// How long a job is expected to take, in milliseconds.
+    pub duration_ms: &'s dyn Fn(&JobSpec) -> u64,
 }
 
+impl<'a> GraphSource<'a, '_> {
+    fn open(&self, id: &JobId) -> Option<&'a JobRecord> {
+        let record = self.jobs.get(id).map(|v| &*v.value);
+        record.filter(|record| record.state == JobState::Open)
+    }
+
+    /// A job's urgency by itself; `None` without a specification.
+    fn own_urgency(&self, record: &JobRecord) -> Option<Urgency> {
+        let spec = record.spec.as_ref()?;
+        let latest_start = spec.deadline_s.map(|deadline_s| {
+            let end = record.submitted.0.saturating_add(seconds_to_ms(deadline_s));
+            WallClockMillis(end.saturating_sub((self.duration_ms)(spec)))
+        });
+        Some(Urgency {
+            priority: spec.priority,
+            latest_start,
+        })
+    }
+}
+
+/// The graph of jobs that depend on other jobs.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// Open jobs with needs, all of which are done: since when.
+    /// Open jobs all of whose dependencies are done, and since when.
     ready: HashMap<JobId, WallClockMillis>,
-    /// Open jobs that need a cancelled one, directly or through others.
-    pub doomed: BTreeSet<JobId>,
-    /// Needed jobs of which nothing is known here.
+    /// Open jobs that depend on a cancelled one, directly or through others.
+    pub unsatisfiable: BTreeSet<JobId>,
+    /// Dependencies without a record in the cache.
     pub unknown: BTreeSet<JobId>,
     urgency: HashMap<JobId, Urgency>,
 }
 
 impl DependencyGraph {
-    /// Whether every job that this one needs is done. A job that the graph has not seen yet is not.
+    /// Whether every dependency of a job is done. A job that the graph has not seen yet is not ready.
+    #[must_use]
     pub fn is_ready(&self, id: &JobId, record: &JobRecord) -> bool {
         !record.has_dependencies() || self.ready.contains_key(id)
     }
 
-    /// From when on a job's waiting counts: its submission, or the end of the last job it needs.
-    pub fn since(&self, id: &JobId, record: &JobRecord) -> WallClockMillis {
+    /// Since when a job could have started: its submission, or the end of its last dependency.
+    #[must_use]
+    pub fn ready_since(&self, id: &JobId, record: &JobRecord) -> WallClockMillis {
         let ready = self.ready.get(id).copied();
         ready.map_or(record.submitted, |at| at.max(record.submitted))
     }
 
-    /// How long a job waited for others after its submission.
-    pub fn waited_s(&self, id: &JobId, record: &JobRecord) -> f64 {
-        (self.since(id, record).0 - record.submitted.0) as f64 / 1000.0
+    /// How long a job has waited for its dependencies after its submission, in seconds.
+    #[must_use]
+    pub fn blocked_s(&self, id: &JobId, record: &JobRecord) -> f64 {
+        (self.ready_since(id, record).0 - record.submitted.0) as f64 / MS_PER_S
     }
 
-    /// How urgent a job is, by itself and by what needs it.
+    /// How urgent a job is, by itself and through the jobs that depend on it.
+    #[must_use]
     pub fn urgency(&self, id: &JobId, spec: &JobSpec) -> Urgency {
         self.urgency.get(id).copied().unwrap_or(Urgency {
             priority: spec.priority,
-            latest: None,
+            latest_start: None,
         })
     }
 
-    /// Works the picture out from the records of jobs that have not ended. `length_ms` is how long a
-    /// job is expected to take, `dependencies_of` what it needs, as far as that is known.
-    pub fn build<'a>(
-        jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
-        dependencies_of: impl Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
-        final_of: impl Fn(&JobId) -> Option<Final>,
-        length_ms: impl Fn(&JobSpec) -> u64,
+    /// Builds the graph. `previous` says since when jobs have been ready where the records do not.
+    #[must_use]
+    pub fn build(
+        source: &GraphSource,
         now: WallClockMillis,
-        before: &DependencyGraph,
+        previous: &DependencyGraph,
     ) -> DependencyGraph {
-        let open = |id: &JobId| {
-            let found = jobs.get(id).map(|v| &*v.value);
-            found.filter(|r| r.state == JobState::Open)
+        let mut builder = GraphBuilder {
+            source,
+            dependencies: HashMap::new(),
+            dependents: HashMap::new(),
+            cancelled: Vec::new(),
+            graph: DependencyGraph::default(),
         };
-        let mut graph = DependencyGraph::default();
-        let mut dependencies: HashMap<&JobId, Vec<&JobId>> = HashMap::new();
-        let mut needed_by: HashMap<&JobId, Vec<&JobId>> = HashMap::new();
-        let mut cancelled: Vec<&JobId> = Vec::new();
-        for (id, v) in jobs {
-            let record = &*v.value;
+        builder.link_all(now, previous);
+        let unsatisfiable = builder.find_unsatisfiable();
+        builder.propagate_urgency(&unsatisfiable);
+        builder.graph
+    }
+}
+
+struct GraphBuilder<'a, 's> {
+    source: &'s GraphSource<'a, 's>,
+    /// The known dependencies of each open job that has any.
+    dependencies: HashMap<&'a JobId, Vec<&'a JobId>>,
+    dependents: HashMap<&'a JobId, Vec<&'a JobId>>,
+    /// Cancelled jobs that others depend on.
+    cancelled: Vec<&'a JobId>,
+    graph: DependencyGraph,
+}
+
+impl<'a> GraphBuilder<'a, '_> {
+    /// Links the open jobs with their dependencies, and notes which of them are ready.
+    fn link_all(&mut self, now: WallClockMillis, previous: &DependencyGraph) {
+        for (id, versioned) in self.source.jobs {
+            let record = &*versioned.value;
             if record.state != JobState::Open || !record.has_dependencies() {
                 continue;
             }
-            let known = dependencies_of(id, record);
-            let mut done = known.is_some();
-            let mut since = Some(record.submitted);
-            let needed = dependencies.entry(id).or_insert(known.unwrap_or_default());
-            for dependency in needed.iter().copied() {
-                needed_by.entry(dependency).or_default().push(id);
-                match final_of(dependency) {
-                    Some(end) if end.state == JobState::Done => {
-                        since = since.and_then(|s| Some(s.max(end.ended?)));
-                    }
-                    Some(_) => {
-                        done = false;
-                        cancelled.push(dependency);
-                    }
-                    None => {
-                        done = false;
-                        if open(dependency).is_none() {
-                            graph.unknown.insert(dependency.clone());
-                        }
+            let known = (self.source.dependencies_of)(id, record);
+            let all_known = known.is_some();
+            let dependencies = known.unwrap_or_default();
+            let mut all_done = all_known;
+            let mut ready_since = Some(record.submitted);
+            for dependency in dependencies.iter().copied() {
+                self.dependents.entry(dependency).or_default().push(id);
+                match self.ended_dependency(dependency) {
+                    Some(done) => {
+                        ready_since = ready_since.and_then(|since| Some(since.max(done.ended?)));
                     }
+                    None => all_done = false,
                 }
             }
-            if done {
-                let seen = before.ready.get(id).copied();
-                graph
-                    .ready
-                    .insert(id.clone(), since.or(seen).unwrap_or(now));
+            self.dependencies.insert(id, dependencies);
+            if all_done {
+                let seen_since = previous.ready.get(id).copied();
+                let since = ready_since.or(seen_since).unwrap_or(now);
+                self.graph.ready.insert(id.clone(), since);
             }
         }
-        // What can never start: everything below a cancelled job, each visited once.
-        let mut doomed: HashSet<&JobId> = HashSet::new();
-        let mut queue: VecDeque<&JobId> = cancelled.into();
-        while let Some(id) = queue.pop_front() {
-            for below in needed_by.get(id).into_iter().flatten() {
-                if doomed.insert(below) {
-                    queue.push_back(below);
+    }
+
+    /// The end of a dependency that is done; notes one that is cancelled or unknown.
+    fn ended_dependency(&mut self, dependency: &'a JobId) -> Option<Final> {
+        match (self.source.final_of)(dependency) {
+            Some(end) if end.state == JobState::Done => return Some(end),
+            Some(_) => self.cancelled.push(dependency),
+            None => {
+                if self.source.open(dependency).is_none() {
+                    self.graph.unknown.insert(dependency.clone());
                 }
             }
         }
-        graph.doomed = doomed.iter().map(|id| (*id).clone()).collect();
-        // Urgency goes up from those that nobody needs; a corrupt circle is never reached.
-        let own = |record: &JobRecord| {
-            let spec = record.spec.as_ref()?;
-            let latest = spec.deadline_s.map(|deadline| {
-                let end = record.submitted.0.saturating_add(seconds_to_ms(deadline));
-                WallClockMillis(end.saturating_sub(length_ms(spec)))
-            });
-            Some(Urgency {
-                priority: spec.priority,
-                latest,
-            })
-        };
-        let mut above: HashMap<&JobId, usize> = HashMap::new();
-        for (dependency, below) in &needed_by {
-            if open(dependency).is_some() {
-                let waits = below.iter().filter(|b| !doomed.contains(*b)).count();
-                above.insert(dependency, waits);
+        None
+    }
+
+    /// Finds the jobs that depend on a cancelled one, each visited once.
+    fn find_unsatisfiable(&mut self) -> HashSet<&'a JobId> {
+        let mut unsatisfiable: HashSet<&JobId> = HashSet::new();
+        let mut queue: VecDeque<&JobId> = std::mem::take(&mut self.cancelled).into();
+        while let Some(id) = queue.pop_front() {
+            for dependent in self.dependents.get(id).into_iter().flatten().copied() {
+                if unsatisfiable.insert(dependent) {
+                    queue.push_back(dependent);
+                }
             }
         }
-        let mut queue: VecDeque<&JobId> = needed_by
-            .values()
-            .flatten()
-            .filter(|id| above.get(*id).copied().unwrap_or(0) == 0)
-            .copied()
-            .collect::<BTreeSet<_>>()
-            .into_iter()
-            .collect();
-        queue.extend(
-            above
-                .iter()
-                .filter(|(id, n)| **n == 0 && open(id).is_some_and(|r| !r.has_dependencies()))
-                .map(|(id, _)| *id),
-        );
+        self.graph.unsatisfiable = unsatisfiable.iter().map(|id| (*id).clone()).collect();
+        unsatisfiable
+    }
+
+    /// Passes each job's urgency on to its dependencies, from the jobs that nobody depends on. Jobs of a cycle, which
+    /// only corrupt records have, are never reached.
+    fn propagate_urgency(&mut self, unsatisfiable: &HashSet<&'a JobId>) {
+        let mut unvisited = self.count_dependents(unsatisfiable);
+        let mut queue = self.jobs_without_dependents(&unvisited);
         while let Some(id) = queue.pop_front() {
-            let Some(record) = open(id).filter(|_| !doomed.contains(id)) else {
+            let satisfiable = self.source.open(id).filter(|_| !unsatisfiable.contains(id));
+            let Some(own) = satisfiable.and_then(|record| self.source.own_urgency(record)) else {
                 continue;
             };
-            let Some(mine) = own(record) else {
-                continue;
+            let urgency = match self.graph.urgency.get(id) {
+                Some(passed) => own.max(*passed),
+                None => own,
             };
-            let urgency = match graph.urgency.get(id) {
-                Some(passed) => mine.and(*passed),
-                None => mine,
-            };
-            graph.urgency.insert(id.clone(), urgency);
-            for dependency in dependencies.get(id).into_iter().flatten().copied() {
-                let Some(spec) = open(dependency).and_then(|r| r.spec.as_ref()) else {
+            self.graph.urgency.insert(id.clone(), urgency);
+            for dependency in self.dependencies.get(id).into_iter().flatten().copied() {
+                let record = self.source.open(dependency);
+                let Some(spec) = record.and_then(|record| record.spec.as_ref()) else {
                     continue;
                 };
+                let duration_ms = (self.source.duration_ms)(spec);
                 let passed = Urgency {
                     priority: urgency.priority,
-                    latest: urgency
-                        .latest
-                        .map(|at| WallClockMillis(at.0.saturating_sub(length_ms(spec)))),
+                    latest_start: urgency
+                        .latest_start
+                        .map(|at| WallClockMillis(at.0.saturating_sub(duration_ms))),
                 };
-                let entry = graph.urgency.entry(dependency.clone()).or_insert(passed);
-                *entry = entry.and(passed);
-                if let Some(left) = above.get_mut(dependency) {
+                let entry = self
+                    .graph
+                    .urgency
+                    .entry(dependency.clone())
+                    .or_insert(passed);
+                *entry = entry.max(passed);
+                if let Some(left) = unvisited.get_mut(dependency) {
                     *left = left.saturating_sub(1);
                     if *left == 0 {
                         queue.push_back(dependency);
@@ -179,20 +243,38 @@
                 }
             }
         }
-        graph
     }
-}
 
-impl Urgency {
-    /// The more urgent of both, in each respect.
-    pub fn and(self, other: Urgency) -> Urgency {
-        let latest = match (self.latest, other.latest) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+    /// How many satisfiable jobs depend on each open job that is a dependency.
+    fn count_dependents(&self, unsatisfiable: &HashSet<&'a JobId>) -> HashMap<&'a JobId, usize> {
+        let open = self
+            .dependents
+            .iter()
+            .filter(|(dependency, _)| self.source.open(dependency).is_some());
+        open.map(|(dependency, dependents)| {
+            let satisfiable = dependents.iter().filter(|id| !unsatisfiable.contains(*id));
+            (*dependency, satisfiable.count())
+        })
+        .collect()
+    }
+
+    fn jobs_without_dependents(
+        &self,
+        dependent_counts: &HashMap<&'a JobId, usize>,
+    ) -> VecDeque<&'a JobId> {
+        let is_last = |id: &JobId| dependent_counts.get(id).copied().unwrap_or(0) == 0;
+        let dependents = self.dependents.values().flatten().copied();
+        let last: BTreeSet<&JobId> = dependents.filter(|id| is_last(id)).collect();
+        let has_no_dependencies = |id: &JobId| {
+            let record = self.source.open(id);
+            record.is_some_and(|record| !record.has_dependencies())
         };
-        Urgency {
-            priority: self.priority.max(other.priority),
-            latest,
-        }
+        let unsatisfiable_dependents_only = dependent_counts
+            .iter()
+            .filter(|(id, count)| **count == 0 && has_no_dependencies(id))
+            .map(|(id, _)| *id);
+        last.into_iter()
+            .chain(unsatisfiable_dependents_only)
+            .collect()
     }
 }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -12,7 +12,7 @@
 pub use leading::Heard;
 
 use super::context::{Context, KvRequest};
-use super::pending_requests::{PendingRequests, Waiting};
+use super::pending_requests::{PendingRequest, PendingRequests};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use deciding::{Write, decide};
@@ -33,7 +33,7 @@
     value: Option<Value>,
     changes: bool,
     /// Who asked, and what is answered once it is durable; nobody: the leader's own step.
-    asked: Option<(Waiting<Ask>, Response)>,
+    asked: Option<(PendingRequest<Ask>, Response)>,
 }
 
 /// What a drain waits for, in words, and what holds back the stops of its step.
@@ -70,30 +70,30 @@
         } else {
             None
         };
-        self.queue.take(conn, ask, why, context);
+        self.queue.admit(conn, ask, why, context);
     }
 
     /// Sends everybody who waits away: the state service does not serve.
     pub fn refuse_all(&mut self, context: &mut Context) {
-        self.queue.refuse_all(context);
+        self.queue.reject_all(context);
     }
 
     /// Decides the request that has waited longest.
     pub fn tick(&mut self, context: &mut Context) {
         let now = context.now();
-        self.queue.give_up(context);
+        self.queue.expire(context);
         if self.underway.is_some() || now < self.retry_at || !context.records.loaded {
             return;
         }
         while let Some(waiting) = self.queue.pop() {
-            let decided = decide(&waiting.ask, &self.waits, context);
+            let decided = decide(&waiting.request, &self.waits, context);
             let Some(write) = decided.write else {
                 context.effects.respond(waiting.conn, decided.response);
                 continue;
             };
             let writes = usize::from(write.changes);
             if !context.kv.may(now, RequestPriority::Accept, writes) {
-                self.queue.put_back(vec![waiting]);
+                self.queue.requeue(vec![waiting]);
                 return;
             }
             self.send(write, Some((waiting, decided.response)), None, context);
@@ -105,7 +105,7 @@
     fn send(
         &mut self,
         write: Write,
-        asked: Option<(Waiting<Ask>, Response)>,
+        asked: Option<(PendingRequest<Ask>, Response)>,
         leads: Option<(String, Version)>,
         context: &mut Context,
     ) {
@@ -164,7 +164,7 @@
                 // The feed brings what was changed; then it is decided anew.
                 self.retry_at = now.plus(AGAIN_MS);
                 if let Some((waiting, _)) = asked {
-                    self.queue.put_back(vec![waiting]);
+                    self.queue.requeue(vec![waiting]);
                 }
             }
             (_, Some((waiting, _))) => {
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -1,134 +1,153 @@
-//! The step to the wide format, and to each feature whose records every controller must know. Every
-//! controller says durably what it can; what all can is settled for good, and each acts on it only
-//! after reading that.
+//! The migration of the record format, and the activation of features whose records every controller must know.
+//!
+//! Each controller declares durably what it can read. What all controllers have declared is agreed on for good, in a
+//! record that each controller acts on only after reading it.
 
 use super::context::{Context, KvRequest};
-use crate::settings::StateLimits;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::Versioned;
 use serde_json::Value;
 use snowshelf_model::ids::{Member, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{
-    Capability, FORMAT_KEY, FORMAT_V2, FormatRecord, RecordFormat, StorageLimits, member_key,
+    Capability, FORMAT_KEY, FORMAT_V2, FormatRecord, RecordFormat, member_key,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The pause after a try that brought nothing.
-const AGAIN_MS: u64 = 700;
+/// The pause after a write that was not carried out.
+const RETRY_MS: u64 = 700;
 
+/// A record that is to be written.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct Declaration {
+    /// The key of this controller's own declaration, or of the agreement.
+    pub key: String,
+    /// The version that the key must have.
+    pub version: Version,
+    /// The new value.
+    pub record: FormatRecord,
+}
+
+/// Declares what this controller can read, and agrees on what all can.
 #[derive(Default)]
 pub struct FormatMigration {
-    underway: bool,
+    in_flight: bool,
     retry_at: MonotonicMillis,
 }
 
-/// What is to be written next, at which version of its key, if anything: this controller's word
-/// first, then what follows from everybody's. Pure.
-pub fn next_word(
+/// What is to be written next, if anything: this controller's own declaration first, then the agreement that follows
+/// from the declarations of all members. Nothing that is agreed on is ever taken back.
+#[must_use]
+pub fn next_declaration(
     me: &Member,
-    mine: &BTreeSet<Capability>,
-    all: &[Member],
-    said: &BTreeMap<Member, Versioned<FormatRecord>>,
+    capabilities: &BTreeSet<Capability>,
+    members: &[Member],
+    declared: &BTreeMap<Member, Versioned<FormatRecord>>,
     agreed: Option<&Versioned<FormatRecord>>,
-) -> Option<(String, Version, FormatRecord)> {
-    let before = said.get(me);
-    let format = before.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2));
-    let word = FormatRecord {
-        format,
-        can: mine.clone(),
+) -> Option<Declaration> {
+    own_declaration(me, capabilities, declared.get(me))
+        .or_else(|| next_agreement(capabilities, members, declared, agreed))
+}
+
+/// This controller's declaration, if it is not yet written.
+fn own_declaration(
+    me: &Member,
+    capabilities: &BTreeSet<Capability>,
+    declared: Option<&Versioned<FormatRecord>>,
+) -> Option<Declaration> {
+    let record = FormatRecord {
+        format: declared.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2)),
+        can: capabilities.clone(),
     };
-    if before.is_none_or(|v| *v.value != word) {
-        let version = before.map(|v| v.version).unwrap_or_default();
-        return Some((member_key(me), version, word));
-    }
-    let words: Vec<&FormatRecord> = all
+    let is_written = declared.is_some_and(|v| *v.value == record);
+    (!is_written).then(|| Declaration {
+        key: member_key(me),
+        version: declared.map(|v| v.version).unwrap_or_default(),
+        record,
+    })
+}
+
+/// The agreement that follows from the declarations of all members, if it is not yet written.
+fn next_agreement(
+    capabilities: &BTreeSet<Capability>,
+    members: &[Member],
+    declared: &BTreeMap<Member, Versioned<FormatRecord>>,
+    agreed: Option<&Versioned<FormatRecord>>,
+) -> Option<Declaration> {
+    let declarations: Vec<&FormatRecord> = members
         .iter()
-        .map(|m| said.get(m).map(|v| &*v.value))
+        .map(|member| declared.get(member).map(|v| &*v.value))
         .collect::<Option<_>>()?;
-    let format = words.iter().map(|w| w.format).min()?;
+    let format = declarations.iter().map(|d| d.format).min()?;
     if format < FORMAT_V2 {
         return None;
     }
-    let mut settled = agreed.map(|v| (*v.value).clone()).unwrap_or_default();
-    settled.format = settled.format.max(format);
-    let common = mine
+    let mut record = agreed.map(|v| (*v.value).clone()).unwrap_or_default();
+    record.format = record.format.max(format);
+    let common = capabilities
         .iter()
-        .filter(|c| words.iter().all(|w| w.can.contains(c)));
-    settled.can.extend(common.cloned());
-    if agreed.is_some_and(|v| *v.value == settled) {
-        return None;
-    }
-    let version = agreed.map(|v| v.version).unwrap_or_default();
-    Some((FORMAT_KEY.to_string(), version, settled))
+        .filter(|capability| declarations.iter().all(|d| d.can.contains(capability)));
+    record.can.extend(common.cloned());
+    let is_written = agreed.is_some_and(|v| *v.value == record);
+    (!is_written).then(|| Declaration {
+        key: FORMAT_KEY.to_string(),
+        version: agreed.map(|v| v.version).unwrap_or_default(),
+        record,
+    })
 }
 
 impl FormatMigration {
+    /// Writes the next declaration.
     pub fn tick(&mut self, context: &mut Context) {
         let now = context.now();
-        let held = context.config.ops.hold_format && context.records.format == RecordFormat::V1;
-        if self.underway || now < self.retry_at || !context.records.loaded || held {
+        let is_held = context.config.ops.hold_format && context.records.format == RecordFormat::V1;
+        if self.in_flight || now < self.retry_at || !context.records.loaded || is_held {
             return;
         }
-        let records = &context.records;
-        let next = next_word(
+        let next = next_declaration(
             &context.config.me,
             &context.config.can,
             &context.config.members,
-            &records.members,
-            records.agreed.as_ref(),
+            &context.records.members,
+            context.records.agreed.as_ref(),
         );
-        let Some((key, version, record)) = next else {
+        let Some(declaration) = next else {
             return;
         };
-        if !context.kv.may(now, RequestPriority::Leases, 1) {
-            return;
+        if context.kv.may(now, RequestPriority::Leases, 1) {
+            self.write(declaration, context);
         }
+    }
+
+    fn write(&mut self, declaration: Declaration, context: &mut Context) {
+        let Declaration {
+            key,
+            version,
+            record,
+        } = declaration;
         let value = serde_json::to_value(&record).unwrap_or_default();
-        let change = Mutation::put(key.clone(), &value);
         let swap = CompareAndSwap::default()
             .compare(key.clone(), version)
-            .mutate(change);
+            .mutate(Mutation::put(key.clone(), &value));
         tracing::info!(key, format = record.format, can = ?record.can, "record format and capabilities declared");
-        self.underway = true;
-        context.kv.compare_and_swap(
-            context.effects,
-            KvRequest::FormatMigration { key, value },
-            &swap,
-        );
+        self.in_flight = true;
+        let request = KvRequest::FormatMigration { key, value };
+        context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// The answer; whatever it leaves open, the change feed tells.
-    pub fn declared(
+    /// Handles the outcome of a write. An unknown one becomes known by the watch of records.
+    pub fn on_response(
         &mut self,
         key: &str,
         value: &Value,
-        result: SwapOutcome,
+        outcome: SwapOutcome,
         context: &mut Context,
     ) {
-        self.underway = false;
-        self.retry_at = context.now().plus(AGAIN_MS);
-        if let SwapOutcome::Done(revision) = result {
+        self.in_flight = false;
+        self.retry_at = context.now().plus(RETRY_MS);
+        if let SwapOutcome::Done(revision) = outcome {
             context.records.apply(key, Some(value), revision);
             self.retry_at = context.now();
         }
     }
 }
-
-/// What may be written: the limits in force until the format is settled, from then on, or once the
-/// state service has refused something as it is, the smaller of those and the ones to come.
-pub fn storage_limits(format: RecordFormat, refused: bool, state: &StateLimits) -> StorageLimits {
-    let lowered = format == RecordFormat::V2 || refused;
-    let limits = if lowered {
-        state.smaller()
-    } else {
-        state.clone()
-    };
-    StorageLimits {
-        format,
-        value_bytes: limits.value_bytes(),
-        txn_ops: limits.txn_ops,
-        rps: limits.rps,
-        write_rps: limits.write_rps,
-    }
-}
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,4 +1,5 @@
-//! What this controller knows of the jobs that a report lists, and so whether its answer may renew the lease.
+//! Whether the response to a heartbeat may renew the worker's lease: what this controller knows of the jobs that the
+//! heartbeat lists.
 
 use super::context::Context;
 use snowshelf_model::ids::{Attempt, JobId, MonotonicMillis, ShardId};
@@ -9,63 +10,65 @@
 };
 
 impl Context<'_> {
-    /// Leave to answer a report to a part's owner that came at `received` and lists these tasks.
+    /// Authorizes the response to a heartbeat to a shard's leader that was received at this time and lists these tasks.
+    ///
+    /// # Errors
+    /// Why the lease must not be renewed.
     pub fn authorize_renewal(
         &self,
         shard_id: ShardId,
         listed: &[TaskStatus],
         received: MonotonicMillis,
     ) -> Result<LeaseRenewal<(TaskRef, Attempt)>, RenewalRefusal> {
-        let basis = match self.records.loaded {
+        let source = match self.records.loaded {
             true => WatermarkSource::Read(self.watermark),
-            false => WatermarkSource::Reading(self.began),
+            false => WatermarkSource::Reading(self.started_at),
         };
         let answering_ms = self.config.settings.answering_ms();
         let alive = listed.iter().filter(|t| t.state != TaskState::Exited);
         let alive = alive.map(|t| {
-            (
-                (t.task.clone(), t.attempt),
-                self.known(shard_id, &t.task.job),
-            )
+            let knowledge = self.job_knowledge(shard_id, &t.task.job);
+            ((t.task.clone(), t.attempt), knowledge)
         });
-        authorize_renewal(basis, received, answering_ms, alive)
+        authorize_renewal(source, received, answering_ms, alive)
     }
 
-    /// The jobs of which a report lists tasks and nothing has been read.
-    pub fn unread<'a>(
+    /// The jobs that a heartbeat lists and of which no record has been read.
+    pub fn unread_jobs<'a>(
         &'a self,
         shard_id: ShardId,
         listed: &'a [TaskStatus],
     ) -> impl Iterator<Item = &'a JobId> + 'a {
         let jobs = listed.iter().map(|t| &t.task.job);
-        jobs.filter(move |job| self.known(shard_id, job) == JobKnowledge::Unread)
+        jobs.filter(move |job| self.job_knowledge(shard_id, job) == JobKnowledge::Unread)
     }
 
-    fn known(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
-        if self.attested.contains_key(job) {
+    fn job_knowledge(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
+        if self.peer_confirmed.contains_key(job) {
             return JobKnowledge::Cancelled;
         }
-        let state = match (self.records.final_of(job), self.records.jobs.get(job)) {
-            (Some(end), _) => end.state,
-            (None, Some(record)) => record.value.state,
-            // A share without a job that can be read: it must not be taken for one that nobody has cancelled.
-            (None, None)
-                if self
-                    .records
-                    .allocations
-                    .contains_key(&(shard_id, job.clone())) =>
-            {
-                return JobKnowledge::Unread;
-            }
-            // No share of it is open, so that nothing of it ran when this was read; or it has begun since.
-            (None, None) if self.records.loaded || self.absent.contains(job) => {
-                return JobKnowledge::Open;
-            }
-            (None, None) => return JobKnowledge::Unread,
+        let cached = match self.records.final_of(job) {
+            Some(end) => Some(end.state),
+            None => self.records.jobs.get(job).map(|v| v.value.state),
         };
-        match state {
-            JobState::Cancelled => JobKnowledge::Cancelled,
-            JobState::Open | JobState::Done => JobKnowledge::Open,
+        match cached {
+            Some(JobState::Cancelled) => JobKnowledge::Cancelled,
+            Some(JobState::Open | JobState::Done) => JobKnowledge::Open,
+            None => self.uncached_job_knowledge(shard_id, job),
+        }
+    }
+
+    /// What is known of a job without a record in the cache.
+    fn uncached_job_knowledge(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
+        let allocation = (shard_id, job.clone());
+        // An allocation without a job that can be read: it must not be taken for one that nobody has cancelled.
+        if self.records.allocations.contains_key(&allocation) {
+            return JobKnowledge::Unread;
+        }
+        // No allocation of it is open, so that nothing of it ran when this was read; or it has begun since.
+        match self.records.loaded || self.absent_jobs.contains(job) {
+            true => JobKnowledge::Open,
+            false => JobKnowledge::Unread,
         }
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,10 @@
-//! Who decides what: ownership of parts, a part's scheduler, the users' gateway, the leader's fleet.
+//! The actors of one controller: leases and shard leadership, a shard's scheduler, the job API, the cluster leader's
+//! autoscaler and drains, and what they use in common.
 
 pub mod api;
 pub mod autoscaler;
+pub mod cloud_client;
+pub mod config;
 pub mod context;
 pub mod controller;
 pub mod dag_runs;
@@ -19,3 +22,5 @@
 pub mod reachability;
 pub mod reservations;
 pub mod shard;
+pub mod shard_capacity;
+pub mod storage_budget;
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -1,83 +1,100 @@
-//! Requests that wait for an actor's decision, oldest first: so many at the most, and each for a while only.
+//! Requests that wait for an actor's decision, oldest first. The queue is bounded, and so is the time in it.
 
 use super::context::Context;
 use crate::effects::Response;
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::collections::VecDeque;
 
-/// Requests that wait at the most; more are sent away at once.
-const MOST_WAITING: usize = 200;
-/// How long a request waits for the picture to catch up or the state service to have room.
-const PATIENCE_MS: u64 = 2_000;
+/// The capacity of the queue.
+const MAX_PENDING: usize = 200;
+/// How long a request waits for the record cache to catch up or the key-value store's budget to allow the write.
+const MAX_WAIT_MS: u64 = 2_000;
+/// After how long a client may retry when it was not admitted.
+const REJECTED_RETRY_S: u64 = 2;
+/// After how long a client may retry when its request was not decided in time.
+const EXPIRED_RETRY_S: u64 = 1;
 
-pub struct Waiting<A> {
+/// A request that waits for a decision.
+pub struct PendingRequest<R> {
+    /// The connection on which the client waits for the response.
     pub conn: ConnectionId,
-    pub ask: A,
-    since: MonotonicMillis,
+    /// What the client asks.
+    pub request: R,
+    received_at: MonotonicMillis,
 }
 
-pub struct PendingRequests<A>(VecDeque<Waiting<A>>);
+/// A bounded queue of requests, oldest first.
+pub struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
-impl<A> Default for PendingRequests<A> {
-    fn default() -> PendingRequests<A> {
+impl<R> Default for PendingRequests<R> {
+    fn default() -> PendingRequests<R> {
         PendingRequests(VecDeque::new())
     }
 }
 
-impl<A> PendingRequests<A> {
-    /// Takes a request, unless something speaks against that now.
-    pub fn take(
+impl<R> PendingRequests<R> {
+    /// Queues a request, or rejects it: for the reason given, or because the queue is full.
+    pub fn admit(
         &mut self,
         conn: ConnectionId,
-        ask: A,
-        against: Option<&str>,
+        request: R,
+        rejection: Option<&str>,
         context: &mut Context,
     ) {
-        let many = self.0.len() >= MOST_WAITING;
-        if let Some(why) = against.or(many.then_some("too many requests")) {
-            context.effects.respond(conn, Response::later(503, why, 2));
+        let is_full = self.0.len() >= MAX_PENDING;
+        if let Some(why) = rejection.or(is_full.then_some("too many requests")) {
+            let response = Response::later(503, why, REJECTED_RETRY_S);
+            context.effects.respond(conn, response);
             return;
         }
-        let since = context.now();
-        self.0.push_back(Waiting { conn, ask, since });
+        self.0.push_back(PendingRequest {
+            conn,
+            request,
+            received_at: context.now(),
+        });
     }
 
-    /// Sends everybody away: the state service does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
-        for waiting in self.0.drain(..) {
-            let later = Response::later(503, "the state service is away", 2);
-            context.effects.respond(waiting.conn, later);
+    /// Rejects all requests: the key-value store does not serve this controller.
+    pub fn reject_all(&mut self, context: &mut Context) {
+        for pending in self.0.drain(..) {
+            let response = Response::kv_store_unavailable();
+            context.effects.respond(pending.conn, response);
         }
     }
 
-    /// Sends those away who have waited for too long.
-    pub fn give_up(&mut self, context: &mut Context) {
+    /// Rejects the requests that have waited for too long.
+    pub fn expire(&mut self, context: &mut Context) {
         let now = context.now();
-        while let Some(waiting) = self.0.front()
-            && now.since(waiting.since) > PATIENCE_MS
+        while let Some(pending) = self.0.front()
+            && now.since(pending.received_at) > MAX_WAIT_MS
         {
-            let later = Response::later(503, "could not be settled yet", 1);
-            context.effects.respond(waiting.conn, later);
+            let response = Response::later(503, "could not be settled yet", EXPIRED_RETRY_S);
+            context.effects.respond(pending.conn, response);
             self.0.pop_front();
         }
     }
 
+    /// Whether no request waits.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    pub fn front(&self) -> Option<&Waiting<A>> {
+    /// The oldest request.
+    #[must_use]
+    pub fn front(&self) -> Option<&PendingRequest<R>> {
         self.0.front()
     }
 
-    pub fn pop(&mut self) -> Option<Waiting<A>> {
+    /// Takes the oldest request out.
+    pub fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
-    /// Puts back what is to be decided anew, in the order in which it was taken.
-    pub fn put_back(&mut self, waiting: Vec<Waiting<A>>) {
-        for w in waiting.into_iter().rev() {
-            self.0.push_front(w);
+    /// Puts requests that must be decided anew back at the front, in the order in which they were taken out.
+    pub fn requeue(&mut self, requests: Vec<PendingRequest<R>>) {
+        for pending in requests.into_iter().rev() {
+            self.0.push_front(pending);
         }
     }
 }
--- a/src/coordination/query.rs
+++ b/src/coordination/query.rs
@@ -1,12 +1,14 @@
-//! What stands behind the `?` of a request's path.
+//! The query of a request's path: what follows the `?`.
 
-/// The path by itself, and its query.
+/// The path without its query, and the query.
+#[must_use]
 pub fn split(path: &str) -> (&str, &str) {
     path.split_once('?').unwrap_or((path, ""))
 }
 
-/// A parameter of a query, as it was written.
+/// The first value of a query's parameter, not decoded.
+#[must_use]
 pub fn param<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
-    pairs.find(|(k, _)| *k == name).map(|(_, v)| v)
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -1,5 +1,7 @@
-//! Whether workers reach this controller: which part's machines turn up at the wrong door, whether an owner
-//! that hears nobody hands its part to those who do, and when it hears somebody again.
+//! Whether workers reach this controller.
+//!
+//! Heartbeats of machines of other leaders' shards are counted: they show that those leaders are unreachable. A leader
+//! that receives no heartbeat itself hands its shard over, and probes workers until one of them answers.
 
 use super::context::Context;
 use crate::effects::{CallOutcome, Method, Target};
@@ -8,105 +10,128 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
-/// Addresses of workers that are remembered, to ask them.
-const ADDRESSES: usize = 16;
-/// How often a controller that hears nobody asks a worker for its state, and how long that may take.
-const PROBE_GAP_MS: u64 = 1_000;
-const PROBE_MS: u64 = 1_500;
-/// A part is handed over at most this often.
-const HAND_OVER_GAP_MS: u64 = 2_000;
+/// How many addresses of workers are remembered for probes.
+const MAX_ADDRESSES: usize = 16;
+/// The least time between two probes.
+const PROBE_INTERVAL_MS: u64 = 1_000;
+const PROBE_TIMEOUT_MS: u64 = 1_500;
+/// The least time between two handovers.
+const HANDOVER_INTERVAL_MS: u64 = 2_000;
 
+/// Whether workers reach this controller.
 #[derive(Default)]
 pub struct Reachability {
-    /// Machines of parts that are not owned here whose reports came here, and when.
-    strangers: BTreeMap<ShardId, BTreeMap<MachineId, MonotonicMillis>>,
-    /// Since when no worker reaches this controller although others are reached.
-    pub deaf: bool,
+    /// Machines of shards led elsewhere whose heartbeats came here, and when.
+    foreign_heartbeats: BTreeMap<ShardId, BTreeMap<MachineId, MonotonicMillis>>,
+    unreachable_by_workers: bool,
+    /// Addresses of workers whose heartbeats came here, the one that is probed next first.
     addresses: VecDeque<SocketAddrV4>,
     probe: Option<CallId>,
-    probe_at: MonotonicMillis,
-    handed_at: MonotonicMillis,
+    last_probe_at: MonotonicMillis,
+    last_handover_at: MonotonicMillis,
 }
 
 impl Reachability {
-    /// A worker has reached this controller.
-    pub fn heard(
+    /// No worker reaches this controller although others are reached.
+    #[must_use]
+    pub fn unreachable_by_workers(&self) -> bool {
+        self.unreachable_by_workers
+    }
+
+    /// A heartbeat has come, of a machine of this shard, which this controller leads or not.
+    pub fn on_heartbeat(
         &mut self,
-        report: &Heartbeat,
-        ours: bool,
+        heartbeat: &Heartbeat,
         shard_id: ShardId,
+        is_led_here: bool,
         now: MonotonicMillis,
     ) {
-        if std::mem::take(&mut self.deaf) {
-            tracing::info!(machine = %report.machine, "reachable by workers again");
+        if std::mem::take(&mut self.unreachable_by_workers) {
+            tracing::info!(machine = %heartbeat.machine, "reachable by workers again");
         }
-        if let Some(address) = report.address.as_ref().and_then(|a| a.parse().ok())
+        self.remember_address(heartbeat);
+        if !is_led_here {
+            let machines = self.foreign_heartbeats.entry(shard_id).or_default();
+            machines.insert(heartbeat.machine.clone(), now);
+        }
+    }
+
+    fn remember_address(&mut self, heartbeat: &Heartbeat) {
+        let address = heartbeat.address.as_ref().and_then(|a| a.parse().ok());
+        if let Some(address) = address
             && !self.addresses.contains(&address)
         {
             self.addresses.push_back(address);
-            if self.addresses.len() > ADDRESSES {
+            if self.addresses.len() > MAX_ADDRESSES {
                 self.addresses.pop_front();
             }
         }
-        if !ours {
-            let machines = self.strangers.entry(shard_id).or_default();
-            machines.insert(report.machine.clone(), now);
-        }
     }
 
-    /// How many machines of each part came here lately though another owns it.
-    pub fn strangers(&mut self, now: MonotonicMillis, within_ms: u64) -> BTreeMap<ShardId, u32> {
-        for machines in self.strangers.values_mut() {
+    /// How many machines of each shard led elsewhere have sent heartbeats here within this time.
+    pub fn foreign_heartbeats(
+        &mut self,
+        now: MonotonicMillis,
+        within_ms: u64,
+    ) -> BTreeMap<ShardId, u32> {
+        for machines in self.foreign_heartbeats.values_mut() {
             machines.retain(|_, at| now.since(*at) <= within_ms);
         }
-        self.strangers.retain(|_, machines| !machines.is_empty());
-        let shards = self.strangers.iter();
-        shards.map(|(p, m)| (*p, m.len() as u32)).collect()
+        self.foreign_heartbeats
+            .retain(|_, machines| !machines.is_empty());
+        let shards = self.foreign_heartbeats.iter();
+        shards
+            .map(|(shard_id, machines)| (*shard_id, machines.len() as u32))
+            .collect()
     }
 
-    /// Which of the parts that should be handed over goes now, if any.
-    pub fn hand_over(
+    /// Chooses the shard that is handed over now, among those that should be.
+    #[must_use]
+    pub fn choose_handover(
         &mut self,
         shards: &BTreeSet<ShardId>,
         now: MonotonicMillis,
     ) -> Option<ShardId> {
-        if now.since(self.handed_at) < HAND_OVER_GAP_MS {
+        if now.since(self.last_handover_at) < HANDOVER_INTERVAL_MS {
             return None;
         }
         let shard_id = shards.first().copied()?;
-        self.handed_at = now;
-        self.deaf = true;
+        self.last_handover_at = now;
+        self.unreachable_by_workers = true;
         Some(shard_id)
     }
 
-    /// Asks workers, while none reaches this controller, whether they can be reached.
+    /// Probes a worker while none reaches this controller.
     pub fn probe(&mut self, context: &mut Context) {
         let now = context.now();
-        if !self.deaf || self.probe.is_some() || now.since(self.probe_at) < PROBE_GAP_MS {
+        let due = self.probe.is_none() && now.since(self.last_probe_at) >= PROBE_INTERVAL_MS;
+        if !self.unreachable_by_workers || !due {
             return;
         }
         let Some(address) = self.addresses.pop_front() else {
             return;
         };
         self.addresses.push_back(address);
-        self.probe_at = now;
+        self.last_probe_at = now;
         let target = Target::Worker(address);
         let path = "/status".to_string();
         let id = context
             .effects
-            .call(target, Method::Get, path, Vec::new(), PROBE_MS);
+            .call(target, Method::Get, path, Vec::new(), PROBE_TIMEOUT_MS);
         self.probe = Some(id);
     }
 
-    /// Takes the answer to a probe in; false if the call is not this actor's.
-    pub fn done(&mut self, id: CallId, result: &CallOutcome) -> bool {
+    /// Handles the outcome of a probe; false if the call is another actor's.
+    #[must_use]
+    pub fn on_response(&mut self, id: CallId, outcome: &CallOutcome) -> bool {
         if self.probe != Some(id) {
             return false;
         }
         self.probe = None;
-        if matches!(result, CallOutcome::Response { status: 200, .. }) && self.deaf {
+        let is_answered = matches!(outcome, CallOutcome::Response { status: 200, .. });
+        if is_answered && self.unreachable_by_workers {
             tracing::info!("reachability probe answered");
-            self.deaf = false;
+            self.unreachable_by_workers = false;
         }
         true
     }
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -12,7 +12,7 @@
 pub use asking::{Ask, Asked, read_ask};
 
 use super::context::{Context, KvRequest};
-use super::pending_requests::{PendingRequests, Waiting};
+use super::pending_requests::{PendingRequest, PendingRequests};
 use crate::effects::Response;
 use crate::operator::{CalendarSettings, KnownCapacity};
 use crate::settings::TeamLimits;
@@ -46,7 +46,7 @@
     id: u64,
     /// As of which version it was decided.
     seen: Version,
-    waiting: Vec<Waiting<Ask>>,
+    waiting: Vec<PendingRequest<Ask>>,
     decided: Vec<Decided>,
 }
 
@@ -122,12 +122,12 @@
         } else {
             None
         };
-        self.queue.take(conn, ask, why, context);
+        self.queue.admit(conn, ask, why, context);
     }
 
     /// Sends everybody who waits away: the state service does not serve.
     pub fn refuse_all(&mut self, context: &mut Context) {
-        self.queue.refuse_all(context);
+        self.queue.reject_all(context);
     }
 
     /// Whether there is a calendar that changes concern.
@@ -216,7 +216,7 @@
     /// one transaction.
     fn decide(&mut self, context: &mut Context) {
         let now = context.now();
-        self.queue.give_up(context);
+        self.queue.expire(context);
         if self
             .behind
             .is_some_and(|seen| seen != context.records.calendar)
@@ -237,7 +237,7 @@
         let mut keys = BTreeSet::new();
         let (mut waiting, mut decided) = (Vec::new(), Vec::new());
         while let Some(first) = self.queue.front() {
-            let answer = deciding::decide(&first.ask, &mut calendar, context);
+            let answer = deciding::decide(&first.request, &mut calendar, context);
             if let Some(write) = &answer.write {
                 // The common key takes one change, each entry another, and none two.
                 if keys.len() + 2 > room || !keys.insert(write.key.clone()) {
@@ -265,7 +265,7 @@
             .kv
             .may(now, RequestPriority::Accept, swap.mutations.len())
         {
-            self.queue.put_back(waiting);
+            self.queue.requeue(waiting);
             return;
         }
         self.next += 1;
@@ -343,7 +343,7 @@
                     self.behind = Some(underway.seen);
                 }
                 self.retry_at = context.now().plus(AGAIN_MS);
-                self.queue.put_back(underway.waiting);
+                self.queue.requeue(underway.waiting);
             }
             _ => {
                 for waiting in underway.waiting {
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -473,7 +473,7 @@
             };
             let mut stored = Self::stored(job, name, task.task, attempt);
             // Halted, and not commanded any more, whoever says so. Written it is only once the mirror shows it.
-            if context.attested.contains_key(&task.job) {
+            if context.peer_confirmed.contains_key(&task.job) {
                 stored = stored.if_cancelled();
             }
             let nature = Self::nature(spec);
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -18,7 +18,7 @@
 
 use super::context::{Context, KvRequest};
 
-use super::gossip::ShardCapacity;
+use super::shard_capacity::ShardCapacity;
 use crate::storage::kv_client::{KvResponse, unexpected_response};
 use job::{PendingChange, ShardJob};
 use machine::Machine;
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -50,9 +50,9 @@
                 let spec = j.spec()?;
                 // Aims on starting and finishing count from when the last needed job was done, the
                 // deadline from the submission.
-                let since = context.dependency_graph.since(id, &j.spec);
+                let since = context.dependency_graph.ready_since(id, &j.spec);
                 let age_s = context.effects.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
-                let waited_s = context.dependency_graph.waited_s(id, &j.spec);
+                let waited_s = context.dependency_graph.blocked_s(id, &j.spec);
                 let missed = placement::missed(spec, objectives, age_s, waited_s);
                 let patience_s = placement::patience_s(spec, objectives, waited_s);
                 let estimate_s = placement::estimate(spec, context.config.ops.default_run_s);
@@ -75,10 +75,10 @@
             let due = WallClockMillis(w.since.0 + seconds_to_ms(slack * w.patience_s));
             QueuedJob {
                 rank: (!within.contains(w.id), Reverse(urgency.priority), w.missed),
-                due: urgency.latest.map_or(due, |latest| due.min(latest)),
+                due: urgency.latest_start.map_or(due, |latest| due.min(latest)),
                 since: w.since,
                 job: w.id.clone(),
-                urgent: within.contains(w.id) || urgency.latest.is_some(),
+                urgent: within.contains(w.id) || urgency.latest_start.is_some(),
                 patient: w.missed > 0 || w.age_s < context.config.ops.image_patience * w.patience_s,
             }
         };
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -2,7 +2,8 @@
 
 use super::reservations::rented_ahead_ms;
 use super::{Shard, requeue};
-use crate::coordination::context::{CloudTag, Context};
+use crate::coordination::cloud_client::CloudRequest;
+use crate::coordination::context::Context;
 use crate::effects::Response;
 use snowshelf_drain::entry::Then;
 use snowshelf_model::ids::{Attempt, JobId, MachineId, TaskIndex, seconds_to_ms};
@@ -66,12 +67,12 @@
                 back.push(name);
             }
         }
-        if !back.is_empty() && !self.releasing && context.cloud.may(now) {
+        if !back.is_empty() && !self.releasing && context.cloud.may_call(now) {
             back.truncate(100);
             self.releasing = true;
             context.cloud.release(
                 context.effects,
-                CloudTag::ShardScaleIn(self.id, self.fencing_token, back.clone()),
+                CloudRequest::ShardScaleIn(self.id, self.fencing_token, back.clone()),
                 &back,
             );
         }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -2,10 +2,10 @@
 
 use snowshelf::coordination::api::split;
 use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
-use snowshelf::coordination::gossip::ShardCapacity;
 use snowshelf::coordination::placement::{
     Image, Load, MachineCandidate, ZoneRule, missed, place, weights,
 };
+use snowshelf::coordination::shard_capacity::ShardCapacity;
 use snowshelf::settings::Objective;
 use snowshelf::storage::kv_client::TokenBucket;
 use snowshelf_model::ids::{MonotonicMillis, ShardId};
@@ -167,7 +167,7 @@
         capacity: 100.0,
         waiting: 0.0,
     };
-    room.give(60.0);
+    room.assign(60.0);
     assert_eq!((room.free, room.waiting), (0.0, 10.0));
 }
 
@@ -317,7 +317,7 @@
 /// to its home, which was served again but whose change feed still hung (inc-4276).
 #[test]
 fn a_part_goes_home_only_to_a_member_that_sees_it_given() {
-    use snowshelf::coordination::context::Config;
+    use snowshelf::coordination::config::Config;
     use snowshelf::coordination::gossip::Gossip;
     use snowshelf_model::protocol::peer::PeerStatus;
     let settings = snowshelf::settings::Settings::parse(
@@ -344,15 +344,19 @@
         ..PeerStatus::default()
     };
     let mut peers = Gossip::default();
-    peers.take(MonotonicMillis(1), hint(9_000), &cfg);
-    assert!(peers.up_homes(MonotonicMillis(2), &cfg).is_empty());
-    peers.take(MonotonicMillis(3), hint(100), &cfg);
+    peers.record(MonotonicMillis(1), hint(9_000), &cfg);
+    assert!(peers.available_homes(MonotonicMillis(2), &cfg).is_empty());
+    peers.record(MonotonicMillis(3), hint(100), &cfg);
     assert_eq!(
-        peers.up_homes(MonotonicMillis(4), &cfg),
+        peers.available_homes(MonotonicMillis(4), &cfg),
         [ShardId(1)].into()
     );
     // A hint that is old says nothing.
-    assert!(peers.up_homes(MonotonicMillis(9_000), &cfg).is_empty());
+    assert!(
+        peers
+            .available_homes(MonotonicMillis(9_000), &cfg)
+            .is_empty()
+    );
 }
 
 /// Guards against controllers that come back to a service in step after it was away.
@@ -404,7 +408,7 @@
 /// settled, or not known here, is never taken back.
 #[test]
 fn a_feature_is_settled_only_when_every_controller_has_it() {
-    use snowshelf::coordination::format_migration::next_word;
+    use snowshelf::coordination::format_migration::next_declaration;
     use snowshelf::storage::record_cache::Versioned;
     use snowshelf_model::ids::{Member, Version};
     use snowshelf_model::records::{Capability, FORMAT_V2, FormatRecord};
@@ -423,7 +427,8 @@
     };
     let mut said = BTreeMap::new();
     let next = |mine: &[&str], said: &BTreeMap<_, _>, agreed| {
-        next_word(&all[0], &can(mine), &all, said, agreed)
+        next_declaration(&all[0], &can(mine), &all, said, agreed)
+            .map(|d| (d.key, d.version, d.record))
     };
     // First its own word, and nothing before all have spoken.
     let (key, version, record) = next(&["x"], &said, None).unwrap();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,10 +3,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use snowshelf::coordination::api::split;
-use snowshelf::coordination::dependencies::DependencyGraph;
-use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
-use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
+use snowshelf::coordination::dependencies::{DependencyGraph, GraphSource};
+use snowshelf::coordination::gossip::{
+    HEARTBEAT_NAMES_BYTES, MISSING_NAMES_BYTES, RoundRobinNames,
+};
+use snowshelf::coordination::leases::{KeyHolder, LeaseDecision, RoleObservation, decide_lease};
 use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
+use snowshelf::coordination::shard_capacity::ShardCapacity;
+use snowshelf::coordination::storage_budget::RequestRates;
 use snowshelf::storage::record_cache::{Final, RecordCache, Versioned};
 use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
 use snowshelf_model::ids::{
@@ -125,11 +129,14 @@
         }
     }
     let length = |_: &snowshelf_model::records::JobSpec| 10_000;
+    let source = GraphSource {
+        jobs: &open,
+        dependencies_of: &|_, r| Some(r.dependencies.iter().collect()),
+        final_of: &|id| finals.get(id).copied(),
+        duration_ms: &length,
+    };
     DependencyGraph::build(
-        &open,
-        |_, r| Some(r.dependencies.iter().collect()),
-        |id| finals.get(id).copied(),
-        length,
+        &source,
         WallClockMillis(50_000),
         &DependencyGraph::default(),
     )
@@ -344,7 +351,7 @@
                 }
             }
             let doomed = above.iter().any(|x| records[*x].state == JobState::Cancelled);
-            prop_assert_eq!(graph.doomed.contains(&name(n)), doomed);
+            prop_assert_eq!(graph.unsatisfiable.contains(&name(n)), doomed);
             // No open job above is less urgent than this one, by at least its own length.
             if circles || doomed {
                 continue;
@@ -353,13 +360,13 @@
             if let Some(deadline) = r.spec.as_ref().unwrap().deadline_s {
                 let own = 1_000 + (deadline * 1000.0) as u64 - 10_000;
                 // Outside of all pipelines the deadline counts where the aims do.
-                prop_assert!(mine.latest.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
+                prop_assert!(mine.latest_start.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
             }
             for x in dependencies(n).into_iter().filter(|x| !records[*x].is_final()) {
                 let theirs = graph.urgency(&name(x), records[x].spec.as_ref().unwrap());
                 prop_assert!(theirs.priority >= mine.priority);
-                if let Some(latest) = mine.latest {
-                    prop_assert!(theirs.latest.unwrap().0 <= latest.0.saturating_sub(10_000));
+                if let Some(latest) = mine.latest_start {
+                    prop_assert!(theirs.latest_start.unwrap().0 <= latest.0.saturating_sub(10_000));
                 }
             }
         }
@@ -431,28 +438,38 @@
 #[test]
 fn a_part_is_taken_from_nobody_who_may_still_hold_it() {
     let v = Version(9);
+    let other = Some(KeyHolder {
+        is_self: false,
+        version: v,
+    });
+    let own = Some(KeyHolder {
+        is_self: true,
+        version: v,
+    });
+    let decide = |holder, fencing_token, preferred, vacant_ms| {
+        decide_lease(&RoleObservation {
+            holder,
+            fencing_token,
+            preferred,
+            vacant_ms,
+        })
+    };
+    assert_eq!(decide(other, None, true, 99_999), LeaseDecision::Keep);
     assert_eq!(
-        decide_lease(Some((false, v)), None, true, 99_999),
-        LeaseDecision::Keep
-    );
-    assert_eq!(
-        decide_lease(Some((true, v)), Some(FencingToken(9)), true, 0),
+        decide(own, Some(FencingToken(9)), true, 0),
         LeaseDecision::Keep
     );
     // A name from an earlier life, or a claim whose answer was lost: taken again at once.
+    assert_eq!(decide(own, None, false, 0), LeaseDecision::Acquire(v));
     assert_eq!(
-        decide_lease(Some((true, v)), None, false, 0),
+        decide(own, Some(FencingToken(4)), true, 0),
         LeaseDecision::Acquire(v)
     );
     assert_eq!(
-        decide_lease(Some((true, v)), Some(FencingToken(4)), true, 0),
-        LeaseDecision::Acquire(v)
-    );
-    assert_eq!(
-        decide_lease(None, None, true, 0),
+        decide(None, None, true, 0),
         LeaseDecision::Acquire(Version(0))
     );
-    assert_eq!(decide_lease(None, None, false, 10), LeaseDecision::Keep);
+    assert_eq!(decide(None, None, false, 10), LeaseDecision::Keep);
 }
 
 /// Samples of the records that the version before pipelines wrote: read for ever.
@@ -601,16 +618,15 @@
     }
     let ready = |records: &RecordCache| {
         let final_of = |id: &JobId| records.final_of(id);
-        let dependencies_of = |id: &JobId, r| records.dependencies_of(id, r);
         let length = |_: &snowshelf_model::records::JobSpec| 10_000;
-        let graph = DependencyGraph::build(
-            &records.jobs,
-            dependencies_of,
-            final_of,
-            length,
-            WallClockMillis(9),
-            &DependencyGraph::default(),
-        );
+        let source = GraphSource {
+            jobs: &records.jobs,
+            dependencies_of: &|id, r| records.dependencies_of(id, r),
+            final_of: &final_of,
+            duration_ms: &length,
+        };
+        let graph =
+            DependencyGraph::build(&source, WallClockMillis(9), &DependencyGraph::default());
         graph.is_ready(&name(1), &records.jobs[&name(1)].value)
     };
     for (n, piece) in pieces.iter().enumerate() {
@@ -681,12 +697,12 @@
     let mut told: BTreeSet<String> = BTreeSet::new();
     for message in 0..6 {
         let shard_id = ShardStatus {
-            heard: heard.next(&names, HEARD_BYTES),
+            heard: heard.next(&names, HEARTBEAT_NAMES_BYTES),
             ..ShardStatus::default()
         };
         told.extend(shard_id.heard.iter().cloned());
         let hint = PeerStatus {
-            missing: missing.next(&names, MISSING_BYTES),
+            missing: missing.next(&names, MISSING_NAMES_BYTES),
             shards: vec![shard_id],
             ..PeerStatus::default()
         };
@@ -702,7 +718,7 @@
     // Few enough are told of at once, each time.
     names.retain(|n| n.as_str() < "n-001000");
     for _ in 0..3 {
-        assert_eq!(heard.next(&names, HEARD_BYTES).len(), names.len());
+        assert_eq!(heard.next(&names, HEARTBEAT_NAMES_BYTES).len(), names.len());
     }
 }
 
@@ -715,13 +731,13 @@
     fn budgets_follow_the_parts_and_never_pass_the_whole(
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
-        use snowshelf::coordination::controller::own_rates;
         let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
-        let of = |node: usize| own_rates(&storage_limits, 5, owners.iter().filter(|o| **o == node).count());
-        let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
+        let rates = |led| RequestRates::of_controller(&storage_limits, 5, led);
+        let of = |node: usize| rates(owners.iter().filter(|o| **o == node).count());
+        let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.requests_per_s, a.1 + b.writes_per_s));
         prop_assert!(requests <= rps && writes <= write_rps, "{requests} of {rps}, {writes} of {write_rps}");
         prop_assert!(requests > 0.9 * rps && writes > 0.9 * write_rps);
-        let (alone, _) = own_rates(&storage_limits, 5, 5);
-        prop_assert!(alone > 2.0 * own_rates(&storage_limits, 5, 1).0);
+        let alone = rates(5).requests_per_s;
+        prop_assert!(alone > 2.0 * rates(1).requests_per_s);
     }
 }
