--- a/src/transport/event_loop/outgoing.rs
+++ b/src/transport/event_loop/outgoing.rs
@@ -6,6 +6,7 @@
 use crate::transport::socket::{ReadEnd, Socket};
 use calloop::RegistrationToken;
 use snowshelf_model::ids::{CallId, MonotonicMillis};
+use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
 /// Outgoing connections that are unused for longer are closed, in milliseconds.
@@ -64,7 +65,7 @@
     pub(super) fn start_calls(&mut self, target: Target) {
         loop {
             let queue = self.queued_calls.get_mut(&target);
-            let Some(id) = queue.and_then(|queue| queue.pop_front()) else {
+            let Some(id) = queue.and_then(VecDeque::pop_front) else {
                 return;
             };
             if !self.calls.contains_key(&id) {
