--- a/crates/client/src/calendar.rs
+++ b/crates/client/src/calendar.rs
@@ -1,30 +1,32 @@
 //! `snowshelf reservations` and `snowshelf windows`.
 
-use crate::asking::Asking;
+use crate::controllers::ControllerArgs;
+use crate::error::ArgumentError;
 use crate::http::Method;
 use crate::table;
-use crate::{End, Told};
+use crate::{CommandOutput, CommandStatus};
 use clap::{Args, Subcommand};
 use jiff::{SignedDuration, Timestamp, ZonedDateTime};
 use serde_json::{Map, Value, json};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 /// What is to be had of an entry, and when.
 #[derive(Args, Clone, Debug)]
-pub struct Span {
+pub struct TimeRangeArgs {
     /// When it begins: RFC 3339, or a local time with its zone, as 2027-09-01T06:00[Europe/Lisbon].
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub from: Option<Timestamp>,
     /// When it ends.
-    #[arg(long, value_name = "TIME", value_parser = moment, conflicts_with = "lasting")]
+    #[arg(long, value_name = "TIME", value_parser = parse_time, conflicts_with = "duration")]
     pub until: Option<Timestamp>,
     /// How long it lasts instead, as 2h30m.
-    #[arg(long = "for", value_name = "LONG", value_parser = lasting)]
-    pub lasting: Option<SignedDuration>,
+    #[arg(long = "for", value_name = "LONG", value_parser = parse_duration)]
+    pub duration: Option<SignedDuration>,
 }
 
+/// A reservation, and the controllers that it is sent to.
 #[derive(Args, Clone, Debug)]
-pub struct Reserve {
+pub struct ReservationArgs {
     /// Its name, which is not used by another.
     pub name: String,
     #[arg(long)]
@@ -48,13 +50,14 @@
     #[arg(long)]
     pub movable: bool,
     #[command(flatten)]
-    pub span: Span,
+    pub range: TimeRangeArgs,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// A maintenance window, and the controllers that it is sent to.
 #[derive(Args, Clone, Debug)]
-pub struct Declare {
+pub struct WindowArgs {
     /// Its name, which is not used by another.
     pub name: String,
     #[arg(long)]
@@ -63,7 +66,7 @@
     #[arg(long = "type", value_name = "TYPE", value_delimiter = ',')]
     pub types: Vec<String>,
     /// A file with the rule by which it comes again (JSON).
-    #[arg(long, value_name = "FILE", conflicts_with_all = ["from", "until", "lasting"])]
+    #[arg(long, value_name = "FILE", conflicts_with_all = ["from", "until", "duration"])]
     pub rule: Option<PathBuf>,
     /// So many seconds before it nothing starts that would run into it; none: at any time.
     #[arg(long, value_name = "SECONDS")]
@@ -72,71 +75,84 @@
     #[arg(long)]
     pub force: bool,
     #[command(flatten)]
-    pub span: Span,
+    pub range: TimeRangeArgs,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The name of an entry, and the controllers to ask.
 #[derive(Args, Clone, Debug)]
-pub struct Named {
+pub struct EntryArgs {
     pub name: String,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The commands on reservations.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Reservations {
     /// Lists all reservations.
-    List(Asking),
+    List(ControllerArgs),
     /// Shows one.
-    Show(Named),
+    Show(EntryArgs),
     /// Reserves.
-    Add(Reserve),
+    Add(ReservationArgs),
     /// Replaces one by another of the same name, if that fits.
-    Change(Reserve),
+    Change(ReservationArgs),
     /// Tells whether it would fit, and changes nothing.
-    Check(Reserve),
+    Check(ReservationArgs),
     /// Gives one up.
-    Cancel(Named),
+    Cancel(EntryArgs),
 }
 
+/// The commands on maintenance windows.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Windows {
     /// Lists all maintenance windows.
-    List(Asking),
+    List(ControllerArgs),
     /// Shows one.
-    Show(Named),
+    Show(EntryArgs),
     /// Declares one.
-    Add(Declare),
+    Add(WindowArgs),
     /// Replaces one by another of the same name.
-    Change(Declare),
+    Change(WindowArgs),
     /// Tells whether it may be declared, and changes nothing.
-    Check(Declare),
+    Check(WindowArgs),
     /// Takes one back.
-    Cancel(Named),
+    Cancel(EntryArgs),
 }
 
-pub(crate) fn moment(text: &str) -> Result<Timestamp, String> {
+pub(crate) fn parse_time(text: &str) -> Result<Timestamp, ArgumentError> {
     if let Ok(zoned) = text.parse::<ZonedDateTime>() {
         return Ok(zoned.timestamp());
     }
-    text.parse().map_err(|e: jiff::Error| e.to_string())
+    Ok(text.parse()?)
 }
 
-fn lasting(text: &str) -> Result<SignedDuration, String> {
-    let long: SignedDuration = text.parse().map_err(|e: jiff::Error| e.to_string())?;
-    match long.is_positive() {
-        true => Ok(long),
-        false => Err("must be longer than nothing".to_string()),
+fn parse_duration(text: &str) -> Result<SignedDuration, ArgumentError> {
+    let duration: SignedDuration = text.parse()?;
+    if duration.is_positive() {
+        Ok(duration)
+    } else {
+        Err(ArgumentError::NotPositive)
     }
 }
 
-impl Span {
-    fn put(&self, body: &mut Map<String, Value>) -> Result<(), String> {
-        let until = match (self.from, self.until, self.lasting) {
-            (Some(from), None, Some(long)) => {
-                Some(from.checked_add(long).map_err(|e| e.to_string())?)
-            }
+fn read_json(path: &Path) -> Result<Value, ArgumentError> {
+    let text = std::fs::read_to_string(path).map_err(|source| ArgumentError::Unreadable {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    serde_json::from_str(&text).map_err(|source| ArgumentError::NotJson {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+impl TimeRangeArgs {
+    fn insert_into(&self, body: &mut Map<String, Value>) -> Result<(), ArgumentError> {
+        let until = match (self.from, self.until, self.duration) {
+            (Some(from), None, Some(duration)) => Some(from.checked_add(duration)?),
             (_, until, _) => until,
         };
         if let Some(from) = self.from {
@@ -149,8 +165,8 @@
     }
 }
 
-impl Reserve {
-    fn body(&self) -> Result<Value, String> {
+impl ReservationArgs {
+    fn body(&self) -> Result<Value, ArgumentError> {
         let mut body = Map::new();
         body.insert("name".into(), json!(self.name));
         body.insert("team".into(), json!(self.team));
@@ -163,13 +179,13 @@
         }
         body.insert("spot".into(), json!(self.spot));
         body.insert("movable".into(), json!(self.movable));
-        self.span.put(&mut body)?;
+        self.range.insert_into(&mut body)?;
         Ok(Value::Object(body))
     }
 }
 
-impl Declare {
-    fn body(&self) -> Result<Value, String> {
+impl WindowArgs {
+    fn body(&self) -> Result<Value, ArgumentError> {
         let mut body = Map::new();
         body.insert("name".into(), json!(self.name));
         body.insert("zone".into(), json!(self.zone));
@@ -179,20 +195,17 @@
         body.insert("lead_s".into(), json!(self.lead_s));
         body.insert("force".into(), json!(self.force));
         if let Some(path) = &self.rule {
-            let shown = path.display();
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
-            let rule: Value = serde_json::from_str(&text).map_err(|e| format!("{shown}: {e}"))?;
-            body.insert("rule".into(), rule);
+            body.insert("rule".into(), read_json(path)?);
         }
-        self.span.put(&mut body)?;
+        self.range.insert_into(&mut body)?;
         Ok(Value::Object(body))
     }
 }
 
 const RESERVATIONS: &str = "/api/reservations";
 const WINDOWS: &str = "/api/windows";
-/// Entries asked for at once.
-const PAGE: usize = 100;
+/// Entries of one page.
+const PAGE_SIZE: usize = 100;
 
 const RESERVATION_COLUMNS: [(&str, &str); 8] = [
     ("NAME", "name"),
@@ -213,55 +226,65 @@
     ("STATE", "state"),
 ];
 
-pub(crate) fn list(asking: &Asking, path: &str, columns: &[(&str, &str)]) -> Told {
+pub(crate) fn list(
+    controllers: &ControllerArgs,
+    path: &str,
+    columns: &[(&str, &str)],
+) -> CommandOutput {
     let page = |items: &[Value]| {
         let last = items.last().map(|i| table::plain(&i["name"]));
         let after = last.map(|name| format!("&after={name}"));
-        format!("{path}?limit={PAGE}{}", after.unwrap_or_default())
+        format!("{path}?limit={PAGE_SIZE}{}", after.unwrap_or_default())
     };
-    let (items, _) = match asking.all("items", page) {
-        Ok(found) => found,
-        Err(told) => return told,
+    let items = match controllers.read_all("items", page) {
+        Ok(list) => list.items,
+        Err(failure) => return failure,
     };
-    Told::done(match asking.json {
+    CommandOutput::success(match controllers.json {
         true => format!("{:#}", json!({ "items": items })),
         false => table::rows(columns, &items),
     })
 }
 
-pub(crate) fn named(n: &Named, path: &str, cancel: bool) -> Told {
-    let (method, path) = match cancel {
-        true => (Method::Post, format!("{path}/{}/cancel", n.name)),
-        false => (Method::Get, format!("{path}/{}", n.name)),
-    };
-    n.asking.send(method, &path, None)
+pub(crate) fn show_entry(entry: &EntryArgs, path: &str) -> CommandOutput {
+    let path = format!("{path}/{}", entry.name);
+    entry.controllers.send(Method::Get, &path, None)
+}
+
+pub(crate) fn cancel_entry(entry: &EntryArgs, path: &str) -> CommandOutput {
+    let path = format!("{path}/{}/cancel", entry.name);
+    entry.controllers.send(Method::Post, &path, None)
 }
 
 pub(crate) fn send(
-    asking: &Asking,
+    controllers: &ControllerArgs,
     method: Method,
     path: &str,
-    body: Result<Value, String>,
-) -> Told {
+    body: Result<Value, ArgumentError>,
+) -> CommandOutput {
     match body {
-        Ok(body) => asking.send(method, path, Some(&body)),
-        Err(why) => Told::failed(End::Wrong, why),
+        Ok(body) => controllers.send(method, path, Some(&body)),
+        Err(error) => CommandOutput::failure(CommandStatus::Invalid, error.to_string()),
     }
 }
 
 impl Reservations {
-    pub fn run(&self) -> Told {
+    /// Runs the command.
+    pub fn run(&self) -> CommandOutput {
         let path = RESERVATIONS;
         match self {
-            Reservations::List(asking) => list(asking, path, &RESERVATION_COLUMNS),
-            Reservations::Show(n) => named(n, path, false),
-            Reservations::Cancel(n) => named(n, path, true),
-            Reservations::Add(r) => send(&r.asking, Method::Post, path, r.body()),
-            Reservations::Check(r) => {
-                send(&r.asking, Method::Post, &format!("{path}/check"), r.body())
-            }
+            Reservations::List(controllers) => list(controllers, path, &RESERVATION_COLUMNS),
+            Reservations::Show(entry) => show_entry(entry, path),
+            Reservations::Cancel(entry) => cancel_entry(entry, path),
+            Reservations::Add(r) => send(&r.controllers, Method::Post, path, r.body()),
+            Reservations::Check(r) => send(
+                &r.controllers,
+                Method::Post,
+                &format!("{path}/check"),
+                r.body(),
+            ),
             Reservations::Change(r) => send(
-                &r.asking,
+                &r.controllers,
                 Method::Put,
                 &format!("{path}/{}", r.name),
                 r.body(),
@@ -271,16 +294,22 @@
 }
 
 impl Windows {
-    pub fn run(&self) -> Told {
+    /// Runs the command.
+    pub fn run(&self) -> CommandOutput {
         let path = WINDOWS;
         match self {
-            Windows::List(asking) => list(asking, path, &WINDOW_COLUMNS),
-            Windows::Show(n) => named(n, path, false),
-            Windows::Cancel(n) => named(n, path, true),
-            Windows::Add(w) => send(&w.asking, Method::Post, path, w.body()),
-            Windows::Check(w) => send(&w.asking, Method::Post, &format!("{path}/check"), w.body()),
+            Windows::List(controllers) => list(controllers, path, &WINDOW_COLUMNS),
+            Windows::Show(entry) => show_entry(entry, path),
+            Windows::Cancel(entry) => cancel_entry(entry, path),
+            Windows::Add(w) => send(&w.controllers, Method::Post, path, w.body()),
+            Windows::Check(w) => send(
+                &w.controllers,
+                Method::Post,
+                &format!("{path}/check"),
+                w.body(),
+            ),
             Windows::Change(w) => send(
-                &w.asking,
+                &w.controllers,
                 Method::Put,
                 &format!("{path}/{}", w.name),
                 w.body(),
--- a/crates/client/src/drains.rs
+++ b/crates/client/src/drains.rs
@@ -1,10 +1,10 @@
 //! `snowshelf drains` and `snowshelf budgets`.
 
-use crate::asking::Asking;
-use crate::calendar::{Named, list, moment, named, send};
+use crate::calendar::{EntryArgs, list, parse_time, show_entry};
+use crate::controllers::ControllerArgs;
 use crate::http::Method;
 use crate::table;
-use crate::{End, Told};
+use crate::{CommandOutput, CommandStatus};
 use clap::{Args, Subcommand, ValueEnum};
 use jiff::Timestamp;
 use serde_json::{Map, Value, json};
@@ -26,8 +26,9 @@
     Force,
 }
 
+/// A drain, and the controllers that it is sent to.
 #[derive(Args, Clone, Debug)]
-pub struct Drain {
+pub struct DrainArgs {
     /// Its name, which is not used by another.
     pub name: String,
     /// A machine; several may be named. Without, all that meet the other conditions.
@@ -41,7 +42,7 @@
     #[arg(long, value_name = "YES")]
     pub spot: Option<bool>,
     /// Only machines rented before this time; none: before now.
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub older_than: Option<Timestamp>,
     /// Every machine there is.
     #[arg(long)]
@@ -68,7 +69,7 @@
     #[arg(long)]
     pub any_zone: bool,
     /// When it must be over.
-    #[arg(long, value_name = "TIME", value_parser = moment)]
+    #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub by: Option<Timestamp>,
     /// What is done with what is left then.
     #[arg(long, value_enum, default_value = "give-up")]
@@ -77,27 +78,29 @@
     #[arg(long)]
     pub plan: bool,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The commands on drains.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Drains {
     /// Lists all drains.
-    List(Asking),
+    List(ControllerArgs),
     /// Shows one: what is underway, what is left, what it waits for.
-    Show(Named),
+    Show(EntryArgs),
     /// Drains machines; with --plan it is only told what that comes to.
-    Add(Box<Drain>),
+    Add(Box<DrainArgs>),
     /// Lets the step that is underway end and begins no other.
-    Pause(Named),
+    Pause(EntryArgs),
     /// Goes on, also after it has halted by itself.
-    Resume(Named),
+    Resume(EntryArgs),
     /// Ends it: machines that are not gone serve again.
-    Cancel(Named),
+    Cancel(EntryArgs),
 }
 
+/// The changes of a disruption budget, and the controllers that they are sent to.
 #[derive(Args, Clone, Debug)]
-pub struct Limits {
+pub struct BudgetArgs {
     pub team: String,
     /// CPUs and tasks that may be away at once.
     #[arg(long)]
@@ -118,24 +121,26 @@
     #[arg(long, value_name = "SHARE")]
     pub replicas_up: Option<f64>,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The name of a team, and the controllers to ask.
 #[derive(Args, Clone, Debug)]
-pub struct OfTeam {
+pub struct TeamArgs {
     pub team: String,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The commands on disruption budgets.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Budgets {
     /// Shows a team's budget, and what of it is left.
-    Show(OfTeam),
+    Show(TeamArgs),
     /// Changes what is named of it, in force at once.
-    Set(Limits),
+    Set(BudgetArgs),
     /// Goes back to what the controllers' settings say.
-    Reset(OfTeam),
+    Reset(TeamArgs),
 }
 
 const PATH: &str = "/api/drains";
@@ -148,10 +153,10 @@
     ("STEPS LEFT", "steps_left"),
     ("WAITS FOR", "waits_for"),
 ];
-/// How often it is looked whether a plan is there.
-const PLAN_PAUSE: Duration = Duration::from_millis(300);
+/// How often it is checked whether the plan is there.
+const PLAN_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-impl Drain {
+impl DrainArgs {
     fn body(&self) -> Value {
         let mut body = Map::new();
         let mut put = |field: &str, value: Value| {
@@ -192,47 +197,49 @@
         Value::Object(body)
     }
 
-    fn run(&self) -> Told {
-        let told = send(&self.asking, Method::Post, PATH, Ok(self.body()));
-        if !self.plan || told.end != End::Done {
-            return told;
+    fn run(&self) -> CommandOutput {
+        let body = self.body();
+        let output = self.controllers.send(Method::Post, PATH, Some(&body));
+        if !self.plan || output.status != CommandStatus::Done {
+            return output;
         }
-        // The leader works the plan out a moment later.
-        let until = Instant::now() + Duration::from_secs(self.asking.wait);
+        // The cluster leader computes the plan a moment later.
+        let deadline = Instant::now() + Duration::from_secs(self.controllers.wait);
         loop {
             let path = format!("{PATH}/{}", self.name);
-            let answer = match self.asking.get(&path) {
+            let answer = match self.controllers.get(&path) {
                 Ok(answer) => answer,
-                Err(told) => return told,
+                Err(failure) => return failure,
             };
             if answer["left"].is_number() {
-                return Told::done(match self.asking.json {
+                return CommandOutput::success(match self.controllers.json {
                     true => format!("{answer:#}"),
                     false => table::fields(&answer),
                 });
             }
-            if Instant::now() >= until {
-                let why = "no leader has worked it out yet; see `drains show`";
-                return Told::failed(End::Unreached, why.to_string());
+            if Instant::now() >= deadline {
+                let reason = "no leader has worked it out yet; see `drains show`";
+                return CommandOutput::failure(CommandStatus::Unreachable, reason.to_string());
             }
-            std::thread::sleep(PLAN_PAUSE);
+            std::thread::sleep(PLAN_POLL_INTERVAL);
         }
     }
 }
 
 impl Drains {
-    pub fn run(&self) -> Told {
-        let tell = |n: &Named, word: &str| {
-            let path = format!("{PATH}/{}/{word}", n.name);
-            n.asking.send(Method::Post, &path, None)
+    /// Runs the command.
+    pub fn run(&self) -> CommandOutput {
+        let act = |entry: &EntryArgs, action: &str| {
+            let path = format!("{PATH}/{}/{action}", entry.name);
+            entry.controllers.send(Method::Post, &path, None)
         };
         match self {
-            Drains::List(asking) => list(asking, PATH, &COLUMNS),
-            Drains::Show(n) => named(n, PATH, false),
+            Drains::List(controllers) => list(controllers, PATH, &COLUMNS),
+            Drains::Show(entry) => show_entry(entry, PATH),
             Drains::Add(drain) => drain.run(),
-            Drains::Pause(n) => tell(n, "pause"),
-            Drains::Resume(n) => tell(n, "resume"),
-            Drains::Cancel(n) => tell(n, "cancel"),
+            Drains::Pause(entry) => act(entry, "pause"),
+            Drains::Resume(entry) => act(entry, "resume"),
+            Drains::Cancel(entry) => act(entry, "cancel"),
         }
     }
 }
@@ -241,13 +248,13 @@
     format!("/api/budgets/{team}")
 }
 
-impl Limits {
+impl BudgetArgs {
     /// The budget as it is, with what is named changed.
-    fn run(&self) -> Told {
+    fn run(&self) -> CommandOutput {
         let path = budget_path(&self.team);
-        let mut budget = match self.asking.get(&path) {
+        let mut budget = match self.controllers.get(&path) {
             Ok(mut answer) => answer["budget"].take(),
-            Err(told) => return told,
+            Err(failure) => return failure,
         };
         let changes = [
             ("cpus", json!(self.cpus)),
@@ -259,25 +266,32 @@
             ("replicas_up", json!(self.replicas_up)),
         ];
         if changes.iter().all(|(_, value)| value.is_null()) {
-            return Told::failed(End::Wrong, "nothing is to be changed".to_string());
+            return CommandOutput::failure(
+                CommandStatus::Invalid,
+                "nothing is to be changed".to_string(),
+            );
         }
         for (field, value) in changes.into_iter().filter(|(_, v)| !v.is_null()) {
             budget[field] = value;
         }
         let body = json!({ "budget": budget });
-        self.asking.send(Method::Put, &path, Some(&body))
+        self.controllers.send(Method::Put, &path, Some(&body))
     }
 }
 
 impl Budgets {
-    pub fn run(&self) -> Told {
+    /// Runs the command.
+    pub fn run(&self) -> CommandOutput {
         match self {
-            Budgets::Show(of) => of.asking.send(Method::Get, &budget_path(&of.team), None),
-            Budgets::Set(limits) => limits.run(),
-            Budgets::Reset(of) => {
+            Budgets::Show(args) => {
+                let path = budget_path(&args.team);
+                args.controllers.send(Method::Get, &path, None)
+            }
+            Budgets::Set(args) => args.run(),
+            Budgets::Reset(args) => {
                 let body = json!({ "budget": null });
-                let path = budget_path(&of.team);
-                of.asking.send(Method::Put, &path, Some(&body))
+                let path = budget_path(&args.team);
+                args.controllers.send(Method::Put, &path, Some(&body))
             }
         }
     }
--- a/crates/client/src/graph.rs
+++ b/crates/client/src/graph.rs
@@ -1,8 +1,9 @@
-//! `snowshelf graph`: files of graphs, read here, since reading them is no controller's work.
+//! `snowshelf graph`: files of graphs, which are read and checked here, not by a controller.
 
-use crate::asking::Asking;
+use crate::controllers::ControllerArgs;
+use crate::error::ArgumentError;
 use crate::http::Method;
-use crate::{End, Told, table};
+use crate::{CommandOutput, CommandStatus, table};
 use clap::{Args, Subcommand};
 use jiff::Timestamp;
 use serde_json::{Value, json};
@@ -16,7 +17,7 @@
 
 /// A file, and how its steps become jobs.
 #[derive(Args, Clone, Debug)]
-pub struct File {
+pub struct GraphFile {
     /// A DAG file (.py), a serialized DAG (.json), or the native form (.yaml or .json).
     pub file: PathBuf,
     /// Which graph, where the file has several.
@@ -27,10 +28,11 @@
     pub mapping: Option<PathBuf>,
 }
 
+/// A file to check, and how to print its graph.
 #[derive(Args, Clone, Debug)]
-pub struct Check {
+pub struct CheckArgs {
     #[command(flatten)]
-    pub file: File,
+    pub file: GraphFile,
     /// Prints the graph in its native form, as JSON.
     #[arg(long, conflicts_with_all = ["dot", "svg"])]
     pub json: bool,
@@ -42,12 +44,13 @@
     pub svg: bool,
 }
 
+/// A file, and the run to expand it for.
 #[derive(Args, Clone, Debug)]
-pub struct Expand {
+pub struct ExpandArgs {
     #[command(flatten)]
-    pub file: File,
+    pub file: GraphFile,
     /// A parameter, as NAME=VALUE: JSON, or a text.
-    #[arg(long, value_name = "NAME=VALUE", value_parser = param)]
+    #[arg(long, value_name = "NAME=VALUE", value_parser = parse_parameter)]
     pub param: Vec<(String, Value)>,
     /// The run's id, which is not used by another; none: `manual-` and the time.
     #[arg(long)]
@@ -60,18 +63,20 @@
     pub until: Option<Timestamp>,
 }
 
+/// A run, and the controllers that it is sent to.
 #[derive(Args, Clone, Debug)]
-pub struct Submit {
+pub struct SubmitArgs {
     #[command(flatten)]
-    pub expand: Expand,
+    pub expand: ExpandArgs,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// A run to repeat, and the id of the new one.
 #[derive(Args, Clone, Debug)]
-pub struct Rerun {
+pub struct RerunArgs {
     #[command(flatten)]
-    pub run: Run,
+    pub run: RunArgs,
     /// The new run's id.
     #[arg(long = "as", value_name = "ID")]
     pub next: String,
@@ -79,49 +84,50 @@
 
 /// A graph that is kept.
 #[derive(Args, Clone, Debug)]
-pub struct Kept {
+pub struct KeptGraphArgs {
     pub graph: String,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
 /// A run by its graph and its id.
 #[derive(Args, Clone, Debug)]
-pub struct Run {
+pub struct RunArgs {
     pub graph: String,
     pub run: String,
     #[command(flatten)]
-    pub asking: Asking,
+    pub controllers: ControllerArgs,
 }
 
+/// The commands on graphs and their runs.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Graphs {
     /// Begins a run.
-    Submit(Submit),
+    Submit(SubmitArgs),
     /// Shows a run and where each of its steps stands.
-    Show(Run),
+    Show(RunArgs),
     /// Cancels a run.
-    Cancel(Run),
+    Cancel(RunArgs),
     /// Runs again what did not succeed in an ended run, as a run of another id.
-    Rerun(Rerun),
+    Rerun(RerunArgs),
     /// Keeps a graph, so that its schedule begins runs; in place of what was kept under its name.
-    Keep(Submit),
+    Keep(SubmitArgs),
     /// Shows a kept graph: how far its schedule is, what was missed.
-    Status(Kept),
+    Status(KeptGraphArgs),
     /// Lets a kept graph's schedule stand still.
-    Pause(Kept),
+    Pause(KeptGraphArgs),
     /// Lets it go on.
-    Resume(Kept),
+    Resume(KeptGraphArgs),
     /// Checks a file whole and shows its graph as a tree.
-    Check(Check),
+    Check(CheckArgs),
     /// Prints the jobs that a run would be, a line of JSON each.
-    Expand(Expand),
+    Expand(ExpandArgs),
     /// Prints a graph in the native form (YAML).
-    Convert(File),
+    Convert(GraphFile),
 }
 
-fn param(text: &str) -> Result<(String, Value), String> {
-    let (name, value) = text.split_once('=').ok_or("must be NAME=VALUE")?;
+fn parse_parameter(text: &str) -> Result<(String, Value), ArgumentError> {
+    let (name, value) = text.split_once('=').ok_or(ArgumentError::NoValue)?;
     let value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
     Ok((name.to_string(), value))
 }
@@ -138,13 +144,13 @@
 
 /// Reads every graph of a file, whatever its form.
 pub fn read_file(path: &Path) -> Result<Vec<Graph>, Vec<Problem>> {
-    let shown = path.display().to_string();
-    let mut problems = Problems::of(&shown);
+    let file_name = path.display().to_string();
+    let mut problems = Problems::of(&file_name);
     let Some(text) = text_of(path, &mut problems) else {
         return Err(problems.into_list());
     };
     if path.extension().is_some_and(|e| e == "py") {
-        return snowshelf_dag_python::read(&text, &shown);
+        return snowshelf_dag_python::read(&text, &file_name);
     }
     let value = serde_json::from_str::<Value>(&text).ok();
     let graph = match value.filter(serialized::is_serialized) {
@@ -157,14 +163,14 @@
     }
 }
 
-impl File {
-    fn shown(&self) -> String {
+impl GraphFile {
+    fn file_name(&self) -> String {
         self.file.display().to_string()
     }
 
     fn read(&self) -> Result<Graph, Vec<Problem>> {
         let graphs = read_file(&self.file)?;
-        let mut problems = Problems::of(&self.shown());
+        let mut problems = Problems::of(&self.file_name());
         let names: Vec<String> = graphs.iter().map(|g| g.name.clone()).collect();
         let several = names.len() > 1 && self.name.is_none();
         let mut graphs = graphs.into_iter();
@@ -191,7 +197,7 @@
 
     fn checked(&self) -> Result<(Graph, Mapping), Vec<Problem>> {
         let (graph, mapping) = (self.read()?, self.mapping()?);
-        let mut problems = Problems::of(&self.shown());
+        let mut problems = Problems::of(&self.file_name());
         check::check(&graph, &mapping, &mut problems);
         match problems.is_empty() {
             true => Ok((graph, mapping)),
@@ -200,7 +206,7 @@
     }
 }
 
-impl Expand {
+impl ExpandArgs {
     fn asked(&self) -> Result<Asked, Vec<Problem>> {
         let (graph, mapping) = self.file.checked()?;
         let from = self.from.unwrap_or_else(Timestamp::now);
@@ -219,19 +225,19 @@
     /// What is asked for, and the plan that it comes to.
     fn planned(&self) -> Result<(Asked, Plan), Vec<Problem>> {
         let asked = self.asked()?;
-        let file = self.file.shown();
+        let file = self.file.file_name();
         let plan = expand(&asked.graph, &asked.mapping, &asked.facts(), &file)?;
         Ok((asked, plan))
     }
 }
 
-impl Submit {
+impl SubmitArgs {
     /// Begins a run, or keeps the graph.
-    fn send(&self, keep: bool) -> Told {
+    fn send(&self, keep: bool) -> CommandOutput {
         // Everything that is wrong is told here, with its place in the file.
         let asked = match self.expand.planned() {
             Ok((asked, _)) => asked,
-            Err(problems) => return told(Err(problems)),
+            Err(problems) => return output_of(Err(problems)),
         };
         let path = format!("/api/graphs/{}", asked.graph.name);
         let (method, path) = match keep {
@@ -239,32 +245,33 @@
             false => (Method::Post, format!("{path}/runs")),
         };
         let body = json!({"run": asked.run, "packed": packing::pack(&asked)});
-        self.asking.send(method, &path, Some(&body))
+        self.controllers.send(method, &path, Some(&body))
     }
 }
 
-impl Kept {
-    fn send(&self, method: Method, what: &str) -> Told {
+impl KeptGraphArgs {
+    fn send(&self, method: Method, what: &str) -> CommandOutput {
         let path = format!("/api/graphs/{}{what}", self.graph);
-        self.asking.send(method, &path, None)
+        self.controllers.send(method, &path, None)
     }
 }
 
-/// Steps asked for at once.
-const PAGE: usize = 500;
+/// Steps of one page.
+const PAGE_SIZE: usize = 500;
 
-impl Run {
+impl RunArgs {
     fn path(&self) -> String {
         format!("/api/graphs/{}/runs/{}", self.graph, self.run)
     }
 
-    fn show(&self) -> Told {
-        let page = |steps: &[Value]| format!("{}?after={}&limit={PAGE}", self.path(), steps.len());
-        let (steps, mut body) = match self.asking.all("steps", page) {
-            Ok(found) => found,
-            Err(told) => return told,
+    fn show(&self) -> CommandOutput {
+        let page =
+            |steps: &[Value]| format!("{}?after={}&limit={PAGE_SIZE}", self.path(), steps.len());
+        let (steps, mut body) = match self.controllers.read_all("steps", page) {
+            Ok(list) => (list.items, list.last_page),
+            Err(failure) => return failure,
         };
-        Told::done(match self.asking.json {
+        CommandOutput::success(match self.controllers.json {
             true => {
                 if let Some(whole) = body.as_object_mut() {
                     whole.insert("steps".to_string(), json!(steps));
@@ -297,22 +304,23 @@
     }
 }
 
-fn told(result: Result<String, Vec<Problem>>) -> Told {
+fn output_of(result: Result<String, Vec<Problem>>) -> CommandOutput {
     match result {
-        Ok(out) => Told::done(out),
+        Ok(out) => CommandOutput::success(out),
         Err(problems) => {
             let lines: Vec<String> = problems.iter().map(|p| p.to_string()).collect();
             let file = problems.first().map_or("", |p| &p.file);
             let why = format!("{file} cannot be taken:\n{}", lines.join("\n"));
-            Told::failed(End::Wrong, why)
+            CommandOutput::failure(CommandStatus::Invalid, why)
         }
     }
 }
 
 impl Graphs {
-    pub fn run(&self) -> Told {
+    /// Runs the command.
+    pub fn run(&self) -> CommandOutput {
         match self {
-            Graphs::Check(command) => told(command.file.checked().map(|(graph, _)| {
+            Graphs::Check(command) => output_of(command.file.checked().map(|(graph, _)| {
                 if command.json {
                     format!("{:#}", serde_json::to_value(&graph).unwrap_or_default())
                 } else if command.dot {
@@ -323,7 +331,7 @@
                     show::tree(&graph)
                 }
             })),
-            Graphs::Expand(command) => told(command.planned().map(|(_, plan)| {
+            Graphs::Expand(command) => output_of(command.planned().map(|(_, plan)| {
                 let lines: Vec<String> = plan.lines().map(|line| line.to_string()).collect();
                 lines.join("\n")
             })),
@@ -331,7 +339,7 @@
             Graphs::Rerun(again) => {
                 let path = format!("{}/rerun", again.run.path());
                 let body = json!({"run": again.next});
-                again.run.asking.send(Method::Post, &path, Some(&body))
+                again.run.controllers.send(Method::Post, &path, Some(&body))
             }
             Graphs::Keep(command) => command.send(true),
             Graphs::Status(kept) => kept.send(Method::Get, ""),
@@ -340,9 +348,9 @@
             Graphs::Show(run) => run.show(),
             Graphs::Cancel(run) => {
                 let path = format!("{}/cancel", run.path());
-                run.asking.send(Method::Post, &path, None)
+                run.controllers.send(Method::Post, &path, None)
             }
-            Graphs::Convert(file) => told(file.read().map(|graph| native::write(&graph))),
+            Graphs::Convert(file) => output_of(file.read().map(|graph| native::write(&graph))),
         }
     }
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,59 +1,71 @@
-//! Requests to any of several controllers: the next one where one does not answer, again where one says
-//! when to come back, until there is an answer or the time is up.
+//! Requests to any of several controllers: the next one if one does not respond, again if one says when to retry,
+//! until there is a response or the time is up.
 
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// An answer that settles a request.
+/// The response that settles a request.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Answer {
+pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body.
     pub body: Value,
 }
 
+/// Why a request was not settled.
 #[derive(Debug, thiserror::Error)]
-pub enum Unanswered {
+pub enum RequestError {
+    /// No controller responded; the last failure.
     #[error("no controller answered: {0}")]
-    Unreached(String),
+    Unreachable(String),
+    /// Every controller that responded asked to retry; the last reason.
     #[error("no controller could decide in time: {0}")]
-    Later(String),
+    Unavailable(String),
+    /// There is no controller to send it to.
     #[error("no --server is named")]
     NoServer,
 }
 
+/// The method of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
+    /// Reads.
     Get,
+    /// Creates, or acts on an entry.
     Post,
+    /// Replaces.
     Put,
 }
 
-/// A client of some controllers.
+/// A client of several controllers.
 pub struct Client {
     servers: Vec<String>,
     agent: ureq::Agent,
     wait: Duration,
 }
 
-/// How long one controller may take to answer.
-const ANSWER: Duration = Duration::from_secs(5);
-/// The pause before the next round where nobody said when to come back, and the longest one kept to.
-const PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+/// How long one controller may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause before the next round if no controller said when to retry.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The longest pause.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
 
-/// What one try came to.
-enum Try {
-    Settled(Answer),
+/// The outcome of one attempt at one controller.
+enum Attempt {
+    Settled(Response),
     Later(Duration, String),
     Failed(String),
 }
 
 impl Client {
     /// `servers` are addresses as `host:port`; `wait` is how long a request may take in all.
+    #[must_use]
     pub fn new(servers: &[String], wait: Duration) -> Client {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(ANSWER))
+            .timeout_global(Some(RESPONSE_TIMEOUT))
             .max_redirects(0)
             .build();
         Client {
@@ -63,7 +75,7 @@
         }
     }
 
-    fn attempt(&self, server: &str, method: Method, path: &str, body: Option<&Value>) -> Try {
+    fn attempt(&self, server: &str, method: Method, path: &str, body: Option<&Value>) -> Attempt {
         let url = format!("http://{server}{path}");
         let sent = match (method, body) {
             (Method::Get, _) => self.agent.get(&url).call(),
@@ -72,57 +84,62 @@
             (Method::Put, Some(body)) => self.agent.put(&url).send(body.to_string()),
             (Method::Put, None) => self.agent.put(&url).send_empty(),
         };
-        let mut answer = match sent {
-            Ok(answer) => answer,
-            Err(error) => return Try::Failed(format!("{server}: {error}")),
+        let mut response = match sent {
+            Ok(response) => response,
+            Err(error) => return Attempt::Failed(format!("{server}: {error}")),
         };
-        let status = answer.status().as_u16();
-        let after = answer.headers().get("retry-after");
+        let status = response.status().as_u16();
+        let after = response.headers().get("retry-after");
         let after = after.and_then(|v| v.to_str().ok()?.parse().ok());
-        let text = match answer.body_mut().read_to_string() {
+        let text = match response.body_mut().read_to_string() {
             Ok(text) => text,
-            Err(error) => return Try::Failed(format!("{server}: {error}")),
+            Err(error) => return Attempt::Failed(format!("{server}: {error}")),
         };
         let body: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
         if matches!(status, 429 | 503 | 504) {
             let why = body["error"].as_str().unwrap_or("no reason told");
-            let pause = after.map_or(PAUSE, Duration::from_secs);
-            return Try::Later(pause, format!("{server}: {why}"));
+            let pause = after.map_or(RETRY_PAUSE, Duration::from_secs);
+            return Attempt::Later(pause, format!("{server}: {why}"));
         }
         if body.is_null() {
-            return Try::Failed(format!("{server}: status {status}, and no JSON"));
+            return Attempt::Failed(format!("{server}: status {status}, and no JSON"));
         }
-        Try::Settled(Answer { status, body })
+        Attempt::Settled(Response { status, body })
     }
 
-    /// Asks until there is an answer. Every request may be sent twice with the effect of once.
-    pub fn ask(
+    /// Sends a request until there is a response. Every request is idempotent, so it may be sent again.
+    ///
+    /// # Errors
+    /// If there is no response that settles it in time.
+    pub fn request(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-    ) -> Result<Answer, Unanswered> {
-        let end = Instant::now() + self.wait;
+    ) -> Result<Response, RequestError> {
+        let deadline = Instant::now() + self.wait;
         loop {
             let mut pause = None;
-            let mut last = Unanswered::NoServer;
+            let mut last = RequestError::NoServer;
             for server in &self.servers {
                 match self.attempt(server, method, path, body) {
-                    Try::Settled(answer) => return Ok(answer),
-                    Try::Later(after, why) => {
+                    Attempt::Settled(response) => return Ok(response),
+                    Attempt::Later(after, why) => {
                         // Another controller may be able to now; the shortest pause counts.
                         pause = Some(pause.map_or(after, |p: Duration| p.min(after)));
-                        last = Unanswered::Later(why);
+                        last = RequestError::Unavailable(why);
                     }
-                    Try::Failed(why) => {
-                        if !matches!(last, Unanswered::Later(_)) {
-                            last = Unanswered::Unreached(why);
+                    Attempt::Failed(why) => {
+                        if !matches!(last, RequestError::Unavailable(_)) {
+                            last = RequestError::Unreachable(why);
                         }
                     }
                 }
             }
-            let pause = pause.unwrap_or(PAUSE).clamp(PAUSE, LONGEST_PAUSE);
-            if self.servers.is_empty() || Instant::now() + pause > end {
+            let pause = pause
+                .unwrap_or(RETRY_PAUSE)
+                .clamp(RETRY_PAUSE, MAX_RETRY_PAUSE);
+            if self.servers.is_empty() || Instant::now() + pause > deadline {
                 return Err(last);
             }
             std::thread::sleep(pause);
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,9 @@
-//! The client side: requests to the controllers, and the commands that send them.
+//! The command line client: requests to the controllers, and the commands that send them.
 
-pub mod asking;
 pub mod calendar;
+pub mod controllers;
 pub mod drains;
+pub mod error;
 pub mod graph;
 pub mod http;
 pub mod table;
@@ -13,7 +14,7 @@
 use graph::Graphs;
 use std::process::ExitCode;
 
-/// The commands that ask controllers, or need none.
+/// The commands that send requests to controllers, or need none.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Commands {
     /// Capacity reserved ahead: lists, makes, changes and cancels it.
@@ -34,7 +35,9 @@
 }
 
 impl Commands {
-    pub fn run(&self) -> Told {
+    /// Runs the command.
+    #[must_use]
+    pub fn run(&self) -> CommandOutput {
         match self {
             Commands::Reservations(command) => command.run(),
             Commands::Windows(command) => command.run(),
@@ -45,71 +48,81 @@
     }
 }
 
-/// How a command ended, as its exit code says.
+/// How a command ended; its exit code says so.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum End {
+pub enum CommandStatus {
+    /// It did what it was to do.
     Done,
     /// Refused as it does not fit: another time, or never.
     Refused,
     /// The command or what it sends is wrong.
-    Wrong,
+    Invalid,
     /// No controller answered, or none could decide in time.
-    Unreached,
-    /// Nothing has that name.
-    Missing,
+    Unreachable,
+    /// There is nothing of that name.
+    NotFound,
 }
 
-impl From<End> for ExitCode {
-    fn from(end: End) -> ExitCode {
-        ExitCode::from(end.code())
+impl From<CommandStatus> for ExitCode {
+    fn from(status: CommandStatus) -> ExitCode {
+        ExitCode::from(status.code())
     }
 }
 
-impl End {
+impl CommandStatus {
+    /// The exit code.
+    #[must_use]
     pub fn code(self) -> u8 {
         match self {
-            End::Done => 0,
-            End::Refused => 1,
-            End::Wrong => 2,
-            End::Unreached => 3,
-            End::Missing => 4,
+            CommandStatus::Done => 0,
+            CommandStatus::Refused => 1,
+            CommandStatus::Invalid => 2,
+            CommandStatus::Unreachable => 3,
+            CommandStatus::NotFound => 4,
         }
     }
 }
 
 /// What a command prints and how it ends.
+#[must_use]
 #[derive(Debug)]
-pub struct Told {
-    pub out: String,
-    pub err: String,
-    pub end: End,
+pub struct CommandOutput {
+    /// The text for standard output.
+    pub stdout: String,
+    /// The text for standard error.
+    pub stderr: String,
+    /// How it ended.
+    pub status: CommandStatus,
 }
 
-impl Told {
-    pub fn done(out: String) -> Told {
-        Told {
-            out,
-            err: String::new(),
-            end: End::Done,
+impl CommandOutput {
+    /// A command that is done.
+    pub fn success(stdout: String) -> CommandOutput {
+        CommandOutput {
+            stdout,
+            stderr: String::new(),
+            status: CommandStatus::Done,
         }
     }
 
-    pub fn failed(end: End, why: String) -> Told {
-        Told {
-            out: String::new(),
-            err: why,
-            end,
+    /// A command that failed, and why.
+    pub fn failure(status: CommandStatus, reason: String) -> CommandOutput {
+        CommandOutput {
+            stdout: String::new(),
+            stderr: reason,
+            status,
         }
     }
 
-    /// Prints it, what went wrong to standard error.
-    pub fn print(&self) -> End {
-        if !self.out.is_empty() {
-            println!("{}", self.out);
+    /// Prints both texts, each where it belongs.
+    #[must_use]
+    pub fn print(&self) -> CommandStatus {
+        if !self.stdout.is_empty() {
+            println!("{}", self.stdout);
         }
-        if !self.err.is_empty() {
-            eprintln!("snowshelf: {}", self.err);
+        if !self.stderr.is_empty() {
+            eprintln!("snowshelf: {}", self.stderr);
         }
-        self.end
+        self.status
     }
 }
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -1,9 +1,10 @@
-//! Answers as tables for people.
+//! Responses as tables for people.
 
 use comfy_table::{Table, presets};
 use serde_json::Value;
 
-/// A value as a person reads it: numbers without a trailing `.0`, lists with commas.
+/// A value as text for people: numbers without a trailing `.0`, lists with commas.
+#[must_use]
 pub fn plain(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -28,6 +29,7 @@
 }
 
 /// Rows of objects, by column: its heading and its field.
+#[must_use]
 pub fn rows(columns: &[(&str, &str)], items: &[Value]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
@@ -39,6 +41,7 @@
 }
 
 /// One object, a line for each field.
+#[must_use]
 pub fn fields(item: &Value) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
--- a/crates/client/tests/commands.rs
+++ b/crates/client/tests/commands.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 use serde_json::{Value, json};
-use snowshelf_client::{Commands, End, Told};
+use snowshelf_client::{CommandOutput, CommandStatus, Commands};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
 use std::sync::mpsc::{Receiver, channel};
@@ -13,7 +13,7 @@
     command: Commands,
 }
 
-fn run(words: &str) -> Told {
+fn run(words: &str) -> CommandOutput {
     let words = std::iter::once("snowshelf").chain(words.split_whitespace());
     match Cli::try_parse_from(words) {
         Ok(cli) => cli.command.run(),
@@ -70,12 +70,12 @@
         json!({"name": "crush", "cpus": 12.5, "places":
         [{"zone": "north", "type": "lagar", "cpus": 12.5}]}),
     )]);
-    let told = run(&format!("{ADD} --server {server}"));
-    assert_eq!(told.end, End::Done, "{told:?}");
+    let output = run(&format!("{ADD} --server {server}"));
+    assert_eq!(output.status, CommandStatus::Done, "{output:?}");
     assert!(
-        told.out.contains("crush") && told.out.contains("lagar"),
+        output.stdout.contains("crush") && output.stdout.contains("lagar"),
         "{}",
-        told.out
+        output.stdout
     );
     let (line, body) = asked.recv().unwrap();
     assert_eq!(line, "POST /api/reservations");
@@ -96,7 +96,7 @@
     );
 }
 
-/// Guards against a client that gives up where it was told when to come back, or hangs on the first
+/// Guards against a client that gives up that is told when to retry, or hangs on the first
 /// controller while another answers.
 #[test]
 fn it_asks_again_and_asks_others() {
@@ -112,26 +112,26 @@
         ),
         (200, "", json!({"name": "w", "state": "ahead"})),
     ]);
-    let told = run(&format!(
+    let output = run(&format!(
         "windows show w --json --server {dead} --server {server}"
     ));
-    assert_eq!(told.end, End::Done);
+    assert_eq!(output.status, CommandStatus::Done);
     assert_eq!(
-        serde_json::from_str::<Value>(&told.out).unwrap()["name"],
+        serde_json::from_str::<Value>(&output.stdout).unwrap()["name"],
         "w"
     );
     assert_eq!(asked.iter().count(), 2);
-    let told = run(&format!("windows show w --wait 1 --server {dead}"));
-    assert_eq!((told.end.code(), told.out.as_str()), (3, ""));
+    let output = run(&format!("windows show w --wait 1 --server {dead}"));
+    assert_eq!((output.status.code(), output.stdout.as_str()), (3, ""));
     let (server, _) = serve(vec![(
         503,
         "Retry-After: 9\r\n",
         json!({"error": "too many requests"}),
     )]);
-    let told = run(&format!("windows show w --wait 1 --server {server}"));
+    let output = run(&format!("windows show w --wait 1 --server {server}"));
     assert!(
-        told.end == End::Unreached && told.err.contains("too many requests"),
-        "{told:?}"
+        output.status == CommandStatus::Unreachable && output.stderr.contains("too many requests"),
+        "{output:?}"
     );
 }
 
@@ -170,20 +170,20 @@
         ),
     ] {
         let (server, _) = serve(vec![(status, "", body)]);
-        let told = run(&format!("{ADD} --server {server}"));
-        assert_eq!(told.end.code(), code);
+        let output = run(&format!("{ADD} --server {server}"));
+        assert_eq!(output.status.code(), code);
         for word in words {
-            assert!(told.err.contains(word), "{}", told.err);
+            assert!(output.stderr.contains(word), "{}", output.stderr);
         }
     }
     let (server, asked) = serve(vec![(200, "", json!({"name": "w", "state": "cancelled"}))]);
     assert_eq!(
-        run(&format!("windows cancel w --server {server}")).end,
-        End::Done
+        run(&format!("windows cancel w --server {server}")).status,
+        CommandStatus::Done
     );
     assert_eq!(asked.recv().unwrap().0, "POST /api/windows/w/cancel");
-    let told = run("windows add w --zone a --rule /nowhere.json --server 127.0.0.1:1");
-    assert!(told.end == End::Wrong && told.err.contains("/nowhere.json"));
+    let output = run("windows add w --zone a --rule /nowhere.json --server 127.0.0.1:1");
+    assert!(output.status == CommandStatus::Invalid && output.stderr.contains("/nowhere.json"));
 }
 
 #[test]
@@ -194,10 +194,10 @@
         (200, "", json!({"items": [item(1), item(2)], "more": true})),
         (200, "", json!({"items": [item(3)], "more": false})),
     ]);
-    let told = run(&format!("reservations list --server {server}"));
-    assert_eq!(told.end, End::Done);
-    let lines: Vec<&str> = told.out.lines().collect();
-    assert_eq!(lines.len(), 4, "{}", told.out);
+    let output = run(&format!("reservations list --server {server}"));
+    assert_eq!(output.status, CommandStatus::Done);
+    let lines: Vec<&str> = output.stdout.lines().collect();
+    assert_eq!(lines.len(), 4, "{}", output.stdout);
     assert!(lines[0].contains("TEAM") && lines[3].contains("r3") && lines[3].contains(" 3 "));
     let asked: Vec<String> = asked.iter().map(|(line, _)| line).collect();
     assert_eq!(asked[1], "GET /api/reservations?limit=100&after=r2");
@@ -237,25 +237,27 @@
         "m.yaml",
         "defaults: {class: c, team: t, cpus: '{{ params.n }}', mem_gb: 1, image: i, pull_gb: 1}\n",
     );
-    let told = run(&format!("graph check {python} --mapping {mapping}"));
-    assert_eq!(told.end, End::Done, "{told:?}");
-    assert_eq!(told.out, "harvest\n`- a\n   `- b\n");
-    let told = run(&format!("graph check {python}"));
-    assert_eq!(told.end, End::Wrong);
+    let output = run(&format!("graph check {python} --mapping {mapping}"));
+    assert_eq!(output.status, CommandStatus::Done, "{output:?}");
+    assert_eq!(output.stdout, "harvest\n`- a\n   `- b\n");
+    let output = run(&format!("graph check {python}"));
+    assert_eq!(output.status, CommandStatus::Invalid);
     assert!(
-        told.err.contains("d.py:4: a: its job has no class, team"),
+        output
+            .stderr
+            .contains("d.py:4: a: its job has no class, team"),
         "{}",
-        told.err
+        output.stderr
     );
-    let told = run(&format!(
+    let output = run(&format!(
         "graph expand {python} --mapping {mapping} --param n=4 --run r1"
     ));
-    let lines: Vec<Value> = told
-        .out
+    let lines: Vec<Value> = output
+        .stdout
         .lines()
         .map(|l| serde_json::from_str(l).unwrap())
         .collect();
-    assert_eq!(lines.len(), 2, "{told:?}");
+    assert_eq!(lines.len(), 2, "{output:?}");
     assert_eq!(
         (&lines[1]["step"], &lines[1]["args"]["bash_command"]),
         (&json!("b"), &json!("4"))
@@ -267,22 +269,22 @@
         ),
         (&json!(4.0), &lines[0]["job"])
     );
-    let told = run(&format!(
+    let output = run(&format!(
         "graph expand {python} --mapping {mapping} --param m=4"
     ));
     assert!(
-        told.end == End::Wrong && told.err.contains("params.m"),
-        "{told:?}"
+        output.status == CommandStatus::Invalid && output.stderr.contains("params.m"),
+        "{output:?}"
     );
     let native = run(&format!("graph convert {python}"));
-    let yaml = put("g.yaml", &native.out);
-    let told = run(&format!("graph check {yaml} --mapping {mapping} --json"));
+    let yaml = put("g.yaml", &native.stdout);
+    let output = run(&format!("graph check {yaml} --mapping {mapping} --json"));
     assert_eq!(
-        serde_json::from_str::<Value>(&told.out).unwrap()["steps"][1]["after"],
+        serde_json::from_str::<Value>(&output.stdout).unwrap()["steps"][1]["after"],
         json!(["a"])
     );
-    let told = run(&format!("graph check {yaml} --mapping {mapping} --dot"));
-    assert!(told.out.contains("\"a\" -> \"b\""));
+    let output = run(&format!("graph check {yaml} --mapping {mapping} --dot"));
+    assert!(output.stdout.contains("\"a\" -> \"b\""));
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
@@ -291,8 +293,8 @@
 fn an_answer_that_is_no_object_is_told() {
     for command in ["graph show a b --json", "windows list"] {
         let (server, _asked) = serve(vec![(200, "", json!(["other"]))]);
-        let told = run(&format!("{command} --server {server}"));
-        assert!(!told.out.is_empty(), "{command}: {told:?}");
+        let output = run(&format!("{command} --server {server}"));
+        assert!(!output.stdout.is_empty(), "{command}: {output:?}");
     }
 }
 
@@ -306,11 +308,11 @@
         (200, "", json!({"name": "d", "state": "paused"})),
         (200, "", shown),
     ]);
-    let told = run(&format!(
+    let output = run(&format!(
         "drains add d --zone north --then replace --share 0.2 --plan --server {server}"
     ));
-    assert_eq!(told.end, End::Done, "{told:?}");
-    assert!(told.out.contains("steps_left"), "{}", told.out);
+    assert_eq!(output.status, CommandStatus::Done, "{output:?}");
+    assert!(output.stdout.contains("steps_left"), "{}", output.stdout);
     let (line, body) = asked.recv().unwrap();
     assert_eq!(line, "POST /api/drains");
     assert_eq!(
@@ -321,8 +323,8 @@
     assert_eq!(asked.iter().count(), 2);
     let budget = json!({"budget": {"cpus": 100.0, "tasks": 50}, "default": true});
     let (server, asked) = serve(vec![(200, "", budget), (200, "", json!({"team": "red"}))]);
-    let told = run(&format!("budgets set red --cpus 0 --server {server}"));
-    assert_eq!(told.end, End::Done, "{told:?}");
+    let output = run(&format!("budgets set red --cpus 0 --server {server}"));
+    assert_eq!(output.status, CommandStatus::Done, "{output:?}");
     let (line, body) = asked.iter().nth(1).unwrap();
     assert_eq!(line, "PUT /api/budgets/red");
     assert_eq!(body, json!({"budget": {"cpus": 0.0, "tasks": 50}}));
