--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -30,7 +30,7 @@
             me: Member::new(&settings.member),
             members: settings.members(),
             shard_count: settings.deployment.nodes,
-            can: ops.can(),
+            can: ops.capabilities(),
             settings,
             ops,
         }
