--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -1,269 +1,317 @@
-//! A submission until it waits to be written: what is wrong with it, known of it, needed by it.
+//! Admission of submissions: from a request until the job waits to be committed.
 
-use super::job_status::{UNKNOWN_DEPENDENCIES, knows_confirmed};
-use super::{Accept, JobApi, JobApiRequest, JobReadPurpose};
+use super::dependency_chunks::ChunkedSubmission;
+use super::feasibility::{RejectionReason, check_dependencies, check_feasible};
+use super::job_status::cancellations_known;
+use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority};
-use snowshelf_model::ids::{ConnectionId, JobId};
-use snowshelf_model::protocol::user::{self, Submission};
-use snowshelf_model::records::{Grant, JobKind, JobSpec, RecordFormat, job_key};
-use std::collections::BTreeSet;
+use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis};
+use snowshelf_model::protocol::user::{self, BadField, Submission};
+use snowshelf_model::records::{JobSpec, RecordFormat, job_key};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Most jobs that a submission may need and that are looked up for it; the change feed brings the
-/// others soon.
-const LOOKED_UP: usize = 16;
-/// Submissions that may wait beside one of a run.
-const OWN_WAITING: usize = 4;
-/// Keys that accepting a job mostly writes: its own and one or two shares.
-const WRITES_A_JOB: usize = 3;
+/// Most dependencies that are looked up for one submission; the watch brings the others soon.
+const MAX_DEPENDENCY_LOOKUPS: usize = 16;
+/// Pending submissions beside which one of a DAG run is still taken.
+const MAX_PENDING_BESIDE_RUN: usize = 4;
+/// Keys that accepting a job mostly writes: its own and one or two allocations.
+const WRITES_PER_JOB: usize = 3;
+/// Seconds' worth of writes that pending submissions may make up.
+const MAX_BACKLOG_S: f64 = 0.7;
+/// Timeout of the read of a dependency's record, in milliseconds.
+const LOOKUP_TIMEOUT_MS: u64 = 1_500;
+
+/// A submission that is not durable yet.
+pub(super) struct PendingSubmission {
+    /// Who waits for the response: several users if the request was repeated, nobody for a DAG run's job.
+    pub(super) connections: Vec<ConnectionId>,
+    pub(super) job: JobId,
+    pub(super) spec: JobSpec,
+    pub(super) dependencies: Vec<JobId>,
+    /// In how many records of their own its dependencies have been written.
+    pub(super) chunk_count: u32,
+    pub(super) queued_at: MonotonicMillis,
+    /// Whether a DAG run submits it.
+    pub(super) from_run: bool,
+    pub(super) pause_ms: u64,
+}
+
+/// A submission some of whose dependencies are being read, since the record cache lacks them.
+struct DependencyLookup {
+    submission: PendingSubmission,
+    missing: BTreeSet<JobId>,
+}
+
+/// Submissions that are admitted or about to be, before their transaction is sent.
+#[derive(Default)]
+pub(super) struct AdmissionQueue {
+    /// Those that only wait to be committed, oldest first.
+    pub(super) ready: VecDeque<PendingSubmission>,
+    /// Those whose dependencies are being looked up, by request number.
+    lookups: HashMap<u64, DependencyLookup>,
+    /// Those whose dependencies are being written in chunks, by request number.
+    pub(super) chunked: BTreeMap<u64, ChunkedSubmission>,
+}
+
+impl AdmissionQueue {
+    fn iter_mut(&mut self) -> impl Iterator<Item = &mut PendingSubmission> {
+        let looked_up = self.lookups.values_mut().map(|l| &mut l.submission);
+        let chunked = self.chunked.values_mut().map(|c| &mut c.submission);
+        self.ready.iter_mut().chain(looked_up).chain(chunked)
+    }
+
+    /// The pending submission of a job.
+    pub(super) fn find_mut(&mut self, job: &JobId) -> Option<&mut PendingSubmission> {
+        self.iter_mut().find(|s| s.job == *job)
+    }
+
+    fn len(&self) -> usize {
+        self.ready.len() + self.lookups.len() + self.chunked.len()
+    }
+}
+
+/// Why a submission is not admitted now.
+enum NotAdmitted {
+    /// It can never run.
+    Rejected(RejectionReason),
+    /// It cannot be decided on now.
+    Unavailable(Unavailable),
+}
+
+impl From<RejectionReason> for NotAdmitted {
+    fn from(reason: RejectionReason) -> NotAdmitted {
+        NotAdmitted::Rejected(reason)
+    }
+}
+
+impl From<Unavailable> for NotAdmitted {
+    fn from(reason: Unavailable) -> NotAdmitted {
+        NotAdmitted::Unavailable(reason)
+    }
+}
 
 impl JobApi {
-    pub fn submit(&mut self, conn: ConnectionId, body: &[u8], context: &mut Context) {
-        let Submission {
-            job,
-            spec,
-            dependencies,
-        } = match user::parse_submission(body) {
-            Ok(parsed) => parsed,
+    /// Handles a user's submission.
+    pub fn submit(&mut self, connection: ConnectionId, body: &[u8], context: &mut Context) {
+        let submission = match user::parse_submission(body) {
+            Ok(submission) => submission,
             Err(error) => {
-                tracing::info!(%error, "submission rejected: malformed");
-                match user::named(body) {
-                    // Guards against forgetting a job that was accepted: only the state service knows that it was not.
-                    Some(job) => self.read(conn, &job, JobReadPurpose::Malformed(error), context),
-                    None => {
-                        let refused = Response::error(400, &error.to_string());
-                        context.effects.respond(conn, refused);
-                    }
-                }
+                self.reject_malformed(connection, body, error, context);
                 return;
             }
         };
-        if let Some(end) = context.records.final_of(&job) {
-            self.tell_final(conn, &job, end, JobReadPurpose::Resubmit, context);
-            return;
-        }
-        if context.types.is_empty() || !context.records.allocations_read {
-            let later = Response::later(503, "not able to decide yet", 2);
-            context.effects.respond(conn, later);
-            return;
-        }
-        // A job already accepted is answered by its state, whatever the limits are now.
-        let known = context.records.jobs.contains_key(&job);
-        if !known
-            && let Some(why) = never_runs(&spec, context)
-                .or_else(|| unsatisfiable_dependency(&job, &dependencies, context))
-        {
-            // Guards against forgetting a job that was accepted under other limits: only the state
-            // service knows that it was not.
-            self.read(conn, &job, JobReadPurpose::Refuse(why), context);
-            return;
-        }
-        if !known && !dependencies.is_empty() && context.storage_limits.format == RecordFormat::V1 {
-            let later = Response::later(503, "not every controller takes needs yet", 2);
-            context.effects.respond(conn, later);
+        let job = &submission.job;
+        if let Some(end) = context.records.final_of(job) {
+            self.respond_final(connection, job, end, JobReadPurpose::Resubmit, context);
             return;
         }
-        if !known && !dependencies.is_empty() && !knows_confirmed(context) {
-            // What it needs may have been cancelled long ago.
-            let later = Response::later(503, UNKNOWN_DEPENDENCIES, 1);
-            context.effects.respond(conn, later);
-            return;
+        match check_admissible(&submission, context) {
+            Ok(()) => {}
+            Err(NotAdmitted::Rejected(reason)) => {
+                // Guards against forgetting a job that was accepted under other limits: only the key-value
+                // store knows that it was not.
+                self.read_job(connection, job, JobReadPurpose::Reject(reason), context);
+                return;
+            }
+            Err(NotAdmitted::Unavailable(reason)) => {
+                context.effects.respond(connection, reason.into());
+                return;
+            }
         }
-        if let Some(same) = self.waiting().find(|a| a.job == job) {
-            same.conns.push(conn);
+        if let Some(same) = self.admission.find_mut(job) {
+            same.connections.push(connection);
             return;
         }
         // More than can be written within about a second is refused at once.
-        let waiting = self.queue.len() * WRITES_A_JOB;
-        let per_second = context.kv.write_rate();
-        if waiting as f64 > 0.7 * per_second {
-            let later = Response::later(503, "too many submissions", 2);
-            context.effects.respond(conn, later);
+        let backlog = self.admission.ready.len() * WRITES_PER_JOB;
+        if backlog as f64 > MAX_BACKLOG_S * context.kv.write_rate() {
+            let unavailable = Unavailable::TooManySubmissions.into();
+            context.effects.respond(connection, unavailable);
             return;
         }
-        let accept = Accept {
-            conns: vec![conn],
-            job,
-            spec,
-            dependencies,
-            pieces: 0,
-            since: context.now(),
-            run: false,
+        let pending = PendingSubmission {
+            connections: vec![connection],
+            job: submission.job,
+            spec: submission.spec,
+            dependencies: submission.dependencies,
+            chunk_count: 0,
+            queued_at: context.now(),
+            from_run: false,
             pause_ms: 0,
         };
-        if let Err(later) = self.take(accept, known, context) {
-            context.effects.respond(conn, later);
+        if let Err(reason) = self.admit(pending, context) {
+            context.effects.respond(connection, reason.into());
         }
     }
 
-    /// Everything taken in and not yet sent to be written.
-    pub(super) fn waiting(&mut self) -> impl Iterator<Item = &mut Accept> {
-        let checked = self.checking.values_mut().map(|(a, _)| a);
-        let divided = self.dividing.values_mut().map(|d| &mut d.accept);
-        self.queue.iter_mut().chain(checked).chain(divided)
+    /// Answers a submission that cannot be parsed.
+    fn reject_malformed(
+        &mut self,
+        connection: ConnectionId,
+        body: &[u8],
+        error: BadField,
+        context: &mut Context,
+    ) {
+        tracing::info!(%error, "submission rejected: malformed");
+        match user::named(body) {
+            // Guards against forgetting a job that was accepted: only the key-value store knows that it
+            // was not.
+            Some(job) => {
+                self.read_job(connection, &job, JobReadPurpose::Malformed(error), context);
+            }
+            None => {
+                let rejected = Response::error(400, &error.to_string());
+                context.effects.respond(connection, rejected);
+            }
+        }
     }
 
-    /// Takes a submission in: at once, or when the jobs that it needs have been looked up.
-    fn take(&mut self, accept: Accept, known: bool, context: &mut Context) -> Result<(), Response> {
-        let unknown: BTreeSet<JobId> = accept
+    /// Queues a submission, at once or when its dependencies have been looked up.
+    fn admit(
+        &mut self,
+        submission: PendingSubmission,
+        context: &mut Context,
+    ) -> Result<(), Unavailable> {
+        let is_cached = !submission.from_run && context.records.jobs.contains_key(&submission.job);
+        let missing: BTreeSet<JobId> = submission
             .dependencies
             .iter()
-            .filter(|n| !known && !context.records.knows_job(n))
+            .filter(|dependency| !is_cached && !context.records.knows_job(dependency))
             .cloned()
             .collect();
-        if unknown.is_empty() {
-            self.queue.push_back(accept);
+        if missing.is_empty() {
+            self.admission.ready.push_back(submission);
             return Ok(());
         }
-        if unknown.len() > LOOKED_UP || !context.kv.may(context.now(), RequestPriority::Accept, 0) {
-            let why = "jobs that it needs are not known here yet";
-            return Err(Response::later(503, why, 1));
+        if missing.len() > MAX_DEPENDENCY_LOOKUPS
+            || !context.kv.may(context.now(), RequestPriority::Accept, 0)
+        {
+            return Err(Unavailable::DependenciesNotCached);
         }
-        // The mirror's silence proves nothing: a job accepted a moment ago has not come yet, and
-        // one that ended long ago may have been dropped.
-        self.next += 1;
-        for dependency in &unknown {
-            let tag = KvRequest::JobApi(JobApiRequest::ReadDependency {
-                submission: self.next,
+        // That the record cache lacks a job proves nothing: one accepted a moment ago has not come yet,
+        // and one that ended long ago may have been dropped.
+        let id = self.next_request_id();
+        for dependency in &missing {
+            let request = KvRequest::JobApi(JobApiRequest::ReadDependency {
+                submission: id,
                 job: dependency.clone(),
             });
+            let key = job_key(dependency);
             context
                 .kv
-                .get(context.effects, tag, &job_key(dependency), 1_500);
+                .get(context.effects, request, &key, LOOKUP_TIMEOUT_MS);
         }
-        self.checking.insert(self.next, (accept, unknown));
+        let lookup = DependencyLookup {
+            submission,
+            missing,
+        };
+        self.admission.lookups.insert(id, lookup);
         Ok(())
     }
 
-    /// Takes a job of a graph's run, with room that users' submissions leave; false if not now. Once
-    /// it is accepted the mirror has it; a try that fails is made again by the run.
-    pub fn submit_own(
+    /// Submits a job of a DAG run, if users' submissions leave room; false if not now. Once it is
+    /// accepted the record cache has it; an attempt that fails is repeated by the run.
+    #[must_use]
+    pub fn submit_for_run(
         &mut self,
         submission: &Submission,
         pause_ms: u64,
         context: &mut Context,
     ) -> bool {
         let job = &submission.job;
-        let waits = self.waiting().any(|a| a.job == *job);
-        let mut sent = self.batches.values().flat_map(|b| &b.accepts);
-        if waits
-            || sent.any(|a| a.job == *job)
-            || self.waiting().count() >= OWN_WAITING
+        if self.admission.find_mut(job).is_some()
+            || self.commits.contains(job)
+            || self.admission.len() >= MAX_PENDING_BESIDE_RUN
             || !context
                 .kv
-                .may(context.now(), RequestPriority::Starts, WRITES_A_JOB)
+                .may(context.now(), RequestPriority::Starts, WRITES_PER_JOB)
         {
             return false;
         }
-        let accept = Accept {
-            conns: Vec::new(),
+        let pending = PendingSubmission {
+            connections: Vec::new(),
             job: job.clone(),
             spec: submission.spec.clone(),
             dependencies: submission.dependencies.clone(),
-            pieces: 0,
-            since: context.now(),
-            run: true,
+            chunk_count: 0,
+            queued_at: context.now(),
+            from_run: true,
             pause_ms,
         };
-        self.take(accept, false, context).is_ok()
+        self.admit(pending, context).is_ok()
     }
 
-    /// The answer about a job that the submission `id` needs; the mirror has it by now.
-    pub fn needed(
+    /// Handles the read of a dependency of the submission `id`; the record cache has it by now.
+    pub(super) fn on_dependency_read(
         &mut self,
         id: u64,
         dependency: &JobId,
-        result: &GetOutcome,
+        outcome: &GetOutcome,
         context: &mut Context,
     ) {
-        let Some((accept, unknown)) = self.checking.get_mut(&id) else {
+        let Some(lookup) = self.admission.lookups.get_mut(&id) else {
             return;
         };
-        unknown.remove(dependency);
-        let why = match result {
+        lookup.missing.remove(dependency);
+        let result = match outcome {
+            GetOutcome::Found(_) if !lookup.missing.is_empty() => return,
             GetOutcome::Found(_) => {
-                if !unknown.is_empty() {
-                    return;
-                }
-                unsatisfiable_dependency(&accept.job, &accept.dependencies, context)
+                let PendingSubmission {
+                    job, dependencies, ..
+                } = &lookup.submission;
+                check_dependencies(job, dependencies, context).map_err(NotAdmitted::from)
             }
-            GetOutcome::NotFound(_) => Some("it needs a job that was never accepted"),
-            GetOutcome::Failed => None,
+            GetOutcome::NotFound(_) => Err(RejectionReason::UnknownDependency.into()),
+            GetOutcome::Failed => Err(Unavailable::StoreNotResponding.into()),
         };
-        let Some((accept, _)) = self.checking.remove(&id) else {
+        let Some(DependencyLookup { submission, .. }) = self.admission.lookups.remove(&id) else {
             return;
         };
-        match (result, why) {
-            (_, Some(why)) => {
-                for conn in accept.conns {
-                    self.read(conn, &accept.job, JobReadPurpose::Refuse(why), context);
+        match result {
+            Ok(()) => self.admission.ready.push_back(submission),
+            Err(NotAdmitted::Rejected(reason)) => {
+                let purpose = JobReadPurpose::Reject(reason);
+                for connection in submission.connections {
+                    self.read_job(connection, &submission.job, purpose, context);
                 }
             }
-            (GetOutcome::Failed, None) => {
-                for conn in accept.conns {
-                    let later = Response::later(503, "the state service did not answer", 1);
-                    context.effects.respond(conn, later);
+            Err(NotAdmitted::Unavailable(reason)) => {
+                for connection in submission.connections {
+                    context.effects.respond(connection, reason.into());
                 }
             }
-            (_, None) => self.queue.push_back(accept),
         }
     }
 }
 
-/// Why a job can never run here, if so.
-pub fn never_runs(spec: &JobSpec, context: &Context) -> Option<&'static str> {
-    let Some(team) = context
-        .config
-        .settings
-        .deployment
-        .teams
-        .iter()
-        .find(|t| t.name == spec.team.as_str())
-    else {
-        return Some("unknown team");
-    };
-    let fits = context.types.values().any(|t| {
-        spec.types.as_ref().is_none_or(|l| l.contains(&t.label))
-            && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && spec.resources.fits_in(t.room())
-    });
-    if !fits {
-        return Some("a task fits no allowed machine type");
+/// Checks whether a submission can be decided on now, and whether its job can ever run. A job that is
+/// accepted already is answered by its state, whatever the limits are now.
+fn check_admissible(submission: &Submission, context: &Context) -> Result<(), NotAdmitted> {
+    let Submission {
+        job,
+        spec,
+        dependencies,
+    } = submission;
+    if context.types.is_empty() || !context.records.allocations_read {
+        return Err(Unavailable::NotReady.into());
     }
-    let count = match spec.kind {
-        JobKind::Batch => 1,
-        JobKind::Service => spec.tasks,
-    };
-    let limit = Grant {
-        cpus: team.cpus_max,
-        gpus: team.gpus_max,
-    };
-    if !limit.covers(Grant::of(spec.resources.times(f64::from(count)))) {
-        return Some("the job needs more than the team's limit");
+    if context.records.jobs.contains_key(job) {
+        return Ok(());
     }
-    if spec.together && spec.apart && spec.tasks > 1 {
-        return Some("the job must be both together and apart");
+    check_feasible(spec, context)?;
+    check_dependencies(job, dependencies, context)?;
+    if dependencies.is_empty() {
+        return Ok(());
     }
-    None
-}
-
-/// Why a submission's needs can never be met, if so, as far as the jobs are known here.
-fn unsatisfiable_dependency(
-    job: &JobId,
-    dependencies: &[JobId],
-    context: &Context,
-) -> Option<&'static str> {
-    let standing = |dependency: &JobId| {
-        let record = context.records.jobs.get(dependency).map(|v| &v.value);
-        let spec = record.and_then(|r| r.spec.as_ref());
-        spec.is_some_and(|s| s.kind == JobKind::Service)
-    };
-    if dependencies.contains(job) {
-        Some("it needs itself")
-    } else if dependencies.iter().any(standing) {
-        Some("it needs a service, which is never done")
-    } else {
-        None
+    if context.storage_limits.format == RecordFormat::V1 {
+        return Err(Unavailable::DependenciesUnsupported.into());
+    }
+    if !cancellations_known(context) {
+        // A dependency may have been cancelled long ago.
+        return Err(Unavailable::CancellationsUnknown.into());
     }
+    Ok(())
 }
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -1,150 +1,243 @@
-//! Cancellations: by a user, and of jobs that need a cancelled one.
+//! Cancellations: by a user, by a DAG run, and of jobs that depend on a cancelled one.
 
-use super::{JobApi, JobApiRequest};
+use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
-use crate::effects::Response;
+use crate::coordination::unavailable::Unavailable;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Final;
-use snowshelf_model::ids::{JobId, ShardId};
+use crate::storage::record_cache::{Final, Versioned};
+use serde_json::Value;
+use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
-use snowshelf_model::records::{JobState, job_key};
-use std::collections::BTreeSet;
+use snowshelf_model::records::{JobRecord, JobState, job_key};
+use std::collections::{BTreeSet, HashMap};
 
-/// How often a cancellation that met another write is tried again before the user is asked to.
-const CANCEL_TRIES: u32 = 5;
-/// How often jobs that need a cancelled one are looked for.
-const CASCADE_MS: u64 = 200;
-/// How long such a job is left alone after its cancellation met another write.
-const CASCADE_AGAIN_MS: u64 = 400;
+/// How often a cancellation that conflicted with another write is retried before the user is asked to.
+const MAX_CANCEL_RETRIES: u32 = 5;
+/// Time between two searches for jobs that depend on a cancelled one, in milliseconds.
+const CASCADE_INTERVAL_MS: u64 = 200;
+/// How long such a job is left out after its cancellation failed, in milliseconds.
+const CASCADE_BACKOFF_MS: u64 = 400;
+/// Timeout of the read of a job whose cancellation conflicted, in milliseconds.
+const LOOKUP_TIMEOUT_MS: u64 = 1_500;
+
+/// A cancellation that a user waits for.
+struct UserCancellation {
+    connection: ConnectionId,
+    job: JobId,
+    /// The job's record once it is cancelled.
+    cancelled: Value,
+    purpose: JobReadPurpose,
+    retries: u32,
+}
+
+/// A job in a cascade, and its record once it is cancelled.
+struct CascadeCancellation {
+    job: JobId,
+    cancelled: Value,
+}
+
+/// Cancellations in flight, and jobs that are to be cancelled.
+#[derive(Default)]
+pub(super) struct Cancellations {
+    /// Users' cancellations in flight, by request number.
+    by_users: HashMap<u64, UserCancellation>,
+    /// Retries so far, while the job is read again.
+    retries: HashMap<ConnectionId, u32>,
+    /// Cascades in flight, by request number: one at a time.
+    cascades: HashMap<u64, Vec<CascadeCancellation>>,
+    last_cascade_at: MonotonicMillis,
+    /// Jobs of DAG runs that these want cancelled.
+    requested_by_runs: BTreeSet<JobId>,
+    /// Jobs that the cascade leaves out, and until when.
+    backoff_until: HashMap<JobId, MonotonicMillis>,
+}
+
+impl Cancellations {
+    /// Forgets the retries of a request that is answered.
+    pub(super) fn forget_retries(&mut self, connection: ConnectionId) {
+        self.retries.remove(&connection);
+    }
+}
 
 impl JobApi {
-    /// The answer to a cancellation; the job, if its key has changed.
-    pub fn cancelled(
+    /// Has jobs of a DAG run cancelled with the next cascade.
+    pub fn cancel_for_run(&mut self, jobs: impl IntoIterator<Item = JobId>) {
+        self.cancellations.requested_by_runs.extend(jobs);
+    }
+
+    /// Cancels a job on condition that its record is still the one given.
+    pub(super) fn cancel_job(
+        &mut self,
+        connection: ConnectionId,
+        job: &JobId,
+        purpose: JobReadPurpose,
+        record: &Versioned<JobRecord>,
+        context: &mut Context,
+    ) {
+        let cancelled = context.job_value(&context.cancelled(&record.value));
+        let may_write = context.kv.may(context.now(), RequestPriority::Accept, 1);
+        let Some(cancelled) = cancelled.filter(|_| may_write) else {
+            let unavailable = Unavailable::RateLimited.into();
+            context.effects.respond(connection, unavailable);
+            return;
+        };
+        let id = self.next_request_id();
+        let swap = CompareAndSwap::default()
+            .compare(job_key(job), record.version)
+            .mutate(Mutation::put(job_key(job), &cancelled));
+        let cancellation = UserCancellation {
+            connection,
+            job: job.clone(),
+            cancelled,
+            purpose,
+            retries: self.cancellations.retries.remove(&connection).unwrap_or(0),
+        };
+        self.cancellations.by_users.insert(id, cancellation);
+        let request = KvRequest::JobApi(JobApiRequest::Cancel(id));
+        context.kv.compare_and_swap(context.effects, request, &swap);
+    }
+
+    /// Handles the outcome of a user's cancellation; the job, if its record has changed.
+    pub(super) fn on_cancelled(
         &mut self,
         id: u64,
-        result: SwapOutcome,
+        outcome: SwapOutcome,
         context: &mut Context,
     ) -> Option<JobId> {
-        let cancel = self.cancels.remove(&id)?;
-        match result {
+        let UserCancellation {
+            connection,
+            job,
+            cancelled,
+            purpose,
+            retries,
+        } = self.cancellations.by_users.remove(&id)?;
+        match outcome {
             SwapOutcome::Done(revision) => {
-                tracing::info!(job = %cancel.job, "job cancelled");
+                tracing::info!(%job, "job cancelled");
                 context
                     .records
-                    .apply(&job_key(&cancel.job), Some(&cancel.next), revision);
+                    .apply(&job_key(&job), Some(&cancelled), revision);
                 let end = Final {
                     state: JobState::Cancelled,
                     tasks: 0,
                     ended: None,
                     run: false,
                 };
-                self.tell_final(cancel.conn, &cancel.job, end, cancel.why, context);
-                Some(cancel.job)
+                self.respond_final(connection, &job, end, purpose, context);
+                Some(job)
             }
-            SwapOutcome::Conflict(_) if cancel.tries < CANCEL_TRIES => {
-                self.cancel_tries.insert(cancel.conn, cancel.tries + 1);
-                self.read(cancel.conn, &cancel.job, cancel.why, context);
+            SwapOutcome::Conflict(_) if retries < MAX_CANCEL_RETRIES => {
+                self.cancellations.retries.insert(connection, retries + 1);
+                self.read_job(connection, &job, purpose, context);
                 None
             }
             _ => {
-                let later = Response::later(503, "could not be settled yet", 1);
-                context.effects.respond(cancel.conn, later);
+                let unavailable = Unavailable::Contended.into();
+                context.effects.respond(connection, unavailable);
                 None
             }
         }
     }
 
-    /// Cancels jobs that need a cancelled one: those whose first part this controller owns, as many
-    /// as go into a transaction. Compares levels, not events, so nothing is ever missed.
-    pub fn cascade(&mut self, mine: &BTreeSet<ShardId>, context: &mut Context) {
+    /// Cancels jobs that depend on a cancelled one, and those that DAG runs want cancelled: of jobs whose
+    /// first shard this controller leads, as many as go into a transaction. Works on the present records,
+    /// not on events, so nothing is ever missed.
+    pub fn cascade_cancellations(&mut self, led_shards: &BTreeSet<ShardId>, context: &mut Context) {
         let now = context.now();
-        if now.since(self.cascade_at) < CASCADE_MS || !self.cascades.is_empty() {
+        let cancellations = &mut self.cancellations;
+        if now.since(cancellations.last_cascade_at) < CASCADE_INTERVAL_MS
+            || !cancellations.cascades.is_empty()
+        {
             return;
         }
-        self.cascade_at = now;
-        self.left_alone.retain(|_, until| *until > now);
-        let most = context
-            .storage_limits
-            .txn_ops
-            .min(context.kv.room(now, RequestPriority::Accept));
+        cancellations.last_cascade_at = now;
+        cancellations.backoff_until.retain(|_, until| *until > now);
+        let budget = context.kv.room(now, RequestPriority::Accept);
+        let max_writes = context.storage_limits.txn_ops.min(budget);
+        cancellations.requested_by_runs.retain(|job| {
+            let cached = context.records.jobs.get(job);
+            cached.is_some_and(|v| !v.value.is_final())
+        });
         let mut swap = CompareAndSwap::default();
         let mut batch = Vec::new();
-        self.own_cancels.retain(|job| {
-            let known = context.records.jobs.get(job);
-            known.is_some_and(|v| !v.value.is_final())
-        });
-        for job in context
-            .dependency_graph
-            .doomed
-            .iter()
-            .chain(&self.own_cancels)
-        {
-            if swap.mutations.len() >= most {
+        let dependents = context.dependency_graph.doomed.iter();
+        for job in dependents.chain(&cancellations.requested_by_runs) {
+            if swap.mutations.len() >= max_writes {
                 break;
             }
-            let Some(v) = context.records.jobs.get(job) else {
+            let Some(record) = cancellations.cascade_target(job, led_shards, context) else {
                 continue;
             };
-            let own = self.own_cancels.contains(job) && v.value.run;
-            let ours = own || v.value.shards.first().is_some_and(|p| mine.contains(p));
-            if v.value.is_final() || !ours || self.left_alone.contains_key(job) {
-                continue;
-            }
-            let Some(value) = context.job_value(&context.cancelled(&v.value)) else {
+            let Some(cancelled) = context.job_value(&context.cancelled(&record.value)) else {
                 continue;
             };
-            let change = Mutation::put(job_key(job), &value);
-            swap = swap.compare(job_key(job), v.version).mutate(change);
-            batch.push((job.clone(), value));
+            swap = swap
+                .compare(job_key(job), record.version)
+                .mutate(Mutation::put(job_key(job), &cancelled));
+            let job = job.clone();
+            batch.push(CascadeCancellation { job, cancelled });
         }
-        if batch.is_empty()
-            || !context
-                .kv
-                .may(now, RequestPriority::Accept, swap.mutations.len())
-        {
+        let writes = swap.mutations.len();
+        if batch.is_empty() || !context.kv.may(now, RequestPriority::Accept, writes) {
             return;
         }
-        self.next += 1;
-        self.cascades.insert(self.next, batch);
-        context.kv.compare_and_swap(
-            context.effects,
-            KvRequest::JobApi(JobApiRequest::Cascade(self.next)),
-            &swap,
-        );
+        let id = self.next_request_id();
+        self.cancellations.cascades.insert(id, batch);
+        let request = KvRequest::JobApi(JobApiRequest::Cascade(id));
+        context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// The answer to a cascade; the jobs whose keys have changed.
-    pub fn cascaded(&mut self, id: u64, result: SwapOutcome, context: &mut Context) -> Vec<JobId> {
-        let batch = self.cascades.remove(&id).unwrap_or_default();
-        let again = context.now().plus(CASCADE_AGAIN_MS);
-        match result {
+    /// Handles the outcome of a cascade; the jobs whose records have changed.
+    pub(super) fn on_cascaded(
+        &mut self,
+        id: u64,
+        outcome: SwapOutcome,
+        context: &mut Context,
+    ) -> Vec<JobId> {
+        let batch = self.cancellations.cascades.remove(&id).unwrap_or_default();
+        let backoff_until = &mut self.cancellations.backoff_until;
+        let retry_at = context.now().plus(CASCADE_BACKOFF_MS);
+        match outcome {
             SwapOutcome::Done(revision) => {
-                for (job, value) in &batch {
-                    tracing::info!(job = %job, "job cancelled: dependency or run cancelled");
-                    context.records.apply(&job_key(job), Some(value), revision);
+                for CascadeCancellation { job, cancelled } in &batch {
+                    tracing::info!(%job, "job cancelled: dependency or run cancelled");
+                    context
+                        .records
+                        .apply(&job_key(job), Some(cancelled), revision);
                 }
-                return batch.into_iter().map(|(job, _)| job).collect();
+                return batch.into_iter().map(|c| c.job).collect();
             }
             SwapOutcome::Conflict(keys) => {
-                for (job, _) in batch {
+                for CascadeCancellation { job, .. } in batch {
                     let key = job_key(&job);
                     if keys.contains(&key) {
-                        context.kv.get(
-                            context.effects,
-                            KvRequest::JobLookup(job.clone()),
-                            &key,
-                            1_500,
-                        );
-                        self.left_alone.insert(job, again);
+                        let request = KvRequest::JobLookup(job.clone());
+                        context
+                            .kv
+                            .get(context.effects, request, &key, LOOKUP_TIMEOUT_MS);
+                        backoff_until.insert(job, retry_at);
                     }
                 }
             }
-            _ => {
-                for (job, _) in batch {
-                    self.left_alone.insert(job, again);
-                }
-            }
+            _ => backoff_until.extend(batch.into_iter().map(|c| (c.job, retry_at))),
         }
         Vec::new()
     }
 }
+
+impl Cancellations {
+    /// The record of a job that the cascade is to cancel now.
+    fn cascade_target<'a>(
+        &self,
+        job: &JobId,
+        led_shards: &BTreeSet<ShardId>,
+        context: &'a Context,
+    ) -> Option<&'a Versioned<JobRecord>> {
+        let record = context.records.jobs.get(job)?;
+        let from_run = self.requested_by_runs.contains(job) && record.value.run;
+        let first_shard = record.value.shards.first();
+        let is_responsible = from_run || first_shard.is_some_and(|s| led_shards.contains(s));
+        let is_due = !self.backoff_until.contains_key(job);
+        (is_responsible && is_due && !record.value.is_final()).then_some(record)
+    }
+}
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -1,211 +1,257 @@
-//! Acceptance: submissions written together, long lists of needs before them in pieces.
+//! Acceptance of submissions: several are written in one transaction.
 
-use super::{Accept, Batch, Dividing, JobApi, JobApiRequest, JobReadPurpose, split};
+use super::admission::PendingSubmission;
+use super::dependency_chunks::ChunkedSubmission;
+use super::feasibility::RejectionReason;
+use super::partitioning::{ShardAssignment, partition};
+use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::gossip::ShardCapacity;
 use crate::coordination::placement::slowest_fetch;
+use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use snowshelf_model::ids::{JobId, ShardId, WallClockMillis};
+use serde_json::Value;
+use snowshelf_model::ids::{JobId, ShardId, Version, WallClockMillis};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::protocol::user;
-use snowshelf_model::records::{
-    JobRecord, JobState, ShardAllocation, allocation_key, dependency_chunk_key, job_key,
-};
-use snowshelf_model::task_ranges::TaskRanges;
+use snowshelf_model::records::{JobRecord, JobState, ShardAllocation, allocation_key, job_key};
+use std::collections::{BTreeMap, HashMap};
 
-/// How long submissions gather to share a transaction.
-const GATHER_MS: u64 = 15;
-/// Transactions of submissions underway at once.
-const ACCEPTS_UNDERWAY: usize = 3;
-/// For so long what was given to a part is counted beside what it says of itself.
-const GIVEN_MS: u64 = 1_000;
+/// How long submissions gather to share a transaction, in milliseconds.
+const BATCH_DELAY_MS: u64 = 15;
+/// How long a submission may wait to be written before it is refused, in milliseconds.
+const COMMIT_DEADLINE_MS: u64 = 1_500;
+/// Transactions of submissions in flight at once.
+const MAX_COMMITS_IN_FLIGHT: usize = 3;
+/// Bytes after which no more submissions join a transaction.
+const MAX_BATCH_BYTES: usize = 40 * 1024;
+/// Bytes that a write takes in a transaction beside its key and value.
+const WRITE_OVERHEAD_BYTES: usize = 40;
+/// Timeout of the read of a run's job whose commit conflicted, in milliseconds.
+const LOOKUP_TIMEOUT_MS: u64 = 1_500;
+
+/// A record as it is written.
+pub(super) struct RecordWrite {
+    key: String,
+    value: Value,
+}
+
+/// Submissions in one transaction, and the records that it writes.
+#[derive(Default)]
+pub(super) struct CommitBatch {
+    submissions: Vec<PendingSubmission>,
+    writes: Vec<RecordWrite>,
+}
+
+/// Transactions of submissions in flight, by request number.
+#[derive(Default)]
+pub(super) struct Commits {
+    in_flight: HashMap<u64, CommitBatch>,
+}
+
+impl Commits {
+    /// Whether a transaction in flight accepts this job.
+    pub(super) fn contains(&self, job: &JobId) -> bool {
+        let mut submissions = self.in_flight.values().flat_map(|b| &b.submissions);
+        submissions.any(|s| s.job == *job)
+    }
+}
+
+/// A transaction of submissions while it is put together.
+struct BatchBuilder {
+    batch: CommitBatch,
+    swap: CompareAndSwap,
+    bytes: usize,
+    /// Capacity by shard after the assignments in the batch.
+    capacity: BTreeMap<ShardId, ShardCapacity>,
+}
+
+impl BatchBuilder {
+    fn put(&mut self, key: String, value: Value) {
+        self.bytes += value.to_string().len() + key.len() + WRITE_OVERHEAD_BYTES;
+        self.swap.mutations.push(Mutation::put(key.clone(), &value));
+        self.batch.writes.push(RecordWrite { key, value });
+    }
+}
 
 impl JobApi {
-    /// Refuses everything that waits: the state service does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
-        for accept in self.queue.drain(..) {
-            for conn in accept.conns {
-                let later = Response::later(503, "the state service is away", 2);
-                context.effects.respond(conn, later);
+    /// Refuses all submissions that wait to be written: the key-value store does not serve.
+    pub fn refuse_pending(&mut self, context: &mut Context) {
+        for submission in self.admission.ready.drain(..) {
+            for connection in submission.connections {
+                let unavailable = Unavailable::StoreDown.into();
+                context.effects.respond(connection, unavailable);
             }
         }
     }
 
-    pub fn flush(&mut self, context: &mut Context) {
+    /// Writes submissions that wait, as many as one transaction takes.
+    pub fn commit_pending(&mut self, context: &mut Context) {
         let now = context.now();
-        let Some(oldest) = self.queue.front().map(|a| a.since) else {
+        let Some(oldest) = self.admission.ready.front().map(|s| s.queued_at) else {
             return;
         };
-        if now.since(oldest) > 1_500 {
-            self.refuse_all(context);
+        if now.since(oldest) > COMMIT_DEADLINE_MS {
+            self.refuse_pending(context);
             return;
         }
-        if now.since(oldest) < GATHER_MS || self.batches.len() >= ACCEPTS_UNDERWAY {
+        if now.since(oldest) < BATCH_DELAY_MS
+            || self.commits.in_flight.len() >= MAX_COMMITS_IN_FLIGHT
+        {
             return;
         }
-        // A batch larger than the budget has room for would wait until the bucket is full, while
-        // smaller writes keep drawing on it.
-        let room = context.kv.room(now, RequestPriority::Accept);
-        let max_ops = context.storage_limits.txn_ops.min(room);
-        self.given.retain(|(at, _, _)| now.since(*at) < GIVEN_MS);
-        let mut rooms = self.rooms.clone();
-        for (_, shard_id, cpus) in &self.given {
-            rooms.entry(*shard_id).or_default().give(*cpus);
+        let BatchBuilder { batch, swap, .. } = self.collect_batch(context);
+        if batch.submissions.is_empty() {
+            return;
         }
-        let mut swap = CompareAndSwap::default();
-        let mut batch = Vec::new();
-        let mut written = Vec::new();
-        let mut bytes = 0;
-        while let Some(accept) = self.queue.front() {
-            let mut shares = {
-                let fetch_s = accept.spec.pull_gb / slowest_fetch(context.types.values());
-                let mut rooms = rooms.clone();
-                for ((shard_id, team), cpus) in &self.kept {
-                    if *team == accept.spec.team {
-                        rooms.entry(*shard_id).or_default().free += cpus;
-                    }
-                }
-                split(
-                    &accept.job,
-                    &accept.spec,
-                    fetch_s,
-                    context.config.shard_count,
-                    &rooms,
-                )
-            };
-            if shares.len() + 1 > context.storage_limits.txn_ops {
-                let (shard_id, _) = shares[0];
-                shares = vec![(shard_id, TaskRanges::range(0, accept.spec.tasks, 1))];
+        let writes = swap.mutations.len();
+        if !context.kv.may(now, RequestPriority::Accept, writes) {
+            for submission in batch.submissions.into_iter().rev() {
+                self.admission.ready.push_front(submission);
             }
-            if swap.mutations.len() + shares.len() + 1 > max_ops || bytes > 40 * 1024 {
+            return;
+        }
+        let id = self.next_request_id();
+        self.commits.in_flight.insert(id, batch);
+        let request = KvRequest::JobApi(JobApiRequest::Commit(id));
+        context.kv.compare_and_swap(context.effects, request, &swap);
+    }
+
+    /// Moves submissions from the queue into a transaction.
+    fn collect_batch(&mut self, context: &mut Context) -> BatchBuilder {
+        let now = context.now();
+        // A batch larger than the budget has room for would wait until the bucket is full, while
+        // smaller writes keep drawing on it.
+        let budget = context.kv.room(now, RequestPriority::Accept);
+        let max_writes = context.storage_limits.txn_ops.min(budget);
+        let mut builder = BatchBuilder {
+            batch: CommitBatch::default(),
+            swap: CompareAndSwap::default(),
+            bytes: 0,
+            capacity: self.capacity.current(now),
+        };
+        while let Some(submission) = self.admission.ready.front() {
+            let assignments = self.assign_shards(submission, &builder.capacity, context);
+            let writes = builder.swap.mutations.len() + assignments.len() + 1;
+            if writes > max_writes || builder.bytes > MAX_BATCH_BYTES {
                 break;
             }
-            // Ids come from outside: a share per part, a key per job, all made at once.
-            let Some(accept) = self.queue.pop_front() else {
+            let Some(submission) = self.admission.ready.pop_front() else {
                 break;
             };
-            let record = first_record(&accept, &shares, context);
-            if record.is_final() {
-                shares.clear();
-            }
-            let waits = record.has_dependencies();
-            let Some(value) = context.job_value(&record) else {
-                if !record.dependencies.is_empty() {
-                    self.next += 1;
-                    let dividing = Dividing {
-                        pieces: context
-                            .storage_limits
-                            .dependency_chunks(&accept.dependencies),
-                        accept,
-                        written: 0,
-                        underway: 0,
-                    };
-                    self.dividing.insert(self.next, dividing);
-                    continue;
-                }
-                for conn in accept.conns {
-                    let why = JobReadPurpose::Refuse("its record would be too large");
-                    self.read(conn, &accept.job, why, context);
-                }
-                continue;
-            };
-            let mut put = |key: String, value: serde_json::Value| {
-                bytes += value.to_string().len() + key.len() + 40;
-                swap.mutations.push(Mutation::put(key.clone(), &value));
-                written.push((key, value));
-            };
-            put(job_key(&accept.job), value);
-            for (shard_id, waiting) in shares {
-                if !waits {
-                    let cpus = f64::from(waiting.len()) * accept.spec.resources.cpus;
-                    rooms.entry(shard_id).or_default().give(cpus);
-                    self.given.push_back((now, shard_id, cpus));
-                }
-                let alloc = ShardAllocation {
-                    waiting,
-                    ..ShardAllocation::default()
-                };
-                // A single range is never too large.
-                let value = context
-                    .storage_limits
-                    .encode_allocation(&alloc)
-                    .unwrap_or_default();
-                put(allocation_key(shard_id, &accept.job), value);
-            }
-            swap = swap.compare(job_key(&accept.job), Default::default());
-            batch.push(accept);
+            self.add_to_batch(submission, assignments, &mut builder, context);
         }
-        if batch.is_empty() {
+        builder
+    }
+
+    /// The shards that run a submission: one only if a transaction has no room for more.
+    fn assign_shards(
+        &self,
+        submission: &PendingSubmission,
+        capacity: &BTreeMap<ShardId, ShardCapacity>,
+        context: &Context,
+    ) -> Vec<ShardAssignment> {
+        let spec = &submission.spec;
+        let fetch_s = spec.pull_gb / slowest_fetch(context.types.values());
+        let capacity = self.capacity.with_reserved(capacity, &spec.team);
+        let shard_count = context.config.shard_count;
+        let assignments = partition(&submission.job, spec, fetch_s, shard_count, &capacity);
+        if assignments.len() + 1 > context.storage_limits.txn_ops {
+            return vec![ShardAssignment::whole_job(assignments[0].shard, spec)];
+        }
+        assignments
+    }
+
+    /// Adds the records of one submission: its job's, and an allocation for each shard.
+    fn add_to_batch(
+        &mut self,
+        submission: PendingSubmission,
+        mut assignments: Vec<ShardAssignment>,
+        builder: &mut BatchBuilder,
+        context: &mut Context,
+    ) {
+        let record = initial_record(&submission, &assignments, context);
+        if record.is_final() {
+            assignments.clear();
+        }
+        let Some(value) = context.job_value(&record) else {
+            self.divert_oversized(submission, &record, context);
             return;
+        };
+        builder.put(job_key(&submission.job), value);
+        for ShardAssignment { shard, tasks } in assignments {
+            if !record.has_dependencies() {
+                let cpus = f64::from(tasks.len()) * submission.spec.resources.cpus;
+                builder.capacity.entry(shard).or_default().give(cpus);
+                self.capacity.record_assignment(context.now(), shard, cpus);
+            }
+            let allocation = ShardAllocation {
+                waiting: tasks,
+                ..ShardAllocation::default()
+            };
+            // A single range is never too large.
+            let value = context
+                .storage_limits
+                .encode_allocation(&allocation)
+                .unwrap_or_default();
+            builder.put(allocation_key(shard, &submission.job), value);
         }
-        if !context
-            .kv
-            .may(now, RequestPriority::Accept, swap.mutations.len())
-        {
-            for accept in batch.into_iter().rev() {
-                self.queue.push_front(accept);
+        builder.swap =
+            std::mem::take(&mut builder.swap).compare(job_key(&submission.job), Version::default());
+        builder.batch.submissions.push(submission);
+    }
+
+    /// Takes a submission whose record is too large out of the queue: its dependencies are written in
+    /// chunks, or it is rejected.
+    fn divert_oversized(
+        &mut self,
+        submission: PendingSubmission,
+        record: &JobRecord,
+        context: &mut Context,
+    ) {
+        if record.dependencies.is_empty() {
+            let purpose = JobReadPurpose::Reject(RejectionReason::RecordTooLarge);
+            for connection in submission.connections {
+                self.read_job(connection, &submission.job, purpose, context);
             }
             return;
         }
-        self.next += 1;
-        let accepts = batch;
-        self.batches.insert(self.next, Batch { accepts, written });
-        context.kv.compare_and_swap(
-            context.effects,
-            KvRequest::JobApi(JobApiRequest::Commit(self.next)),
-            &swap,
-        );
+        let id = self.next_request_id();
+        let chunks = context
+            .storage_limits
+            .dependency_chunks(&submission.dependencies);
+        let chunked = ChunkedSubmission {
+            submission,
+            chunks,
+            written: 0,
+            in_flight: 0,
+        };
+        self.admission.chunked.insert(id, chunked);
     }
 
-    pub fn accepted(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
-        let Some(Batch {
-            accepts: batch,
-            written,
-        }) = self.batches.remove(&id)
+    /// Handles the outcome of a transaction of submissions.
+    pub(super) fn on_committed(&mut self, id: u64, outcome: SwapOutcome, context: &mut Context) {
+        let Some(CommitBatch {
+            submissions,
+            writes,
+        }) = self.commits.in_flight.remove(&id)
         else {
             return;
         };
-        match result {
+        match outcome {
             SwapOutcome::Done(revision) => {
-                for (key, value) in &written {
+                for RecordWrite { key, value } in &writes {
                     context.records.apply(key, Some(value), revision);
                 }
-                for accept in batch {
-                    tracing::info!(job = %accept.job, team = %accept.spec.team, class = %accept.spec.class,
-                        tasks = accept.spec.tasks, dependencies = accept.dependencies.len(), "job accepted");
-                    let end = context.records.final_of(&accept.job);
-                    let state = end.map_or(JobState::Open, |end| end.state);
-                    if state == JobState::Cancelled {
-                        self.confirmed.tell(&accept.job, context.now());
-                    }
-                    let body = user::brief(&accept.job, user::state_word(state, 0));
-                    for conn in accept.conns {
-                        context
-                            .effects
-                            .respond(conn, Response::new(201, body.clone()));
-                    }
+                for submission in submissions {
+                    self.confirm_acceptance(submission, context);
                 }
             }
             SwapOutcome::Conflict(keys) => {
-                for accept in batch {
-                    if keys.contains(&job_key(&accept.job)) {
-                        if accept.run {
-                            // It is there already, or somebody else's is.
-                            let tag = KvRequest::JobLookup(accept.job.clone());
-                            context
-                                .kv
-                                .get(context.effects, tag, &job_key(&accept.job), 1_500);
-                        }
-                        for conn in accept.conns {
-                            self.read(conn, &accept.job, JobReadPurpose::Resubmit, context);
-                        }
-                    } else if let Some(same) = self.waiting().find(|a| a.job == accept.job) {
-                        // Guards against a transaction that holds a job twice, divided anew each time: its repeat
-                        // has come while this one was underway.
-                        same.conns.extend(accept.conns);
-                    } else {
-                        self.queue.push_front(accept);
-                    }
+                for submission in submissions {
+                    let is_known = keys.contains(&job_key(&submission.job));
+                    self.retry_after_conflict(submission, is_known, context);
                 }
             }
             SwapOutcome::NotDone
@@ -213,113 +259,100 @@
             | SwapOutcome::Refused
             | SwapOutcome::Unknown => {
                 // If it was carried out after all, the repeated submission finds the job.
-                for conn in batch.into_iter().flat_map(|a| a.conns) {
-                    let later = Response::later(503, "the state service did not answer", 1);
-                    context.effects.respond(conn, later);
+                for connection in submissions.into_iter().flat_map(|s| s.connections) {
+                    let unavailable = Unavailable::StoreNotResponding.into();
+                    context.effects.respond(connection, unavailable);
                 }
             }
         }
     }
 
-    /// Writes what long submissions need, a transaction at a time, as long as no job of that name is
-    /// accepted; then the submission goes on as any other.
-    pub fn flush_pieces(&mut self, context: &mut Context) {
-        let now = context.now();
-        let mut done = Vec::new();
-        for (id, dividing) in &mut self.dividing {
-            if dividing.underway > 0 {
-                continue;
-            }
-            let rest = &dividing.pieces[dividing.written..];
-            if rest.is_empty() {
-                done.push(*id);
-                continue;
-            }
-            let room = context
-                .kv
-                .room(now, RequestPriority::Accept)
-                .min(context.storage_limits.txn_ops);
-            let job = &dividing.accept.job;
-            let mut swap = CompareAndSwap::default().compare(job_key(job), Default::default());
-            for (i, piece) in rest.iter().enumerate().take(room) {
-                let key = dependency_chunk_key(job, (dividing.written + i) as u32);
-                swap = swap.mutate(Mutation::put(key, piece));
-            }
-            if room == 0
-                || !context
-                    .kv
-                    .may(now, RequestPriority::Accept, swap.mutations.len())
-            {
-                continue;
-            }
-            dividing.underway = swap.mutations.len();
-            context.kv.compare_and_swap(
-                context.effects,
-                KvRequest::JobApi(JobApiRequest::WriteDependencies(*id)),
-                &swap,
-            );
+    /// Answers the users of a submission that is durable.
+    fn confirm_acceptance(&mut self, submission: PendingSubmission, context: &mut Context) {
+        let PendingSubmission { job, spec, .. } = &submission;
+        tracing::info!(job = %job, team = %spec.team, class = %spec.class, tasks = spec.tasks,
+            dependencies = submission.dependencies.len(), "job accepted");
+        let end = context.records.final_of(job);
+        let state = end.map_or(JobState::Open, |end| end.state);
+        if state == JobState::Cancelled {
+            self.confirmed_cancellations.tell(job, context.now());
         }
-        for id in done {
-            if let Some(mut dividing) = self.dividing.remove(&id) {
-                dividing.accept.pieces = dividing.pieces.len() as u32;
-                dividing.accept.since = now;
-                self.queue.push_back(dividing.accept);
-            }
+        let body = user::brief(job, user::state_word(state, 0));
+        for connection in submission.connections {
+            let created = Response::new(201, body.clone());
+            context.effects.respond(connection, created);
         }
     }
 
-    /// The answer to a write of pieces.
-    pub fn pieces_done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
-        if let (SwapOutcome::Done(_), Some(dividing)) = (&result, self.dividing.get_mut(&id)) {
-            dividing.written += std::mem::take(&mut dividing.underway);
-            return;
-        }
-        let Some(Dividing { accept, .. }) = self.dividing.remove(&id) else {
-            return;
-        };
-        for conn in accept.conns {
-            if let SwapOutcome::Conflict(_) = result {
-                self.read(conn, &accept.job, JobReadPurpose::Resubmit, context);
-            } else {
-                // The retry writes the same pieces again.
-                let later = Response::later(503, "the state service did not answer", 1);
-                context.effects.respond(conn, later);
+    /// Handles a submission whose transaction conflicted, on its own key (`is_known`) or on another's.
+    fn retry_after_conflict(
+        &mut self,
+        submission: PendingSubmission,
+        is_known: bool,
+        context: &mut Context,
+    ) {
+        if is_known {
+            if submission.from_run {
+                // It is there already, or somebody else's is.
+                let request = KvRequest::JobLookup(submission.job.clone());
+                let key = job_key(&submission.job);
+                context
+                    .kv
+                    .get(context.effects, request, &key, LOOKUP_TIMEOUT_MS);
+            }
+            for connection in submission.connections {
+                self.read_job(
+                    connection,
+                    &submission.job,
+                    JobReadPurpose::Resubmit,
+                    context,
+                );
             }
+        } else if let Some(same) = self.admission.find_mut(&submission.job) {
+            // Guards against a transaction that has a job twice, partitioned anew each time: its idempotent
+            // repeat has come while this one was in flight.
+            same.connections.extend(submission.connections);
+        } else {
+            self.admission.ready.push_front(submission);
         }
     }
 }
 
-/// The record by which a job is accepted. What it needs and is done already need not be kept; if
-/// something that it needs is cancelled, it is accepted as cancelled.
-fn first_record(accept: &Accept, shares: &[(ShardId, TaskRanges)], context: &Context) -> JobRecord {
+/// The record by which a job is accepted. Dependencies that are done are left out; if one of them is
+/// cancelled, the job is accepted as cancelled.
+fn initial_record(
+    submission: &PendingSubmission,
+    assignments: &[ShardAssignment],
+    context: &Context,
+) -> JobRecord {
     let state_of = |dependency: &JobId| context.records.final_of(dependency).map(|end| end.state);
-    let lost = |dependency: &JobId| {
+    let is_cancelled = |dependency: &JobId| {
         state_of(dependency) == Some(JobState::Cancelled)
             || context.dependency_graph.doomed.contains(dependency)
     };
     let record = JobRecord {
         state: JobState::Open,
-        tasks: accept.spec.tasks,
-        shards: shares.iter().map(|s| s.0).collect(),
+        tasks: submission.spec.tasks,
+        shards: assignments.iter().map(|a| a.shard).collect(),
         submitted: WallClockMillis(context.effects.wall_ms),
-        spec: Some(accept.spec.clone()),
+        spec: Some(submission.spec.clone()),
         dependencies: Vec::new(),
-        dependency_chunks: accept.pieces,
+        dependency_chunks: submission.chunk_count,
         ended: None,
-        run: accept.run,
-        pause_ms: accept.pause_ms,
+        run: submission.from_run,
+        pause_ms: submission.pause_ms,
     };
-    if accept.dependencies.iter().any(lost) {
+    if submission.dependencies.iter().any(is_cancelled) {
         let shards = Vec::new();
         return context.cancelled(&JobRecord { shards, ..record });
     }
-    if accept.pieces > 0 {
+    if submission.chunk_count > 0 {
         return record;
     }
-    let dependencies = accept.dependencies.iter();
+    let dependencies = submission.dependencies.iter();
     JobRecord {
         dependencies: dependencies
-            .filter(|n| state_of(n) != Some(JobState::Done))
+            .filter(|dependency| state_of(dependency) != Some(JobState::Done))
             .cloned()
             .collect(),
         ..record
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -1,313 +1,216 @@
-//! Polls and other questions about one job.
+//! Responses about one job, from the record cache or a read of its record.
 
-use super::{Cancel, JobApi, JobApiRequest, JobReadPurpose};
+use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
-use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Final;
+use crate::storage::kv_client::{GetOutcome, RequestPriority};
+use crate::storage::record_cache::{Final, Versioned};
 use serde::Deserialize;
-use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis};
-use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::ids::{ConnectionId, JobId};
+use snowshelf_model::protocol::state::KeyValue;
 use snowshelf_model::protocol::user;
 use snowshelf_model::records::{JobRecord, JobState, job_key};
 use snowshelf_watermark::renewal::known;
-use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// How long polls gather to share a request, and how long its answer may take.
-const POLLS_GATHER_MS: u64 = 25;
-const POLLS_MS: u64 = 1_500;
+/// Timeout of the read of a job's record, in milliseconds.
+const READ_TIMEOUT_MS: u64 = 1_500;
 
-/// Why a job that needs others is not told of.
-pub(super) const UNKNOWN_DEPENDENCIES: &str = "not known yet what became of the jobs that it needs";
-
-/// Whether this controller knows what users were told, but for the last moments.
-pub(super) fn knows_confirmed(context: &Context) -> bool {
+/// Whether this controller knows the cancellations that others have confirmed, but for the last moments.
+pub(super) fn cancellations_known(context: &Context) -> bool {
     let answering_ms = context.config.settings.answering_ms();
     known(context.watermark, context.now(), answering_ms)
 }
 
 impl JobApi {
-    pub fn read(
+    /// Answers a request about a job: at once if it has ended, else after asking the key-value store.
+    pub fn read_job(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
         job: &JobId,
-        why: JobReadPurpose,
+        purpose: JobReadPurpose,
         context: &mut Context,
     ) {
         if let Some(end) = context.records.final_of(job) {
-            self.tell_final(conn, job, end, why, context);
+            self.respond_final(connection, job, end, purpose, context);
             return;
         }
-        if matches!(why, JobReadPurpose::Poll)
+        if purpose == JobReadPurpose::Poll
             && context.records.jobs.contains_key(job)
             && !context.dependency_graph.doomed.contains(job)
         {
-            if self.polls.is_empty() {
-                self.polls_since = context.now();
-            }
-            self.polls.push((conn, job.clone()));
+            self.polls.push(connection, job.clone(), context.now());
             return;
         }
-        self.read_alone(conn, job, why, context);
+        self.read_record(connection, job, purpose, context);
     }
 
-    /// Reads one job's key.
-    pub(super) fn read_alone(
+    /// Reads the record of one job.
+    pub(super) fn read_record(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
         job: &JobId,
-        why: JobReadPurpose,
+        purpose: JobReadPurpose,
         context: &mut Context,
     ) {
-        let class = match why {
+        let priority = match purpose {
             JobReadPurpose::Poll => RequestPriority::Reads,
             JobReadPurpose::Resubmit
-            | JobReadPurpose::Refuse(_)
+            | JobReadPurpose::Reject(_)
             | JobReadPurpose::Malformed(_)
             | JobReadPurpose::Cancel => RequestPriority::Accept,
         };
-        if !context.kv.may(context.now(), class, 0) {
-            let later = Response::later(503, "too many requests", 1);
-            context.effects.respond(conn, later);
+        if !context.kv.may(context.now(), priority, 0) {
+            let unavailable = Unavailable::RateLimited.into();
+            context.effects.respond(connection, unavailable);
             return;
         }
-        let tag = KvRequest::JobApi(JobApiRequest::Read {
-            connection: conn,
+        let request = KvRequest::JobApi(JobApiRequest::Read {
+            connection,
             job: job.clone(),
-            purpose: why,
+            purpose,
         });
-        context.kv.get(context.effects, tag, &job_key(job), 1_500);
+        let key = job_key(job);
+        context
+            .kv
+            .get(context.effects, request, &key, READ_TIMEOUT_MS);
     }
 
-    /// Asks for the gathered polls, in one request for as many as it may compare, whether the mirror
-    /// is behind: what nobody has changed since may be told from it.
-    pub fn flush_polls(&mut self, context: &mut Context) {
-        let now = context.now();
-        let most = 4 * context.storage_limits.txn_ops;
-        while !self.polls.is_empty()
-            && (now.since(self.polls_since) >= POLLS_GATHER_MS || self.polls.len() >= most)
-        {
-            let batch: Vec<(ConnectionId, JobId)> =
-                self.polls.drain(..most.min(self.polls.len())).collect();
-            if !context.kv.may(now, RequestPriority::Reads, 0) {
-                for (conn, _) in batch {
-                    let later = Response::later(503, "too many requests", 1);
-                    context.effects.respond(conn, later);
+    /// Handles the read of a job's record.
+    pub(super) fn on_job_read(
+        &mut self,
+        connection: ConnectionId,
+        job: &JobId,
+        purpose: JobReadPurpose,
+        outcome: GetOutcome,
+        context: &mut Context,
+    ) {
+        let found = match outcome {
+            GetOutcome::Found(item) => match decode_record(&item, context) {
+                Ok(record) => Some(record),
+                Err(reason) => {
+                    context.effects.respond(connection, reason.into());
+                    return;
                 }
-                continue;
+            },
+            GetOutcome::NotFound(_) => None,
+            GetOutcome::Failed => {
+                self.cancellations.forget_retries(connection);
+                let unavailable = Unavailable::StoreNotResponding.into();
+                context.effects.respond(connection, unavailable);
+                return;
             }
-            let jobs: BTreeSet<&JobId> = batch.iter().map(|(_, job)| job).collect();
-            let swap = jobs
-                .into_iter()
-                .fold(CompareAndSwap::default(), |swap, job| {
-                    let known = context.records.jobs.get(job).map(|v| v.version);
-                    swap.compare(job_key(job), known.unwrap_or_default())
-                });
-            self.next += 1;
-            self.polled.insert(self.next, batch);
-            let tag = KvRequest::JobApi(JobApiRequest::CheckPolls(self.next));
-            context
-                .kv
-                .check_versions(context.effects, tag, &swap, POLLS_MS);
+        };
+        // Guards against a response that was in flight while the job was accepted or ended, and its user
+        // answered so here: the record cache goes first where it is newer.
+        let end = context.records.final_of(job).or_else(|| {
+            let record = found.as_ref().map(|v| &*v.value);
+            record.filter(|r| r.is_final()).map(Final::of)
+        });
+        if let Some(end) = end {
+            self.respond_final(connection, job, end, purpose, context);
+            return;
         }
-    }
-
-    /// The answer to a comparison for polls.
-    pub fn polls_done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
-        let batch = self.polled.remove(&id).unwrap_or_default();
-        match result {
-            SwapOutcome::Done(_) => {
-                for (conn, job) in batch {
-                    match (
-                        context.records.final_of(&job),
-                        context.records.jobs.get(&job),
-                    ) {
-                        (Some(end), _) => {
-                            self.tell_final(conn, &job, end, JobReadPurpose::Poll, context)
-                        }
-                        (None, Some(v)) => {
-                            let record = v.value.clone();
-                            self.tell_open(conn, &job, &record, JobReadPurpose::Poll, context);
-                        }
-                        (None, None) => self.read_alone(conn, &job, JobReadPurpose::Poll, context),
-                    }
-                }
-            }
-            SwapOutcome::Conflict(keys) => {
-                for (conn, job) in batch {
-                    if keys.contains(&job_key(&job)) {
-                        self.read_alone(conn, &job, JobReadPurpose::Poll, context);
-                    } else {
-                        // Compared once more, without those that have changed.
-                        self.polls_since = MonotonicMillis(0);
-                        self.polls.push((conn, job));
-                    }
-                }
-            }
-            _ => {
-                for (conn, _) in batch {
-                    let later = Response::later(503, "the state service did not answer", 1);
-                    context.effects.respond(conn, later);
-                }
-            }
+        let cached = context.records.jobs.get(job).cloned();
+        let newest = found.into_iter().chain(cached).max_by_key(|v| v.version);
+        let Some(record) = newest else {
+            self.cancellations.forget_retries(connection);
+            context.effects.respond(connection, absent(purpose));
+            return;
+        };
+        // A job with a cancelled dependency is not reported as waiting: it is cancelled first.
+        let is_doomed = context.dependency_graph.doomed.contains(job);
+        if purpose == JobReadPurpose::Cancel || is_doomed {
+            self.cancel_job(connection, job, purpose, &record, context);
+        } else {
+            self.respond_open(connection, job, &record.value, purpose, context);
         }
     }
 
-    /// Tells the state of a job that has not ended.
-    pub(super) fn tell_open(
-        &mut self,
-        conn: ConnectionId,
+    /// Answers with the state of a job that has not ended.
+    pub(super) fn respond_open(
+        &self,
+        connection: ConnectionId,
         job: &JobId,
         record: &JobRecord,
-        why: JobReadPurpose,
+        purpose: JobReadPurpose,
         context: &mut Context,
     ) {
-        // Guards against calling a job open whose need another controller has confirmed as cancelled over
-        // `cancel_s` ago, while this one could not learn it.
-        let waits = !record.dependencies.is_empty() || record.dependency_chunks > 0;
-        if waits && !knows_confirmed(context) {
-            let later = Response::later(503, UNKNOWN_DEPENDENCIES, 1);
-            context.effects.respond(conn, later);
+        // Guards against calling a job open whose dependency another controller has confirmed as cancelled
+        // over `cancel_s` ago, while this one could not learn it.
+        let is_dependent = !record.dependencies.is_empty() || record.dependency_chunks > 0;
+        if is_dependent && !cancellations_known(context) {
+            let unavailable = Unavailable::CancellationsUnknown.into();
+            context.effects.respond(connection, unavailable);
             return;
         }
         let (done, running) = context.records.counts(job, &record.shards, record.tasks);
-        let word = user::state_word(record.state, running);
-        let body = match why {
-            JobReadPurpose::Poll => user::full(job, word, done, running),
-            _ => user::brief(job, word),
+        let state = user::state_word(record.state, running);
+        let body = match purpose {
+            JobReadPurpose::Poll => user::full(job, state, done, running),
+            _ => user::brief(job, state),
         };
-        context.effects.respond(conn, Response::new(200, body));
+        context
+            .effects
+            .respond(connection, Response::new(200, body));
     }
 
-    pub(super) fn tell_final(
+    /// Answers with the state of a job that has ended.
+    pub(super) fn respond_final(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
         job: &JobId,
         end: Final,
-        why: JobReadPurpose,
+        purpose: JobReadPurpose,
         context: &mut Context,
     ) {
         if end.state == JobState::Cancelled {
-            self.confirmed.tell(job, context.now());
+            self.confirmed_cancellations.tell(job, context.now());
         }
-        let word = user::state_word(end.state, 0);
-        let body = match why {
+        let state = user::state_word(end.state, 0);
+        let body = match purpose {
             JobReadPurpose::Poll => {
-                let done = if end.state == JobState::Done {
-                    end.tasks
-                } else {
-                    0
+                let done = match end.state {
+                    JobState::Done => end.tasks,
+                    _ => 0,
                 };
-                user::full(job, word, done, 0)
+                user::full(job, state, done, 0)
             }
             JobReadPurpose::Resubmit
-            | JobReadPurpose::Refuse(_)
+            | JobReadPurpose::Reject(_)
             | JobReadPurpose::Malformed(_)
-            | JobReadPurpose::Cancel => user::brief(job, word),
+            | JobReadPurpose::Cancel => user::brief(job, state),
         };
-        self.cancel_tries.remove(&conn);
-        context.effects.respond(conn, Response::new(200, body));
+        self.cancellations.forget_retries(connection);
+        context
+            .effects
+            .respond(connection, Response::new(200, body));
     }
+}
 
-    pub fn read_done(
-        &mut self,
-        conn: ConnectionId,
-        job: &JobId,
-        why: JobReadPurpose,
-        result: GetOutcome,
-        context: &mut Context,
-    ) {
-        let read = match result {
-            GetOutcome::Found(item) => {
-                let Ok(record) = JobRecord::deserialize(&item.value) else {
-                    let later = Response::later(503, "the job's record cannot be read", 5);
-                    context.effects.respond(conn, later);
-                    return;
-                };
-                context
-                    .records
-                    .apply(&item.key, Some(&item.value), item.version);
-                Some((Rc::new(record), item.version))
-            }
-            GetOutcome::NotFound(_) => None,
-            GetOutcome::Failed => {
-                self.cancel_tries.remove(&conn);
-                let later = Response::later(503, "the state service did not answer", 1);
-                context.effects.respond(conn, later);
-                return;
-            }
-        };
-        // Guards against an answer that was underway while the job was accepted or ended, and its user told so here:
-        // what is known here goes first where it is newer.
-        let ended = context.records.final_of(job);
-        let ended = ended.or_else(|| {
-            read.as_ref()
-                .filter(|r| r.0.is_final())
-                .map(|r| Final::of(&r.0))
-        });
-        if let Some(end) = ended {
-            self.tell_final(conn, job, end, why, context);
-            return;
-        }
-        let known = context
-            .records
-            .jobs
-            .get(job)
-            .map(|v| (v.value.clone(), v.version));
-        let newest = read
-            .into_iter()
-            .chain(known)
-            .max_by_key(|(_, version)| *version);
-        let Some((record, version)) = newest else {
-            self.cancel_tries.remove(&conn);
-            let refused = match why {
-                JobReadPurpose::Refuse(why) => Response::error(422, why),
-                JobReadPurpose::Malformed(why) => Response::error(400, &why.to_string()),
-                _ => Response::error(404, "no such job"),
-            };
-            context.effects.respond(conn, refused);
-            return;
-        };
-        // Whoever asks for a job that needs a cancelled one is not told that it waits: it is
-        // cancelled first.
-        let doomed = context.dependency_graph.doomed.contains(job);
-        match why {
-            JobReadPurpose::Poll
-            | JobReadPurpose::Resubmit
-            | JobReadPurpose::Refuse(_)
-            | JobReadPurpose::Malformed(_)
-                if !doomed =>
-            {
-                self.tell_open(conn, job, &record, why, context);
-            }
-            _ => {
-                let next = context.job_value(&context.cancelled(&record));
-                let may = context.kv.may(context.now(), RequestPriority::Accept, 1);
-                let Some(next) = next.filter(|_| may) else {
-                    let later = Response::later(503, "too many requests", 1);
-                    context.effects.respond(conn, later);
-                    return;
-                };
-                self.next += 1;
-                let tries = self.cancel_tries.remove(&conn).unwrap_or(0);
-                let swap = CompareAndSwap::default()
-                    .compare(job_key(job), version)
-                    .mutate(Mutation::put(job_key(job), &next));
-                let cancel = Cancel {
-                    conn,
-                    job: job.clone(),
-                    next,
-                    why,
-                    tries,
-                };
-                self.cancels.insert(self.next, cancel);
-                context.kv.compare_and_swap(
-                    context.effects,
-                    KvRequest::JobApi(JobApiRequest::Cancel(self.next)),
-                    &swap,
-                );
-            }
+/// Decodes a job's record and brings the record cache up to date with it.
+fn decode_record(
+    item: &KeyValue,
+    context: &mut Context,
+) -> Result<Versioned<JobRecord>, Unavailable> {
+    let record = JobRecord::deserialize(&item.value).map_err(|_| Unavailable::UnreadableRecord)?;
+    context
+        .records
+        .apply(&item.key, Some(&item.value), item.version);
+    Ok(Versioned {
+        version: item.version,
+        value: Rc::new(record),
+    })
+}
+
+/// The response about a job that was never accepted.
+fn absent(purpose: JobReadPurpose) -> Response {
+    match purpose {
+        JobReadPurpose::Reject(reason) => Response::error(422, &reason.to_string()),
+        JobReadPurpose::Malformed(error) => Response::error(400, &error.to_string()),
+        JobReadPurpose::Poll | JobReadPurpose::Resubmit | JobReadPurpose::Cancel => {
+            Response::error(404, "no such job")
         }
     }
 }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,44 +1,60 @@
-//! The users' requests. What a user is told is durable, and nothing is older than what any
-//! controller said: only final states are answered without asking the state service.
+//! The job API: users' submissions, status polls and cancellations.
+//!
+//! What a user reads in a response is durable, and nothing is older than what any controller has
+//! answered: only final states are answered without asking the key-value store.
 
 mod admission;
 mod cancellation;
+mod capacity;
 mod commit;
+mod dependency_chunks;
+mod feasibility;
 mod job_status;
 mod partitioning;
+mod status_polls;
 
-pub use admission::never_runs;
-pub use partitioning::split;
+pub use feasibility::{RejectionReason, check_feasible};
+pub use partitioning::{ShardAssignment, partition};
 
 use super::context::Context;
 use super::gossip::ShardCapacity;
 use crate::storage::kv_client::{GetOutcome, KvResponse, unexpected_response};
 use crate::storage::record_cache::RecordChange;
+use admission::AdmissionQueue;
+use cancellation::Cancellations;
+use capacity::CapacityEstimate;
+use commit::Commits;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId, Team};
 use snowshelf_model::protocol::user::BadField;
-use snowshelf_model::records::JobSpec;
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use status_polls::StatusPolls;
+use std::collections::BTreeMap;
 
-/// What the job API asks of the key-value store; numbers are those of what is underway.
+/// A request of the job API to the key-value store; numbers identify requests in flight.
 #[derive(Clone, Debug)]
 pub enum JobApiRequest {
     /// Writes accepted submissions.
     Commit(u64),
     /// Reads a job's record for a user's request.
     Read {
+        /// Who waits for the response.
         connection: ConnectionId,
+        /// The job that is read.
         job: JobId,
+        /// What the response is for.
         purpose: JobReadPurpose,
     },
-    /// Writes a part of the long list of jobs that a submission depends on.
+    /// Writes a chunk of the long list of jobs that a submission depends on.
     WriteDependencies(u64),
     /// Compares versions for polls that the record cache can answer.
     CheckPolls(u64),
+    /// Cancels a job for a user.
     Cancel(u64),
     /// Reads the record of a job that a submission depends on.
     ReadDependency {
+        /// The request number of the submission.
         submission: u64,
+        /// The dependency that is read.
         job: JobId,
     },
     /// Cancels jobs that depend on cancelled ones.
@@ -48,93 +64,57 @@
 /// Why a job's record is read for a user.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobReadPurpose {
+    /// A status poll.
     Poll,
     /// An idempotent request: the job may have been accepted before.
     Resubmit,
-    /// A submission that can never run, unless the job was accepted before; the reason.
-    Refuse(&'static str),
+    /// A submission that can never run, unless the job was accepted before.
+    Reject(RejectionReason),
     /// A submission with a field that is wrong or missing, unless the job was accepted before.
     Malformed(BadField),
+    /// A cancellation.
     Cancel,
 }
 
-struct Accept {
-    conns: Vec<ConnectionId>,
-    job: JobId,
-    spec: JobSpec,
-    dependencies: Vec<JobId>,
-    /// What it needs has been written in so many values of their own.
-    pieces: u32,
-    since: MonotonicMillis,
-    /// A graph's run submits it; nobody waits for an answer.
-    run: bool,
-    pause_ms: u64,
-}
-
-/// A submission whose needs are being written in pieces, before its own key makes them count.
-struct Dividing {
-    accept: Accept,
-    pieces: Vec<Vec<JobId>>,
-    written: usize,
-    /// So many are in the transaction underway.
-    underway: usize,
-}
-
-struct Cancel {
-    conn: ConnectionId,
-    job: JobId,
-    next: serde_json::Value,
-    why: JobReadPurpose,
-    tries: u32,
-}
-
-/// Submissions in one transaction, and the keys that it writes.
-struct Batch {
-    accepts: Vec<Accept>,
-    written: Vec<(String, serde_json::Value)>,
-}
-
+/// The actor that serves users' requests about jobs.
 #[derive(Default)]
 pub struct JobApi {
-    queue: VecDeque<Accept>,
-    batches: HashMap<u64, Batch>,
-    cancels: HashMap<u64, Cancel>,
-    cancel_tries: HashMap<ConnectionId, u32>,
-    /// Submissions that need jobs unknown here, and which of those are being read.
-    checking: HashMap<u64, (Accept, BTreeSet<JobId>)>,
-    /// Cancellations of jobs that need a cancelled one, underway.
-    cascades: HashMap<u64, Vec<(JobId, serde_json::Value)>>,
-    cascade_at: MonotonicMillis,
-    /// Jobs of runs that these want cancelled.
-    pub own_cancels: BTreeSet<JobId>,
-    /// Jobs that the cascade leaves alone until then.
-    left_alone: HashMap<JobId, MonotonicMillis>,
-    dividing: BTreeMap<u64, Dividing>,
-    /// Polls of jobs that the mirror has, and since when the first of them waits for others to share
-    /// a request with.
-    polls: Vec<(ConnectionId, JobId)>,
-    polls_since: MonotonicMillis,
-    polled: HashMap<u64, Vec<(ConnectionId, JobId)>>,
-    next: u64,
-    /// Room by part, as far as known.
-    pub rooms: BTreeMap<ShardId, ShardCapacity>,
-    /// CPUs that parts keep for teams, beside that.
-    pub kept: BTreeMap<(ShardId, Team), f64>,
-    /// CPUs lately given to parts, which these do not tell of yet.
-    given: VecDeque<(MonotonicMillis, ShardId, f64)>,
-    /// What users have been told here to be cancelled.
-    pub confirmed: ConfirmedCancellations,
+    admission: AdmissionQueue,
+    commits: Commits,
+    polls: StatusPolls,
+    cancellations: Cancellations,
+    capacity: CapacityEstimate,
+    last_request_id: u64,
+    /// Jobs that this controller has reported to users as cancelled.
+    pub confirmed_cancellations: ConfirmedCancellations,
 }
 
 impl JobApi {
-    /// A gateway whose process begins at `now`.
-    pub fn begun(now: MonotonicMillis) -> JobApi {
-        let mut gateway = JobApi::default();
-        gateway.confirmed.begin(now);
-        gateway
+    /// The job API of a process that starts at `now`.
+    #[must_use]
+    pub fn new(now: MonotonicMillis) -> JobApi {
+        let mut job_api = JobApi::default();
+        job_api.confirmed_cancellations.begin(now);
+        job_api
+    }
+
+    /// Updates the capacity by which jobs are partitioned: free capacity by shard, and CPUs that shards
+    /// reserve for a team beside that.
+    pub fn set_capacity(
+        &mut self,
+        reported: BTreeMap<ShardId, ShardCapacity>,
+        reserved_cpus: BTreeMap<(ShardId, Team), f64>,
+    ) {
+        self.capacity.reported = reported;
+        self.capacity.reserved_cpus = reserved_cpus;
+    }
+
+    fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
-    /// Takes a response of the key-value store in: the records that have changed by it.
+    /// Handles a response of the key-value store; the records that have changed by it.
     pub fn on_response(
         &mut self,
         request: JobApiRequest,
@@ -143,7 +123,7 @@
     ) -> Vec<RecordChange> {
         match (request, response) {
             (JobApiRequest::Commit(id), KvResponse::Swap(outcome)) => {
-                self.accepted(id, outcome, context);
+                self.on_committed(id, outcome, context);
             }
             (
                 JobApiRequest::Read {
@@ -153,17 +133,17 @@
                 },
                 KvResponse::Get(outcome),
             ) => {
-                self.read_done(connection, &job, purpose, outcome, context);
+                self.on_job_read(connection, &job, purpose, outcome, context);
                 return vec![RecordChange::Job(job)];
             }
             (JobApiRequest::WriteDependencies(id), KvResponse::Swap(outcome)) => {
-                self.pieces_done(id, outcome, context);
+                self.on_chunks_written(id, &outcome, context);
             }
             (JobApiRequest::CheckPolls(id), KvResponse::Swap(outcome)) => {
-                self.polls_done(id, outcome, context);
+                self.on_polls_checked(id, outcome, context);
             }
             (JobApiRequest::Cancel(id), KvResponse::Swap(outcome)) => {
-                let job = self.cancelled(id, outcome, context);
+                let job = self.on_cancelled(id, outcome, context);
                 return job.into_iter().map(RecordChange::Job).collect();
             }
             (JobApiRequest::ReadDependency { submission, job }, KvResponse::Get(outcome)) => {
@@ -172,11 +152,11 @@
                         .records
                         .apply(&item.key, Some(&item.value), item.version);
                 }
-                self.needed(submission, &job, &outcome, context);
+                self.on_dependency_read(submission, &job, &outcome, context);
                 return vec![RecordChange::Job(job)];
             }
             (JobApiRequest::Cascade(id), KvResponse::Swap(outcome)) => {
-                let jobs = self.cascaded(id, outcome, context);
+                let jobs = self.on_cascaded(id, outcome, context);
                 return jobs.into_iter().map(RecordChange::Job).collect();
             }
             (request, _) => unexpected_response(&request),
--- a/src/coordination/api/partitioning.rs
+++ b/src/coordination/api/partitioning.rs
@@ -1,4 +1,4 @@
-//! How a job is divided over parts.
+//! How a job's tasks are partitioned over shards.
 
 use crate::coordination::gossip::ShardCapacity;
 use snowshelf_model::ids::{JobId, ShardId, shard_of};
@@ -6,57 +6,92 @@
 use snowshelf_model::task_ranges::TaskRanges;
 use std::collections::BTreeMap;
 
-/// A part is given a share only if it takes at least one in so many of the tasks that are left.
-const LEAST_SHARE: u32 = 4;
+/// A shard is assigned tasks only if it takes at least one in so many of those that are left.
+const MIN_SHARD_FRACTION: u32 = 4;
+/// Least CPUs that a task counts for, so that divisions by its size are safe.
+const MIN_TASK_CPUS: f64 = 0.01;
 
-/// Divides a job over parts by their free room, over no more of them than its tasks need: every
-/// share costs its own record and several writes. Jobs with the same image prefer the same parts,
-/// so that a part's machines need few images; `fetch_s` is what a fetch of this one takes.
-pub fn split(
+/// The tasks of a job that one shard is to run.
+#[derive(Clone, PartialEq, Debug)]
+pub struct ShardAssignment {
+    /// The shard.
+    pub shard: ShardId,
+    /// Its tasks.
+    pub tasks: TaskRanges,
+}
+
+impl ShardAssignment {
+    /// All tasks of a job on one shard.
+    pub(super) fn whole_job(shard: ShardId, spec: &JobSpec) -> ShardAssignment {
+        ShardAssignment {
+            shard,
+            tasks: TaskRanges::range(0, spec.tasks, 1),
+        }
+    }
+}
+
+/// Partitions a job over shards by their free capacity, over no more of them than its tasks need: every
+/// allocation costs a record of its own and several writes. Jobs with the same image prefer the same
+/// shards, so that a shard's machines need few images; `fetch_s` is the time to fetch this one, in seconds.
+#[must_use]
+pub fn partition(
     job: &JobId,
     spec: &JobSpec,
     fetch_s: f64,
     shard_count: u32,
-    rooms: &BTreeMap<ShardId, ShardCapacity>,
-) -> Vec<(ShardId, TaskRanges)> {
-    let known = |p: u32| rooms.get(&ShardId(p)).copied().unwrap_or_default();
-    let room = |p: u32| known(p).free.max(0.0);
+    capacity: &BTreeMap<ShardId, ShardCapacity>,
+) -> Vec<ShardAssignment> {
+    let capacity_of = |shard: u32| capacity.get(&ShardId(shard)).copied().unwrap_or_default();
+    let free_cpus = |shard: u32| capacity_of(shard).free.max(0.0);
     if spec.kind == JobKind::Service || spec.zones_bound() || spec.tasks == 1 || shard_count == 1 {
         let first = shard_of(job.as_str(), shard_count).0;
         let ring = (0..shard_count).map(|i| (first + i) % shard_count);
-        let best = ring.max_by(|a, b| room(*a).total_cmp(&room(*b)));
-        let shard_id = ShardId(best.unwrap_or(first));
-        return vec![(shard_id, TaskRanges::range(0, spec.tasks, 1))];
+        let freest = ring.max_by(|a, b| free_cpus(*a).total_cmp(&free_cpus(*b)));
+        return vec![ShardAssignment::whole_job(
+            ShardId(freest.unwrap_or(first)),
+            spec,
+        )];
     }
-    let size = spec.resources.cpus.max(0.01);
-    let home = shard_of(&spec.image, shard_count).0;
-    // How long `tasks` more would wait in a part, and how far it is from the image's home.
-    let cost = |p: u32, tasks: u32| {
-        let ahead = known(p).waiting + f64::from(tasks) * size - room(p);
-        let rounds = ahead.max(0.0) / known(p).capacity.max(size);
-        rounds * spec.estimate_s + fetch_s * f64::from((p + shard_count - home) % shard_count)
+    let task_cpus = spec.resources.cpus.max(MIN_TASK_CPUS);
+    let image_home = shard_of(&spec.image, shard_count).0;
+    // How long the tasks would wait in a shard, and how far that is from the image's home.
+    let cost = |shard: u32, tasks: u32| {
+        let backlog = capacity_of(shard).waiting + f64::from(tasks) * task_cpus - free_cpus(shard);
+        let rounds = backlog.max(0.0) / capacity_of(shard).capacity.max(task_cpus);
+        let distance = (shard + shard_count - image_home) % shard_count;
+        rounds * spec.estimate_s + fetch_s * f64::from(distance)
     };
-    let mut order: Vec<(f64, u32)> = (0..shard_count).map(|p| (cost(p, spec.tasks), p)).collect();
-    order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    let mut rest = spec.tasks;
-    let mut counts: BTreeMap<u32, u32> = BTreeMap::new();
-    for (_, p) in &order {
-        let fit = ((room(*p) / size) as u32).min(rest);
-        if fit > 0 && fit.saturating_mul(LEAST_SHARE) >= rest {
-            counts.insert(*p, fit);
-            rest -= fit;
+    let mut by_cost: Vec<(f64, u32)> = (0..shard_count)
+        .map(|shard| (cost(shard, spec.tasks), shard))
+        .collect();
+    by_cost.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    let mut unassigned = spec.tasks;
+    let mut task_counts: BTreeMap<u32, u32> = BTreeMap::new();
+    for (_, shard) in &by_cost {
+        let fit = ((free_cpus(*shard) / task_cpus) as u32).min(unassigned);
+        if fit > 0 && fit.saturating_mul(MIN_SHARD_FRACTION) >= unassigned {
+            task_counts.insert(*shard, fit);
+            unassigned -= fit;
         }
     }
-    if rest > 0 {
-        // What waits goes where it waits least.
-        let best = order.first().map_or(home, |(_, p)| *p);
-        *counts.entry(best).or_default() += rest;
+    if unassigned > 0 {
+        // What must wait goes to the shard where it waits least.
+        let cheapest = by_cost.first().map_or(image_home, |(_, shard)| *shard);
+        *task_counts.entry(cheapest).or_default() += unassigned;
     }
-    let mut at = 0;
-    let mut shares = Vec::new();
-    for (p, n) in counts {
-        shares.push((ShardId(p), TaskRanges::range(at, at + n, 1)));
-        at += n;
+    consecutive_ranges(task_counts)
+}
+
+/// Gives each shard the next tasks of the job, in the order of shards.
+fn consecutive_ranges(task_counts: BTreeMap<u32, u32>) -> Vec<ShardAssignment> {
+    let mut first_task = 0;
+    let mut assignments = Vec::new();
+    for (shard, count) in task_counts {
+        assignments.push(ShardAssignment {
+            shard: ShardId(shard),
+            tasks: TaskRanges::range(first_task, first_task + count, 1),
+        });
+        first_task += count;
     }
-    shares
+    assignments
 }
--- /dev/null
+++ b/src/coordination/api/status_polls.rs
@@ -0,0 +1,138 @@
+//! Status polls: several share one request, which only asks whether the record cache is up to date.
+
+use super::{JobApi, JobApiRequest, JobReadPurpose};
+use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::unavailable::Unavailable;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis};
+use snowshelf_model::protocol::state::CompareAndSwap;
+use snowshelf_model::records::job_key;
+use std::collections::{BTreeSet, HashMap};
+
+/// How long polls gather to share a request, in milliseconds.
+const BATCH_DELAY_MS: u64 = 25;
+/// Timeout of a comparison of versions, in milliseconds.
+const CHECK_TIMEOUT_MS: u64 = 1_500;
+/// Comparisons in one request, in multiples of a transaction's mutations.
+const COMPARISONS_PER_MUTATION: usize = 4;
+
+/// A user's question for the state of a job that the record cache has.
+struct StatusPoll {
+    connection: ConnectionId,
+    job: JobId,
+}
+
+/// Polls that wait for a comparison of versions, and those whose comparison is in flight.
+#[derive(Default)]
+pub(super) struct StatusPolls {
+    waiting: Vec<StatusPoll>,
+    /// Since when the first of `waiting` has waited.
+    waiting_since: MonotonicMillis,
+    in_flight: HashMap<u64, Vec<StatusPoll>>,
+}
+
+impl StatusPolls {
+    /// Queues a poll.
+    pub(super) fn push(&mut self, connection: ConnectionId, job: JobId, now: MonotonicMillis) {
+        if self.waiting.is_empty() {
+            self.waiting_since = now;
+        }
+        self.waiting.push(StatusPoll { connection, job });
+    }
+
+    /// Queues a poll that is compared again without delay.
+    fn push_urgent(&mut self, poll: StatusPoll) {
+        self.waiting_since = MonotonicMillis(0);
+        self.waiting.push(poll);
+    }
+
+    /// The polls of the next request of at most `max_polls`, if it is due.
+    fn take_batch(&mut self, max_polls: usize, now: MonotonicMillis) -> Option<Vec<StatusPoll>> {
+        let is_due = now.since(self.waiting_since) >= BATCH_DELAY_MS;
+        if self.waiting.is_empty() || !(is_due || self.waiting.len() >= max_polls) {
+            return None;
+        }
+        let count = max_polls.min(self.waiting.len());
+        Some(self.waiting.drain(..count).collect())
+    }
+}
+
+impl JobApi {
+    /// Asks for the gathered polls, in one request for as many as it may compare, whether the record cache
+    /// is behind: a record that nobody has changed since may be answered from it.
+    pub fn check_polls(&mut self, context: &mut Context) {
+        let now = context.now();
+        let max_polls = COMPARISONS_PER_MUTATION * context.storage_limits.txn_ops;
+        while let Some(batch) = self.polls.take_batch(max_polls, now) {
+            if !context.kv.may(now, RequestPriority::Reads, 0) {
+                for poll in batch {
+                    let unavailable = Unavailable::RateLimited.into();
+                    context.effects.respond(poll.connection, unavailable);
+                }
+                continue;
+            }
+            let jobs: BTreeSet<&JobId> = batch.iter().map(|poll| &poll.job).collect();
+            let mut comparison = CompareAndSwap::default();
+            for job in jobs {
+                let cached = context.records.jobs.get(job).map(|v| v.version);
+                comparison = comparison.compare(job_key(job), cached.unwrap_or_default());
+            }
+            let id = self.next_request_id();
+            self.polls.in_flight.insert(id, batch);
+            let request = KvRequest::JobApi(JobApiRequest::CheckPolls(id));
+            context
+                .kv
+                .check_versions(context.effects, request, &comparison, CHECK_TIMEOUT_MS);
+        }
+    }
+
+    /// Handles the outcome of a comparison for polls.
+    pub(super) fn on_polls_checked(
+        &mut self,
+        id: u64,
+        outcome: SwapOutcome,
+        context: &mut Context,
+    ) {
+        let batch = self.polls.in_flight.remove(&id).unwrap_or_default();
+        match outcome {
+            SwapOutcome::Done(_) => {
+                for poll in batch {
+                    self.respond_from_cache(&poll, context);
+                }
+            }
+            SwapOutcome::Conflict(keys) => {
+                for poll in batch {
+                    if keys.contains(&job_key(&poll.job)) {
+                        let StatusPoll { connection, job } = poll;
+                        self.read_record(connection, &job, JobReadPurpose::Poll, context);
+                    } else {
+                        // Compared once more, without those that have changed.
+                        self.polls.push_urgent(poll);
+                    }
+                }
+            }
+            SwapOutcome::NoLease
+            | SwapOutcome::Refused
+            | SwapOutcome::NotDone
+            | SwapOutcome::Unknown => {
+                for poll in batch {
+                    let unavailable = Unavailable::StoreNotResponding.into();
+                    context.effects.respond(poll.connection, unavailable);
+                }
+            }
+        }
+    }
+
+    /// Answers a poll for which the record cache is known to be up to date.
+    fn respond_from_cache(&mut self, poll: &StatusPoll, context: &mut Context) {
+        let StatusPoll { connection, job } = poll;
+        let purpose = JobReadPurpose::Poll;
+        if let Some(end) = context.records.final_of(job) {
+            self.respond_final(*connection, job, end, purpose, context);
+        } else if let Some(cached) = context.records.jobs.get(job).cloned() {
+            self.respond_open(*connection, job, &cached.value, purpose, context);
+        } else {
+            self.read_record(*connection, job, purpose, context);
+        }
+    }
+}
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -142,7 +142,7 @@
             leases: Leases::default(),
             list_watch: ListWatch::default(),
             shards: BTreeMap::new(),
-            job_api: JobApi::begun(now),
+            job_api: JobApi::new(now),
             reservations: Reservations::default(),
             dag_runs: DagRuns::default(),
             drains: Drains::default(),
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -97,7 +97,7 @@
                     self.wrong_method(conn);
                 } else {
                     self.with_job_api(|job_api, context| {
-                        job_api.read(conn, &JobId::new(id), why, context)
+                        job_api.read_job(conn, &JobId::new(id), why, context)
                     });
                 }
             }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -89,18 +89,17 @@
             self.tick_runs();
         }
         let mut job_api = std::mem::take(&mut self.job_api);
-        job_api.rooms = rooms;
-        job_api.kept = kept;
-        job_api.flush_polls(&mut self.context());
-        job_api.flush_pieces(&mut self.context());
+        job_api.set_capacity(rooms, kept);
+        job_api.check_polls(&mut self.context());
+        job_api.write_dependency_chunks(&mut self.context());
         if away {
             self.with_dag_runs(|dag_runs, context| dag_runs.refuse_all(context));
-            job_api.refuse_all(&mut self.context());
+            job_api.refuse_pending(&mut self.context());
         } else {
-            job_api.flush(&mut self.context());
+            job_api.commit_pending(&mut self.context());
             if fresh {
                 let mine = self.shards.keys().copied().collect();
-                job_api.cascade(&mine, &mut self.context());
+                job_api.cascade_cancellations(&mine, &mut self.context());
             }
         }
         self.job_api = job_api;
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -126,7 +126,7 @@
         }
         let stats = self
             .job_api
-            .confirmed
+            .confirmed_cancellations
             .within(self.effects.now, request.window_ms);
         let stats = stats.filter(|jobs| jobs.len() <= MOST_NAMED);
         let complete = stats.is_some();
--- a/src/coordination/dag_runs/beginning.rs
+++ b/src/coordination/dag_runs/beginning.rs
@@ -3,7 +3,7 @@
 
 use super::living::asked_of;
 use super::{DagRuns, DagRunsRequest, brief};
-use crate::coordination::api::never_runs;
+use crate::coordination::api::check_feasible;
 use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -118,7 +118,7 @@
         return Err(json!({"error": format!("the run has more than {most} jobs")}));
     }
     let mut jobs = plan.jobs.iter();
-    match jobs.find_map(|j| Some((j, never_runs(&j.submission.spec, context)?))) {
+    match jobs.find_map(|j| Some((j, check_feasible(&j.submission.spec, context).err()?))) {
         Some((job, why)) => Err(json!({"error": format!("{}: {why}", job.step)})),
         None => Ok(plan),
     }
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -426,7 +426,7 @@
         &mut self,
         own: &Leases,
         errors: &BTreeMap<JobId, u32>,
-        gateway: &mut JobApi,
+        job_api: &mut JobApi,
         context: &mut Context,
     ) {
         self.write_beginning(context);
@@ -495,7 +495,7 @@
         for i in &decision.submit {
             let job = &live.plan.jobs[*i];
             let pause_ms = seconds_to_ms(job.retry_delay_s);
-            if !gateway.submit_own(&live.submission(*i), pause_ms, context) {
+            if !job_api.submit_for_run(&live.submission(*i), pause_ms, context) {
                 break;
             }
         }
@@ -503,7 +503,7 @@
             .cancel
             .iter()
             .map(|i| live.plan.jobs[*i].submission.job.clone());
-        gateway.own_cancels.extend(cancel);
+        job_api.cancel_for_run(cancel);
         let failing = live.failing(errors, context);
         self.settle(&id, v.version, &v.value, &decision, &failing, own, context);
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -19,3 +19,4 @@
 pub mod reachability;
 pub mod reservations;
 pub mod shard;
+mod unavailable;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! Decisions as pure functions, each test named after the failure it guards against.
 
-use snowshelf::coordination::api::split;
+use snowshelf::coordination::api::partition;
 use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
 use snowshelf::coordination::gossip::ShardCapacity;
 use snowshelf::coordination::placement::{
@@ -132,14 +132,17 @@
 }
 
 fn shares(rooms: &BTreeMap<ShardId, ShardCapacity>, fetch_s: f64) -> BTreeMap<u32, u32> {
-    let shares = split(
+    let assignments = partition(
         &snowshelf_model::ids::JobId::new("wk-1"),
         &spec(None),
         fetch_s,
         3,
         rooms,
     );
-    shares.iter().map(|(p, s)| (p.0, s.len())).collect()
+    assignments
+        .iter()
+        .map(|a| (a.shard.0, a.tasks.len()))
+        .collect()
 }
 
 /// Guards against a share in every part for each job: at some hundred jobs a minute the records'
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf::coordination::api::split;
+use snowshelf::coordination::api::partition;
 use snowshelf::coordination::dependencies::DependencyGraph;
 use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
 use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
@@ -384,10 +384,10 @@
         spec.tasks = tasks;
         spec.together = bound;
         let free: BTreeMap<ShardId, ShardCapacity> = free.iter().enumerate().map(|(i, f)| (ShardId(i as u32), ShardCapacity { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
-        let shares = split(&id, &spec, 0.0, 3, &free);
+        let shares = partition(&id, &spec, 0.0, 3, &free);
         let mut all = TaskRanges::default();
-        for (_, spans) in &shares {
-            all.merge(spans);
+        for assignment in &shares {
+            all.merge(&assignment.tasks);
         }
         prop_assert_eq!(all, TaskRanges::range(0, tasks, 1));
         prop_assert!(!bound || shares.len() == 1);
