--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -3,7 +3,7 @@
 use super::api::JobApiRequest;
 use super::dag_runs::DagRunsRequest;
 use super::dependencies::DependencyGraph;
-use super::drains::Draining;
+use super::drains::DrainState;
 use super::leases::LeaseRequest;
 use super::list_watch::ListWatchRequest;
 use super::reservations::ReservationsRequest;
@@ -135,7 +135,7 @@
     pub storage_limits: &'a StorageLimits,
     pub dependency_graph: &'a DependencyGraph,
     pub guard: &'a Guard,
-    pub drains: &'a mut Draining,
+    pub drains: &'a mut DrainState,
     /// When this process began.
     pub began: MonotonicMillis,
     /// Jobs that were read by themselves since, and were not there.
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -1,7 +1,7 @@
 //! Drains in the regular work: what is kept to, what the leader does next, what the owners tell.
 
 use super::{Controller, UNSERVED_MS};
-use crate::coordination::drains::{Draining, Heard};
+use crate::coordination::drains::{DrainState, EvictionStatus};
 use snowshelf_drain::budget::Amount;
 use snowshelf_model::ids::{MachineId, ShardId, Team};
 use snowshelf_model::protocol::peer::{DrainProgress, LostTasks, RestartedTasks, ShardStatus};
@@ -23,21 +23,21 @@
         let now = self.effects.now;
         if self.draining_of != self.records.drain_changes {
             self.draining_of = self.records.drain_changes;
-            self.drain_state = Draining::of(&self.records.drains);
+            self.drain_state = DrainState::of(&self.records.drains);
         }
         if !self.drain_state.is_idle() && now.since(self.draining_at) >= LOOK_MS {
             self.draining_at = now;
             let away = now.since(self.list_watch.feed_at) > FEED_MS;
-            self.drain_state.fresh = self.records.loaded && !away;
-            self.drain_state.lost = self.gossip.lost(now);
-            self.drain_state.again = self.gossip.again(now);
+            self.drain_state.records_fresh = self.records.loaded && !away;
+            self.drain_state.lost_tasks = self.gossip.lost(now);
+            self.drain_state.restarted_tasks = self.gossip.again(now);
             let shards: Vec<ShardId> = self.shards.keys().copied().collect();
             for shard_id in shards {
                 self.with_shard(shard_id, |shard, context| {
                     let again = shard.again(context).into_iter();
                     context
                         .drains
-                        .again
+                        .restarted_tasks
                         .extend(again.map(|(job, n)| ((shard_id, job), n)));
                 });
             }
@@ -60,12 +60,12 @@
             return;
         };
         let may = fresh && self.records.loaded && self.state_silent_ms() < UNSERVED_MS;
-        if may && self.with_drains(|drains, context| drains.due(context)) {
+        if may && self.with_drains(|drains, context| drains.is_step_due(context)) {
             let heard = match self.drain_state.active {
                 true => self.heard_of_drains(),
-                false => Heard::default(),
+                false => EvictionStatus::default(),
             };
-            self.with_drains(|drains, context| drains.lead(&autoscaler, heard, context));
+            self.with_drains(|drains, context| drains.step(&autoscaler, &heard, context));
         }
         self.autoscaler = Some(autoscaler);
     }
@@ -75,17 +75,17 @@
         if self.autoscaler.is_none() || !self.drain_state.active {
             return Vec::new();
         }
-        let reasons = self.drains.reasons().take(MOST_NAMES);
+        let reasons = self.drains.wait_reasons().take(MOST_NAMES);
         reasons
             .map(|(name, reason)| DrainProgress {
                 drain: name.as_str().to_string(),
-                waits: reason.waits.clone(),
-                held: reason.held.iter().take(MOST_HELD).cloned().collect(),
+                waits: reason.waits_for.clone(),
+                held: reason.blockers.iter().take(MOST_HELD).cloned().collect(),
             })
             .collect()
     }
 
-    fn heard_of_drains(&mut self) -> Heard {
+    fn heard_of_drains(&mut self) -> EvictionStatus {
         let now = self.effects.now;
         let mut heard = self.gossip.of_drains(now);
         let owners: BTreeSet<ShardId> = self.gossip.owned(now);
@@ -93,12 +93,12 @@
         for shard_id in &mine {
             self.with_shard(*shard_id, |shard, context| {
                 heard.empty.extend(shard.emptied(context));
-                heard.sick.extend(shard.sick().cloned());
-                heard.held.extend(shard.held_back.iter().cloned());
+                heard.failing.extend(shard.sick().cloned());
+                heard.blockers.extend(shard.held_back.iter().cloned());
             });
         }
         let mut shards = (0..self.config.shard_count).map(ShardId);
-        heard.whole = shards.all(|p| mine.contains(&p) || owners.contains(&p));
+        heard.complete = shards.all(|p| mine.contains(&p) || owners.contains(&p));
         heard
     }
 
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -11,7 +11,7 @@
 use super::context::{CloudClient, Config, Context, KvRequest, Role};
 use super::dag_runs::DagRuns;
 use super::dependencies::DependencyGraph;
-use super::drains::{Draining, Drains};
+use super::drains::{DrainState, Drains};
 use super::format_migration::{FormatMigration, storage_limits};
 use super::gossip::{Gossip, RoundRobinNames};
 use super::leases::Leases;
@@ -75,7 +75,7 @@
     dag_runs: DagRuns,
     drains: Drains,
     /// What placement, renting and returning keep to of the drains, and of which changes of theirs.
-    drain_state: Draining,
+    drain_state: DrainState,
     draining_of: u64,
     draining_at: MonotonicMillis,
     /// What placement and renting keep to of the calendar.
@@ -146,7 +146,7 @@
             reservations: Reservations::default(),
             dag_runs: DagRuns::default(),
             drains: Drains::default(),
-            drain_state: Draining::default(),
+            drain_state: DrainState::default(),
             draining_of: 0,
             draining_at: MonotonicMillis(0),
             guard: Guard::default(),
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -116,7 +116,7 @@
             }
             KvRequest::Drains(id) => match response {
                 KvResponse::Swap(outcome) => {
-                    self.with_drains(|drains, context| drains.done(id, outcome, context));
+                    self.with_drains(|drains, context| drains.on_outcome(id, outcome, context));
                 }
                 _ => unexpected_response(&request),
             },
@@ -255,7 +255,9 @@
 
     pub(super) fn changed(&mut self, changed: Vec<RecordChange>) {
         if self.reservations.is_built() {
-            self.with_reservations(|reservations, context| reservations.changed(&changed, context));
+            self.with_reservations(|reservations, context| {
+                reservations.on_changes(&changed, context)
+            });
         }
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
         for change in changed {
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -5,13 +5,15 @@
 use crate::coordination::context::KvRequest;
 use crate::coordination::dag_runs;
 use crate::coordination::drains;
+use crate::coordination::drains::DrainsRequest;
 use crate::coordination::query;
-use crate::coordination::reservations::{Asked, read_ask};
+use crate::coordination::request_error::RequestError;
+use crate::coordination::reservations::{self, CalendarRequest};
 use crate::coordination::shard::ShardProgress;
+use crate::coordination::unavailable::Unavailable;
 use crate::effects::{Request, Response};
 use crate::storage::kv_client::RequestPriority;
 use serde_json::json;
-use snowshelf_calendar::entry::Malformed;
 use snowshelf_model::ids::{
     ConnectionId, JobId, MonotonicMillis, ShardId, WallClockMillis, shard_of,
 };
@@ -32,10 +34,6 @@
 const LISTED_MS: u64 = 1_500;
 const WRONG_METHOD: &str = "this path does not take that method";
 
-fn malformed(why: &Malformed) -> Response {
-    Response::json(400, &json!({"error": why.to_string(), "field": why.field}))
-}
-
 impl Controller {
     pub(super) fn request(&mut self, conn: ConnectionId, request: Request) {
         let (path, _) = query::split(&request.path);
@@ -55,20 +53,21 @@
             (_, "/ready" | "/checkin" | "/api/jobs") => self.wrong_method(conn),
             (method, path) => {
                 if self.config.ops.calendar.enabled
-                    && let Some(asked) = read_ask(method, &request.path, &request.body)
+                    && let Some(parsed) =
+                        reservations::parse_request(method, &request.path, &request.body)
                 {
-                    self.asked(conn, asked);
+                    self.calendar_request(conn, parsed);
                     return;
                 }
                 if self.config.ops.drains.enabled
-                    && let Some(read) = drains::read(
+                    && let Some(parsed) = drains::parse_request(
                         method,
                         &request.path,
                         &request.body,
                         WallClockMillis(self.effects.wall_ms),
                     )
                 {
-                    self.asked_of_drains(conn, read);
+                    self.drains_request(conn, parsed);
                     return;
                 }
                 if self.config.ops.graphs.enabled
@@ -104,40 +103,34 @@
         }
     }
 
-    /// A request to the calendar.
-    fn asked(&mut self, conn: ConnectionId, asked: Asked) {
-        let response = match asked {
-            Asked::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
-            }
-            Asked::Ask(ask) => {
+    /// A request on reservations or maintenance windows.
+    fn calendar_request(
+        &mut self,
+        conn: ConnectionId,
+        request: Result<CalendarRequest, RequestError>,
+    ) {
+        let response = match request {
+            Ok(_) if self.state_silent_ms() >= UNSERVED_MS => Unavailable::StoreDown.into(),
+            Ok(request) => {
                 self.with_reservations(|reservations, context| {
-                    reservations.take(conn, ask, context)
+                    reservations.handle(conn, request, context);
                 });
                 return;
             }
-            Asked::Malformed(why) => malformed(&why),
-            Asked::NoSuchPath => Response::error(404, "no such path"),
-            Asked::NoSuchEntry => Response::error(404, "no such entry"),
-            Asked::WrongMethod => Response::error(405, WRONG_METHOD),
+            Err(error) => error.into(),
         };
         self.effects.respond(conn, response);
     }
 
-    /// A request to drains or budgets.
-    fn asked_of_drains(&mut self, conn: ConnectionId, read: drains::Read) {
-        let response = match read {
-            drains::Read::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
-            }
-            drains::Read::Ask(ask) => {
-                self.with_drains(|drains, context| drains.take(conn, ask, context));
+    /// A request on drains or disruption budgets.
+    fn drains_request(&mut self, conn: ConnectionId, request: Result<DrainsRequest, RequestError>) {
+        let response = match request {
+            Ok(_) if self.state_silent_ms() >= UNSERVED_MS => Unavailable::StoreDown.into(),
+            Ok(request) => {
+                self.with_drains(|drains, context| drains.handle(conn, request, context));
                 return;
             }
-            drains::Read::Malformed(why) => malformed(&why),
-            drains::Read::NoSuchPath => Response::error(404, "no such path"),
-            drains::Read::NoSuchEntry => Response::error(404, "no such entry"),
-            drains::Read::WrongMethod => Response::error(405, WRONG_METHOD),
+            Err(error) => error.into(),
         };
         self.effects.respond(conn, response);
     }
--- /dev/null
+++ b/src/coordination/drains/disruption.rs
@@ -0,0 +1,105 @@
+//! How much of a team's work is unavailable, over all shards, by the records.
+
+use crate::coordination::context::Context;
+use snowshelf_drain::budget::{Amount, Facts, Picture};
+use snowshelf_model::ids::{JobId, MachineId, TaskIndex, Team, shard_of};
+use snowshelf_model::records::{JobKind, JobState, allocation_key};
+use snowshelf_model::task_ranges::TaskRanges;
+use std::collections::BTreeMap;
+
+/// A task that has been tried more often fails by itself, again and again: it does not count as disrupted.
+const MAX_ATTEMPTS: u32 = 8;
+
+/// How many tasks have been tried before.
+#[must_use]
+pub fn retried_tasks(ranges: &TaskRanges) -> u32 {
+    let ranges = ranges.spans().iter();
+    let retried = ranges.filter(|range| (2..=MAX_ATTEMPTS).contains(&range.2));
+    retried.map(|range| range.1 - range.0).sum()
+}
+
+/// The disruption of a team's open jobs.
+#[derive(Default)]
+pub struct TeamDisruption {
+    /// What of its work is unavailable.
+    pub unavailable: Amount,
+    jobs: BTreeMap<JobId, JobDisruption>,
+}
+
+#[derive(Clone, Copy, Default)]
+struct JobDisruption {
+    unavailable: u32,
+    up: u32,
+    tasks: u32,
+    is_service: bool,
+}
+
+impl TeamDisruption {
+    /// Adds up the allocations of all shards: a task that has been tried before is unavailable, evicted or
+    /// lost, unless its shard's leader has seen it run again.
+    #[must_use]
+    pub fn of(team: &Team, context: &Context) -> TeamDisruption {
+        let mut disruption = TeamDisruption::default();
+        for ((shard_id, id), allocation) in &context.records.allocations {
+            let Some(record) = context.records.jobs.get(id) else {
+                continue;
+            };
+            let (JobState::Open, Some(spec)) = (record.value.state, &record.value.spec) else {
+                continue;
+            };
+            if spec.team != *team {
+                continue;
+            }
+            let waiting = retried_tasks(&allocation.value.waiting);
+            let started: u32 = allocation.value.started.values().map(retried_tasks).sum();
+            let restarted = &context.drains.restarted_tasks;
+            let restarted = restarted.get(&(*shard_id, id.clone())).copied();
+            let starting = started.saturating_sub(restarted.unwrap_or(0));
+            let unavailable = waiting.saturating_add(starting);
+            disruption.unavailable.add(unavailable, spec.resources.cpus);
+            let job = disruption.jobs.entry(id.clone()).or_default();
+            job.unavailable += unavailable;
+            // A replica that is starting again is not up.
+            job.up += allocation.value.started_count().saturating_sub(starting);
+            job.tasks = spec.tasks;
+            job.is_service = spec.kind == JobKind::Service;
+        }
+        disruption
+    }
+
+    /// What the disruption budget needs to know of a job.
+    #[must_use]
+    pub fn facts(&self, job: &JobId) -> Facts {
+        let job = self.jobs.get(job).copied().unwrap_or_default();
+        Facts {
+            away: self.unavailable,
+            job_away: job.unavailable,
+            job_tasks: job.tasks,
+            job_up: job.up,
+            standing: job.is_service,
+        }
+    }
+}
+
+/// Whether the records have any of a job's tasks from some number on started on a machine.
+fn has_started(machine: &MachineId, job: &JobId, from: TaskIndex, context: &Context) -> bool {
+    let shard_id = shard_of(machine.as_str(), context.config.shard_count);
+    let allocation = context.records.allocations.get(&(shard_id, job.clone()));
+    let started = allocation.and_then(|a| a.value.started.get(machine));
+    started.is_some_and(|s| s.iter().any(|(task, _)| task >= from))
+}
+
+/// Evaluates something on the view of the records against which charges are checked.
+pub fn with_record_view<T>(context: &Context, evaluate: impl FnOnce(&Picture) -> T) -> T {
+    let has_started =
+        |machine: &MachineId, job: &JobId, from| has_started(machine, job, from, context);
+    let version = |machine: &MachineId, job: &JobId| {
+        let shard_id = shard_of(machine.as_str(), context.config.shard_count);
+        context.records.version_of(&allocation_key(shard_id, job))
+    };
+    evaluate(&Picture {
+        seen: context.records.revision,
+        there: &has_started,
+        version: &version,
+    })
+}
--- /dev/null
+++ b/src/coordination/drains/leader.rs
@@ -0,0 +1,333 @@
+//! The leader's work on drains: the next step of one of them, written on condition that it leads.
+
+use super::{Drains, WaitReason};
+use crate::coordination::autoscaler::Autoscaler;
+use crate::coordination::conditional_write::{ConditionalWrite, RecordUpdate};
+use crate::coordination::context::Context;
+use crate::storage::kv_client::RequestPriority;
+use crate::storage::record_cache::drain_key;
+use serde_json::Value;
+use snowshelf_calendar::entry::Name;
+use snowshelf_drain::entry::{Drain, State, Then};
+use snowshelf_drain::stepping::{Next, Seen, View, Waits, next};
+use snowshelf_model::ids::{MachineId, MonotonicMillis, Version, WallClockMillis, seconds_to_ms};
+use snowshelf_model::records::Capability;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How often the leader works on the drains, in milliseconds.
+const STEP_INTERVAL_MS: u64 = 500;
+/// Longer than the cloud lists a machine whose release it has confirmed, in milliseconds.
+const RELEASED_MS: u64 = 60_000;
+/// How long a drain's record is retained after its end, in milliseconds.
+const RETENTION_MS: u64 = 86_400_000;
+/// Time between two searches for expired drains, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 10_000;
+/// The least time for which the cloud's list may lag, in milliseconds.
+const MIN_LIST_LAG_MS: u64 = 2_000;
+/// Characters of a reason that are retained if the record is too large.
+const MAX_REASON_CHARS: usize = 60;
+
+/// The progress of evictions, as all shard leaders report it.
+#[derive(Default)]
+pub struct EvictionStatus {
+    /// Machines that are cordoned and empty.
+    pub empty: BTreeSet<MachineId>,
+    /// Machines on which what they started has failed.
+    pub failing: BTreeSet<MachineId>,
+    /// Why evictions are delayed.
+    pub blockers: Vec<String>,
+    /// Whether all shards have leaders that report.
+    pub complete: bool,
+}
+
+/// The leader's state between two steps.
+#[derive(Default)]
+pub(super) struct LeaderProgress {
+    last_step_at: MonotonicMillis,
+    leader_since: Option<MonotonicMillis>,
+    last_expiry_at: MonotonicMillis,
+    /// Machines of steps that their shard leaders have released, and when: the cloud lists them a while
+    /// longer.
+    released: BTreeMap<MachineId, MonotonicMillis>,
+}
+
+/// A change of one drain's record.
+struct DrainUpdate {
+    name: Name,
+    version: Version,
+    /// `None`: the record is deleted.
+    drain: Option<Drain>,
+}
+
+impl Drains {
+    /// Follows the leader, which has sent what drains wait for.
+    pub fn follow(&mut self, waits: BTreeMap<Name, WaitReason>) {
+        self.leader.leader_since = None;
+        self.waits = waits;
+    }
+
+    /// What drains wait for, which the leader sends to the others.
+    pub fn wait_reasons(&self) -> impl Iterator<Item = (&Name, &WaitReason)> + '_ {
+        self.waits.iter()
+    }
+
+    /// Whether it is time for the leader's next step.
+    #[must_use]
+    pub fn is_step_due(&self, context: &Context) -> bool {
+        let now = context.effects.now;
+        let is_idle =
+            context.records.drains.is_empty() && context.config.ops.drains.planned.is_empty();
+        let must_wait = self.in_flight.is_some() || now < self.retry_at;
+        !is_idle && !must_wait && now.since(self.leader.last_step_at) >= STEP_INTERVAL_MS
+    }
+
+    /// Takes the next step of one drain. That this controller leads has been checked before.
+    pub fn step(
+        &mut self,
+        autoscaler: &Autoscaler,
+        status: &EvictionStatus,
+        context: &mut Context,
+    ) {
+        let now = context.now();
+        let leader_since = *self.leader.leader_since.get_or_insert(now);
+        self.leader.last_step_at = now;
+        let leader_version = Version(autoscaler.fencing_token.0);
+        if let Some(update) = planned_drain(now.since(leader_since), context) {
+            self.write(update, leader_version, context);
+            return;
+        }
+        let mut drains = context.records.drains.values();
+        if drains.all(|v| v.value.state.ended()) {
+            self.remove_expired(leader_version, context);
+            return;
+        }
+        let Some(mut machines) = autoscaler.seen(context) else {
+            return;
+        };
+        self.exclude_released(&mut machines, status, context);
+        if let Some(update) = self.next_update(autoscaler, &machines, status, context) {
+            self.write(update, leader_version, context);
+        }
+    }
+
+    /// Takes machines that are being released out of the cloud's list. Guards against evicting from them
+    /// once more, and counting them twice.
+    fn exclude_released(
+        &mut self,
+        machines: &mut BTreeMap<MachineId, Seen>,
+        status: &EvictionStatus,
+        context: &Context,
+    ) {
+        let now = context.now();
+        let cordoned = &context.drains.cordoned;
+        let is_released = |m: &&MachineId| cordoned.get(*m).is_some_and(|c| c.then != Then::Keep);
+        let empty = status.empty.iter().filter(is_released);
+        let released = &mut self.leader.released;
+        released.extend(empty.map(|m| (m.clone(), now)));
+        released.retain(|_, at| now.since(*at) < RELEASED_MS);
+        machines.retain(|name, _| !released.contains_key(name));
+    }
+
+    /// The next change of a drain, in the order in which they were requested; notes what those before it
+    /// wait for.
+    fn next_update(
+        &mut self,
+        autoscaler: &Autoscaler,
+        machines: &BTreeMap<MachineId, Seen>,
+        status: &EvictionStatus,
+        context: &Context,
+    ) -> Option<DrainUpdate> {
+        let drains = context.records.drains.iter();
+        let mut open: Vec<(&Name, Version, &Drain)> = drains
+            .filter(|(_, v)| !v.value.state.ended())
+            .map(|(name, v)| (name, v.version, &*v.value))
+            .collect();
+        open.sort_by_key(|(name, _, drain)| (drain.asked, *name));
+        let ready_s = context.types.values().map(|t| t.ready_s);
+        let slowest_ready_s = ready_s.fold(0.0, f64::max);
+        let settings = &context.config.settings;
+        let list_lag_ms = seconds_to_ms(settings.deployment.cloud.list_lag_s);
+        let missed = autoscaler.lost(context);
+        self.waits.clear();
+        for (name, version, drain) in open {
+            let others = OtherDrains::of(name, machines, context);
+            let view = View {
+                now: WallClockMillis(context.effects.wall_ms),
+                machines,
+                empty: &status.empty,
+                sick: &status.failing,
+                taken: &others.machines,
+                zones: &others.zones,
+                whole: status.complete,
+                missed,
+                refused: autoscaler.refuses(),
+                lag_ms: list_lag_ms.max(MIN_LIST_LAG_MS),
+                ready_ms: seconds_to_ms(slowest_ready_s),
+                report_ms: settings.report_ms(),
+            };
+            match next(drain, &view) {
+                Next::Wait(waits) => {
+                    let blockers = match waits {
+                        Waits::Tasks => status.blockers.clone(),
+                        _ => Vec::new(),
+                    };
+                    let waits_for = waits.to_string();
+                    let reason = WaitReason {
+                        waits_for,
+                        blockers,
+                    };
+                    self.waits.insert(name.clone(), reason);
+                }
+                Next::Write(next) => {
+                    return Some(DrainUpdate {
+                        name: name.clone(),
+                        version,
+                        drain: Some(*next),
+                    });
+                }
+            }
+        }
+        None
+    }
+
+    fn write(&mut self, update: DrainUpdate, leader_version: Version, context: &mut Context) {
+        // A step is a write in some seconds, and much waits for it.
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+            return;
+        }
+        let DrainUpdate {
+            name,
+            version,
+            drain,
+        } = update;
+        let update = match drain {
+            None => RecordUpdate::Delete,
+            Some(drain) => {
+                log_progress(&name, &drain);
+                let Some(value) = encode(drain, context) else {
+                    tracing::error!(drain = %name, "drain record too large");
+                    return;
+                };
+                RecordUpdate::Put(value)
+            }
+        };
+        let write = ConditionalWrite {
+            key: drain_key(&name),
+            version,
+            update,
+        };
+        self.send(write, None, Some(leader_version), context);
+    }
+
+    /// Removes a drain whose retention is over.
+    fn remove_expired(&mut self, leader_version: Version, context: &mut Context) {
+        let now = context.now();
+        if now.since(self.leader.last_expiry_at) < EXPIRY_INTERVAL_MS
+            || !context.kv.may(now, RequestPriority::Spare, 1)
+        {
+            return;
+        }
+        self.leader.last_expiry_at = now;
+        let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(RETENTION_MS));
+        let mut drains = context.records.drains.iter();
+        let expired = drains.find(|(_, v)| {
+            let drain = &v.value;
+            let last_change = drain.stepped.unwrap_or(drain.asked).max(drain.asked);
+            drain.state.ended() && drain.kept.is_empty() && last_change < limit
+        });
+        if let Some((name, v)) = expired {
+            let update = DrainUpdate {
+                name: name.clone(),
+                version: v.version,
+                drain: None,
+            };
+            self.write(update, leader_version, context);
+        }
+    }
+}
+
+fn log_progress(name: &Name, drain: &Drain) {
+    let step = drain.step.as_ref();
+    let ahead = drain.ahead.as_ref();
+    tracing::info!(drain = %name, state = drain.state.word(), steps = drain.steps,
+        emptied = drain.gone, why = drain.why, stage = ?step.map(|s| s.stage),
+        machines = step.map_or(0, |s| s.machines.len()),
+        ahead = ahead.map_or(0, |s| s.machines.len()), "drain advanced");
+}
+
+/// A drain that the operators' settings plan and of which there is no record.
+fn planned_drain(leader_ms: u64, context: &Context) -> Option<DrainUpdate> {
+    if !context.records.all_can(&Capability::drains()) {
+        return None;
+    }
+    let now = WallClockMillis(context.effects.wall_ms);
+    let planned = context.config.ops.drains.planned.iter();
+    let due = planned.filter(|p| seconds_to_ms(p.after_s) <= leader_ms);
+    let mut drains = due.filter_map(|p| p.drain.drain(now).ok());
+    let (name, drain) = drains.find(|(name, _)| !context.records.drains.contains_key(name))?;
+    Some(DrainUpdate {
+        name,
+        version: Version(0),
+        drain: Some(drain),
+    })
+}
+
+/// What other drains claim.
+#[derive(Default)]
+struct OtherDrains {
+    machines: BTreeSet<MachineId>,
+    /// The zones of machines in their steps.
+    zones: BTreeSet<String>,
+}
+
+impl OtherDrains {
+    /// What all drains but the one of this name claim.
+    fn of(name: &Name, machines: &BTreeMap<MachineId, Seen>, context: &Context) -> OtherDrains {
+        let mut others = OtherDrains::default();
+        for (_, v) in context.records.drains.iter().filter(|(n, _)| *n != name) {
+            let drain = &*v.value;
+            others.machines.extend(drain.kept.iter().cloned());
+            if drain.state.ended() {
+                continue;
+            }
+            // A machine that is named to stay empty is left to the drain that names it.
+            if drain.how.then == Then::Keep {
+                others.machines.extend(drain.which.machines.iter().cloned());
+            }
+            for machine in drain.leaving() {
+                others.machines.insert(machine.clone());
+                let zone = machines.get(machine).map(|m| m.zone.clone());
+                others.zones.extend(zone);
+            }
+        }
+        others
+    }
+}
+
+/// A drain's value, with smaller steps if it would be too large.
+fn encode(mut drain: Drain, context: &Context) -> Option<Value> {
+    loop {
+        let value = serde_json::to_value(&drain).ok()?;
+        if context.storage_limits.accepts(&value) {
+            return Some(value);
+        }
+        let steps = [&mut drain.ahead, &mut drain.step];
+        let large_step = steps.into_iter().flatten().find(|s| s.machines.len() > 1);
+        let is_reason_long = drain
+            .why
+            .as_ref()
+            .is_some_and(|why| why.len() > MAX_REASON_CHARS);
+        match large_step {
+            Some(step) => {
+                let half = step.machines.len() / 2;
+                step.machines.truncate(half);
+            }
+            None if drain.state == State::Halted && is_reason_long => {
+                drain.why = drain
+                    .why
+                    .map(|why| why.chars().take(MAX_REASON_CHARS).collect());
+            }
+            None => return None,
+        }
+    }
+}
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -1,177 +1,182 @@
-//! Drains: what operators ask, made durable before anybody is told, and the steps that the leader takes
-//! for each. Owners see the records and empty the machines of a step (`shard/emptying.rs`).
+//! Drains (graceful evictions): operators' requests, made durable before they are answered, and the steps
+//! that the leader takes for each. Shard leaders read the records and evict what runs on the machines of a
+//! step.
 
-mod asking;
-mod deciding;
-pub mod facts;
-mod guard;
-mod leading;
+mod cordons;
+mod decisions;
+pub mod disruption;
+mod leader;
+mod requests;
 
-pub use asking::{Ask, Read, read};
-pub use guard::{Closed, Draining};
-pub use leading::Heard;
+pub use cordons::{Cordon, DrainState};
+pub use leader::EvictionStatus;
+pub use requests::{DrainsRequest, parse_request};
 
+use super::conditional_write::ConditionalWrite;
 use super::context::{Context, KvRequest};
-use super::pending_requests::{PendingRequests, Waiting};
+use super::pending_requests::{PendingRequest, PendingRequests};
+use super::unavailable::Unavailable;
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use deciding::{Write, decide};
-use serde_json::Value;
+use decisions::decide;
+use leader::LeaderProgress;
 use snowshelf_calendar::entry::Name;
-use snowshelf_model::ids::{ConnectionId, MachineId, MonotonicMillis, Version};
-use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
-use snowshelf_model::records::Capability;
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version};
+use snowshelf_model::protocol::state::CompareAndSwap;
+use snowshelf_model::records::{Capability, LEADER_KEY};
 use std::collections::BTreeMap;
 
-/// The pause after another change came first.
-const AGAIN_MS: u64 = 50;
+/// The pause after another change came first, in milliseconds.
+const CONFLICT_BACKOFF_MS: u64 = 50;
+/// The pause after a step of the leader's failed, in milliseconds.
+const STEP_BACKOFF_MS: u64 = 500;
+/// Timeout of a transaction that only compares versions, in milliseconds.
+const CHECK_TIMEOUT_MS: u64 = 1_500;
 
-/// What waits for one transaction.
-struct Underway {
+/// A request, and its response once the write is durable.
+struct DecidedRequest {
+    pending: PendingRequest<DrainsRequest>,
+    response: Response,
+}
+
+/// The write whose outcome is awaited.
+struct InFlightWrite {
     id: u64,
-    key: String,
-    value: Option<Value>,
-    changes: bool,
-    /// Who asked, and what is answered once it is durable; nobody: the leader's own step.
-    asked: Option<(Waiting<Ask>, Response)>,
+    write: ConditionalWrite,
+    /// The request that it serves; none if it is a step of the leader's.
+    request: Option<DecidedRequest>,
 }
 
-/// What a drain waits for, in words, and what holds back the stops of its step.
+/// What a drain waits for, as operators read it.
 #[derive(Clone, Default)]
-pub struct Reason {
-    pub waits: String,
-    pub held: Vec<String>,
+pub struct WaitReason {
+    /// What it waits for.
+    pub waits_for: String,
+    /// Why evictions of its step are delayed.
+    pub blockers: Vec<String>,
 }
 
+/// The actor that serves requests on drains, and advances them while it is the leader's.
 #[derive(Default)]
 pub struct Drains {
-    queue: PendingRequests<Ask>,
-    underway: Option<Underway>,
-    next: u64,
+    pending: PendingRequests<DrainsRequest>,
+    in_flight: Option<InFlightWrite>,
+    last_request_id: u64,
     retry_at: MonotonicMillis,
-    /// When the leader last looked, and since when this controller leads.
-    led_at: MonotonicMillis,
-    leads_since: Option<MonotonicMillis>,
-    tidied_at: MonotonicMillis,
-    /// Machines of steps that their owners have returned, and when they said so: the cloud lists them a while
-    /// longer.
-    returned: BTreeMap<MachineId, MonotonicMillis>,
-    /// What each drain waits for: the leader's own look, or what it has told the others.
-    waits: BTreeMap<Name, Reason>,
+    leader: LeaderProgress,
+    /// What each drain waits for: as found here by the leader, or as the leader has sent it.
+    waits: BTreeMap<Name, WaitReason>,
 }
 
 impl Drains {
-    /// Takes a request. Whether the state service is there has been asked before.
-    pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
-        let why = if !context.records.all_can(&Capability::drains()) {
+    /// Queues a request. That the key-value store serves has been checked before.
+    pub fn handle(
+        &mut self,
+        connection: ConnectionId,
+        request: DrainsRequest,
+        context: &mut Context,
+    ) {
+        let refusal = if !context.records.all_can(&Capability::drains()) {
             Some("not every controller takes drains yet")
         } else if !context.records.loaded {
             Some("not able to decide yet")
         } else {
             None
         };
-        self.queue.take(conn, ask, why, context);
+        self.pending.push(connection, request, refusal, context);
     }
 
-    /// Sends everybody who waits away: the state service does not serve.
+    /// Refuses all pending requests: the key-value store does not serve.
     pub fn refuse_all(&mut self, context: &mut Context) {
-        self.queue.refuse_all(context);
+        self.pending.refuse_all(context);
     }
 
-    /// Decides the request that has waited longest.
+    /// Decides the oldest request.
     pub fn tick(&mut self, context: &mut Context) {
         let now = context.now();
-        self.queue.give_up(context);
-        if self.underway.is_some() || now < self.retry_at || !context.records.loaded {
+        self.pending.expire(context);
+        if self.in_flight.is_some() || now < self.retry_at || !context.records.loaded {
             return;
         }
-        while let Some(waiting) = self.queue.pop() {
-            let decided = decide(&waiting.ask, &self.waits, context);
-            let Some(write) = decided.write else {
-                context.effects.respond(waiting.conn, decided.response);
+        while let Some(pending) = self.pending.pop() {
+            let decision = decide(&pending.request, &self.waits, context);
+            let response = decision.response;
+            let Some(write) = decision.write else {
+                context.effects.respond(pending.connection, response);
                 continue;
             };
-            let writes = usize::from(write.changes);
+            let writes = usize::from(write.changes_record());
             if !context.kv.may(now, RequestPriority::Accept, writes) {
-                self.queue.put_back(vec![waiting]);
+                self.pending.put_back(vec![pending]);
                 return;
             }
-            self.send(write, Some((waiting, decided.response)), None, context);
+            let request = DecidedRequest { pending, response };
+            self.send(write, Some(request), None, context);
             return;
         }
     }
 
-    /// Sends a change of one record, or asks whether it is as it is known here.
+    /// Sends a write; one of the leader's is conditional on `leader_version` of its key.
     fn send(
         &mut self,
-        write: Write,
-        asked: Option<(Waiting<Ask>, Response)>,
-        leads: Option<(String, Version)>,
+        write: ConditionalWrite,
+        request: Option<DecidedRequest>,
+        leader_version: Option<Version>,
         context: &mut Context,
     ) {
         let mut swap = CompareAndSwap::default().compare(write.key.clone(), write.version);
-        if let Some((key, version)) = leads {
-            swap = swap.compare(key, version);
-        }
-        if write.changes {
-            swap = swap.mutate(match &write.value {
-                Some(value) => Mutation::put(write.key.clone(), value),
-                None => Mutation::Delete {
-                    key: write.key.clone(),
-                },
-            });
+        if let Some(version) = leader_version {
+            swap = swap.compare(LEADER_KEY.to_string(), version);
         }
-        self.next += 1;
-        let tag = KvRequest::Drains(self.next);
-        match write.changes {
-            true => context.kv.compare_and_swap(context.effects, tag, &swap),
-            false => context
+        swap.mutations.extend(write.mutation());
+        self.last_request_id += 1;
+        let id = self.last_request_id;
+        let kv_request = KvRequest::Drains(id);
+        if write.changes_record() {
+            context
+                .kv
+                .compare_and_swap(context.effects, kv_request, &swap);
+        } else {
+            context
                 .kv
-                .check_versions(context.effects, tag, &swap, 1_500),
+                .check_versions(context.effects, kv_request, &swap, CHECK_TIMEOUT_MS);
         }
-        self.underway = Some(Underway {
-            id: self.next,
-            key: write.key,
-            value: write.value,
-            changes: write.changes,
-            asked,
-        });
+        self.in_flight = Some(InFlightWrite { id, write, request });
     }
 
-    /// The answer to a transaction.
-    pub fn done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
-        let Some(underway) = self.underway.take_if(|u| u.id == id) else {
+    /// Handles the outcome of a write.
+    pub fn on_outcome(&mut self, id: u64, outcome: SwapOutcome, context: &mut Context) {
+        let Some(InFlightWrite { write, request, .. }) = self.in_flight.take_if(|w| w.id == id)
+        else {
             return;
         };
         let now = context.now();
-        match (result, underway.asked) {
-            (SwapOutcome::Done(revision), asked) => {
-                if underway.changes {
+        match (outcome, request) {
+            (SwapOutcome::Done(revision), request) => {
+                if write.changes_record() {
                     tracing::info!(
-                        key = underway.key,
-                        asked = asked.is_some(),
+                        key = write.key,
+                        requested = request.is_some(),
                         "drain or disruption budget changed"
                     );
-                    context
-                        .records
-                        .apply(&underway.key, underway.value.as_ref(), revision);
+                    context.records.apply(&write.key, write.value(), revision);
                 }
-                if let Some((waiting, response)) = asked {
-                    context.effects.respond(waiting.conn, response);
+                if let Some(DecidedRequest { pending, response }) = request {
+                    context.effects.respond(pending.connection, response);
                 }
             }
-            (SwapOutcome::Conflict(_), asked) => {
-                // The feed brings what was changed; then it is decided anew.
-                self.retry_at = now.plus(AGAIN_MS);
-                if let Some((waiting, _)) = asked {
-                    self.queue.put_back(vec![waiting]);
+            (SwapOutcome::Conflict(_), request) => {
+                // The watch brings what was changed; then it is decided again.
+                self.retry_at = now.plus(CONFLICT_BACKOFF_MS);
+                if let Some(DecidedRequest { pending, .. }) = request {
+                    self.pending.put_back(vec![pending]);
                 }
             }
-            (_, Some((waiting, _))) => {
-                let later = Response::later(503, "the state service did not answer", 1);
-                context.effects.respond(waiting.conn, later);
+            (_, Some(DecidedRequest { pending, .. })) => {
+                let unavailable = Unavailable::StoreNotResponding.into();
+                context.effects.respond(pending.connection, unavailable);
             }
-            (_, None) => self.retry_at = now.plus(500),
+            (_, None) => self.retry_at = now.plus(STEP_BACKOFF_MS),
         }
     }
 }
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -1,7 +1,7 @@
 //! What the other controllers say. Hints only: no rule depends on them.
 
 use super::context::Config;
-use super::drains::{Heard, Reason};
+use super::drains::{EvictionStatus, WaitReason};
 use super::shard::StealOffer;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_calendar::entry::Name;
@@ -207,13 +207,13 @@
     }
 
     /// What the leader says that drains wait for.
-    pub fn drain_waits(&self, now: MonotonicMillis) -> BTreeMap<Name, Reason> {
+    pub fn drain_waits(&self, now: MonotonicMillis) -> BTreeMap<Name, WaitReason> {
         let waits = self.fresh(now).flat_map(|(_, h)| h.waits.iter());
         waits
             .filter_map(|w| {
-                let reason = Reason {
-                    waits: w.waits.clone(),
-                    held: w.held.clone(),
+                let reason = WaitReason {
+                    waits_for: w.waits.clone(),
+                    blockers: w.held.clone(),
                 };
                 Some((Name::parse(&w.drain)?, reason))
             })
@@ -221,17 +221,17 @@
     }
 
     /// What the owners of other parts say of drains.
-    pub fn of_drains(&self, now: MonotonicMillis) -> Heard {
-        let mut heard = Heard::default();
+    pub fn of_drains(&self, now: MonotonicMillis) -> EvictionStatus {
+        let mut status = EvictionStatus::default();
         for shard_id in self.fresh(now).flat_map(|(_, h)| h.shards.iter()) {
             let names = |list: &[String]| -> Vec<MachineId> {
                 list.iter().map(|m| MachineId::new(m)).collect()
             };
-            heard.empty.extend(names(&shard_id.empty));
-            heard.sick.extend(names(&shard_id.sick));
-            heard.held.extend(shard_id.held.iter().cloned());
+            status.empty.extend(names(&shard_id.empty));
+            status.failing.extend(names(&shard_id.sick));
+            status.blockers.extend(shard_id.held.iter().cloned());
         }
-        heard
+        status
     }
 
     /// How many tasks that were tried before run again, by part and job.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod api;
 pub mod autoscaler;
+mod conditional_write;
 pub mod context;
 pub mod controller;
 pub mod dag_runs;
@@ -12,11 +13,13 @@
 pub mod images;
 mod lease_renewal;
 pub mod leases;
+mod list_request;
 pub mod list_watch;
 mod pending_requests;
 pub mod placement;
 mod query;
 pub mod reachability;
+mod request_error;
 pub mod reservations;
 pub mod shard;
 mod unavailable;
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -1,83 +1,98 @@
-//! Requests that wait for an actor's decision, oldest first: so many at the most, and each for a while only.
+//! Requests that wait for an actor's decision, oldest first: a bounded queue with a deadline for each.
 
 use super::context::Context;
+use super::unavailable::Unavailable;
 use crate::effects::Response;
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::collections::VecDeque;
 
-/// Requests that wait at the most; more are sent away at once.
-const MOST_WAITING: usize = 200;
-/// How long a request waits for the picture to catch up or the state service to have room.
-const PATIENCE_MS: u64 = 2_000;
+/// Requests that wait at most; more are refused at once.
+const MAX_PENDING: usize = 200;
+/// How long a request waits for the record cache to catch up or the key-value store to have room, in
+/// milliseconds.
+const DEADLINE_MS: u64 = 2_000;
+/// Seconds after which a request that is refused at once should be repeated.
+const RETRY_AFTER_S: u64 = 2;
 
-pub struct Waiting<A> {
-    pub conn: ConnectionId,
-    pub ask: A,
-    since: MonotonicMillis,
+/// A request that waits for a decision.
+pub struct PendingRequest<R> {
+    /// Who waits for the response.
+    pub connection: ConnectionId,
+    /// What is asked.
+    pub request: R,
+    received_at: MonotonicMillis,
 }
 
-pub struct PendingRequests<A>(VecDeque<Waiting<A>>);
+/// A queue of requests.
+pub struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
-impl<A> Default for PendingRequests<A> {
-    fn default() -> PendingRequests<A> {
+impl<R> Default for PendingRequests<R> {
+    fn default() -> PendingRequests<R> {
         PendingRequests(VecDeque::new())
     }
 }
 
-impl<A> PendingRequests<A> {
-    /// Takes a request, unless something speaks against that now.
-    pub fn take(
+impl<R> PendingRequests<R> {
+    /// Queues a request, unless there is a reason to refuse it now.
+    pub fn push(
         &mut self,
-        conn: ConnectionId,
-        ask: A,
-        against: Option<&str>,
+        connection: ConnectionId,
+        request: R,
+        refusal: Option<&str>,
         context: &mut Context,
     ) {
-        let many = self.0.len() >= MOST_WAITING;
-        if let Some(why) = against.or(many.then_some("too many requests")) {
-            context.effects.respond(conn, Response::later(503, why, 2));
+        let is_full = self.0.len() >= MAX_PENDING;
+        if let Some(why) = refusal.or(is_full.then_some("too many requests")) {
+            let refused = Response::later(503, why, RETRY_AFTER_S);
+            context.effects.respond(connection, refused);
             return;
         }
-        let since = context.now();
-        self.0.push_back(Waiting { conn, ask, since });
+        self.0.push_back(PendingRequest {
+            connection,
+            request,
+            received_at: context.now(),
+        });
     }
 
-    /// Sends everybody away: the state service does not serve.
+    /// Refuses all requests: the key-value store does not serve.
     pub fn refuse_all(&mut self, context: &mut Context) {
-        for waiting in self.0.drain(..) {
-            let later = Response::later(503, "the state service is away", 2);
-            context.effects.respond(waiting.conn, later);
+        for pending in self.0.drain(..) {
+            let unavailable = Unavailable::StoreDown.into();
+            context.effects.respond(pending.connection, unavailable);
         }
     }
 
-    /// Sends those away who have waited for too long.
-    pub fn give_up(&mut self, context: &mut Context) {
+    /// Refuses the requests whose deadline has passed.
+    pub fn expire(&mut self, context: &mut Context) {
         let now = context.now();
-        while let Some(waiting) = self.0.front()
-            && now.since(waiting.since) > PATIENCE_MS
+        while let Some(pending) = self.0.front()
+            && now.since(pending.received_at) > DEADLINE_MS
         {
-            let later = Response::later(503, "could not be settled yet", 1);
-            context.effects.respond(waiting.conn, later);
+            let unavailable = Unavailable::Contended.into();
+            context.effects.respond(pending.connection, unavailable);
             self.0.pop_front();
         }
     }
 
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    pub fn front(&self) -> Option<&Waiting<A>> {
+    /// The oldest request.
+    pub fn front(&self) -> Option<&PendingRequest<R>> {
         self.0.front()
     }
 
-    pub fn pop(&mut self) -> Option<Waiting<A>> {
+    /// Takes the oldest request.
+    pub fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
-    /// Puts back what is to be decided anew, in the order in which it was taken.
-    pub fn put_back(&mut self, waiting: Vec<Waiting<A>>) {
-        for w in waiting.into_iter().rev() {
-            self.0.push_front(w);
+    /// Puts requests back that are to be decided again, in the order in which they were taken.
+    pub fn put_back(&mut self, requests: Vec<PendingRequest<R>>) {
+        for pending in requests.into_iter().rev() {
+            self.0.push_front(pending);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/reservations/commit.rs
@@ -0,0 +1,175 @@
+//! Decisions in batches: requests are decided on a copy of the calendar and written in one transaction.
+
+use super::decisions::{CalendarDecision, decide};
+use super::requests::CalendarRequest;
+use super::{Reservations, ReservationsRequest};
+use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::pending_requests::PendingRequest;
+use crate::coordination::unavailable::Unavailable;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::RecordChange;
+use serde_json::{Value, json};
+use snowshelf_model::ids::Version;
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::CALENDAR_KEY;
+use std::collections::BTreeSet;
+
+/// The pause after another change came first, in milliseconds.
+const CONFLICT_BACKOFF_MS: u64 = 50;
+/// Timeout of a transaction that only compares versions, in milliseconds.
+const CHECK_TIMEOUT_MS: u64 = 1_500;
+
+/// A request, and what was decided on it.
+struct DecidedRequest {
+    pending: PendingRequest<CalendarRequest>,
+    decision: CalendarDecision,
+}
+
+/// Decisions that wait for the outcome of one transaction.
+pub(super) struct DecisionBatch {
+    id: u64,
+    /// The version of the calendar's key on which they rest.
+    calendar_version: Version,
+    requests: Vec<DecidedRequest>,
+}
+
+impl Reservations {
+    /// Decides all pending requests, one after the other on a copy of the calendar, and writes what they
+    /// change in one transaction.
+    pub(super) fn decide_pending(&mut self, context: &mut Context) {
+        let now = context.now();
+        self.pending.expire(context);
+        if self
+            .conflicted_version
+            .is_some_and(|version| version != context.records.calendar)
+        {
+            self.conflicted_version = None;
+        }
+        let must_wait =
+            self.in_flight.is_some() || self.conflicted_version.is_some() || now < self.retry_at;
+        if self.pending.is_empty() || must_wait || !self.is_built {
+            return;
+        }
+        let (swap, requests) = self.collect_decisions(context);
+        if requests.is_empty() {
+            return;
+        }
+        let writes = swap.mutations.len();
+        if !context.kv.may(now, RequestPriority::Accept, writes) {
+            let pending = requests.into_iter().map(|r| r.pending).collect();
+            self.pending.put_back(pending);
+            return;
+        }
+        self.last_request_id += 1;
+        self.in_flight = Some(DecisionBatch {
+            id: self.last_request_id,
+            calendar_version: context.records.calendar,
+            requests,
+        });
+        let request = KvRequest::Reservations(ReservationsRequest::Decide(self.last_request_id));
+        if swap.mutations.is_empty() {
+            context
+                .kv
+                .check_versions(context.effects, request, &swap, CHECK_TIMEOUT_MS);
+        } else {
+            context.kv.compare_and_swap(context.effects, request, &swap);
+        }
+    }
+
+    /// The decisions on as many pending requests as one transaction takes, and that transaction.
+    fn collect_decisions(
+        &mut self,
+        context: &mut Context,
+    ) -> (CompareAndSwap, Vec<DecidedRequest>) {
+        let max_writes = context
+            .kv
+            .room(context.now(), RequestPriority::Accept)
+            .min(context.storage_limits.txn_ops);
+        let mut calendar = self.calendar.clone();
+        let mut swap =
+            CompareAndSwap::default().compare(CALENDAR_KEY.to_string(), context.records.calendar);
+        let mut keys = BTreeSet::new();
+        let mut requests = Vec::new();
+        while let Some(first) = self.pending.front() {
+            let decision = decide(&first.request, &mut calendar, context);
+            if let Some(write) = &decision.write {
+                // The common key takes one change, each entry another, and none two.
+                if keys.len() + 2 > max_writes || !keys.insert(write.key.clone()) {
+                    break;
+                }
+                swap = write.add_to(swap);
+            }
+            let pending = self.pending.pop();
+            requests.extend(pending.map(|pending| DecidedRequest { pending, decision }));
+        }
+        if !keys.is_empty() {
+            let count = json!({"revision": context.records.revision});
+            swap = swap.mutate(Mutation::put(CALENDAR_KEY.to_string(), &count));
+        }
+        (swap, requests)
+    }
+
+    /// Handles the outcome of a transaction; what has changed by it.
+    pub(super) fn on_decided(
+        &mut self,
+        id: u64,
+        outcome: SwapOutcome,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
+        let Some(batch) = self.in_flight.take_if(|batch| batch.id == id) else {
+            return Vec::new();
+        };
+        match outcome {
+            SwapOutcome::Done(revision) => return respond(batch.requests, revision, context),
+            SwapOutcome::Conflict(keys) => {
+                // The watch brings what was changed; then it is decided again.
+                if keys.iter().any(|key| key == CALENDAR_KEY) {
+                    self.conflicted_version = Some(batch.calendar_version);
+                }
+                self.retry_at = context.now().plus(CONFLICT_BACKOFF_MS);
+                let pending = batch.requests.into_iter().map(|r| r.pending).collect();
+                self.pending.put_back(pending);
+            }
+            SwapOutcome::NoLease
+            | SwapOutcome::Refused
+            | SwapOutcome::NotDone
+            | SwapOutcome::Unknown => {
+                for DecidedRequest { pending, .. } in batch.requests {
+                    let unavailable = Unavailable::StoreNotResponding.into();
+                    context.effects.respond(pending.connection, unavailable);
+                }
+            }
+        }
+        Vec::new()
+    }
+}
+
+/// Answers requests whose decisions are durable; what has changed by them.
+fn respond(
+    requests: Vec<DecidedRequest>,
+    revision: Version,
+    context: &mut Context,
+) -> Vec<RecordChange> {
+    let mut changes = Vec::new();
+    let mut calendar_changed = false;
+    for DecidedRequest { pending, decision } in requests {
+        if let Some(write) = &decision.write {
+            calendar_changed = true;
+            let status = decision.response.status;
+            tracing::info!(key = write.key, status, "calendar changed");
+            for name in &decision.displaced {
+                tracing::info!(reservation = %name, window = write.key,
+                    "maintenance window forced over reservation");
+            }
+            changes.extend(context.records.apply(&write.key, write.value(), revision));
+        }
+        context
+            .effects
+            .respond(pending.connection, decision.response);
+    }
+    if calendar_changed {
+        let value = Value::Null;
+        changes.extend(context.records.apply(CALENDAR_KEY, Some(&value), revision));
+    }
+    changes
+}
--- /dev/null
+++ b/src/coordination/reservations/expiry.rs
@@ -0,0 +1,79 @@
+//! Removal of entries that have long been over, with writes that nobody else needs.
+
+use super::{DAY_MS, Reservations, ReservationsRequest};
+use crate::coordination::context::{Context, KvRequest};
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::{RecordChange, reservation_key, window_key};
+use snowshelf_calendar::entry::When;
+use snowshelf_model::ids::{MonotonicMillis, Version, WallClockMillis};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+
+/// How long an entry is retained after its end, in milliseconds.
+const RETENTION_MS: u64 = DAY_MS;
+/// Time between two searches for expired entries, in milliseconds.
+const SEARCH_INTERVAL_MS: u64 = 10_000;
+
+/// The search for expired entries, and the removal in flight.
+#[derive(Default)]
+pub(super) struct Expiry {
+    searched_at: MonotonicMillis,
+    is_removing: bool,
+}
+
+impl Reservations {
+    /// Removes an entry whose retention is over.
+    pub(super) fn remove_expired(&mut self, context: &mut Context) {
+        let now = context.now();
+        if self.expiry.is_removing || now.since(self.expiry.searched_at) < SEARCH_INTERVAL_MS {
+            return;
+        }
+        self.expiry.searched_at = now;
+        let Some((key, version)) = expired_entry(context) else {
+            return;
+        };
+        if !context.kv.may(now, RequestPriority::Spare, 1) {
+            return;
+        }
+        self.expiry.is_removing = true;
+        let swap = CompareAndSwap::default()
+            .compare(key.clone(), version)
+            .mutate(Mutation::Delete { key: key.clone() });
+        let request = KvRequest::Reservations(ReservationsRequest::RemoveExpired { key });
+        context.kv.compare_and_swap(context.effects, request, &swap);
+    }
+
+    /// Handles the outcome of a removal; what has changed by it.
+    pub(super) fn on_removed(
+        &mut self,
+        key: &str,
+        outcome: &SwapOutcome,
+        context: &mut Context,
+    ) -> Vec<RecordChange> {
+        self.expiry.is_removing = false;
+        let SwapOutcome::Done(revision) = outcome else {
+            return Vec::new();
+        };
+        tracing::info!(key, "expired calendar entry removed");
+        let change = context.records.apply(key, None, *revision);
+        change.into_iter().collect()
+    }
+}
+
+/// The key and version of an entry whose retention is over.
+fn expired_entry(context: &Context) -> Option<(String, Version)> {
+    let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(RETENTION_MS));
+    let is_over = |when: &When| match when {
+        When::Once { until, .. } => *until < limit,
+        When::Again(rule) => rule
+            .occurrences(limit, WallClockMillis(u64::MAX), 1)
+            .is_empty(),
+    };
+    let mut reservations = context.records.reservations.iter();
+    let reservation = reservations.find(|(_, v)| v.value.until < limit);
+    if let Some((name, v)) = reservation {
+        return Some((reservation_key(name), v.version));
+    }
+    let mut windows = context.records.windows.iter();
+    let window = windows.find(|(_, v)| is_over(&v.value.when));
+    window.map(|(name, v)| (window_key(name), v.version))
+}
--- a/src/coordination/reservations/view.rs
+++ b/src/coordination/reservations/responses.rs
@@ -1,24 +1,27 @@
-//! Reservations and windows as users read them.
+//! The bodies of responses: reservations and maintenance windows as users read them.
 
-pub(super) use crate::storage::record_cache::{reservation_key, window_key};
+use crate::coordination::list_request::ListRequest;
 use serde_json::{Value, json};
 use snowshelf_calendar::calendar::Calendar;
 use snowshelf_calendar::entry::{Name, Reservation, When, Window, shown};
 use snowshelf_calendar::refusal::{Clash, Kind};
 use snowshelf_model::ids::WallClockMillis;
 
-/// The next occurrences that a window's answer shows.
-const SHOWN_TIMES: usize = 3;
+/// How many occurrences of a recurring window a response has.
+const MAX_OCCURRENCES: usize = 3;
 
+/// Entries that clash with another.
 pub(super) fn clashes(list: &[Clash]) -> Value {
     let one = |c: &Clash| json!({"name": c.name.as_str(), "from": shown(c.from), "until": shown(c.until)});
     list.iter().map(one).collect()
 }
 
+/// An entry that is cancelled.
 pub(super) fn cancelled(name: &Name) -> Value {
     json!({"name": name.as_str(), "state": "cancelled"})
 }
 
+/// A reservation, with the windows that displace it.
 pub(super) fn reservation(
     name: &Name,
     r: &Reservation,
@@ -30,7 +33,7 @@
         _ if now < r.until => "open",
         _ => "over",
     };
-    let whole = r.amount.room();
+    let total = r.amount.room();
     let places: Vec<Value> = r
         .shares
         .iter()
@@ -41,7 +44,7 @@
         })
         .collect();
     let mut body = json!({"name": name.as_str(), "state": state, "team": r.team.as_str(),
-        "cpus": whole.cpus, "gpus": whole.gpus, "mem_gb": whole.mem, "spot": r.spot,
+        "cpus": total.cpus, "gpus": total.gpus, "mem_gb": total.mem, "spot": r.spot,
         "from": shown(r.from), "until": shown(r.until), "places": places});
     if let Some(zone) = &r.zone {
         body["zone"] = json!(zone);
@@ -49,10 +52,10 @@
     if let Some(types) = &r.types {
         body["types"] = json!(types);
     }
-    if let Some(asked) = r.moved_from {
-        body["moved_from"] = json!(shown(asked));
+    if let Some(requested) = r.moved_from {
+        body["moved_from"] = json!(shown(requested));
     }
-    // A window that was forced over it: whoever reads it is told.
+    // Windows that were forced over it.
     let displaced = calendar.displaced(r);
     if !displaced.is_empty() {
         body["displaced_by"] = clashes(&displaced);
@@ -60,9 +63,10 @@
     body
 }
 
+/// A maintenance window, with its next occurrences.
 pub(super) fn window(name: &Name, w: &Window, calendar: &Calendar, now: WallClockMillis) -> Value {
-    let times = w.occurrences(now, calendar.planned(), SHOWN_TIMES);
-    let state = match times.first() {
+    let occurrences = w.occurrences(now, calendar.planned(), MAX_OCCURRENCES);
+    let state = match occurrences.first() {
         Some((from, _)) if *from <= now => "open",
         Some(_) => "ahead",
         None => "over",
@@ -81,7 +85,7 @@
         }
         When::Again(rule) => {
             body["rule"] = json!(rule);
-            let next: Vec<Value> = times
+            let next: Vec<Value> = occurrences
                 .iter()
                 .map(|(from, until)| json!({"from": shown(*from), "until": shown(*until)}))
                 .collect();
@@ -91,29 +95,28 @@
     body
 }
 
+/// A page of entries, in the order of their names.
 pub(super) fn list(
     kind: Kind,
-    after: Option<&Name>,
-    limit: usize,
+    page: &ListRequest,
     calendar: &Calendar,
     now: WallClockMillis,
 ) -> Value {
-    let later = |name: &Name| after.is_none_or(|after| name > after);
-    let mut found: Vec<Value> = match kind {
+    let mut entries: Vec<Value> = match kind {
         Kind::Reservation => calendar
             .reservations()
-            .filter(|(name, _)| later(name))
-            .take(limit + 1)
+            .filter(|(name, _)| page.includes(name))
+            .take(page.limit + 1)
             .map(|(name, r)| reservation(name, r, calendar, now))
             .collect(),
         Kind::Window => calendar
             .windows()
-            .filter(|(name, _, _)| later(name))
-            .take(limit + 1)
+            .filter(|(name, _, _)| page.includes(name))
+            .take(page.limit + 1)
             .map(|(name, w, _)| window(name, w, calendar, now))
             .collect(),
     };
-    let more = found.len() > limit;
-    found.truncate(limit);
-    json!({"items": found, "more": more})
+    let more = entries.len() > page.limit;
+    entries.truncate(page.limit);
+    json!({"items": entries, "more": more})
 }
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -5,7 +5,7 @@
 use super::persistence::REFUSED_MS;
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
-use crate::coordination::drains::facts::{TeamWork, tried, with_picture};
+use crate::coordination::drains::disruption::{TeamDisruption, retried_tasks, with_record_view};
 use crate::coordination::shard::reservations::stay_ms;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::ledger_key;
@@ -35,19 +35,19 @@
     pub(super) fn tend_closed(&mut self, context: &mut Context) {
         let now = context.now();
         for (name, m) in &mut self.machines {
-            let closed = context.drains.closed.contains_key(name);
+            let closed = context.drains.cordoned.contains_key(name);
             if closed != m.closed {
                 m.closed = closed;
                 m.opened = now;
                 // Guards against handing back at once, as long idle, what was kept empty until now.
                 m.idle_since = m.idle_since.map(|_| now);
                 self.dirty = true;
-                let drain = context.drains.closed.get(name).map(|c| c.drain.as_str());
+                let drain = context.drains.cordoned.get(name).map(|c| c.drain.as_str());
                 tracing::info!(machine = %name, shard = %self.id, closed, drain, "machine cordon changed by drain");
             }
         }
         self.held_back.clear();
-        if context.drains.closed.is_empty() {
+        if context.drains.cordoned.is_empty() {
             return;
         }
         self.charge(context);
@@ -66,7 +66,7 @@
     fn overdue(&self, context: &Context) -> BTreeMap<Team, Vec<Ask>> {
         let now = context.effects.now;
         let mut found: BTreeMap<Team, Vec<(bool, f64, Ask)>> = BTreeMap::new();
-        for (name, closed) in &context.drains.closed {
+        for (name, closed) in &context.drains.cordoned {
             if shard_of(name.as_str(), context.config.shard_count) != self.id {
                 continue;
             }
@@ -123,7 +123,7 @@
         }
         // A picture that may be old is not asked what is away; nor is one in which a share is newer than the rest:
         // tasks that another part claimed from it would be nowhere.
-        if !context.drains.fresh || context.records.revision < context.records.read_ahead {
+        if !context.drains.records_fresh || context.records.revision < context.records.read_ahead {
             return;
         }
         let overdue = self.overdue(context);
@@ -137,27 +137,32 @@
         // Of its own part an owner knows what runs again and what is lost as of now.
         context
             .drains
-            .again
+            .restarted_tasks
             .retain(|(shard_id, _), _| *shard_id != self.id);
         let again = self.again(context).into_iter();
         let again = again.map(|(job, n)| ((self.id, job), n));
-        context.drains.again.extend(again);
+        context.drains.restarted_tasks.extend(again);
         let losing = self.losing(now, context);
         for (team, asks) in overdue {
             let before = context.records.ledgers.get(&team);
             let version = before.map_or(Version(0), |v| v.version);
             let stored = before.map_or(Ledger::default(), |v| (*v.value).clone());
             let mut ledger = stored;
-            with_picture(context, |picture| {
+            with_record_view(context, |picture| {
                 let void = |c: &Charge| self.void(c, now, context);
                 ledger.settle(&default, void, picture, wall, skew_ms)
             });
-            let mut work = TeamWork::of(&team, context);
+            let mut work = TeamDisruption::of(&team, context);
             let mine = losing.get(&team).copied().unwrap_or_default();
-            let theirs = context.drains.lost.get(&team).copied().unwrap_or_default();
+            let theirs = context
+                .drains
+                .lost_tasks
+                .get(&team)
+                .copied()
+                .unwrap_or_default();
             for lost in [mine, theirs] {
-                work.away.cpus += lost.cpus;
-                work.away.tasks = work.away.tasks.saturating_add(lost.tasks);
+                work.unavailable.cpus += lost.cpus;
+                work.unavailable.tasks = work.unavailable.tasks.saturating_add(lost.tasks);
             }
             let (mut charged, mut short) = (0, None);
             for ask in &asks {
@@ -167,7 +172,7 @@
                     continue;
                 }
                 let facts = work.facts(&ask.job);
-                let next = with_picture(context, |picture| {
+                let next = with_record_view(context, |picture| {
                     ledger.charge(&default, ask, &facts, picture, wall, skew_ms)
                 });
                 match next {
@@ -228,7 +233,7 @@
         let mine = |c: &Charge| shard_of(c.machine.as_str(), context.config.shard_count) == self.id;
         let found = context.records.ledgers.iter().find_map(|(team, v)| {
             let mut ledger = (*v.value).clone();
-            let over = with_picture(context, |picture| {
+            let over = with_record_view(context, |picture| {
                 let over = |c: &Charge| mine(c) && (!picture.open(c) || self.void(c, now, context));
                 ledger.settle(&default, over, picture, wall, skew_ms)
             });
@@ -249,7 +254,7 @@
         let lease_ms = context.config.settings.lease_ms();
         shard_of(name.as_str(), context.config.shard_count) == self.id
             && now.since(self.taken) > lease_ms
-            && !context.drains.closed.contains_key(name)
+            && !context.drains.cordoned.contains_key(name)
             && self
                 .machines
                 .get(name)
@@ -281,7 +286,7 @@
     pub fn again(&self, context: &Context) -> BTreeMap<JobId, u32> {
         let mut found = BTreeMap::new();
         for (id, job) in &self.jobs {
-            if job.durable.started.values().all(|s| tried(s) == 0) {
+            if job.durable.started.values().all(|s| retried_tasks(s) == 0) {
                 continue;
             }
             let mut again = 0;
@@ -361,7 +366,7 @@
         let Some(m) = self.machines.get(name) else {
             return Grounds::default();
         };
-        let closed = context.drains.closed.get(name).filter(|_| m.closed);
+        let closed = context.drains.cordoned.get(name).filter(|_| m.closed);
         Grounds {
             cancelled: self.jobs.get(job).is_some_and(|j| j.cancelled()),
             noticed: m.notice_until.is_some(),
@@ -390,7 +395,7 @@
     /// Closed machines on which nothing is, of those that are kept so, and those that were returned, which the
     /// cloud lists a while longer.
     pub fn emptied(&self, context: &Context) -> Vec<MachineId> {
-        let closed = context.drains.closed.iter();
+        let closed = context.drains.cordoned.iter();
         closed
             .filter(|(name, c)| match self.machines.get(*name) {
                 Some(m) => {
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -30,7 +30,7 @@
             let frozen = self.may_be_frozen(&name, context);
             let busy = holds || self.kept_ready(&name, ahead_ms, context);
             // What a drain keeps empty is not handed back, and what it returns goes when it is empty.
-            let then = context.drains.closed.get(&name).map(|c| c.then);
+            let then = context.drains.cordoned.get(&name).map(|c| c.then);
             let Some(m) = self.machines.get_mut(&name) else {
                 continue;
             };
