--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -1,7 +1,7 @@
 //! Drains: what placement and scaling must respect of them, the leader's next step, and what shard leaders say of them.
 
 use super::Controller;
-use crate::coordination::drains::{Draining, Heard};
+use crate::coordination::drains::{DrainState, EvictionStatus};
 use snowshelf_drain::budget::Amount;
 use snowshelf_model::ids::{MachineId, MonotonicMillis, ShardId, Team};
 use snowshelf_model::protocol::peer::{DrainProgress, LostTasks, RestartedTasks, ShardStatus};
@@ -23,14 +23,14 @@
 /// What placement and scaling must respect of the drains, and as of when.
 #[derive(Default)]
 pub(super) struct DrainTracker {
-    constraints: Draining,
+    constraints: DrainState,
     /// The record cache's count of drain changes that the constraints reflect.
     drain_changes: u64,
     counted_at: MonotonicMillis,
 }
 
 impl DrainTracker {
-    pub(super) fn constraints_mut(&mut self) -> &mut Draining {
+    pub(super) fn constraints_mut(&mut self) -> &mut DrainState {
         &mut self.constraints
     }
 }
@@ -41,7 +41,7 @@
         let env = &mut self.env;
         if env.drains.drain_changes != env.records.drain_changes {
             env.drains.drain_changes = env.records.drain_changes;
-            env.drains.constraints = Draining::of(&env.records.drains);
+            env.drains.constraints = DrainState::of(&env.records.drains);
         }
         let is_due = env.now().since(env.drains.counted_at) >= COUNT_INTERVAL_MS;
         if !env.drains.constraints.is_idle() && is_due {
@@ -59,14 +59,14 @@
         let watch_lags = now.since(self.list_watch.feed_at) > MAX_WATCH_LAG_MS;
         self.env.drains.counted_at = now;
         let constraints = &mut self.env.drains.constraints;
-        constraints.fresh = self.env.records.loaded && !watch_lags;
-        constraints.lost = self.gossip.lost_tasks(now);
-        constraints.again = self.gossip.restarted_tasks(now);
+        constraints.records_fresh = self.env.records.loaded && !watch_lags;
+        constraints.lost_tasks = self.gossip.lost_tasks(now);
+        constraints.restarted_tasks = self.gossip.restarted_tasks(now);
         self.for_each_shard(|shard, context| {
             let shard_id = shard.id;
             let restarted = shard.again(context).into_iter();
             let restarted = restarted.map(|(job, tasks)| ((shard_id, job), tasks));
-            context.drains.again.extend(restarted);
+            context.drains.restarted_tasks.extend(restarted);
         });
     }
 
@@ -83,32 +83,34 @@
             return;
         }
         let may_lead = self.leases.is_valid(now) && self.env.records.loaded && self.env.is_served();
-        if !may_lead || !self.drains.due(&self.env.context()) {
+        if !may_lead || !self.drains.is_step_due(&self.env.context()) {
             return;
         }
         let observations = match is_active {
             true => self.observe_drains(),
-            false => Heard::default(),
+            false => EvictionStatus::default(),
         };
         if let Some(autoscaler) = &self.autoscaler {
             self.drains
-                .lead(autoscaler, observations, &mut self.env.context());
+                .step(autoscaler, &observations, &mut self.env.context());
         }
     }
 
     /// What all shard leaders observe of the drains, this controller among them.
-    fn observe_drains(&mut self) -> Heard {
+    fn observe_drains(&mut self) -> EvictionStatus {
         let now = self.env.now();
         let mut observations = self.gossip.drain_observations(now);
         let mut led: BTreeSet<ShardId> = self.gossip.led_shards(now);
         led.extend(self.shards.keys());
         self.for_each_shard(|shard, context| {
             observations.empty.extend(shard.emptied(context));
-            observations.sick.extend(shard.sick().cloned());
-            observations.held.extend(shard.held_back.iter().cloned());
+            observations.failing.extend(shard.sick().cloned());
+            observations
+                .blockers
+                .extend(shard.held_back.iter().cloned());
         });
         let mut shards = (0..self.env.config.shard_count).map(ShardId);
-        observations.whole = shards.all(|shard_id| led.contains(&shard_id));
+        observations.complete = shards.all(|shard_id| led.contains(&shard_id));
         observations
     }
 
@@ -117,12 +119,12 @@
         if self.autoscaler.is_none() || !self.env.drains.constraints.active {
             return Vec::new();
         }
-        let reasons = self.drains.reasons().take(MAX_NAMES);
+        let reasons = self.drains.wait_reasons().take(MAX_NAMES);
         reasons
             .map(|(name, reason)| DrainProgress {
                 drain: name.as_str().to_string(),
-                waits: reason.waits.clone(),
-                held: reason.held.iter().take(MAX_REASONS).cloned().collect(),
+                waits: reason.waits_for.clone(),
+                held: reason.blockers.iter().take(MAX_REASONS).cloned().collect(),
             })
             .collect()
     }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -12,9 +12,6 @@
 const MAX_RETRY_PAUSE_MS: u64 = 4_000;
 /// After so many failures in a row the pause between retries grows no further.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
-/// After how long a client may retry while the key-value store does not serve this controller.
-const KV_STORE_RETRY_S: u64 = 2;
-
 /// The method of an HTTP call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
@@ -93,12 +90,6 @@
             ..Response::error(status, why)
         }
     }
-
-    /// The response while the key-value store does not serve this controller.
-    #[must_use]
-    pub fn kv_store_unavailable() -> Response {
-        Response::later(503, "the state service is away", KV_STORE_RETRY_S)
-    }
 }
 
 /// An HTTP request of a user, a worker or a health check.
