--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -5,54 +5,23 @@
 use crate::coordination::dag_runs;
 use crate::coordination::drains;
 use crate::coordination::query;
-use crate::coordination::reservations::{Ask, Asked, read_ask};
+use crate::coordination::reservations;
+use crate::coordination::unavailable::Unavailable;
 use crate::effects::{Request, Response};
-use serde_json::json;
-use snowshelf_calendar::entry::Malformed;
 use snowshelf_model::ids::{ConnectionId, JobId, WallClockMillis};
 use snowshelf_model::protocol::user;
 
 const JOBS_PATH: &str = "/api/jobs";
 const JOB_PATH_PREFIX: &str = "/api/jobs/";
 
-fn malformed(why: &Malformed) -> Response {
-    Response::json(400, &json!({"error": why.to_string(), "field": why.field}))
-}
-
 fn no_such_path() -> Response {
     Response::error(404, "no such path")
 }
 
-fn no_such_entry() -> Response {
-    Response::error(404, "no such entry")
-}
-
 fn wrong_method() -> Response {
     Response::error(405, "this path does not take that method")
 }
 
-/// A request on reservations, or the response to one that cannot be read.
-fn reservations_request(read: Asked) -> Result<Ask, Response> {
-    match read {
-        Asked::Ask(ask) => Ok(ask),
-        Asked::Malformed(why) => Err(malformed(&why)),
-        Asked::NoSuchPath => Err(no_such_path()),
-        Asked::NoSuchEntry => Err(no_such_entry()),
-        Asked::WrongMethod => Err(wrong_method()),
-    }
-}
-
-/// A request on drains or budgets, or the response to one that cannot be read.
-fn drains_request(read: drains::Read) -> Result<drains::Ask, Response> {
-    match read {
-        drains::Read::Ask(ask) => Ok(ask),
-        drains::Read::Malformed(why) => Err(malformed(&why)),
-        drains::Read::NoSuchPath => Err(no_such_path()),
-        drains::Read::NoSuchEntry => Err(no_such_entry()),
-        drains::Read::WrongMethod => Err(wrong_method()),
-    }
-}
-
 /// A request on runs of graphs, or the response to one that cannot be read.
 fn dag_runs_request(read: dag_runs::Read) -> Result<dag_runs::Ask, Response> {
     match read {
@@ -84,7 +53,7 @@
 
     fn submit_job(&mut self, conn: ConnectionId, body: &[u8]) {
         if !self.env.is_served() && user::named(body).is_some() {
-            let response = Response::kv_store_unavailable();
+            let response = Unavailable::StoreDown.into();
             self.env.effects.respond(conn, response);
         } else {
             self.job_api.submit(conn, body, &mut self.env.context());
@@ -96,19 +65,19 @@
         let Request { method, path, body } = request;
         let ops = &self.env.config.ops;
         if ops.calendar.enabled
-            && let Some(read) = read_ask(method, path, body)
+            && let Some(read) = reservations::parse_request(method, path, body)
         {
-            if let Some(ask) = self.accept_read(conn, reservations_request(read)) {
-                self.reservations.take(conn, ask, &mut self.env.context());
+            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
+                self.reservations.handle(conn, ask, &mut self.env.context());
             }
             return true;
         }
         let wall_time = WallClockMillis(self.env.effects.wall_ms);
         if ops.drains.enabled
-            && let Some(read) = drains::read(method, path, body, wall_time)
+            && let Some(read) = drains::parse_request(method, path, body, wall_time)
         {
-            if let Some(ask) = self.accept_read(conn, drains_request(read)) {
-                self.drains.take(conn, ask, &mut self.env.context());
+            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
+                self.drains.handle(conn, ask, &mut self.env.context());
             }
             return true;
         }
@@ -127,7 +96,7 @@
     fn accept_read<R>(&mut self, conn: ConnectionId, read: Result<R, Response>) -> Option<R> {
         let response = match read {
             Ok(request) if self.env.is_served() => return Some(request),
-            Ok(_) => Response::kv_store_unavailable(),
+            Ok(_) => Unavailable::StoreDown.into(),
             Err(response) => response,
         };
         self.env.effects.respond(conn, response);
@@ -152,7 +121,7 @@
         } else {
             let job = JobId::new(id);
             self.job_api
-                .read(conn, &job, purpose, &mut self.env.context());
+                .read_job(conn, &job, purpose, &mut self.env.context());
         }
     }
 }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -216,24 +216,25 @@
         let now = self.env.now();
         let mut capacities = self.gossip.shard_capacities(now);
         capacities.extend(self.shards.values().map(|shard| (shard.id, shard.room())));
-        self.job_api.rooms = capacities;
         let mut reserved = self.gossip.reserved_cpus(now);
         for shard in self.shards.values() {
             let own = shard.kept_room.iter();
             reserved.extend(own.map(|(team, room)| ((shard.id, team.clone()), room.promised)));
         }
-        self.job_api.kept = reserved;
-        self.job_api.flush_polls(&mut self.env.context());
-        self.job_api.flush_pieces(&mut self.env.context());
+        self.job_api.set_capacity(capacities, reserved);
+        self.job_api.check_polls(&mut self.env.context());
+        self.job_api
+            .write_dependency_chunks(&mut self.env.context());
         if !self.env.is_served() {
             self.dag_runs.refuse_all(&mut self.env.context());
-            self.job_api.refuse_all(&mut self.env.context());
+            self.job_api.refuse_pending(&mut self.env.context());
             return;
         }
-        self.job_api.flush(&mut self.env.context());
+        self.job_api.commit_pending(&mut self.env.context());
         if self.leases.is_valid(now) {
             let led = self.shards.keys().copied().collect();
-            self.job_api.cascade(&led, &mut self.env.context());
+            self.job_api
+                .cascade_cancellations(&led, &mut self.env.context());
         }
     }
 
--- a/src/coordination/gossip/mod.rs
+++ b/src/coordination/gossip/mod.rs
@@ -6,7 +6,7 @@
 pub use round_robin_names::{HEARTBEAT_NAMES_BYTES, MISSING_NAMES_BYTES, RoundRobinNames};
 
 use super::config::Config;
-use super::drains::{Heard, Reason};
+use super::drains::{EvictionStatus, WaitReason};
 use super::shard::StealOffer;
 use super::shard_capacity::ShardCapacity;
 use snowshelf_calendar::calendar::Pool;
@@ -193,13 +193,13 @@
 
     /// What the cluster leader says that drains wait for.
     #[must_use]
-    pub fn drain_progress(&self, now: MonotonicMillis) -> BTreeMap<Name, Reason> {
+    pub fn drain_progress(&self, now: MonotonicMillis) -> BTreeMap<Name, WaitReason> {
         self.recent(now)
             .flat_map(|(_, status)| status.waits.iter())
             .filter_map(|progress| {
-                let reason = Reason {
-                    waits: progress.waits.clone(),
-                    held: progress.held.clone(),
+                let reason = WaitReason {
+                    waits_for: progress.waits.clone(),
+                    blockers: progress.held.clone(),
                 };
                 Some((Name::parse(&progress.drain)?, reason))
             })
@@ -208,14 +208,14 @@
 
     /// What the other shard leaders say of drains.
     #[must_use]
-    pub fn drain_observations(&self, now: MonotonicMillis) -> Heard {
-        let mut observations = Heard::default();
+    pub fn drain_observations(&self, now: MonotonicMillis) -> EvictionStatus {
+        let mut observations = EvictionStatus::default();
         for shard in self.recent_shards(now) {
             let empty = shard.empty.iter().map(|name| MachineId::new(name));
             observations.empty.extend(empty);
             let quarantined = shard.sick.iter().map(|name| MachineId::new(name));
-            observations.sick.extend(quarantined);
-            observations.held.extend(shard.held.iter().cloned());
+            observations.failing.extend(quarantined);
+            observations.blockers.extend(shard.held.iter().cloned());
         }
         observations
     }
