--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -36,7 +36,6 @@
 
 impl Commands {
     /// Runs the command.
-    #[must_use]
     pub fn run(&self) -> CommandOutput {
         match self {
             Commands::Reservations(command) => command.run(),
