--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -32,7 +32,7 @@
                 timeout_ms,
             } => {
                 let target = match target {
-                    Target::State => "state".to_string(),
+                    Target::KvStore => "state".to_string(),
                     Target::Cloud => "cloud".to_string(),
                     Target::Worker(address) => address.to_string(),
                 };
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -78,8 +78,8 @@
                 answered,
             } => {
                 let reply = match target {
-                    Target::State if self.injected.unserved.contains(&node) => None,
-                    Target::State => {
+                    Target::KvStore if self.injected.unserved.contains(&node) => None,
+                    Target::KvStore => {
                         if self.outage || self.refused.contains(&node) {
                             Some((503, b"{}".to_vec()))
                         } else {
@@ -91,7 +91,7 @@
                     Target::Cloud => Some(self.cloud_call(method, &path, &body)),
                     Target::Worker(to) => self.direct(node, to, &path, &body),
                 };
-                let wrote = matches!(target, Target::State) && path == "/txn";
+                let wrote = matches!(target, Target::KvStore) && path == "/txn";
                 let wrote = wrote && String::from_utf8_lossy(&body).contains("\"Apply\"");
                 if let Some(left) = self.kill_after.filter(|_| wrote) {
                     self.kill_after = left.checked_sub(1);
@@ -101,7 +101,7 @@
                 }
                 // A cut that began while the call was underway: it is given up like one that was sent later.
                 let lost = match target {
-                    Target::State => self.injected.unserved.contains(&node),
+                    Target::KvStore => self.injected.unserved.contains(&node),
                     Target::Cloud => self.is_cut_off(node),
                     Target::Worker(_) => false,
                 };
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -85,20 +85,20 @@
                     let lost = !quiet && self.rng.random_bool(self.conditions.lost);
                     let late = lost && self.rng.random_bool(self.conditions.late);
                     let held_ms = self.write_is_late(&path, &body);
-                    let at_once = target == Target::State && self.answer_is_lost(&path, &body);
+                    let at_once = target == Target::KvStore && self.answer_is_lost(&path, &body);
                     let aimed = held_ms.is_some() || at_once;
                     let (lost, late) = (lost || aimed, late || aimed);
                     let mut ms = self.hop() + held_ms.unwrap_or(0);
                     if late && !aimed {
                         ms += self.rng.random_range(1_000..15_000u64);
                     }
-                    let slow = self.injected.slow_ms > 0 && target == Target::State;
+                    let slow = self.injected.slow_ms > 0 && target == Target::KvStore;
                     if slow {
                         ms += self.rng.random_range(0..self.injected.slow_ms);
                     }
                     // A watch, a call of a controller that is cut off or one to a worker may hang.
                     let hangs = match target {
-                        Target::State => {
+                        Target::KvStore => {
                             slow || path.starts_with("/changes")
                                 || self.injected.unserved.contains(&i)
                         }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -17,7 +17,7 @@
     /// All controllers, this one among them, in the same order everywhere.
     pub members: Vec<Member>,
     /// The features that the operators have enabled on this controller.
-    pub can: BTreeSet<Capability>,
+    pub capabilities: BTreeSet<Capability>,
     /// How many shards there are: as many as controllers.
     pub shard_count: u32,
 }
@@ -30,7 +30,7 @@
             me: Member::new(&settings.member),
             members: settings.members(),
             shard_count: settings.deployment.nodes,
-            can: ops.can(),
+            capabilities: ops.can(),
             settings,
             ops,
         }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -50,15 +50,6 @@
     PublishMachineTypes(Vec<MachineType>),
 }
 
-/// What a controller may be elected to.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Role {
-    /// Leads one shard: schedules its jobs on its machines.
-    ShardLeader(ShardId),
-    /// Leads the cluster: scales it, and drains machines.
-    ClusterLeader,
-}
-
 /// What an actor may use while it handles a message.
 pub struct Context<'a> {
     /// Collects what the controller sends, and tells the time.
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -23,6 +23,12 @@
     received_at: MonotonicMillis,
 }
 
+/// A heartbeat to which the leader of its shard does not respond, since that must not renew the worker's lease.
+struct RefusedHeartbeat {
+    refusal: RenewalRefusal,
+    received: ReceivedHeartbeat,
+}
+
 impl Controller {
     /// Handles a heartbeat that has just come.
     pub(super) fn check_in(&mut self, conn: ConnectionId, body: &[u8]) {
@@ -60,16 +66,14 @@
         self.reachability
             .on_heartbeat(&received.heartbeat, shard_id, is_led_here, now);
         if is_led_here && self.may_respond_to_workers() {
-            match self.pass_to_shard(shard_id, received) {
-                Ok(()) => return,
-                Err((refusal, refused)) => {
-                    received = refused;
-                    if refusal == RenewalRefusal::Unread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
-                        self.look_up_listed_jobs(shard_id, &received.heartbeat);
-                        self.deferred_heartbeats.push(received);
-                        return;
-                    }
-                }
+            let Some(refused) = self.pass_to_shard(shard_id, received) else {
+                return;
+            };
+            received = refused.received;
+            if refused.refusal == RenewalRefusal::Unread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
+                self.look_up_listed_jobs(shard_id, &received.heartbeat);
+                self.deferred_heartbeats.push(received);
+                return;
             }
         }
         // A worker redirected a moment before its shard is led here would look for the leader, a second at a time, while
@@ -87,7 +91,7 @@
         &mut self,
         shard_id: ShardId,
         received: ReceivedHeartbeat,
-    ) -> Result<(), (RenewalRefusal, ReceivedHeartbeat)> {
+    ) -> Option<RefusedHeartbeat> {
         let ReceivedHeartbeat {
             conn,
             heartbeat,
@@ -97,17 +101,13 @@
         self.with_shard(shard_id, |shard, context| {
             refused = shard.check_in(conn, heartbeat, received_at, context);
         });
-        match refused {
-            None => Ok(()),
-            Some((refusal, heartbeat)) => {
-                let received = ReceivedHeartbeat {
-                    conn,
-                    heartbeat,
-                    received_at,
-                };
-                Err((refusal, received))
-            }
-        }
+        let (refusal, heartbeat) = refused?;
+        let received = ReceivedHeartbeat {
+            conn,
+            heartbeat,
+            received_at,
+        };
+        Some(RefusedHeartbeat { refusal, received })
     }
 
     /// Whether this controller is about to lead a shard: it has just started, and the shard's key names it, or nobody
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -20,12 +20,12 @@
 use super::api::JobApi;
 use super::autoscaler::Autoscaler;
 use super::config::Config;
-use super::context::{Context, Role};
+use super::context::Context;
 use super::dag_runs::DagRuns;
 use super::drains::Drains;
 use super::format_migration::FormatMigration;
 use super::gossip::Gossip;
-use super::leases::Leases;
+use super::leases::{Leases, Role};
 use super::list_watch::ListWatch;
 use super::reachability::Reachability;
 use super::reservations::Reservations;
@@ -112,7 +112,7 @@
                 self.gossip.record(now, status, &self.env.config);
             }
             ControllerEvent::PeerMessage(message) => self.on_peer_message(message),
-            ControllerEvent::ConnectionTable(stats) => self.connections = stats,
+            ControllerEvent::ConnectionStats(stats) => self.connections = stats,
             ControllerEvent::Tick => self.tick(),
         }
         std::mem::take(&mut self.env.effects.outputs)
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -43,15 +43,15 @@
     fn status(&mut self) -> PeerStatus {
         let now = self.env.now();
         let shards = self.shards.values();
-        let short_of = shards.flat_map(|shard| shard.short_of.keys());
-        let short_of: BTreeSet<String> = short_of.map(|t| t.as_str().to_string()).collect();
+        let teams = shards.flat_map(|shard| shard.short_of.keys());
+        let teams: BTreeSet<String> = teams.map(|team| team.as_str().to_string()).collect();
         let shards = self.shard_statuses();
         PeerStatus {
             member: self.env.config.me.as_str().to_string(),
             state_silent_ms: self.env.unserved_ms(),
             up_ms: now.since(self.env.started_at),
             shards,
-            short_of: short_of.into_iter().collect(),
+            short_of: teams.into_iter().collect(),
             missing: self.missing_machines(),
             feed_silent_ms: now.since(self.list_watch.feed_at),
             deaf: self.reachability.unreachable_by_workers() || self.receives_no_heartbeats(),
--- a/src/coordination/controller/record_changes.rs
+++ b/src/coordination/controller/record_changes.rs
@@ -9,7 +9,7 @@
     /// Has every actor take changed records over from the cache.
     pub(super) fn on_record_changes(&mut self, changes: Vec<RecordChange>) {
         if self.reservations.is_built() {
-            self.reservations.changed(&changes, &mut self.env.context());
+            self.reservations.changed(&changes, &self.env.context());
         }
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
         for change in changes {
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -1,7 +1,7 @@
 //! The periodic work: one function for each actor, in an order that matters.
 
 use super::Controller;
-use crate::coordination::context::Role;
+use crate::coordination::leases::Role;
 use crate::coordination::storage_budget::{RequestRates, storage_limits};
 use snowshelf_model::ids::{JobId, ShardId};
 use snowshelf_reconciliation::silence;
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -39,10 +39,6 @@
     /// The records of jobs that have not ended, and maybe of some that have.
     pub jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
     /// The dependencies of a job; `None` if they are not all known.
-    #[expect(
-        clippy::type_complexity,
-        reason = "the type is the signature of a lookup"
-    )]
     pub dependencies_of: &'s dyn Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
     /// How a job has ended; `None` if it has not, or is not known.
     pub final_of: &'s dyn Fn(&JobId) -> Option<Final>,
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -106,7 +106,7 @@
         }
         let next = next_declaration(
             &context.config.me,
-            &context.config.can,
+            &context.config.capabilities,
             &context.config.members,
             &context.records.members,
             context.records.agreed.as_ref(),
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -17,7 +17,7 @@
     pub fn authorize_renewal(
         &self,
         shard_id: ShardId,
-        listed: &[TaskStatus],
+        tasks: &[TaskStatus],
         received: MonotonicMillis,
     ) -> Result<LeaseRenewal<(TaskRef, Attempt)>, RenewalRefusal> {
         let source = match self.records.loaded {
@@ -25,7 +25,7 @@
             false => WatermarkSource::Reading(self.started_at),
         };
         let answering_ms = self.config.settings.answering_ms();
-        let alive = listed.iter().filter(|t| t.state != TaskState::Exited);
+        let alive = tasks.iter().filter(|t| t.state != TaskState::Exited);
         let alive = alive.map(|t| {
             let knowledge = self.job_knowledge(shard_id, &t.task.job);
             ((t.task.clone(), t.attempt), knowledge)
@@ -37,9 +37,9 @@
     pub fn unread_jobs<'a>(
         &'a self,
         shard_id: ShardId,
-        listed: &'a [TaskStatus],
+        tasks: &'a [TaskStatus],
     ) -> impl Iterator<Item = &'a JobId> + 'a {
-        let jobs = listed.iter().map(|t| &t.task.job);
+        let jobs = tasks.iter().map(|t| &t.task.job);
         jobs.filter(move |job| self.job_knowledge(shard_id, job) == JobKnowledge::Unread)
     }
 
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -1,8 +1,8 @@
 //! Acquisition, release and handover of roles.
 
 use super::decision::PREFERENCE_MS;
-use super::{KeyHolder, LeaseDecision, LeaseRequest, Leases, RoleObservation, decide_lease};
-use crate::coordination::context::{Context, KvRequest, Role};
+use super::{KeyHolder, LeaseDecision, LeaseRequest, Leases, Role, RoleObservation, decide_lease};
+use crate::coordination::context::{Context, KvRequest};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use serde_json::Value;
 use snowshelf_model::ids::{FencingToken, LeaseId, MonotonicMillis, ShardId, Version};
--- a/src/coordination/leases/mod.rs
+++ b/src/coordination/leases/mod.rs
@@ -10,11 +10,20 @@
 
 pub use decision::{KeyHolder, LeaseDecision, RoleObservation, decide_lease};
 
-use super::context::{Context, Role};
+use super::context::Context;
 use crate::storage::kv_client::{KvResponse, unexpected_response};
 use snowshelf_model::ids::{FencingToken, LeaseId, MonotonicMillis, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What a controller may be elected to.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
+pub enum Role {
+    /// Leads one shard: schedules its jobs on its machines.
+    ShardLeader(ShardId),
+    /// Leads the cluster: scales it, and drains machines.
+    ClusterLeader,
+}
+
 /// What the leases ask of the key-value store.
 #[derive(Clone, Debug)]
 pub enum LeaseRequest {
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -15,16 +15,16 @@
 const EXPIRED_RETRY_S: u64 = 1;
 
 /// A request that waits for a decision.
-pub struct PendingRequest<R> {
+pub(super) struct PendingRequest<R> {
     /// The connection on which the client waits for the response.
-    pub conn: ConnectionId,
+    pub(super) conn: ConnectionId,
     /// What the client asks.
-    pub request: R,
+    pub(super) request: R,
     received_at: MonotonicMillis,
 }
 
 /// A bounded queue of requests, oldest first.
-pub struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
+pub(super) struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
 impl<R> Default for PendingRequests<R> {
     fn default() -> PendingRequests<R> {
@@ -34,7 +34,7 @@
 
 impl<R> PendingRequests<R> {
     /// Queues a request, or rejects it: for the reason given, or because the queue is full.
-    pub fn admit(
+    pub(super) fn admit(
         &mut self,
         conn: ConnectionId,
         request: R,
@@ -55,7 +55,7 @@
     }
 
     /// Rejects all requests: the key-value store does not serve this controller.
-    pub fn reject_all(&mut self, context: &mut Context) {
+    pub(super) fn reject_all(&mut self, context: &mut Context) {
         for pending in self.0.drain(..) {
             let response = Response::kv_store_unavailable();
             context.effects.respond(pending.conn, response);
@@ -63,7 +63,7 @@
     }
 
     /// Rejects the requests that have waited for too long.
-    pub fn expire(&mut self, context: &mut Context) {
+    pub(super) fn expire(&mut self, context: &mut Context) {
         let now = context.now();
         while let Some(pending) = self.0.front()
             && now.since(pending.received_at) > MAX_WAIT_MS
@@ -76,23 +76,23 @@
 
     /// Whether no request waits.
     #[must_use]
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// The oldest request.
     #[must_use]
-    pub fn front(&self) -> Option<&PendingRequest<R>> {
+    pub(super) fn front(&self) -> Option<&PendingRequest<R>> {
         self.0.front()
     }
 
     /// Takes the oldest request out.
-    pub fn pop(&mut self) -> Option<PendingRequest<R>> {
+    pub(super) fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
     /// Puts requests that must be decided anew back at the front, in the order in which they were taken out.
-    pub fn requeue(&mut self, requests: Vec<PendingRequest<R>>) {
+    pub(super) fn requeue(&mut self, requests: Vec<PendingRequest<R>>) {
         for pending in requests.into_iter().rev() {
             self.0.push_front(pending);
         }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Target {
     /// The key-value store.
-    State,
+    KvStore,
     /// The cloud's API.
     Cloud,
     /// A worker, for commands sent straight to it.
@@ -124,7 +124,7 @@
     /// A message of another controller that safety depends on.
     PeerMessage(PeerMessage),
     /// How many connections this controller has.
-    ConnectionTable(ConnectionStats),
+    ConnectionStats(ConnectionStats),
     /// Time for the periodic work.
     Tick,
 }
--- a/src/storage/kv_client.rs
+++ b/src/storage/kv_client.rs
@@ -209,7 +209,7 @@
         timeout_ms: u64,
     ) {
         self.requests.take(1.0);
-        let id = effects.call(Target::State, method, path, body, timeout_ms);
+        let id = effects.call(Target::KvStore, method, path, body, timeout_ms);
         self.pending.insert(id, (tag, kind));
     }
 
--- a/src/transport/net/calling.rs
+++ b/src/transport/net/calling.rs
@@ -36,7 +36,7 @@
 impl Net {
     pub(super) fn address(&self, target: Target) -> SocketAddrV4 {
         match target {
-            Target::State => self.state,
+            Target::KvStore => self.state,
             Target::Cloud => self.cloud,
             Target::Worker(address) => address,
         }
@@ -44,7 +44,7 @@
 
     pub(super) fn start_calls(&mut self, target: Target) {
         let most = match target {
-            Target::State => STATE_CONNS,
+            Target::KvStore => STATE_CONNS,
             _ => OTHER_CONNS,
         };
         loop {
--- a/src/transport/net/mod.rs
+++ b/src/transport/net/mod.rs
@@ -240,6 +240,6 @@
             (self.stats, self.told_at) = (stats, now);
             tracing::info!(?stats, "connections refused or closed");
         }
-        self.feed(ControllerEvent::ConnectionTable(stats));
+        self.feed(ControllerEvent::ConnectionStats(stats));
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -313,10 +313,10 @@
     );
 }
 
-/// Guards against a part that wandered between two controllers for eight seconds, each giving it
-/// to its home, which was served again but whose change feed still hung (inc-4276).
+/// Guards against a shard that wandered between two controllers for eight seconds, each releasing it
+/// to its home member, which was served again but whose watch still hung (inc-4276).
 #[test]
-fn a_part_goes_home_only_to_a_member_that_sees_it_given() {
+fn a_shard_is_released_only_to_a_home_member_whose_watch_is_current() {
     use snowshelf::coordination::config::Config;
     use snowshelf::coordination::gossip::Gossip;
     use snowshelf_model::protocol::peer::PeerStatus;
@@ -335,23 +335,23 @@
         shard_count: 2,
         settings,
         ops: snowshelf::operator::OperatorSettings::default(),
-        can: Default::default(),
+        capabilities: Default::default(),
     };
-    let hint = |feed_silent_ms| PeerStatus {
+    let status = |feed_silent_ms| PeerStatus {
         member: "b".into(),
         up_ms: 60_000,
         feed_silent_ms,
         ..PeerStatus::default()
     };
     let mut peers = Gossip::default();
-    peers.record(MonotonicMillis(1), hint(9_000), &cfg);
+    peers.record(MonotonicMillis(1), status(9_000), &cfg);
     assert!(peers.available_homes(MonotonicMillis(2), &cfg).is_empty());
-    peers.record(MonotonicMillis(3), hint(100), &cfg);
+    peers.record(MonotonicMillis(3), status(100), &cfg);
     assert_eq!(
         peers.available_homes(MonotonicMillis(4), &cfg),
         [ShardId(1)].into()
     );
-    // A hint that is old says nothing.
+    // A status that is too old is ignored.
     assert!(
         peers
             .available_homes(MonotonicMillis(9_000), &cfg)
@@ -404,10 +404,10 @@
 }
 
 /// Guards against records of a feature written while some controller does not know them: whatever
-/// order the words come in, a capability is settled only once everybody has said it, and what is
-/// settled, or not known here, is never taken back.
+/// order the declarations come in, a capability is agreed on only once every controller has declared
+/// it, and what is agreed on, or not known here, is never taken back.
 #[test]
-fn a_feature_is_settled_only_when_every_controller_has_it() {
+fn a_capability_is_agreed_on_only_when_every_controller_has_declared_it() {
     use snowshelf::coordination::format_migration::next_declaration;
     use snowshelf::storage::record_cache::Versioned;
     use snowshelf_model::ids::{Member, Version};
@@ -418,43 +418,43 @@
     let can = |names: &[&str]| -> BTreeSet<Capability> {
         names.iter().map(|n| Capability::named(n)).collect()
     };
-    let word = |version, format, names: &[&str]| Versioned {
+    let declaration = |version, format, names: &[&str]| Versioned {
         version: Version(version),
         value: Rc::new(FormatRecord {
             format,
             can: can(names),
         }),
     };
-    let mut said = BTreeMap::new();
-    let next = |mine: &[&str], said: &BTreeMap<_, _>, agreed| {
-        next_declaration(&all[0], &can(mine), &all, said, agreed)
+    let mut declared = BTreeMap::new();
+    let next = |mine: &[&str], declared: &BTreeMap<_, _>, agreed| {
+        next_declaration(&all[0], &can(mine), &all, declared, agreed)
             .map(|d| (d.key, d.version, d.record))
     };
-    // First its own word, and nothing before all have spoken.
-    let (key, version, record) = next(&["x"], &said, None).unwrap();
+    // First its own declaration, and nothing before all have declared.
+    let (key, version, record) = next(&["x"], &declared, None).unwrap();
     assert_eq!(
         (key.as_str(), version.0, record.can),
         ("member/a", 0, can(&["x"]))
     );
-    said.insert(all[0].clone(), word(5, FORMAT_V2, &["x"]));
-    assert!(next(&["x"], &said, None).is_none());
-    said.insert(all[1].clone(), word(6, FORMAT_V2, &[]));
-    let (key, _, record) = next(&["x"], &said, None).unwrap();
+    declared.insert(all[0].clone(), declaration(5, FORMAT_V2, &["x"]));
+    assert!(next(&["x"], &declared, None).is_none());
+    declared.insert(all[1].clone(), declaration(6, FORMAT_V2, &[]));
+    let (key, _, record) = next(&["x"], &declared, None).unwrap();
     assert_eq!((key.as_str(), record.can), ("format", can(&[])));
-    // The other one is switched on too; what a newer version has settled stays.
-    said.insert(all[1].clone(), word(8, FORMAT_V2, &["x", "z"]));
-    let agreed = word(7, FORMAT_V2, &["y"]);
-    let (_, version, record) = next(&["x"], &said, Some(&agreed)).unwrap();
+    // The other one is switched on too; what a newer version has agreed on stays.
+    declared.insert(all[1].clone(), declaration(8, FORMAT_V2, &["x", "z"]));
+    let agreed = declaration(7, FORMAT_V2, &["y"]);
+    let (_, version, record) = next(&["x"], &declared, Some(&agreed)).unwrap();
     assert_eq!((version.0, record.can), (7, can(&["x", "y"])));
-    // Switched off again: its own word changes, what is settled does not.
-    let settled = word(9, FORMAT_V2, &["x", "y"]);
-    let (key, version, record) = next(&[], &said, Some(&settled)).unwrap();
+    // Switched off again: its own declaration changes, the agreement does not.
+    let agreed_before = declaration(9, FORMAT_V2, &["x", "y"]);
+    let (key, version, record) = next(&[], &declared, Some(&agreed_before)).unwrap();
     assert_eq!(
         (key.as_str(), version.0, record.can),
         ("member/a", 5, can(&[]))
     );
-    said.insert(all[0].clone(), word(10, FORMAT_V2, &[]));
-    assert!(next(&[], &said, Some(&settled)).is_none());
+    declared.insert(all[0].clone(), declaration(10, FORMAT_V2, &[]));
+    assert!(next(&[], &declared, Some(&agreed_before)).is_none());
 }
 
 /// Guards against a calendar that is built anew with every change of a spot price, twice a minute, with
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn a_part_is_taken_from_nobody_who_may_still_hold_it() {
+fn a_role_is_never_acquired_while_another_controller_may_hold_it() {
     let v = Version(9);
     let other = Some(KeyHolder {
         is_self: false,
@@ -459,7 +459,7 @@
         decide(own, Some(FencingToken(9)), true, 0),
         LeaseDecision::Keep
     );
-    // A name from an earlier life, or a claim whose answer was lost: taken again at once.
+    // Held from before a restart, or by an acquisition whose response was lost: acquired again at once.
     assert_eq!(decide(own, None, false, 0), LeaseDecision::Acquire(v));
     assert_eq!(
         decide(own, Some(FencingToken(4)), true, 0),
@@ -684,38 +684,38 @@
     assert_eq!(unknown.as_str(), "x");
 }
 
-/// Guards against messages between controllers that outgrow their frame and end the link: at 10,000 machines each
-/// message fits, and every name has had its turn after a few of them, also of names that come and go meanwhile.
+/// Guards against messages between controllers that outgrow their frame and end the connection: at 10,000 machines each
+/// message fits, and every name has been sent after a few of them, also where names come and go meanwhile.
 #[test]
-fn names_of_ten_thousand_machines_are_told_in_turns_that_fit() {
+fn names_of_ten_thousand_machines_are_sent_round_robin_within_the_frame() {
     use prost::Message;
     use snowshelf_model::protocol::peer::{MAX_FRAME, PeerStatus, ShardStatus};
     let mut names: BTreeSet<MachineId> = (0..10_000)
         .map(|n| MachineId::new(&format!("n-{n:06}")))
         .collect();
     let (mut heard, mut missing) = (RoundRobinNames::default(), RoundRobinNames::default());
-    let mut told: BTreeSet<String> = BTreeSet::new();
+    let mut sent: BTreeSet<String> = BTreeSet::new();
     for message in 0..6 {
-        let shard_id = ShardStatus {
+        let shard = ShardStatus {
             heard: heard.next(&names, HEARTBEAT_NAMES_BYTES),
             ..ShardStatus::default()
         };
-        told.extend(shard_id.heard.iter().cloned());
-        let hint = PeerStatus {
+        sent.extend(shard.heard.iter().cloned());
+        let status = PeerStatus {
             missing: missing.next(&names, MISSING_NAMES_BYTES),
-            shards: vec![shard_id],
+            shards: vec![shard],
             ..PeerStatus::default()
         };
-        let long = hint.encoded_len();
+        let long = status.encoded_len();
         assert!(long < MAX_FRAME - 8 * 1024, "{long}");
         names.remove(&MachineId::new(&format!("n-{:06}", 4_000 + message)));
     }
     let left: Vec<&MachineId> = names
         .iter()
-        .filter(|n| !told.contains(n.as_str()))
+        .filter(|n| !sent.contains(n.as_str()))
         .collect();
     assert!(left.is_empty(), "{left:?}");
-    // Few enough are told of at once, each time.
+    // Few enough are sent at once, each time.
     names.retain(|n| n.as_str() < "n-001000");
     for _ in 0..3 {
         assert_eq!(heard.next(&names, HEARTBEAT_NAMES_BYTES).len(), names.len());
@@ -725,10 +725,10 @@
 proptest! {
     #![proptest_config(fixed())]
 
-    /// Guards against controllers that together ask more of the state service than it takes, however the parts are
-    /// divided, and against one left alone with all parts that may use no more than its equal share.
+    /// Guards against controllers that together exceed the key-value store's rates, however the shards are divided, and
+    /// against one that leads all shards and may use no more than its equal fraction.
     #[test]
-    fn budgets_follow_the_parts_and_never_pass_the_whole(
+    fn request_rates_follow_the_led_shards_and_never_exceed_the_budget(
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
         let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -297,19 +297,19 @@
         feed: bool,
     ) -> ControllerEvent {
         let (status, value) = match (target, path) {
-            (Target::State, "/leases") => (200, json!({"Arrendo": 7})),
-            (Target::State, "/txn") => (200, self.history.txn(body)),
-            (Target::State, _) if path.starts_with("/kv?") => (200, self.history.page(path)),
-            (Target::State, _) if path.starts_with("/kv/job/") => self.history.one(path),
-            (Target::State, _) if path.starts_with("/changes") && feed => {
+            (Target::KvStore, "/leases") => (200, json!({"Arrendo": 7})),
+            (Target::KvStore, "/txn") => (200, self.history.txn(body)),
+            (Target::KvStore, _) if path.starts_with("/kv?") => (200, self.history.page(path)),
+            (Target::KvStore, _) if path.starts_with("/kv/job/") => self.history.one(path),
+            (Target::KvStore, _) if path.starts_with("/changes") && feed => {
                 self.history.changes(path)
             }
-            (Target::State, _) if path.starts_with("/leases/") => (200, json!({})),
+            (Target::KvStore, _) if path.starts_with("/leases/") => (200, json!({})),
             _ => (503, json!({})),
         };
         self.too_old += usize::from(status == 410);
         let body = value.to_string().into_bytes();
-        if target == Target::State && path.starts_with("/kv") {
+        if target == Target::KvStore && path.starts_with("/kv") {
             self.history.requests += 1;
             self.history.bytes += body.len();
         }
