--- a/src/coordination/controller/environment.rs
+++ b/src/coordination/controller/environment.rs
@@ -21,7 +21,7 @@
 /// Fraction of the cloud's request rate for each shard leader; the cluster leader uses the rest.
 pub(super) const SHARD_LEADER_CLOUD_FRACTION: f64 = 0.12;
 
-/// What the actors of a controller have in common. Each is lent it as a [`Context`].
+/// What the actors of a controller have in common. Each borrows it as a [`Context`] while it handles a message.
 pub(super) struct Environment {
     pub(super) effects: Effects,
     pub(super) kv: KvClient<KvRequest>,
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -76,7 +76,7 @@
                 return;
             }
         }
-        // A worker redirected a moment before its shard is led here would look for the leader, a second at a time, while
+        // A worker redirected a moment before its shard is led here would search for the leader, a second at a time, while
         // its lease runs out.
         let defers = !is_led_here && waited_ms < MAX_WAIT_FOR_LEADERSHIP_MS;
         if defers && self.will_lead(shard_id) {
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,7 @@
 //! One controller: routes each event to the actor that owns the matter.
 //!
-//! Each actor owns its own state. What they have in common is lent to the one that handles a message, as a
-//! [`Context`]: an actor never reaches into another one.
+//! Each actor owns its own state. The one that handles a message borrows what all have in common as a [`Context`]: an
+//! actor never reaches into another one.
 
 mod dependency_tracker;
 mod drains;
@@ -63,7 +63,7 @@
     connections: ConnectionStats,
     /// Heartbeats that wait until their shard is led here, or until the jobs that they list are read.
     deferred_heartbeats: Vec<ReceivedHeartbeat>,
-    /// When the shards were last told the sizes of the others' pools.
+    /// When the sizes of the others' pools were last shared with the shards.
     pool_sizes_shared_at: MonotonicMillis,
 }
 
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Stops leading a shard; workers that wait for its response are sent away.
+    /// Stops leading a shard, and redirects the workers that wait for its responses.
     fn drop_shard(&mut self, shard_id: ShardId) {
         if let Some(mut shard) = self.shards.remove(&shard_id) {
             shard.drop_held(&mut self.env.context());
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 const SEND_INTERVAL_MS: u64 = 400;
-/// A machine counts as heard by a controller that does not lead its shard for so many heartbeat intervals.
+/// For so many heartbeat intervals a heartbeat counts that came to a controller that does not lead its shard.
 const FOREIGN_HEARTBEAT_INTERVALS: u64 = 2;
 /// Most failing jobs in one shard's status.
 const MAX_FAILING_JOBS: usize = 100;
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How often shards are told the sizes of the others' pools.
+/// How often the sizes of the others' pools are shared with the shards.
 const POOL_SIZES_INTERVAL_MS: u64 = 400;
-/// The autoscaler is told of machines whose last heartbeat is no older than this.
+/// A heartbeat no older than this proves to the cluster leader that its machine runs.
 pub(super) const RECENT_HEARTBEAT_MS: u64 = 10_000;
 
 impl Controller {
@@ -35,7 +35,7 @@
         self.tick_peer_status();
     }
 
-    /// Applies the limits of the record format that is agreed on, and this controller's part of the request budget.
+    /// Applies the limits of the record format that is agreed on, and this controller's fraction of the request budget.
     fn tick_storage_limits(&mut self) {
         let env = &mut self.env;
         let state = &env.config.settings.deployment.state;
@@ -146,7 +146,7 @@
         self.reachability.probe(&mut self.env.context());
     }
 
-    /// Tells the shards led here how many machines the others have: a reservation is divided by that.
+    /// Shares with the shards led here how many machines the others have: a reservation is divided by that.
     fn tick_pool_sizes(&mut self) {
         let now = self.env.now();
         let is_due = now.since(self.pool_sizes_shared_at) >= POOL_SIZES_INTERVAL_MS;
--- a/src/coordination/gossip/round_robin_names.rs
+++ b/src/coordination/gossip/round_robin_names.rs
@@ -1,4 +1,4 @@
-//! Names of machines that are too many for one message, sent in turn.
+//! Names of machines that are too many for one message, sent round robin.
 
 use snowshelf_model::ids::MachineId;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 /// What the encoding of a name takes beside its letters.
 const NAME_OVERHEAD_BYTES: usize = 3;
 
-/// Sends the names of a set in turn, if they are too many for one message.
+/// Sends the names of a set round robin, if they are too many for one message.
 #[derive(Default)]
 pub struct RoundRobinNames {
     last_sent: Option<MachineId>,
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the controller asks the transport to do, and what the transport reports back. The controller itself does no
+//! What the controller asks the transport to do, and the events that the transport delivers. The controller itself does no
 //! I/O: it takes a [`ControllerEvent`] and returns [`Effect`]s.
 
 use rand::rngs::SmallRng;
--- a/tests/cancellation_confirmation.rs
+++ b/tests/cancellation_confirmation.rs
@@ -1,4 +1,4 @@
-//! What controllers say to each other where a rule depends on it: what is answered, and what is ignored.
+//! Confirmations of cancellations between controllers, on which safety depends: what is answered, and what is ignored.
 
 use prost::Message;
 use snowshelf::coordination::controller::Controller;
@@ -37,61 +37,67 @@
     }
 }
 
-/// What the controller answers to a message, as attestations and whom they go to.
-fn answers(
+/// The confirmations with which the controller answers a message, and the member that each goes to.
+fn confirmations(
     controller: &mut Controller,
-    proof: PeerMessage,
+    message: PeerMessage,
     now: u64,
 ) -> Vec<(String, Confirmation)> {
     let outputs = controller.handle(
-        ControllerEvent::PeerMessage(proof),
+        ControllerEvent::PeerMessage(message),
         MonotonicMillis(now),
         1_000_000 + now,
     );
-    let proofs = outputs.into_iter().filter_map(|output| match output {
-        Effect::PeerMessage(member, proof) => {
-            Some((member.as_str().to_string(), proof.attestation?))
+    let confirmations = outputs.into_iter().filter_map(|output| match output {
+        Effect::PeerMessage(member, message) => {
+            Some((member.as_str().to_string(), message.attestation?))
         }
         _ => None,
     });
-    proofs.collect()
+    confirmations.collect()
 }
 
-/// Guards against vouching for the time before this life, and against answers that cannot be told from those to
-/// another life's question.
+/// Guards against vouching for the time before this incarnation, and against answers that cannot be distinguished from
+/// those to the request of another incarnation.
 #[test]
-fn an_attestation_is_complete_only_for_what_this_life_has_seen() {
+fn a_confirmation_is_complete_only_for_what_this_incarnation_has_seen() {
     let mut controller = controller();
-    let told = answers(&mut controller, request("b", 5_000), 6_000);
-    let [(to, attestation)] = &told[..] else {
-        panic!("{told:?}");
+    let confirmations_sent = confirmations(&mut controller, request("b", 5_000), 6_000);
+    let [(to, confirmation)] = &confirmations_sent[..] else {
+        panic!("{confirmations_sent:?}");
     };
-    assert_eq!((to.as_str(), attestation.member.as_str()), ("b", "a"));
+    assert_eq!((to.as_str(), confirmation.member.as_str()), ("b", "a"));
     assert_eq!(
-        (attestation.asker_incarnation, attestation.sequence),
+        (confirmation.asker_incarnation, confirmation.sequence),
         (77, 5)
     );
-    assert!(attestation.complete && attestation.cancelled.is_empty());
-    let told = answers(&mut controller, request("b", 5_999), 6_000);
-    assert!(told[0].1.complete);
-    let told = answers(&mut controller, request("b", 6_000), 6_000);
-    assert!(!told[0].1.complete);
+    assert!(confirmation.complete && confirmation.cancelled.is_empty());
+    let confirmations_sent = confirmations(&mut controller, request("b", 5_999), 6_000);
+    assert!(confirmations_sent[0].1.complete);
+    let confirmations_sent = confirmations(&mut controller, request("b", 6_000), 6_000);
+    assert!(!confirmations_sent[0].1.complete);
     // Impossible numbers, and somebody whom the settings do not name.
     assert!(
-        !answers(&mut controller, request("b", u64::MAX), 6_000)[0]
+        !confirmations(&mut controller, request("b", u64::MAX), 6_000)[0]
             .1
             .complete
     );
-    assert_eq!(answers(&mut controller, request("x", 5_000), 6_000), []);
-    assert_eq!(answers(&mut controller, request("a", 5_000), 6_000), []);
+    assert_eq!(
+        confirmations(&mut controller, request("x", 5_000), 6_000),
+        []
+    );
+    assert_eq!(
+        confirmations(&mut controller, request("a", 5_000), 6_000),
+        []
+    );
 }
 
-/// Guards against a word that was not asked for: nothing comes of it.
+/// Guards against a confirmation that was not requested: nothing comes of it.
 #[test]
-fn an_attestation_that_nobody_asked_for_changes_nothing() {
+fn an_unrequested_confirmation_changes_nothing() {
     let mut controller = controller();
     for (member, sequence) in [("b", 0), ("b", 1), ("b", u64::MAX), ("x", 1)] {
-        let attestation = Confirmation {
+        let confirmation = Confirmation {
             member: member.into(),
             incarnation: 3,
             asker_incarnation: 1_000_050,
@@ -99,34 +105,34 @@
             complete: true,
             cancelled: vec!["wk-000001".into(), String::new()],
         };
-        let proof = PeerMessage {
+        let message = PeerMessage {
             request: None,
-            attestation: Some(attestation),
+            attestation: Some(confirmation),
         };
-        assert_eq!(answers(&mut controller, proof, 50), []);
+        assert_eq!(confirmations(&mut controller, message, 50), []);
     }
 }
 
-/// Guards against a message of the one kind that is taken for the other: the version in production reads proofs as
-/// hints of nobody, and hints are no proofs.
+/// Guards against a message of the one kind that is taken for the other: the version in production reads confirmations
+/// as a status of nobody, and a status is no confirmation.
 #[test]
-fn proofs_and_hints_are_told_apart() {
-    let proof = request("b", 9).encode_to_vec();
+fn confirmations_and_statuses_are_not_confused() {
+    let message = request("b", 9).encode_to_vec();
     assert_eq!(
-        PeerStatus::decode(&proof[..]).unwrap(),
+        PeerStatus::decode(&message[..]).unwrap(),
         PeerStatus::default()
     );
-    let hint = PeerStatus {
+    let status = PeerStatus {
         member: "b".into(),
         state_silent_ms: 9,
         up_ms: 8,
         missing: vec!["n-1".into()],
         ..PeerStatus::default()
     };
-    let hint = hint.encode_to_vec();
+    let status = status.encode_to_vec();
     assert_eq!(
-        PeerMessage::decode(&hint[..]).unwrap(),
+        PeerMessage::decode(&status[..]).unwrap(),
         PeerMessage::default()
     );
-    assert!(PeerMessage::decode(&proof[..proof.len() - 1]).is_err());
+    assert!(PeerMessage::decode(&message[..message.len() - 1]).is_err());
 }
