--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -70,7 +70,7 @@
             }
             KvRequest::Drains(id) => match response {
                 KvResponse::Swap(outcome) => {
-                    self.drains.done(id, outcome, &mut self.env.context());
+                    self.drains.on_outcome(id, outcome, &mut self.env.context());
                 }
                 _ => unexpected_response(&request),
             },
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -195,7 +195,7 @@
             tracing::info!(member = %peer, "confirmation request rejected: unknown member");
             return;
         }
-        let confirmed = &self.job_api.confirmed;
+        let confirmed = &self.job_api.confirmed_cancellations;
         let cancelled = confirmed
             .within(env.effects.now, request.window_ms)
             .filter(|jobs| jobs.len() <= MAX_CONFIRMED_JOBS);
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -1,29 +1,29 @@
-//! Requests that wait for an actor's decision, oldest first. The queue is bounded, and so is the time in it.
+//! Requests that wait for an actor's decision, oldest first: a bounded queue with a deadline for each.
 
 use super::context::Context;
+use super::unavailable::Unavailable;
 use crate::effects::Response;
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::collections::VecDeque;
 
-/// The capacity of the queue.
+/// Requests that wait at most; more are refused at once.
 const MAX_PENDING: usize = 200;
-/// How long a request waits for the record cache to catch up or the key-value store's budget to allow the write.
-const MAX_WAIT_MS: u64 = 2_000;
-/// After how long a client may retry when it was not admitted.
-const REJECTED_RETRY_S: u64 = 2;
-/// After how long a client may retry when its request was not decided in time.
-const EXPIRED_RETRY_S: u64 = 1;
+/// How long a request waits for the record cache to catch up or the key-value store to have room, in
+/// milliseconds.
+const DEADLINE_MS: u64 = 2_000;
+/// Seconds after which a request that is refused at once should be repeated.
+const RETRY_AFTER_S: u64 = 2;
 
 /// A request that waits for a decision.
 pub(super) struct PendingRequest<R> {
-    /// The connection on which the client waits for the response.
-    pub(super) conn: ConnectionId,
-    /// What the client asks.
+    /// Who waits for the response.
+    pub(super) connection: ConnectionId,
+    /// What is asked.
     pub(super) request: R,
     received_at: MonotonicMillis,
 }
 
-/// A bounded queue of requests, oldest first.
+/// A queue of requests.
 pub(super) struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
 impl<R> Default for PendingRequests<R> {
@@ -33,66 +33,64 @@
 }
 
 impl<R> PendingRequests<R> {
-    /// Queues a request, or rejects it: for the reason given, or because the queue is full.
-    pub(super) fn admit(
+    /// Queues a request, unless there is a reason to refuse it now.
+    pub(super) fn push(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
         request: R,
-        rejection: Option<&str>,
+        refusal: Option<&str>,
         context: &mut Context,
     ) {
         let is_full = self.0.len() >= MAX_PENDING;
-        if let Some(why) = rejection.or(is_full.then_some("too many requests")) {
-            let response = Response::later(503, why, REJECTED_RETRY_S);
-            context.effects.respond(conn, response);
+        if let Some(why) = refusal.or(is_full.then_some("too many requests")) {
+            let refused = Response::later(503, why, RETRY_AFTER_S);
+            context.effects.respond(connection, refused);
             return;
         }
         self.0.push_back(PendingRequest {
-            conn,
+            connection,
             request,
             received_at: context.now(),
         });
     }
 
-    /// Rejects all requests: the key-value store does not serve this controller.
-    pub(super) fn reject_all(&mut self, context: &mut Context) {
+    /// Refuses all requests: the key-value store does not serve.
+    pub(super) fn refuse_all(&mut self, context: &mut Context) {
         for pending in self.0.drain(..) {
-            let response = Response::kv_store_unavailable();
-            context.effects.respond(pending.conn, response);
+            let unavailable = Unavailable::StoreDown.into();
+            context.effects.respond(pending.connection, unavailable);
         }
     }
 
-    /// Rejects the requests that have waited for too long.
+    /// Refuses the requests whose deadline has passed.
     pub(super) fn expire(&mut self, context: &mut Context) {
         let now = context.now();
         while let Some(pending) = self.0.front()
-            && now.since(pending.received_at) > MAX_WAIT_MS
+            && now.since(pending.received_at) > DEADLINE_MS
         {
-            let response = Response::later(503, "could not be settled yet", EXPIRED_RETRY_S);
-            context.effects.respond(pending.conn, response);
+            let unavailable = Unavailable::Contended.into();
+            context.effects.respond(pending.connection, unavailable);
             self.0.pop_front();
         }
     }
 
     /// Whether no request waits.
-    #[must_use]
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// The oldest request.
-    #[must_use]
     pub(super) fn front(&self) -> Option<&PendingRequest<R>> {
         self.0.front()
     }
 
-    /// Takes the oldest request out.
+    /// Takes the oldest request.
     pub(super) fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
-    /// Puts requests that must be decided anew back at the front, in the order in which they were taken out.
-    pub(super) fn requeue(&mut self, requests: Vec<PendingRequest<R>>) {
+    /// Puts requests back that are to be decided again, in the order in which they were taken.
+    pub(super) fn put_back(&mut self, requests: Vec<PendingRequest<R>>) {
         for pending in requests.into_iter().rev() {
             self.0.push_front(pending);
         }
--- a/src/coordination/storage_budget.rs
+++ b/src/coordination/storage_budget.rs
@@ -44,7 +44,7 @@
     state: &StateLimits,
 ) -> StorageLimits {
     let limits = if format == RecordFormat::V2 || write_refused {
-        state.smaller()
+        state.effective()
     } else {
         state.clone()
     };
