--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,7 @@
 //! One controller: routes each event to the actor that owns the matter.
 //!
-//! Each actor owns its own state. What they have in common is lent to the one that handles a message, as a
-//! [`Context`]: an actor never reaches into another one.
+//! Each actor owns its own state. The one that handles a message borrows what all have in common as a [`Context`]: an
+//! actor never reaches into another one.
 
 mod dependency_tracker;
 mod drains;
@@ -20,12 +20,12 @@
 use super::api::JobApi;
 use super::autoscaler::Autoscaler;
 use super::config::Config;
-use super::context::{Context, Role};
+use super::context::Context;
 use super::dag_runs::DagRuns;
 use super::drains::Drains;
 use super::format_migration::FormatMigration;
 use super::gossip::Gossip;
-use super::leases::Leases;
+use super::leases::{Leases, Role};
 use super::list_watch::ListWatch;
 use super::reachability::Reachability;
 use super::reservations::Reservations;
@@ -63,7 +63,7 @@
     connections: ConnectionStats,
     /// Heartbeats that wait until their shard is led here, or until the jobs that they list are read.
     deferred_heartbeats: Vec<ReceivedHeartbeat>,
-    /// When the shards were last told the sizes of the others' pools.
+    /// When the sizes of the others' pools were last shared with the shards.
     pool_sizes_shared_at: MonotonicMillis,
 }
 
@@ -112,7 +112,7 @@
                 self.gossip.record(now, status, &self.env.config);
             }
             ControllerEvent::PeerMessage(message) => self.on_peer_message(message),
-            ControllerEvent::ConnectionTable(stats) => self.connections = stats,
+            ControllerEvent::ConnectionStats(stats) => self.connections = stats,
             ControllerEvent::Tick => self.tick(),
         }
         std::mem::take(&mut self.env.effects.outputs)
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Stops leading a shard; workers that wait for its response are sent away.
+    /// Stops leading a shard, and redirects the workers that wait for its responses.
     fn drop_shard(&mut self, shard_id: ShardId) {
         if let Some(mut shard) = self.shards.remove(&shard_id) {
             shard.drop_held(&mut self.env.context());
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -15,16 +15,16 @@
 const RETRY_AFTER_S: u64 = 2;
 
 /// A request that waits for a decision.
-pub struct PendingRequest<R> {
+pub(super) struct PendingRequest<R> {
     /// Who waits for the response.
-    pub connection: ConnectionId,
+    pub(super) connection: ConnectionId,
     /// What is asked.
-    pub request: R,
+    pub(super) request: R,
     received_at: MonotonicMillis,
 }
 
 /// A queue of requests.
-pub struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
+pub(super) struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
 impl<R> Default for PendingRequests<R> {
     fn default() -> PendingRequests<R> {
@@ -34,7 +34,7 @@
 
 impl<R> PendingRequests<R> {
     /// Queues a request, unless there is a reason to refuse it now.
-    pub fn push(
+    pub(super) fn push(
         &mut self,
         connection: ConnectionId,
         request: R,
@@ -55,7 +55,7 @@
     }
 
     /// Refuses all requests: the key-value store does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
+    pub(super) fn refuse_all(&mut self, context: &mut Context) {
         for pending in self.0.drain(..) {
             let unavailable = Unavailable::StoreDown.into();
             context.effects.respond(pending.connection, unavailable);
@@ -63,7 +63,7 @@
     }
 
     /// Refuses the requests whose deadline has passed.
-    pub fn expire(&mut self, context: &mut Context) {
+    pub(super) fn expire(&mut self, context: &mut Context) {
         let now = context.now();
         while let Some(pending) = self.0.front()
             && now.since(pending.received_at) > DEADLINE_MS
@@ -75,22 +75,22 @@
     }
 
     /// Whether no request waits.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// The oldest request.
-    pub fn front(&self) -> Option<&PendingRequest<R>> {
+    pub(super) fn front(&self) -> Option<&PendingRequest<R>> {
         self.0.front()
     }
 
     /// Takes the oldest request.
-    pub fn pop(&mut self) -> Option<PendingRequest<R>> {
+    pub(super) fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
     /// Puts requests back that are to be decided again, in the order in which they were taken.
-    pub fn put_back(&mut self, requests: Vec<PendingRequest<R>>) {
+    pub(super) fn put_back(&mut self, requests: Vec<PendingRequest<R>>) {
         for pending in requests.into_iter().rev() {
             self.0.push_front(pending);
         }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the controller asks the transport to do, and what the transport reports back. The controller itself does no
+//! What the controller asks the transport to do, and the events that the transport delivers. The controller itself does no
 //! I/O: it takes a [`ControllerEvent`] and returns [`Effect`]s.
 
 use rand::rngs::SmallRng;
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Target {
     /// The key-value store.
-    State,
+    KvStore,
     /// The cloud's API.
     Cloud,
     /// A worker, for commands sent straight to it.
@@ -115,7 +115,7 @@
     /// A message of another controller that safety depends on.
     PeerMessage(PeerMessage),
     /// How many connections this controller has.
-    ConnectionTable(ConnectionStats),
+    ConnectionStats(ConnectionStats),
     /// Time for the periodic work.
     Tick,
 }
--- a/src/transport/event_loop/mod.rs
+++ b/src/transport/event_loop/mod.rs
@@ -265,6 +265,6 @@
             self.stats_logged_at = now;
             tracing::info!(?stats, "connections refused or closed");
         }
-        self.handle_event(ControllerEvent::ConnectionTable(stats));
+        self.handle_event(ControllerEvent::ConnectionStats(stats));
     }
 }
--- a/src/transport/event_loop/outgoing.rs
+++ b/src/transport/event_loop/outgoing.rs
@@ -55,7 +55,7 @@
 impl Transport {
     pub(super) fn address(&self, target: Target) -> SocketAddrV4 {
         match target {
-            Target::State => self.kv_address,
+            Target::KvStore => self.kv_address,
             Target::Cloud => self.cloud_address,
             Target::Worker(address) => address,
         }
@@ -93,7 +93,7 @@
 
     fn may_connect(&self, target: Target) -> bool {
         let max = match target {
-            Target::State => MAX_KV_CONNECTIONS,
+            Target::KvStore => MAX_KV_CONNECTIONS,
             Target::Cloud | Target::Worker(_) => MAX_OTHER_CONNECTIONS,
         };
         let connections = self.outgoing.values();
