--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -39,7 +39,7 @@
                 return;
             }
         };
-        if let Some(end) = context.records.final_of(&job) {
+        if let Some(end) = context.records.finished_job(&job) {
             self.tell_final(conn, &job, end, JobReadPurpose::Resubmit, context);
             return;
         }
@@ -109,14 +109,18 @@
         let unknown: BTreeSet<JobId> = accept
             .dependencies
             .iter()
-            .filter(|n| !known && !context.records.knows_job(n))
+            .filter(|n| !known && !context.records.contains_job(n))
             .cloned()
             .collect();
         if unknown.is_empty() {
             self.queue.push_back(accept);
             return Ok(());
         }
-        if unknown.len() > LOOKED_UP || !context.kv.may(context.now(), RequestPriority::Accept, 0) {
+        if unknown.len() > LOOKED_UP
+            || !context
+                .kv
+                .has_budget(context.now(), RequestPriority::Admission, 0)
+        {
             let why = "jobs that it needs are not known here yet";
             return Err(Response::later(503, why, 1));
         }
@@ -152,7 +156,7 @@
             || self.waiting().count() >= OWN_WAITING
             || !context
                 .kv
-                .may(context.now(), RequestPriority::Starts, WRITES_A_JOB)
+                .has_budget(context.now(), RequestPriority::TaskStarts, WRITES_A_JOB)
         {
             return false;
         }
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -4,7 +4,7 @@
 use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Final;
+use crate::storage::record_cache::FinishedJob;
 use snowshelf_model::ids::{JobId, ShardId};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{JobState, job_key};
@@ -27,12 +27,12 @@
     ) -> Option<JobId> {
         let cancel = self.cancels.remove(&id)?;
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 tracing::info!(job = %cancel.job, "job cancelled");
                 context
                     .records
                     .apply(&job_key(&cancel.job), Some(&cancel.next), revision);
-                let end = Final {
+                let end = FinishedJob {
                     state: JobState::Cancelled,
                     tasks: 0,
                     ended: None,
@@ -66,7 +66,7 @@
         let most = context
             .storage_limits
             .txn_ops
-            .min(context.kv.room(now, RequestPriority::Accept));
+            .min(context.kv.write_budget(now, RequestPriority::Admission));
         let mut swap = CompareAndSwap::default();
         let mut batch = Vec::new();
         self.own_cancels.retain(|job| {
@@ -100,7 +100,7 @@
         if batch.is_empty()
             || !context
                 .kv
-                .may(now, RequestPriority::Accept, swap.mutations.len())
+                .has_budget(now, RequestPriority::Admission, swap.mutations.len())
         {
             return;
         }
@@ -118,7 +118,7 @@
         let batch = self.cascades.remove(&id).unwrap_or_default();
         let again = context.now().plus(CASCADE_AGAIN_MS);
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for (job, value) in &batch {
                     tracing::info!(job = %job, "job cancelled: dependency or run cancelled");
                     context.records.apply(&job_key(job), Some(value), revision);
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -45,7 +45,7 @@
         }
         // A batch larger than the budget has room for would wait until the bucket is full, while
         // smaller writes keep drawing on it.
-        let room = context.kv.room(now, RequestPriority::Accept);
+        let room = context.kv.write_budget(now, RequestPriority::Admission);
         let max_ops = context.storage_limits.txn_ops.min(room);
         self.given.retain(|(at, _, _)| now.since(*at) < GIVEN_MS);
         let mut rooms = self.rooms.clone();
@@ -140,7 +140,7 @@
         }
         if !context
             .kv
-            .may(now, RequestPriority::Accept, swap.mutations.len())
+            .has_budget(now, RequestPriority::Admission, swap.mutations.len())
         {
             for accept in batch.into_iter().rev() {
                 self.queue.push_front(accept);
@@ -166,14 +166,14 @@
             return;
         };
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for (key, value) in &written {
                     context.records.apply(key, Some(value), revision);
                 }
                 for accept in batch {
                     tracing::info!(job = %accept.job, team = %accept.spec.team, class = %accept.spec.class,
                         tasks = accept.spec.tasks, dependencies = accept.dependencies.len(), "job accepted");
-                    let end = context.records.final_of(&accept.job);
+                    let end = context.records.finished_job(&accept.job);
                     let state = end.map_or(JobState::Open, |end| end.state);
                     if state == JobState::Cancelled {
                         self.confirmed.tell(&accept.job, context.now());
@@ -208,9 +208,9 @@
                     }
                 }
             }
-            SwapOutcome::NotDone
-            | SwapOutcome::NoLease
-            | SwapOutcome::Refused
+            SwapOutcome::NotApplied
+            | SwapOutcome::LeaseExpired
+            | SwapOutcome::Rejected
             | SwapOutcome::Unknown => {
                 // If it was carried out after all, the repeated submission finds the job.
                 for conn in batch.into_iter().flat_map(|a| a.conns) {
@@ -237,7 +237,7 @@
             }
             let room = context
                 .kv
-                .room(now, RequestPriority::Accept)
+                .write_budget(now, RequestPriority::Admission)
                 .min(context.storage_limits.txn_ops);
             let job = &dividing.accept.job;
             let mut swap = CompareAndSwap::default().compare(job_key(job), Default::default());
@@ -248,7 +248,7 @@
             if room == 0
                 || !context
                     .kv
-                    .may(now, RequestPriority::Accept, swap.mutations.len())
+                    .has_budget(now, RequestPriority::Admission, swap.mutations.len())
             {
                 continue;
             }
@@ -270,7 +270,7 @@
 
     /// The answer to a write of pieces.
     pub fn pieces_done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
-        if let (SwapOutcome::Done(_), Some(dividing)) = (&result, self.dividing.get_mut(&id)) {
+        if let (SwapOutcome::Applied(_), Some(dividing)) = (&result, self.dividing.get_mut(&id)) {
             dividing.written += std::mem::take(&mut dividing.underway);
             return;
         }
@@ -292,7 +292,12 @@
 /// The record by which a job is accepted. What it needs and is done already need not be kept; if
 /// something that it needs is cancelled, it is accepted as cancelled.
 fn first_record(accept: &Accept, shares: &[(ShardId, TaskRanges)], context: &Context) -> JobRecord {
-    let state_of = |dependency: &JobId| context.records.final_of(dependency).map(|end| end.state);
+    let state_of = |dependency: &JobId| {
+        context
+            .records
+            .finished_job(dependency)
+            .map(|end| end.state)
+    };
     let lost = |dependency: &JobId| {
         state_of(dependency) == Some(JobState::Cancelled)
             || context.dependency_graph.doomed.contains(dependency)
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -4,7 +4,7 @@
 use crate::coordination::context::{Context, KvRequest};
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Final;
+use crate::storage::record_cache::{FinishedJob, TaskCounts};
 use serde::Deserialize;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
@@ -35,7 +35,7 @@
         why: JobReadPurpose,
         context: &mut Context,
     ) {
-        if let Some(end) = context.records.final_of(job) {
+        if let Some(end) = context.records.finished_job(job) {
             self.tell_final(conn, job, end, why, context);
             return;
         }
@@ -65,9 +65,9 @@
             JobReadPurpose::Resubmit
             | JobReadPurpose::Refuse(_)
             | JobReadPurpose::Malformed(_)
-            | JobReadPurpose::Cancel => RequestPriority::Accept,
+            | JobReadPurpose::Cancel => RequestPriority::Admission,
         };
-        if !context.kv.may(context.now(), class, 0) {
+        if !context.kv.has_budget(context.now(), class, 0) {
             let later = Response::later(503, "too many requests", 1);
             context.effects.respond(conn, later);
             return;
@@ -90,7 +90,7 @@
         {
             let batch: Vec<(ConnectionId, JobId)> =
                 self.polls.drain(..most.min(self.polls.len())).collect();
-            if !context.kv.may(now, RequestPriority::Reads, 0) {
+            if !context.kv.has_budget(now, RequestPriority::Reads, 0) {
                 for (conn, _) in batch {
                     let later = Response::later(503, "too many requests", 1);
                     context.effects.respond(conn, later);
@@ -117,10 +117,10 @@
     pub fn polls_done(&mut self, id: u64, result: SwapOutcome, context: &mut Context) {
         let batch = self.polled.remove(&id).unwrap_or_default();
         match result {
-            SwapOutcome::Done(_) => {
+            SwapOutcome::Applied(_) => {
                 for (conn, job) in batch {
                     match (
-                        context.records.final_of(&job),
+                        context.records.finished_job(&job),
                         context.records.jobs.get(&job),
                     ) {
                         (Some(end), _) => {
@@ -171,10 +171,13 @@
             context.effects.respond(conn, later);
             return;
         }
-        let (done, running) = context.records.counts(job, &record.shards, record.tasks);
+        let TaskCounts { finished, running } =
+            context
+                .records
+                .task_counts(job, &record.shards, record.tasks);
         let word = user::state_word(record.state, running);
         let body = match why {
-            JobReadPurpose::Poll => user::full(job, word, done, running),
+            JobReadPurpose::Poll => user::full(job, word, finished, running),
             _ => user::brief(job, word),
         };
         context.effects.respond(conn, Response::new(200, body));
@@ -184,7 +187,7 @@
         &mut self,
         conn: ConnectionId,
         job: &JobId,
-        end: Final,
+        end: FinishedJob,
         why: JobReadPurpose,
         context: &mut Context,
     ) {
@@ -240,11 +243,11 @@
         };
         // Guards against an answer that was underway while the job was accepted or ended, and its user told so here:
         // what is known here goes first where it is newer.
-        let ended = context.records.final_of(job);
+        let ended = context.records.finished_job(job);
         let ended = ended.or_else(|| {
             read.as_ref()
                 .filter(|r| r.0.is_final())
-                .map(|r| Final::of(&r.0))
+                .map(|r| FinishedJob::from(&*r.0))
         });
         if let Some(end) = ended {
             self.tell_final(conn, job, end, why, context);
@@ -283,7 +286,9 @@
             }
             _ => {
                 let next = context.job_value(&context.cancelled(&record));
-                let may = context.kv.may(context.now(), RequestPriority::Accept, 1);
+                let may = context
+                    .kv
+                    .has_budget(context.now(), RequestPriority::Admission, 1);
                 let Some(next) = next.filter(|_| may) else {
                     let later = Response::later(503, "too many requests", 1);
                     context.effects.respond(conn, later);
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -79,7 +79,7 @@
         }
     }
     pub fn may(&mut self, now: MonotonicMillis) -> bool {
-        self.bucket.has(now, 1.0, 0.0)
+        self.bucket.has_tokens(now, 1.0, 0.0)
     }
     pub fn call(
         &mut self,
@@ -89,7 +89,7 @@
         path: String,
         body: Vec<u8>,
     ) {
-        self.bucket.take(1.0);
+        self.bucket.consume(1.0);
         let id = effects.call(Target::Cloud, method, path, body, CLOUD_CALL_MS);
         self.pending.insert(id, tag);
     }
@@ -101,7 +101,7 @@
         let tag = self.pending.remove(&id)?;
         if let CallOutcome::Response { status: 429, .. } = result {
             tracing::info!("cloud rate limit exceeded");
-            self.bucket.take(1.0);
+            self.bucket.consume(1.0);
         }
         Some(tag)
     }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -222,7 +222,7 @@
     }
 
     fn state_silent_ms(&self) -> u64 {
-        let last = self.kv.served.unwrap_or(self.started);
+        let last = self.kv.last_served_at.unwrap_or(self.started);
         self.effects.now.since(last)
     }
 
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -21,7 +21,7 @@
 impl Controller {
     pub(super) fn call_done(&mut self, id: CallId, result: &CallOutcome) {
         let now = self.effects.now;
-        if let Some((request, response)) = self.kv.done(now, id, result) {
+        if let Some((request, response)) = self.kv.on_outcome(now, id, result) {
             self.on_kv_response(request, response);
             return;
         }
@@ -53,7 +53,7 @@
     /// The leader keeps the machine types where every controller finds them.
     pub(super) fn publish_types(&mut self, types: Vec<MachineType>) {
         let now = self.effects.now;
-        let known = self.records.types.as_ref();
+        let known = self.records.machine_types.as_ref();
         let same = known.is_some_and(|k| *k.value == types);
         let value = serde_json::to_value(&types).unwrap_or_default();
         if !self.storage_limits.accepts(&value) {
@@ -63,7 +63,7 @@
             );
             return;
         }
-        if same || self.publishing || !self.kv.may(now, RequestPriority::Accept, 1) {
+        if same || self.publishing || !self.kv.has_budget(now, RequestPriority::Admission, 1) {
             return;
         }
         let Some(fencing_token) = self.leases.leads() else {
@@ -165,7 +165,7 @@
         response: KvResponse,
     ) {
         if let (ShardRequest::ReadQuota { key }, KvResponse::Get(outcome)) = (&request, &response) {
-            self.records.apply_outcome(key, outcome);
+            self.records.apply_get(key, outcome);
             return;
         }
         let stolen = match &request {
@@ -214,7 +214,7 @@
             return;
         };
         self.publishing = false;
-        if let SwapOutcome::Done(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = outcome {
             let value = serde_json::to_value(types).unwrap_or_default();
             self.records.apply(TYPES_KEY, Some(&value), revision);
             self.changed(vec![RecordChange::Types]);
@@ -264,7 +264,7 @@
                     jobs.insert(job);
                 }
                 RecordChange::Types => {
-                    if let Some(types) = &self.records.types {
+                    if let Some(types) = &self.records.machine_types {
                         self.types = types
                             .value
                             .iter()
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -233,7 +233,7 @@
         for job in unread {
             if self.listed_asked.len() < LISTED_UNDERWAY
                 && !self.listed_asked.contains_key(&job)
-                && self.kv.may(now, RequestPriority::Accept, 0)
+                && self.kv.has_budget(now, RequestPriority::Admission, 0)
             {
                 self.listed_asked.insert(job.clone(), now);
                 let key = job_key(&job);
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -214,7 +214,7 @@
         format_migration.tick(&mut self.context());
         self.format_migration = format_migration;
         let state = &self.config.settings.deployment.state;
-        let now = storage_limits(self.records.format, self.kv.refused, state);
+        let now = storage_limits(self.records.format, self.kv.write_rejected, state);
         if now != self.storage_limits {
             tracing::info!(format = ?now.format, value_bytes = now.value_bytes, txn_ops = now.txn_ops,
                 rps = now.rps, write_rps = now.write_rps, "storage limits changed");
@@ -242,12 +242,12 @@
                 |spec: &JobSpec| seconds_to_ms(estimate(spec, default_s) + spec.pull_gb / slowest);
             let records = &self.records;
             let wall = WallClockMillis(self.effects.wall_ms);
-            let final_of = |id: &JobId| records.final_of(id);
+            let finished_job = |id: &JobId| records.finished_job(id);
             let dependencies_of = |id: &JobId, record| records.dependencies_of(id, record);
             let graph = DependencyGraph::build(
                 &records.jobs,
                 dependencies_of,
-                final_of,
+                finished_job,
                 length_ms,
                 wall,
                 &self.dependency_graph,
@@ -264,7 +264,7 @@
         self.looked_up = now;
         // Ended long ago and dropped from the mirror, or not come yet.
         for job in self.dependency_graph.unknown.iter().take(LOOK_UPS) {
-            if self.kv.may(now, RequestPriority::Ends, 0) {
+            if self.kv.has_budget(now, RequestPriority::TaskEnds, 0) {
                 let tag = KvRequest::JobLookup(job.clone());
                 self.kv.get(&mut self.effects, tag, &job_key(job), 1_500);
             }
--- a/src/coordination/dag_runs/beginning.rs
+++ b/src/coordination/dag_runs/beginning.rs
@@ -216,7 +216,7 @@
         let mut swap = CompareAndSwap::default().compare(first.key.clone(), first.version);
         let room = context
             .kv
-            .room(now, RequestPriority::Accept)
+            .write_budget(now, RequestPriority::Admission)
             .min(context.storage_limits.txn_ops);
         for (key, piece) in first.pieces.iter().skip(first.written).take(room) {
             swap = swap.mutate(Mutation::put(key.clone(), piece));
@@ -227,7 +227,7 @@
         if swap.mutations.is_empty()
             || !context
                 .kv
-                .may(now, RequestPriority::Accept, swap.mutations.len())
+                .has_budget(now, RequestPriority::Admission, swap.mutations.len())
         {
             return;
         }
@@ -246,11 +246,11 @@
         };
         let underway = std::mem::take(&mut first.underway);
         match result {
-            SwapOutcome::Done(_) if first.written < first.pieces.len() => {
+            SwapOutcome::Applied(_) if first.written < first.pieces.len() => {
                 first.written += underway;
                 first.since = context.effects.now;
             }
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 if let Some(done) = self.beginning.pop_front() {
                     context
                         .records
--- a/src/coordination/dag_runs/living.rs
+++ b/src/coordination/dag_runs/living.rs
@@ -1,6 +1,7 @@
 //! A run that is open, as this controller pictures it.
 
 use crate::coordination::context::Context;
+use crate::storage::record_cache::ChunkKey;
 use snowshelf_dag::packing;
 use snowshelf_dag::plan::{Plan, expand, job_id};
 use snowshelf_dag::run::{Asked, Decision, Seen, decide};
@@ -34,8 +35,16 @@
     context: &Context,
 ) -> Option<Result<Asked, String>> {
     packing::unpack_pieces(record.pieces, |piece| {
-        let key = (id.clone(), record.hash.clone(), piece);
-        context.records.plans.get(&key).map(|text| text.as_str())
+        let key = ChunkKey {
+            owner: id.clone(),
+            hash: record.hash.clone(),
+            chunk: piece,
+        };
+        context
+            .records
+            .plan_chunks
+            .get(&key)
+            .map(|text| text.as_str())
     })
 }
 
@@ -83,7 +92,7 @@
     pub fn inherit(&mut self, most: usize, context: &Context) -> Vec<JobId> {
         let mut unknown = Vec::new();
         for (i, ids) in self.earlier.iter_mut().enumerate() {
-            ids.retain(|id| match context.records.final_of(id) {
+            ids.retain(|id| match context.records.finished_job(id) {
                 Some(end) => {
                     self.inherited[i] |= end.run && end.state == JobState::Done;
                     false
@@ -133,7 +142,10 @@
                 continue;
             }
             let id = &job.submission.job;
-            let state = match (context.records.final_of(id), context.records.jobs.get(id)) {
+            let state = match (
+                context.records.finished_job(id),
+                context.records.jobs.get(id),
+            ) {
                 (Some(end), _) => Some((end.state, end.run)),
                 (None, Some(v)) => Some((v.value.state, v.value.run)),
                 (None, None) => None,
@@ -170,8 +182,8 @@
             let often = errors.get(id).is_some_and(|n| *n > job.retries);
             let long = job.timeout_s.is_some_and(|timeout_s| {
                 let record = context.records.jobs.get(id).map(|v| &v.value);
-                let counts = record.map(|r| context.records.counts(id, &r.shards, r.tasks));
-                if counts.is_none_or(|(_, running)| running == 0) {
+                let counts = record.map(|r| context.records.task_counts(id, &r.shards, r.tasks));
+                if counts.is_none_or(|counts| counts.running == 0) {
                     self.running.remove(&i);
                     return false;
                 }
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -116,7 +116,7 @@
 
 impl DagRuns {
     pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
-        let why = if !context.records.all_can(&Capability::graphs()) {
+        let why = if !context.records.all_support(&Capability::graphs()) {
             Some("not every controller takes graphs yet")
         } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
@@ -147,7 +147,10 @@
         limit: usize,
         context: &mut Context,
     ) {
-        if !context.kv.may(context.now(), RequestPriority::Reads, 0) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::Reads, 0)
+        {
             context
                 .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
@@ -215,7 +218,7 @@
             after,
             limit,
         } = question;
-        let SwapOutcome::Done(_) = result else {
+        let SwapOutcome::Applied(_) = result else {
             let later = Response::later(
                 503,
                 "the picture is behind, or the state service did not answer",
@@ -276,7 +279,10 @@
             context.effects.respond(conn, Response::json(200, &body));
             return;
         }
-        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::Admission, 1)
+        {
             context
                 .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
@@ -325,7 +331,7 @@
             return;
         };
         let response = match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let value = serde_json::to_value(&record).unwrap_or_default();
                 context
                     .records
@@ -346,7 +352,8 @@
 
     /// Whether there is nothing to drive, to write, or to remove.
     pub fn idle(&self, records: &RecordCache) -> bool {
-        let kept = records.runs.is_empty() && records.graphs.is_empty() && records.plans.is_empty();
+        let kept =
+            records.runs.is_empty() && records.graphs.is_empty() && records.plan_chunks.is_empty();
         kept && self.beginning.is_empty() && self.live.is_empty()
     }
 
@@ -382,12 +389,12 @@
         };
         let records = &context.records;
         let most = context.storage_limits.txn_ops.min(8);
-        let shown = records.plans.keys().filter(|(id, _, _)| {
-            let record = records.runs.get(id).map(|v| &v.value);
+        let shown = records.plan_chunks.keys().filter(|key| {
+            let record = records.runs.get(&key.owner).map(|v| &v.value);
             record.is_some_and(|r| over(r, SHOWN_MS))
         });
         let mut keys: Vec<String> = shown
-            .map(|(id, h, n)| plan_key(id, h, *n))
+            .map(|key| plan_key(&key.owner, &key.hash, key.chunk))
             .take(most)
             .collect();
         let mut swap = CompareAndSwap::default();
@@ -397,7 +404,11 @@
             swap = swap.compare(run_key(id), v.version);
             keys.push(run_key(id));
         }
-        if keys.is_empty() || !context.kv.may(now, RequestPriority::Spare, keys.len()) {
+        if keys.is_empty()
+            || !context
+                .kv
+                .has_budget(now, RequestPriority::Background, keys.len())
+        {
             return;
         }
         for key in &keys {
@@ -414,7 +425,7 @@
     /// The answer to such a removal.
     pub fn tidied(&mut self, keys: &[String], result: SwapOutcome, context: &mut Context) {
         self.tidying = false;
-        if let SwapOutcome::Done(revision) = result {
+        if let SwapOutcome::Applied(revision) = result {
             for key in keys {
                 context.records.apply(key, None, revision);
             }
@@ -481,7 +492,7 @@
         (live.driven_at, live.driven_of) = (now, context.records.job_changes);
         if !live.inherits() {
             for job in live.inherit(MOST_AT_ONCE, context) {
-                if context.kv.may(now, RequestPriority::Reads, 0) {
+                if context.kv.has_budget(now, RequestPriority::Reads, 0) {
                     let tag = KvRequest::DagRuns(DagRunsRequest::ReadEarlierJob {
                         run: id.clone(),
                         job: job.clone(),
@@ -544,7 +555,10 @@
             tracing::error!(run = %id, "DAG run record too large");
             return;
         }
-        if !context.kv.may(context.now(), RequestPriority::Ends, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::TaskEnds, 1)
+        {
             return;
         }
         let swap = CompareAndSwap::default().compare(shard_key(shard_id), Version(fencing_token.0));
--- a/src/coordination/dag_runs/timing.rs
+++ b/src/coordination/dag_runs/timing.rs
@@ -7,6 +7,7 @@
 use crate::coordination::leases::Leases;
 use crate::effects::Response;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::ChunkKey;
 use jiff::Timestamp;
 use serde_json::{Value, json};
 use snowshelf_dag::packing;
@@ -71,10 +72,14 @@
             return Some(());
         }
         let asked = packing::unpack_pieces(record.pieces, |piece| {
-            let key = (name.to_string(), record.hash.clone(), piece);
+            let key = ChunkKey {
+                owner: name.to_string(),
+                hash: record.hash.clone(),
+                chunk: piece,
+            };
             context
                 .records
-                .definitions
+                .definition_chunks
                 .get(&key)
                 .map(|text| text.as_str())
         });
@@ -156,7 +161,10 @@
                 .respond(conn, Response::error(404, "no such graph"));
             return;
         };
-        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::Admission, 1)
+        {
             context
                 .effects
                 .respond(conn, Response::later(503, "too many requests", 1));
@@ -206,7 +214,7 @@
             return;
         };
         let response = match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let value = serde_json::to_value(&record).unwrap_or_default();
                 context
                     .records
@@ -331,7 +339,10 @@
                 }
             }
         }
-        if context.kv.may(context.now(), RequestPriority::Ends, 1) {
+        if context
+            .kv
+            .has_budget(context.now(), RequestPriority::TaskEnds, 1)
+        {
             if next.missed > record.missed {
                 tracing::info!(
                     graph = name,
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -2,7 +2,7 @@
 //! that need it. A pure function of the records; nothing is remembered that they do not show, but
 //! when a job that may start was first seen to.
 
-use crate::storage::record_cache::{Final, Versioned};
+use crate::storage::record_cache::{FinishedJob, VersionedRecord};
 use snowshelf_model::ids::{JobId, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Priority};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -54,9 +54,9 @@
     /// Works the picture out from the records of jobs that have not ended. `length_ms` is how long a
     /// job is expected to take, `dependencies_of` what it needs, as far as that is known.
     pub fn build<'a>(
-        jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
+        jobs: &'a BTreeMap<JobId, VersionedRecord<JobRecord>>,
         dependencies_of: impl Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
-        final_of: impl Fn(&JobId) -> Option<Final>,
+        finished_job: impl Fn(&JobId) -> Option<FinishedJob>,
         length_ms: impl Fn(&JobSpec) -> u64,
         now: WallClockMillis,
         before: &DependencyGraph,
@@ -80,7 +80,7 @@
             let needed = dependencies.entry(id).or_insert(known.unwrap_or_default());
             for dependency in needed.iter().copied() {
                 needed_by.entry(dependency).or_default().push(id);
-                match final_of(dependency) {
+                match finished_job(dependency) {
                     Some(end) if end.state == JobState::Done => {
                         since = since.and_then(|s| Some(s.max(end.ended?)));
                     }
--- a/src/coordination/drains/guard.rs
+++ b/src/coordination/drains/guard.rs
@@ -1,6 +1,6 @@
 //! What the drains change of placement, renting and returning, worked out from their records.
 
-use crate::storage::record_cache::Versioned;
+use crate::storage::record_cache::VersionedRecord;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Amount;
 use snowshelf_drain::entry::{Drain, Stage, Then};
@@ -33,7 +33,7 @@
 }
 
 impl Draining {
-    pub fn of(drains: &BTreeMap<Name, Versioned<Drain>>) -> Draining {
+    pub fn of(drains: &BTreeMap<Name, VersionedRecord<Drain>>) -> Draining {
         let mut found = Draining::default();
         for (name, v) in drains {
             let drain = &*v.value;
--- a/src/coordination/drains/leading.rs
+++ b/src/coordination/drains/leading.rs
@@ -142,7 +142,10 @@
         context: &mut Context,
     ) {
         // A step is a write in some seconds, and much waits for it.
-        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::Admission, 1)
+        {
             return;
         }
         if let Some(drain) = &drain {
@@ -173,7 +176,9 @@
     /// Removes a drain that ended long ago.
     fn tidy(&mut self, leads: (String, Version), context: &mut Context) {
         let now = context.now();
-        if now.since(self.tidied_at) < TIDY_MS || !context.kv.may(now, RequestPriority::Spare, 1) {
+        if now.since(self.tidied_at) < TIDY_MS
+            || !context.kv.has_budget(now, RequestPriority::Background, 1)
+        {
             return;
         }
         self.tidied_at = now;
@@ -192,7 +197,7 @@
 
 /// A drain that the settings ask for and of which there is no record.
 fn planned(led_ms: u64, context: &Context) -> Option<(Name, Drain)> {
-    if !context.records.all_can(&Capability::drains()) {
+    if !context.records.all_support(&Capability::drains()) {
         return None;
     }
     let now = WallClockMillis(context.effects.wall_ms);
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -63,7 +63,7 @@
 impl Drains {
     /// Takes a request. Whether the state service is there has been asked before.
     pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
-        let why = if !context.records.all_can(&Capability::drains()) {
+        let why = if !context.records.all_support(&Capability::drains()) {
             Some("not every controller takes drains yet")
         } else if !context.records.loaded {
             Some("not able to decide yet")
@@ -92,7 +92,10 @@
                 continue;
             };
             let writes = usize::from(write.changes);
-            if !context.kv.may(now, RequestPriority::Accept, writes) {
+            if !context
+                .kv
+                .has_budget(now, RequestPriority::Admission, writes)
+            {
                 self.queue.put_back(vec![waiting]);
                 return;
             }
@@ -145,7 +148,7 @@
         };
         let now = context.now();
         match (result, underway.asked) {
-            (SwapOutcome::Done(revision), asked) => {
+            (SwapOutcome::Applied(revision), asked) => {
                 if underway.changes {
                     tracing::info!(
                         key = underway.key,
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -5,7 +5,7 @@
 use super::context::{Context, KvRequest};
 use crate::settings::StateLimits;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Versioned;
+use crate::storage::record_cache::VersionedRecord;
 use serde_json::Value;
 use snowshelf_model::ids::{Member, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
@@ -29,8 +29,8 @@
     me: &Member,
     mine: &BTreeSet<Capability>,
     all: &[Member],
-    said: &BTreeMap<Member, Versioned<FormatRecord>>,
-    agreed: Option<&Versioned<FormatRecord>>,
+    said: &BTreeMap<Member, VersionedRecord<FormatRecord>>,
+    agreed: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<(String, Version, FormatRecord)> {
     let before = said.get(me);
     let format = before.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2));
@@ -76,12 +76,12 @@
             &context.config.can,
             &context.config.members,
             &records.members,
-            records.agreed.as_ref(),
+            records.agreed_format.as_ref(),
         );
         let Some((key, version, record)) = next else {
             return;
         };
-        if !context.kv.may(now, RequestPriority::Leases, 1) {
+        if !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             return;
         }
         let value = serde_json::to_value(&record).unwrap_or_default();
@@ -108,7 +108,7 @@
     ) {
         self.underway = false;
         self.retry_at = context.now().plus(AGAIN_MS);
-        if let SwapOutcome::Done(revision) = result {
+        if let SwapOutcome::Applied(revision) = result {
             context.records.apply(key, Some(value), revision);
             self.retry_at = context.now();
         }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -45,7 +45,7 @@
         if self.attested.contains_key(job) {
             return JobKnowledge::Cancelled;
         }
-        let state = match (self.records.final_of(job), self.records.jobs.get(job)) {
+        let state = match (self.records.finished_job(job), self.records.jobs.get(job)) {
             (Some(end), _) => end.state,
             (None, Some(record)) => record.value.state,
             // A share without a job that can be read: it must not be taken for one that nobody has cancelled.
--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -1,7 +1,9 @@
 //! Who owns which part, and who leads: keys of the state service attached to this process's lease.
 
 use super::context::{Config, Context, KvRequest, Role};
-use crate::storage::kv_client::{KvResponse, RequestPriority, SwapOutcome, unexpected_response};
+use crate::storage::kv_client::{
+    KvResponse, RenewalOutcome, RequestPriority, SwapOutcome, unexpected_response,
+};
 use snowshelf_model::ids::{FencingToken, LeaseId, MonotonicMillis, ShardId, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{LEADER_KEY, LeaseHolder, shard_key};
@@ -135,11 +137,13 @@
         match self.lease {
             None => {
                 let idle = self.asked_lease.is_none_or(|at| now.since(at) > 1_600);
-                if idle && context.kv.may(now, RequestPriority::Leases, 0) {
+                if idle && context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0) {
                     self.asked_lease = Some(now);
-                    context
-                        .kv
-                        .lease(context.effects, KvRequest::Leases(LeaseRequest::Grant), ttl);
+                    context.kv.grant_lease(
+                        context.effects,
+                        KvRequest::Leases(LeaseRequest::Grant),
+                        ttl,
+                    );
                 }
             }
             Some(lease) => {
@@ -148,10 +152,10 @@
                 }
                 if self.renewing.is_none()
                     && now >= self.next_renew
-                    && context.kv.may(now, RequestPriority::Leases, 0)
+                    && context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0)
                 {
                     self.renewing = Some(now);
-                    context.kv.renew(
+                    context.kv.renew_lease(
                         context.effects,
                         KvRequest::Leases(LeaseRequest::Renew { sent_at: now }),
                         lease,
@@ -199,7 +203,7 @@
     fn take(&mut self, role: Role, version: Version, context: &mut Context) {
         let now = context.now();
         let Some(lease) = self.lease else { return };
-        if !context.kv.may(now, RequestPriority::Leases, 1) {
+        if !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             return;
         }
         let record = LeaseHolder {
@@ -256,7 +260,7 @@
 
     fn give(&mut self, shard_id: ShardId, fencing_token: FencingToken, context: &mut Context) {
         let now = context.now();
-        if !context.kv.may(now, RequestPriority::Leases, 1) {
+        if !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             return;
         }
         self.giving = Some(shard_id);
@@ -285,8 +289,8 @@
         context: &mut Context,
     ) -> RoleChange {
         match (request, response) {
-            (LeaseRequest::Grant, KvResponse::Lease(lease)) => self.granted(lease, context),
-            (LeaseRequest::Renew { sent_at }, KvResponse::Renewed(result)) => {
+            (LeaseRequest::Grant, KvResponse::LeaseGrant(lease)) => self.granted(lease, context),
+            (LeaseRequest::Renew { sent_at }, KvResponse::Renewal(result)) => {
                 if self.renewed(sent_at, result, context) {
                     return RoleChange::AllLost;
                 }
@@ -306,7 +310,7 @@
 
     fn released(&mut self, shard_id: ShardId, result: SwapOutcome, context: &mut Context) {
         self.giving = None;
-        if let SwapOutcome::Done(revision) = result {
+        if let SwapOutcome::Applied(revision) = result {
             context.records.apply(&shard_key(shard_id), None, revision);
         }
     }
@@ -337,16 +341,21 @@
     }
 
     /// The answer to a renewal; true if the lease, and all that hung on it, is lost.
-    fn renewed(&mut self, sent: MonotonicMillis, result: Option<bool>, context: &Context) -> bool {
+    fn renewed(
+        &mut self,
+        sent: MonotonicMillis,
+        result: RenewalOutcome,
+        context: &Context,
+    ) -> bool {
         if self.renewing == Some(sent) {
             self.renewing = None;
         }
         match result {
-            Some(true) => {
+            RenewalOutcome::Renewed => {
                 self.extend(sent, context.config);
                 false
             }
-            Some(false) => {
+            RenewalOutcome::LeaseExpired => {
                 tracing::info!("lease expired");
                 self.lease = None;
                 self.asked_lease = None;
@@ -354,7 +363,7 @@
                 self.acquiring.clear();
                 true
             }
-            None => {
+            RenewalOutcome::Failed => {
                 self.next_renew = context.effects.now.plus(250);
                 false
             }
@@ -373,7 +382,7 @@
             return None;
         }
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let lease = self.lease?;
                 let record = LeaseHolder {
                     owner: context.config.me.clone(),
@@ -386,7 +395,7 @@
                 self.held.insert(role, fencing_token);
                 Some(fencing_token)
             }
-            SwapOutcome::NoLease => {
+            SwapOutcome::LeaseExpired => {
                 self.lease = None;
                 self.asked_lease = None;
                 self.held.clear();
@@ -395,8 +404,8 @@
             // Unknown: if it was carried out, the feed shows this member's name, and the key is
             // taken once more with a token that is known.
             SwapOutcome::Unknown
-            | SwapOutcome::NotDone
-            | SwapOutcome::Refused
+            | SwapOutcome::NotApplied
+            | SwapOutcome::Rejected
             | SwapOutcome::Conflict(_) => {
                 self.retry_at.insert(role, now.plus(400));
                 None
--- a/src/coordination/list_watch.rs
+++ b/src/coordination/list_watch.rs
@@ -5,10 +5,10 @@
 //! changes for ends all the same.
 
 use super::context::{Context, KvRequest};
-use crate::storage::kv_client::{KvResponse, RequestPriority, unexpected_response};
+use crate::storage::kv_client::{KvResponse, RequestPriority, WatchOutcome, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
-use snowshelf_model::protocol::state::{RangePage, WatchEvents};
+use snowshelf_model::protocol::state::RangePage;
 use snowshelf_reconciliation::startup_read::{Ask, Reading as Staged, Stage};
 use std::collections::BTreeSet;
 
@@ -118,7 +118,7 @@
         let now = context.now();
         if !self.opened && self.reading.is_none() {
             self.round += 1;
-            context.records.begin_reading();
+            context.records.begin_startup_read();
             self.reading = Some(Reading::default());
         }
         if let Some(reading) = &mut self.reading
@@ -128,9 +128,9 @@
             // Pages keep clear of the room that leases and the feed need; and what has ended, of all others'.
             let class = match reading.open_known {
                 true => RequestPriority::Reads,
-                false => RequestPriority::Accept,
+                false => RequestPriority::Admission,
             };
-            if context.kv.may(now, class, 0) {
+            if context.kv.has_budget(now, class, 0) {
                 self.pages.busy = true;
                 if reading.followed.is_none() {
                     reading.began = now;
@@ -139,7 +139,7 @@
                 match (&ask, reading.followed) {
                     (Ask::LookBack { revisions }, Some(from)) => {
                         let after = Version(from.0.saturating_sub(*revisions));
-                        context.kv.changes(
+                        context.kv.watch(
                             context.effects,
                             KvRequest::ListWatch(ListWatchRequest::RecentChanges),
                             JOBS,
@@ -155,7 +155,7 @@
                             limit,
                         },
                         _,
-                    ) => context.kv.page(
+                    ) => context.kv.list(
                         context.effects,
                         KvRequest::ListWatch(ListWatchRequest::Page),
                         starts,
@@ -172,7 +172,7 @@
         };
         if let Some(from) = from
             && self.feed.free(now)
-            && context.kv.may(now, RequestPriority::Leases, 0)
+            && context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0)
         {
             self.feed.busy = true;
             self.feed.next_at = now.plus(FEED_GAP_MS);
@@ -181,7 +181,7 @@
             // Asked often enough that an owner's knowledge is never old.
             let wait_ms =
                 FEED_WAIT_MS.min((context.config.settings.answering_ms() / 4).max(FEED_GAP_MS));
-            context.kv.changes(
+            context.kv.watch(
                 context.effects,
                 KvRequest::ListWatch(ListWatchRequest::Watch),
                 "",
@@ -210,12 +210,12 @@
         context: &mut Context,
     ) -> Vec<RecordChange> {
         match (request, response) {
-            (ListWatchRequest::Page, KvResponse::RangePage(page)) => self.page(page, context),
-            (ListWatchRequest::RecentChanges, KvResponse::WatchEvents(result)) => {
-                self.looked_back(result, context)
+            (ListWatchRequest::Page, KvResponse::List(page)) => self.page(page, context),
+            (ListWatchRequest::RecentChanges, KvResponse::Watch(outcome)) => {
+                self.apply_recent_changes(outcome, context)
             }
-            (ListWatchRequest::Watch, KvResponse::WatchEvents(result)) => {
-                self.changes(result, context)
+            (ListWatchRequest::Watch, KvResponse::Watch(outcome)) => {
+                self.apply_events(outcome, context)
             }
             (request, _) => {
                 unexpected_response(&request);
@@ -238,13 +238,13 @@
         if reading.followed.is_none() {
             reading.followed = Some(page.revision);
             reading.followed_at = Some(context.effects.now);
-            reading.known = context.records.open_keys().into_iter().collect();
+            reading.known = context.records.live_keys().into_iter().collect();
         }
         reading.items += page.items.len() as u64;
         let mut changed = Vec::new();
         for item in &page.items {
             let records = &mut *context.records;
-            changed.extend(records.apply_read(&item.key, &item.value, item.version));
+            changed.extend(records.apply_listed(&item.key, &item.value, item.version));
             reading.known.remove(&item.key);
         }
         let keys = page.items.iter().map(|item| item.key.as_str());
@@ -261,7 +261,7 @@
                 .collect();
             for key in gone {
                 reading.known.remove(&key);
-                changed.extend(context.records.absent(&key, page.revision));
+                changed.extend(context.records.apply_absence(&key, page.revision));
             }
         }
         self.staged(context);
@@ -269,13 +269,14 @@
     }
 
     /// The answer to looking back: jobs that changed lately.
-    fn looked_back(
+    fn apply_recent_changes(
         &mut self,
-        result: Result<WatchEvents, bool>,
+        outcome: WatchOutcome,
         context: &mut Context,
     ) -> Vec<RecordChange> {
         // Guards against looking back for ever where such an answer never comes in time.
-        let failed = matches!(result, Err(false)) && self.pages.failures < LOOK_BACK_TRIES;
+        let failed =
+            matches!(outcome, WatchOutcome::Failed) && self.pages.failures < LOOK_BACK_TRIES;
         let failures = self.pages.failures;
         if failed {
             self.pages.failed(context.effects.retry_at(150, failures));
@@ -285,10 +286,19 @@
         let Some((reading, _)) = self.answered().filter(|_| !failed) else {
             return Vec::new();
         };
+        let too_far = !matches!(outcome, WatchOutcome::Events(_));
+        let log = match outcome {
+            WatchOutcome::Events(events) => events.log,
+            WatchOutcome::RevisionCompacted | WatchOutcome::Failed => Vec::new(),
+        };
         let mut changed = Vec::new();
-        for entry in result.iter().flat_map(|c| &c.log) {
+        for entry in &log {
             if let Some(key) = &entry.put {
-                changed.extend(context.records.apply_read(key, &entry.value, entry.version));
+                changed.extend(
+                    context
+                        .records
+                        .apply_listed(key, &entry.value, entry.version),
+                );
                 reading.known.remove(key);
                 if let Some(job) = key.strip_prefix(JOBS) {
                     reading.stages.seen(&JobId::new(job));
@@ -296,11 +306,11 @@
             }
         }
         tracing::info!(
-            changes = result.as_ref().map_or(0, |c| c.log.len()),
+            changes = log.len(),
             wanted = reading.stages.wanted(),
             "recent job changes read"
         );
-        reading.stages.looked_back(result.is_err());
+        reading.stages.looked_back(too_far);
         self.staged(context);
         changed
     }
@@ -315,7 +325,7 @@
         context.records.allocations_read |= stage >= Stage::Jobs;
         // Asked once all that was wanted is settled: what else is, by then.
         if stage == Stage::Jobs && reading.stages.wanted() == 0 {
-            let wanted = context.records.wanted();
+            let wanted = context.records.missing_jobs();
             reading.stages.want(wanted.iter());
             // Jobs known from before may have changed while nothing was heard.
             let known = reading.known.iter().filter_map(|k| k.strip_prefix(JOBS));
@@ -336,28 +346,24 @@
                 jobs = context.records.jobs.len(),
                 "startup read complete"
             );
-            context.records.open_read(revision);
+            context.records.mark_loaded(revision);
             self.current_as_of = self.current_as_of.max(Some(reading.began));
         }
         if stage == Stage::Over {
-            context.records.end_reading();
+            context.records.end_startup_read();
             self.reading = None;
             self.opened = true;
         }
     }
 
-    fn changes(
-        &mut self,
-        result: Result<WatchEvents, bool>,
-        context: &mut Context,
-    ) -> Vec<RecordChange> {
+    fn apply_events(&mut self, outcome: WatchOutcome, context: &mut Context) -> Vec<RecordChange> {
         self.feed.busy = false;
         if self.feed_round != self.round {
             return Vec::new();
         }
         let now = context.now();
-        match result {
-            Ok(changes) => {
+        match outcome {
+            WatchOutcome::Events(changes) => {
                 self.feed.failures = 0;
                 let mut changed = Vec::new();
                 let mut reading = self.reading.as_mut().filter(|r| !r.open_known);
@@ -386,12 +392,12 @@
                     }
                 };
                 *seen = (*seen).max(changes.revision);
-                context.records.tidy();
+                context.records.prune_version_guards();
                 self.staged(context);
                 changed
             }
-            Err(too_old) => {
-                if too_old {
+            outcome => {
+                if let WatchOutcome::RevisionCompacted = outcome {
                     tracing::info!("watch revision compacted: reading all records again");
                     self.opened = false;
                     self.reading = None;
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -115,7 +115,7 @@
 impl Reservations {
     /// Takes a request. Whether the state service is there has been asked before.
     pub fn take(&mut self, conn: ConnectionId, ask: Ask, context: &mut Context) {
-        let why = if !context.records.all_can(&Capability::calendar()) {
+        let why = if !context.records.all_support(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
         } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
@@ -219,7 +219,7 @@
         self.queue.give_up(context);
         if self
             .behind
-            .is_some_and(|seen| seen != context.records.calendar)
+            .is_some_and(|seen| seen != context.records.calendar_version)
         {
             self.behind = None;
         }
@@ -229,11 +229,11 @@
         }
         let room = context
             .kv
-            .room(now, RequestPriority::Accept)
+            .write_budget(now, RequestPriority::Admission)
             .min(context.storage_limits.txn_ops);
         let mut calendar = self.calendar.clone();
-        let mut swap =
-            CompareAndSwap::default().compare(CALENDAR_KEY.to_string(), context.records.calendar);
+        let mut swap = CompareAndSwap::default()
+            .compare(CALENDAR_KEY.to_string(), context.records.calendar_version);
         let mut keys = BTreeSet::new();
         let (mut waiting, mut decided) = (Vec::new(), Vec::new());
         while let Some(first) = self.queue.front() {
@@ -263,7 +263,7 @@
         }
         if !context
             .kv
-            .may(now, RequestPriority::Accept, swap.mutations.len())
+            .has_budget(now, RequestPriority::Admission, swap.mutations.len())
         {
             self.queue.put_back(waiting);
             return;
@@ -271,7 +271,7 @@
         self.next += 1;
         self.underway = Some(Underway {
             id: self.next,
-            seen: context.records.calendar,
+            seen: context.records.calendar_version,
             waiting,
             decided,
         });
@@ -313,7 +313,7 @@
         };
         let mut changed = Vec::new();
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let mut any = false;
                 for (waiting, decided) in underway.waiting.iter().zip(underway.decided) {
                     if let Some(write) = &decided.write {
@@ -389,7 +389,7 @@
         let Some((key, version)) = old else {
             return;
         };
-        if !context.kv.may(now, RequestPriority::Spare, 1) {
+        if !context.kv.has_budget(now, RequestPriority::Background, 1) {
             return;
         }
         self.tidying = true;
@@ -412,7 +412,7 @@
     ) -> Vec<RecordChange> {
         self.tidying = false;
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 tracing::info!(key, "expired calendar entry removed");
                 context
                     .records
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -123,7 +123,7 @@
         }
         // A picture that may be old is not asked what is away; nor is one in which a share is newer than the rest:
         // tasks that another part claimed from it would be nowhere.
-        if !context.drains.fresh || context.records.revision < context.records.read_ahead {
+        if !context.drains.fresh || context.records.revision < context.records.newest_single_read {
             return;
         }
         let overdue = self.overdue(context);
@@ -190,7 +190,7 @@
             if let Some(why) = short {
                 self.held_back.push(format!("{team}: {why}"));
             }
-            if charged == 0 || !context.kv.may(now, RequestPriority::Ends, 1) {
+            if charged == 0 || !context.kv.has_budget(now, RequestPriority::TaskEnds, 1) {
                 continue;
             }
             self.write_ledger(team, version, ledger, context);
@@ -235,7 +235,7 @@
             over.then(|| (team.clone(), v.version, ledger))
         });
         if let Some((team, version, ledger)) = found
-            && context.kv.may(now, RequestPriority::Spare, 1)
+            && context.kv.has_budget(now, RequestPriority::Background, 1)
         {
             self.charge_at = now.plus(SETTLE_MS);
             self.write_ledger(team, version, ledger, context);
@@ -315,7 +315,7 @@
         };
         let key = ledger_key(&charging.team);
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let value = serde_json::to_value(&charging.ledger).unwrap_or_default();
                 context.records.apply(&key, Some(&value), revision);
             }
@@ -327,8 +327,8 @@
                 // The feed brings what another part has charged.
                 self.charge_at = now.plus(100);
             }
-            SwapOutcome::Refused => self.charge_at = now.plus(REFUSED_MS),
-            SwapOutcome::NotDone | SwapOutcome::NoLease | SwapOutcome::Unknown => {
+            SwapOutcome::Rejected => self.charge_at = now.plus(REFUSED_MS),
+            SwapOutcome::NotApplied | SwapOutcome::LeaseExpired | SwapOutcome::Unknown => {
                 // If it was carried out after all the feed tells.
                 self.charge_at = now.plus(500);
             }
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -70,17 +70,17 @@
         }
         ready.sort();
         let class = match ready[0].0 {
-            WritePriority::Settle => RequestPriority::Ends,
-            WritePriority::Starts => RequestPriority::Starts,
+            WritePriority::Settle => RequestPriority::TaskEnds,
+            WritePriority::Starts => RequestPriority::TaskStarts,
             WritePriority::Ends if now.since(ready[0].2) > ENDS_LATEST_MS => {
-                RequestPriority::Starts
+                RequestPriority::TaskStarts
             }
-            WritePriority::Ends => RequestPriority::Spare,
+            WritePriority::Ends => RequestPriority::Background,
         };
         // More than the budget has room for would wait until the bucket is full, and keep
         // everything else waiting after it.
         let max_ops = context.storage_limits.txn_ops;
-        let most = context.kv.room(now, class).min(max_ops);
+        let most = context.kv.write_budget(now, class).min(max_ops);
         let mut swap =
             CompareAndSwap::default().compare(shard_key(self.id), Version(self.fencing_token.0));
         let mut jobs = Vec::new();
@@ -143,7 +143,7 @@
                 break;
             }
         }
-        if jobs.is_empty() || !context.kv.may(now, class, swap.mutations.len()) {
+        if jobs.is_empty() || !context.kv.has_budget(now, class, swap.mutations.len()) {
             self.retry_at = now.plus(50);
             return;
         }
@@ -171,7 +171,7 @@
             }
         }
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 self.refusals = 0;
                 for writing in flight.jobs {
                     let id = writing.job;
@@ -204,11 +204,11 @@
                     self.read_back(&key, context);
                 }
             }
-            SwapOutcome::NotDone | SwapOutcome::NoLease => {
+            SwapOutcome::NotApplied | SwapOutcome::LeaseExpired => {
                 self.retry_at = context.effects.retry_at(150, self.refusals.min(3));
                 self.refusals += 1;
             }
-            SwapOutcome::Refused => {
+            SwapOutcome::Rejected => {
                 // Guards against the same write again and again, and all others of the part after it.
                 self.retry_at = now.plus(150);
                 match &flight.jobs[..] {
@@ -263,11 +263,13 @@
     pub fn read_done(&mut self, key: &str, result: GetOutcome, context: &mut Context) {
         match result {
             GetOutcome::Found(item) => {
-                context.records.read_ahead = context.records.read_ahead.max(item.version);
+                context.records.newest_single_read =
+                    context.records.newest_single_read.max(item.version);
                 context.records.apply(key, Some(&item.value), item.version);
             }
             GetOutcome::NotFound(revision) => {
-                context.records.read_ahead = context.records.read_ahead.max(revision);
+                context.records.newest_single_read =
+                    context.records.newest_single_read.max(revision);
                 context.records.apply(key, None, revision);
             }
             GetOutcome::Failed => {
@@ -296,7 +298,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in again.into_iter().take(8) {
-            if context.kv.may(now, RequestPriority::Ends, 0) {
+            if context.kv.has_budget(now, RequestPriority::TaskEnds, 0) {
                 let key = allocation_key(self.id, &id);
                 let tag = self.kv_request(ShardRequest::ReadAllocation { key: key.clone() });
                 context.kv.get(context.effects, tag, &key, 1_500);
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -111,7 +111,7 @@
             if same && !unsettled {
                 continue;
             }
-            if !context.kv.may(now, RequestPriority::Starts, 1) {
+            if !context.kv.has_budget(now, RequestPriority::TaskStarts, 1) {
                 return;
             }
             let lowers = granted.cpus < durable.cpus || granted.gpus < durable.gpus || unsettled;
@@ -149,7 +149,7 @@
         let key = quota_key(&team);
         let state = self.quota.entry(team).or_default();
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 state.ceiling = None;
                 // The same grant is not moved again at once: every move is a write.
                 state.retry_at = now.plus(QUOTA_GAP_MS);
@@ -167,8 +167,8 @@
                 context.kv.get(context.effects, tag, &key, 1_500);
             }
             // The same write would be refused again.
-            SwapOutcome::Refused => state.retry_at = now.plus(REFUSED_MS),
-            SwapOutcome::NotDone | SwapOutcome::NoLease => state.retry_at = now.plus(500),
+            SwapOutcome::Rejected => state.retry_at = now.plus(REFUSED_MS),
+            SwapOutcome::NotApplied | SwapOutcome::LeaseExpired => state.retry_at = now.plus(500),
             SwapOutcome::Unknown => {
                 // A lowered grant stays lowered until a later write settles the key.
                 state.retry_at = now.plus(500);
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -165,7 +165,7 @@
         }
         if !context
             .kv
-            .may(now, RequestPriority::Starts, swap.mutations.len())
+            .has_budget(now, RequestPriority::TaskStarts, swap.mutations.len())
         {
             self.claim_at = now.plus(250);
             return;
@@ -203,7 +203,7 @@
             false => now.plus(100),
         };
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for change in &swap.mutations {
                     if let Mutation::Put { key, value, .. } = change {
                         context.records.apply(key, Some(value), revision);
@@ -214,9 +214,9 @@
             // The change feed shows what became of it; nothing is commanded before that.
             SwapOutcome::Unknown => self.claim_at = now.plus(3_000),
             SwapOutcome::Conflict(_)
-            | SwapOutcome::NotDone
-            | SwapOutcome::Refused
-            | SwapOutcome::NoLease => {
+            | SwapOutcome::NotApplied
+            | SwapOutcome::Rejected
+            | SwapOutcome::LeaseExpired => {
                 self.claim_at = now.plus(500);
             }
         }
--- /dev/null
+++ b/src/storage/kv_client/mod.rs
@@ -0,0 +1,229 @@
+//! The client of the consensus-backed key-value store: its rate limits, its requests, and responses
+//! interpreted as outcomes.
+
+mod priority;
+mod response;
+mod token_bucket;
+
+pub use priority::RequestPriority;
+pub use response::{
+    GetOutcome, KvResponse, RenewalOutcome, SwapOutcome, WatchOutcome, unexpected_response,
+};
+pub use token_bucket::TokenBucket;
+
+use crate::effects::{CallOutcome, Effects, Method, Target};
+use response::{RequestKind, interpret};
+use snowshelf_model::ids::{CallId, LeaseId, MonotonicMillis, Version};
+use snowshelf_model::protocol::state::CompareAndSwap;
+use std::collections::HashMap;
+
+/// Timeout of an ordinary request.
+const REQUEST_TIMEOUT_MS: u64 = 2_500;
+/// Timeout of a request for a new lease.
+const LEASE_GRANT_TIMEOUT_MS: u64 = 1_500;
+/// Timeout of a renewal.
+const RENEWAL_TIMEOUT_MS: u64 = 1_000;
+
+/// A request to the store.
+struct Request {
+    kind: RequestKind,
+    method: Method,
+    path: String,
+    body: Vec<u8>,
+    timeout_ms: u64,
+}
+
+impl Request {
+    fn get(kind: RequestKind, path: String, timeout_ms: u64) -> Request {
+        Request {
+            kind,
+            method: Method::Get,
+            path,
+            body: Vec::new(),
+            timeout_ms,
+        }
+    }
+}
+
+/// A client of the key-value store. `T` tags a request, so that its response finds the actor that sent it.
+pub struct KvClient<T> {
+    requests: TokenBucket,
+    writes: TokenBucket,
+    pending: HashMap<CallId, (T, RequestKind)>,
+    /// When the store last responded with any status but 503.
+    pub last_served_at: Option<MonotonicMillis>,
+    /// Whether a compare-and-swap has ever been rejected as too large or malformed.
+    pub write_rejected: bool,
+}
+
+impl<T> KvClient<T> {
+    /// A client that sends at most `rps` requests and `write_rps` writes a second.
+    #[must_use]
+    pub fn new(rps: f64, write_rps: f64) -> KvClient<T> {
+        KvClient {
+            requests: TokenBucket::new(rps),
+            writes: TokenBucket::new(write_rps),
+            pending: HashMap::new(),
+            last_served_at: None,
+            write_rejected: false,
+        }
+    }
+
+    /// Changes the limits of requests and writes a second.
+    pub fn set_rates(&mut self, rps: f64, write_rps: f64) {
+        self.requests.set_rate(rps);
+        self.writes.set_rate(write_rps);
+    }
+
+    /// Writes a second that this client may make.
+    #[must_use]
+    pub fn write_rate(&self) -> f64 {
+        self.writes.rate()
+    }
+
+    /// Whether the rate limits allow a request of this priority with so many writes now.
+    pub fn has_budget(
+        &mut self,
+        now: MonotonicMillis,
+        priority: RequestPriority,
+        writes: usize,
+    ) -> bool {
+        self.requests
+            .has_tokens(now, 1.0, priority.request_reserve())
+            && (writes == 0
+                || self
+                    .writes
+                    .has_tokens(now, writes as f64, priority.write_reserve()))
+    }
+
+    /// How many writes one compare-and-swap of this priority may make now.
+    pub fn write_budget(&mut self, now: MonotonicMillis, priority: RequestPriority) -> usize {
+        if self
+            .requests
+            .has_tokens(now, 1.0, priority.request_reserve())
+        {
+            self.writes.available(now, priority.write_reserve())
+        } else {
+            0
+        }
+    }
+
+    fn send(&mut self, effects: &mut Effects, tag: T, request: Request) {
+        self.requests.consume(1.0);
+        let id = effects.call(
+            Target::State,
+            request.method,
+            request.path,
+            request.body,
+            request.timeout_ms,
+        );
+        self.pending.insert(id, (tag, request.kind));
+    }
+
+    /// Sends a compare-and-swap; the caller has checked [`KvClient::has_budget`].
+    pub fn compare_and_swap(&mut self, effects: &mut Effects, tag: T, swap: &CompareAndSwap) {
+        self.writes.consume(swap.mutations.len() as f64);
+        self.check_versions(effects, tag, swap, REQUEST_TIMEOUT_MS);
+    }
+
+    /// Checks whether keys have the expected versions: a compare-and-swap without mutations.
+    pub fn check_versions(
+        &mut self,
+        effects: &mut Effects,
+        tag: T,
+        swap: &CompareAndSwap,
+        timeout_ms: u64,
+    ) {
+        let request = Request {
+            kind: RequestKind::Swap,
+            method: Method::Post,
+            path: "/txn".to_string(),
+            body: serde_json::to_vec(swap).unwrap_or_default(),
+            timeout_ms,
+        };
+        self.send(effects, tag, request);
+    }
+
+    /// Reads one key.
+    pub fn get(&mut self, effects: &mut Effects, tag: T, key: &str, timeout_ms: u64) {
+        let request = Request::get(RequestKind::Get, format!("/kv/{key}"), timeout_ms);
+        self.send(effects, tag, request);
+    }
+
+    /// Lists at most `limit` keys with the prefix `prefix`, in order, after the key `after`.
+    pub fn list(&mut self, effects: &mut Effects, tag: T, prefix: &str, after: &str, limit: u32) {
+        let path = if after.is_empty() {
+            format!("/kv?Starts={prefix}&Limit={limit}")
+        } else {
+            format!("/kv?Starts={prefix}&After={after}&Limit={limit}")
+        };
+        let request = Request::get(RequestKind::List, path, REQUEST_TIMEOUT_MS);
+        self.send(effects, tag, request);
+    }
+
+    /// Reads the events of keys with the prefix `prefix` after the revision `after`; the store waits
+    /// up to `wait_ms` for one if there are none.
+    pub fn watch(
+        &mut self,
+        effects: &mut Effects,
+        tag: T,
+        prefix: &str,
+        after: Version,
+        wait_ms: u64,
+    ) {
+        let path = format!("/changes?Starts={prefix}&After={after}&WaitMs={wait_ms}");
+        let request = Request::get(RequestKind::Watch, path, wait_ms + REQUEST_TIMEOUT_MS);
+        self.send(effects, tag, request);
+    }
+
+    /// Requests a new lease with a time to live.
+    pub fn grant_lease(&mut self, effects: &mut Effects, tag: T, ttl_ms: u64) {
+        let request = Request {
+            kind: RequestKind::LeaseGrant,
+            method: Method::Post,
+            path: "/leases".to_string(),
+            body: format!("{{\"TtlMs\":{ttl_ms}}}").into_bytes(),
+            timeout_ms: LEASE_GRANT_TIMEOUT_MS,
+        };
+        self.send(effects, tag, request);
+    }
+
+    /// Renews a lease.
+    pub fn renew_lease(&mut self, effects: &mut Effects, tag: T, lease: LeaseId) {
+        let request = Request {
+            kind: RequestKind::Renewal,
+            method: Method::Post,
+            path: format!("/leases/{lease}/renew"),
+            body: Vec::new(),
+            timeout_ms: RENEWAL_TIMEOUT_MS,
+        };
+        self.send(effects, tag, request);
+    }
+
+    /// Interprets the outcome of a call; `None` if this client did not make it.
+    pub fn on_outcome(
+        &mut self,
+        now: MonotonicMillis,
+        id: CallId,
+        outcome: &CallOutcome,
+    ) -> Option<(T, KvResponse)> {
+        let (tag, kind) = self.pending.remove(&id)?;
+        if let CallOutcome::Response { status, .. } = outcome
+            && *status != 503
+        {
+            self.last_served_at = Some(now);
+        }
+        if let CallOutcome::Response { status: 429, .. } = outcome {
+            tracing::info!("key-value store rate limit exceeded");
+            self.requests.drain();
+            if kind == RequestKind::Swap {
+                self.writes.drain();
+            }
+        }
+        let response = interpret(kind, outcome);
+        if let KvResponse::Swap(SwapOutcome::Rejected) = response {
+            self.write_rejected = true;
+        }
+        Some((tag, response))
+    }
+}
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,7 @@
-//! What is known and kept: a mirror of the records, and the client of the state service.
+//! The controller's access to stored records: a client of the key-value store, and a cache of what it holds.
+//!
+//! The two do not use each other. The actors in `coordination` send requests with the client and apply
+//! the responses to the cache; `coordination::list_watch` keeps the cache current.
 
 pub mod kv_client;
 pub mod record_cache;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -302,14 +302,15 @@
 fn a_reserve_keeps_room_for_what_matters_more() {
     let mut bucket = TokenBucket::new(10.0);
     let mut polls = 0;
-    while bucket.has(MonotonicMillis(0), 1.0, 0.3) {
-        bucket.take(1.0);
+    while bucket.has_tokens(MonotonicMillis(0), 1.0, 0.3) {
+        bucket.consume(1.0);
         polls += 1;
     }
     assert_eq!(polls, 7);
-    assert!(bucket.has(MonotonicMillis(0), 1.0, 0.0));
+    assert!(bucket.has_tokens(MonotonicMillis(0), 1.0, 0.0));
     assert!(
-        !bucket.has(MonotonicMillis(0), 1.0, 0.3) && bucket.has(MonotonicMillis(100), 1.0, 0.3)
+        !bucket.has_tokens(MonotonicMillis(0), 1.0, 0.3)
+            && bucket.has_tokens(MonotonicMillis(100), 1.0, 0.3)
     );
 }
 
@@ -405,7 +406,7 @@
 #[test]
 fn a_feature_is_settled_only_when_every_controller_has_it() {
     use snowshelf::coordination::format_migration::next_word;
-    use snowshelf::storage::record_cache::Versioned;
+    use snowshelf::storage::record_cache::VersionedRecord;
     use snowshelf_model::ids::{Member, Version};
     use snowshelf_model::records::{Capability, FORMAT_V2, FormatRecord};
     use std::collections::BTreeSet;
@@ -414,7 +415,7 @@
     let can = |names: &[&str]| -> BTreeSet<Capability> {
         names.iter().map(|n| Capability::named(n)).collect()
     };
-    let word = |version, format, names: &[&str]| Versioned {
+    let word = |version, format, names: &[&str]| VersionedRecord {
         version: Version(version),
         value: Rc::new(FormatRecord {
             format,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -7,7 +7,7 @@
 use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
 use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
 use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
-use snowshelf::storage::record_cache::{Final, RecordCache, Versioned};
+use snowshelf::storage::record_cache::{FinishedJob, RecordCache, VersionedRecord};
 use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
 use snowshelf_model::ids::{
     Attempt, FencingToken, JobId, MachineId, ShardId, TaskIndex, Version, WallClockMillis,
@@ -102,12 +102,12 @@
 /// The picture of jobs of which the final ones are kept apart, as the mirror does.
 fn graph_of(records: &[JobRecord]) -> DependencyGraph {
     let mut open = BTreeMap::new();
-    let mut finals: BTreeMap<JobId, Final> = BTreeMap::new();
+    let mut finals: BTreeMap<JobId, FinishedJob> = BTreeMap::new();
     for (n, r) in records.iter().enumerate() {
         if r.is_final() {
             finals.insert(
                 name(n),
-                Final {
+                FinishedJob {
                     state: r.state,
                     tasks: r.tasks,
                     ended: r.ended,
@@ -117,7 +117,7 @@
         } else {
             open.insert(
                 name(n),
-                Versioned {
+                VersionedRecord {
                     version: Version(1),
                     value: Rc::new(r.clone()),
                 },
@@ -600,13 +600,13 @@
         records.apply(&format!("job/{need}"), Some(&done), Version(2 + n as u64));
     }
     let ready = |records: &RecordCache| {
-        let final_of = |id: &JobId| records.final_of(id);
+        let finished_job = |id: &JobId| records.finished_job(id);
         let dependencies_of = |id: &JobId, r| records.dependencies_of(id, r);
         let length = |_: &snowshelf_model::records::JobSpec| 10_000;
         let graph = DependencyGraph::build(
             &records.jobs,
             dependencies_of,
-            final_of,
+            finished_job,
             length,
             WallClockMillis(9),
             &DependencyGraph::default(),
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -406,27 +406,31 @@
         records.apply(&format!("job/{job}"), Some(&open), Version(5));
         records.apply(&format!("alloc/0/{job}"), Some(&share), Version(5));
     }
-    records.open_read(Version(6));
-    records.end_reading();
-    records.begin_reading();
-    let known = records.open_keys();
+    records.mark_loaded(Version(6));
+    records.end_startup_read();
+    records.begin_startup_read();
+    let known = records.live_keys();
     assert_eq!(known.len(), 6);
     assert!(known.is_sorted());
     // The feed tells of one job's end before the page that was sent earlier brings its beginning.
     records.apply("job/wk-3", Some(&done), Version(20));
-    assert!(records.apply_read("job/wk-3", &open, Version(5)).is_none());
+    assert!(
+        records
+            .apply_listed("job/wk-3", &open, Version(5))
+            .is_none()
+    );
     assert!(!records.jobs.contains_key(&JobId::new("wk-3")));
     // Made anew after the page was read: it stays.
     records.apply("alloc/0/wk-1", Some(&share), Version(30));
-    assert!(records.absent("alloc/0/wk-1", Version(10)).is_none());
-    assert!(records.absent("alloc/0/wk-2", Version(10)).is_some());
-    records.absent("job/wk-2", Version(10));
+    assert!(records.apply_absence("alloc/0/wk-1", Version(10)).is_none());
+    assert!(records.apply_absence("alloc/0/wk-2", Version(10)).is_some());
+    records.apply_absence("job/wk-2", Version(10));
     // Late news of what is gone does not bring it back.
     records.apply("alloc/0/wk-2", Some(&share), Version(7));
     assert_eq!(records.shard_allocations(ShardId(0)).count(), 2);
     assert!(records.jobs.contains_key(&JobId::new("wk-1")));
-    assert!(!records.knows_job(&JobId::new("wk-2")));
-    records.open_read(Version(25));
-    records.end_reading();
+    assert!(!records.contains_job(&JobId::new("wk-2")));
+    records.mark_loaded(Version(25));
+    records.end_startup_read();
     assert_eq!(records.revision, Version(25));
 }
