--- a/crates/model/src/protocol/worker.rs
+++ b/crates/model/src/protocol/worker.rs
@@ -47,7 +47,8 @@
 pub enum TaskState {
     Pulling,
     Running,
-    Saving,
+    #[serde(rename = "saving")]
+    Checkpointing,
     Exited,
 }
 
--- a/crates/model/src/records/keys.rs
+++ b/crates/model/src/records/keys.rs
@@ -2,14 +2,19 @@
 
 use crate::ids::{JobId, Member, ShardId, Team};
 
+/// Prefix of the keys of jobs.
+pub const JOB_PREFIX: &str = "job/";
+/// Prefix of the keys of shard owners.
+pub const SHARD_PREFIX: &str = "part/";
+
 pub fn job_key(job: &JobId) -> String {
-    format!("job/{job}")
+    format!("{JOB_PREFIX}{job}")
 }
 pub fn allocation_key(shard_id: ShardId, job: &JobId) -> String {
     format!("alloc/{shard_id}/{job}")
 }
 pub fn shard_key(shard_id: ShardId) -> String {
-    format!("part/{shard_id}")
+    format!("{SHARD_PREFIX}{shard_id}")
 }
 pub fn quota_key(team: &Team) -> String {
     format!("quota/{team}")
--- a/crates/model/src/records/mod.rs
+++ b/crates/model/src/records/mod.rs
@@ -15,8 +15,8 @@
 pub use format::{Capability, FORMAT_V2, FormatRecord, RecordFormat};
 pub use job::{JobKind, JobRecord, JobSpec, JobState, Priority};
 pub use keys::{
-    CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, allocation_key, dependency_chunk_key, job_key,
-    member_key, quota_key, shard_key,
+    CALENDAR_KEY, FORMAT_KEY, JOB_PREFIX, LEADER_KEY, SHARD_PREFIX, allocation_key,
+    dependency_chunk_key, job_key, member_key, quota_key, shard_key,
 };
 pub use lease_holder::LeaseHolder;
 pub use quota::{Grant, QuotaRecord};
--- a/crates/reconciliation/src/decision_table.rs
+++ b/crates/reconciliation/src/decision_table.rs
@@ -1,23 +1,23 @@
-//! What a worker's report and the records prove together, task by task: the decision table.
+//! The decision table of reconciliation: what a heartbeat and the records together prove of a task.
 //!
-//! One cell for each pair of what is stored and what is reported, under the evidence that comes with
-//! the report. `docs/recovery.md` shows the table; a test holds it against this function.
+//! There is one cell for each pair of desired and observed state, under the evidence that comes with the
+//! heartbeat. `docs/recovery.md` shows the table; a test compares it with [`reconcile`].
 
 use serde::Serialize;
 use snowshelf_model::protocol::worker::{ExitReason, TaskState};
 use snowshelf_model::records::AllocationChangeKind;
 
-/// What the records, and the owner's steps on their way into them, say of one attempt of a task and
-/// the machine that reports.
+/// What the records, and the shard leader's pending changes to them, say of one attempt of a task on the
+/// machine that sent the heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum DesiredState {
     /// The task waits; no attempt of it is on any machine.
     Waiting,
-    /// Its start here is on its way into the record.
+    /// Its start here is being written to the record.
     Starting,
     /// Started here, durably.
     Here,
-    /// Started here durably, and its end here is on its way into the record.
+    /// Started here durably, and its end here is being written to the record.
     Ending,
     /// Started on another machine.
     Elsewhere,
@@ -27,13 +27,14 @@
     Finished,
     /// Started here, and the job is cancelled.
     Cancelled,
-    /// The same, and its end here is on its way into the record.
+    /// The same, and its end here is being written to the record.
     CancelledEnding,
-    /// No share of this part holds the job: it has ended, moved to another part, or never was.
+    /// No allocation of this shard contains the job: it has ended, moved to another shard, or never was.
     NotOurs,
 }
 
-pub const STORED: [DesiredState; 10] = [
+/// All desired states, in the order of the table's rows.
+pub const DESIRED_STATES: [DesiredState; 10] = [
     DesiredState::Waiting,
     DesiredState::Starting,
     DesiredState::Here,
@@ -47,19 +48,24 @@
 ];
 
 impl DesiredState {
-    /// Whether the owner's picture has the attempt on this machine.
-    pub fn viewed_here(self) -> bool {
+    /// Whether the attempt is on this machine once all pending changes are written.
+    #[must_use]
+    pub fn is_planned_here(self) -> bool {
         matches!(
             self,
             DesiredState::Starting | DesiredState::Here | DesiredState::Cancelled
         )
     }
-    /// Whether the record has it there.
-    pub fn durable_here(self) -> bool {
-        use DesiredState::*;
+
+    /// Whether the attempt is on this machine by the record.
+    #[must_use]
+    pub fn is_durable_here(self) -> bool {
+        use DesiredState::{Cancelled, CancelledEnding, Ending, Here};
         matches!(self, Here | Ending | Cancelled | CancelledEnding)
     }
-    /// The same if the job turns out to be cancelled.
+
+    /// The same state if the job turns out to be cancelled.
+    #[must_use]
     pub fn if_cancelled(self) -> DesiredState {
         match self {
             DesiredState::Here => DesiredState::Cancelled,
@@ -67,7 +73,8 @@
             other => other,
         }
     }
-    fn cancelled(self) -> bool {
+
+    fn is_cancelled(self) -> bool {
         matches!(
             self,
             DesiredState::Cancelled | DesiredState::CancelledEnding
@@ -75,21 +82,23 @@
     }
 }
 
-/// What the machine's newest report says of that attempt.
+/// What the machine's newest heartbeat says of the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ObservedState {
+    /// The heartbeat does not list it.
     Absent,
+    /// The heartbeat lists it in this state; for an exited task with the reason, if it says one.
     Listed(TaskState, Option<ExitReason>),
 }
 
-/// Every state that a report may tell, the reasons of an exit each by itself.
-pub const REPORTED: [ObservedState; 11] = {
-    use ObservedState::*;
+/// All observed states, each reason of an exit by itself.
+pub const OBSERVED_STATES: [ObservedState; 11] = {
+    use ObservedState::{Absent, Listed};
     [
         Absent,
         Listed(TaskState::Pulling, None),
         Listed(TaskState::Running, None),
-        Listed(TaskState::Saving, None),
+        Listed(TaskState::Checkpointing, None),
         Listed(TaskState::Exited, Some(ExitReason::Done)),
         Listed(TaskState::Exited, Some(ExitReason::Stopped)),
         Listed(TaskState::Exited, Some(ExitReason::Error)),
@@ -100,34 +109,36 @@
     ]
 };
 
-/// The token that a report shows, against the reading owner's.
+/// The fencing token that a heartbeat acknowledges, compared with the shard leader's own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum TokenState {
-    /// An earlier owner may still command the machine.
+    /// An earlier shard leader may still command the machine.
     Behind,
+    /// The machine obeys this shard leader.
     Equal,
-    /// A later owner commands it: this one is deposed.
+    /// A later shard leader commands the machine: this one is fenced.
     Ahead,
 }
 
-/// What comes with a report and decides how much it proves.
+/// What comes with a heartbeat and decides how much it proves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct HeartbeatEvidence {
-    pub shown: TokenState,
-    /// Not the machine's newest: late, or sent once more.
-    pub late: bool,
-    /// A higher session than before, so that everything of the earlier one is gone.
+    /// The fencing token that the heartbeat acknowledges.
+    pub token: TokenState,
+    /// A newer heartbeat of the machine has been received already.
+    pub superseded: bool,
+    /// The agent's incarnation is higher than before: all tasks of the earlier one are gone.
     pub new_incarnation: bool,
-    /// The machine's started tasks are an earlier owner's, and this is the first report that shows
-    /// this owner's token.
+    /// An earlier shard leader started the machine's tasks, and this is the first heartbeat that
+    /// acknowledges this one's fencing token.
     pub inherited: bool,
 }
 
 impl HeartbeatEvidence {
-    /// An ordinary report to an owner that has long been known to the machine.
+    /// An ordinary heartbeat of a machine that has acknowledged the fencing token before.
     pub const PLAIN: HeartbeatEvidence = HeartbeatEvidence {
-        shown: TokenState::Equal,
-        late: false,
+        token: TokenState::Equal,
+        superseded: false,
         new_incarnation: false,
         inherited: false,
     };
@@ -136,226 +147,264 @@
 /// What is to become of the machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MachineDisposition {
-    Stays,
-    /// The cloud takes it soon; `late`: now is when a task that saves has to begin.
-    Noticed {
-        late: bool,
+    /// It remains in service.
+    Retained,
+    /// The cloud has announced that it interrupts the machine.
+    Interrupted {
+        /// A task that makes checkpoints has to begin one now, or it is too late.
+        checkpoint_due: bool,
     },
-    /// It is emptied, or this task has to make room there.
-    Drained,
-    /// Its return has been asked for.
-    Returning,
+    /// It is being emptied, or this task is evicted from it.
+    Evicting,
+    /// Its release has been requested from the cloud.
+    Releasing,
 }
 
-/// What the task can do when it is stopped.
+/// The traits of a task that decide how it ends.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TaskTraits {
-    /// Runs until its job is cancelled, so that being done is no end of it.
-    pub standing: bool,
-    pub saves: bool,
+    /// It runs until its job is cancelled, so that an exit without error does not finish it.
+    pub is_service: bool,
+    /// It makes checkpoints.
+    pub checkpoints: bool,
 }
 
-/// What a pair proves.
+/// What a pair of states proves.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Finding {
-    /// The report is too old, or somebody else may still act: it proves nothing.
-    Nothing,
-    /// This owner is one no more.
-    Deposed,
-    /// As it should be, or on its way there.
-    Agrees,
-    /// Its command has not reached the machine.
-    NotBegun,
-    /// It is not on this machine, and nobody can start it there any more.
-    Gone,
-    /// It has ended there.
+    /// Nothing: the heartbeat is superseded, or an earlier shard leader may still act.
+    Inconclusive,
+    /// A later shard leader has fenced this one.
+    Fenced,
+    /// Observed and desired state agree, or soon will.
+    Consistent,
+    /// The command to start the attempt has not reached the machine.
+    NotStarted,
+    /// The attempt is not on this machine, and nobody can start it there any more.
+    Lost,
+    /// The attempt has ended there.
     Ended,
-    /// It is there and should not be.
-    Stray,
-    /// What is left of it there is only its entry.
-    Remnant,
+    /// The attempt is there and should not be.
+    Orphaned,
+    /// Only the entry of an ended attempt is left there.
+    LeftoverEntry,
 }
 
-/// How often each finding was made, attempt by attempt and report by report.
+/// How often each finding was made, counted for each attempt in each heartbeat. Part of the body of
+/// `GET /ready`, under the outside names.
 #[derive(Clone, Default, PartialEq, Eq, Debug, Serialize)]
 pub struct ReconciliationCounts {
-    pub agree: u64,
-    pub not_begun: u64,
-    pub gone: u64,
+    /// [`Finding::Consistent`].
+    #[serde(rename = "agree")]
+    pub consistent: u64,
+    /// [`Finding::NotStarted`].
+    #[serde(rename = "not_begun")]
+    pub not_started: u64,
+    /// [`Finding::Lost`].
+    #[serde(rename = "gone")]
+    pub lost: u64,
+    /// [`Finding::Ended`].
     pub ended: u64,
-    pub stray: u64,
-    pub remnant: u64,
+    /// [`Finding::Orphaned`].
+    #[serde(rename = "stray")]
+    pub orphaned: u64,
+    /// [`Finding::LeftoverEntry`].
+    #[serde(rename = "remnant")]
+    pub leftover_entries: u64,
 }
 
 impl ReconciliationCounts {
+    /// Counts a finding, unless it proves nothing of the attempt.
     pub fn count(&mut self, finding: Finding) {
         let count = match finding {
-            Finding::Nothing | Finding::Deposed => return,
-            Finding::Agrees => &mut self.agree,
-            Finding::NotBegun => &mut self.not_begun,
-            Finding::Gone => &mut self.gone,
+            Finding::Inconclusive | Finding::Fenced => return,
+            Finding::Consistent => &mut self.consistent,
+            Finding::NotStarted => &mut self.not_started,
+            Finding::Lost => &mut self.lost,
             Finding::Ended => &mut self.ended,
-            Finding::Stray => &mut self.stray,
-            Finding::Remnant => &mut self.remnant,
+            Finding::Orphaned => &mut self.orphaned,
+            Finding::LeftoverEntry => &mut self.leftover_entries,
         };
         *count += 1;
     }
 }
 
+/// What the machine is commanded to do with the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum ReconcileAction {
+    /// Start it.
     Run,
-    /// At once.
+    /// Stop it at once.
     Kill,
-    /// With the time that it needs to save.
+    /// Stop it, with time for a checkpoint.
     Stop,
+    /// Remove the entry of an ended attempt.
     Reap,
 }
 
-/// What a task's end says of its job and its machine.
+/// What the end of an attempt says of its job and its machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OutcomeSignal {
-    Nothing,
-    /// Machine and job are sound.
-    Works,
-    /// One of them is not.
-    Fails,
-    /// The machine has less room than it seems.
-    Full,
-    /// The job's description has not reached the machine.
-    NoDescription,
+    /// Nothing.
+    Neutral,
+    /// Both work.
+    Success,
+    /// One of them is faulty.
+    Failure,
+    /// The machine has less free capacity than the shard leader assumes.
+    CapacityExceeded,
+    /// The description of the job has not reached the machine.
+    DescriptionMissing,
 }
 
-/// One cell of the table: what is concluded, written and ordered.
+/// One cell of the table: what is concluded, written and commanded.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[must_use]
 pub struct Reconciliation {
+    /// What the states prove.
     pub finding: Finding,
-    pub write: Option<AllocationChangeKind>,
-    pub order: Option<ReconcileAction>,
-    pub tells: OutcomeSignal,
+    /// The change of the allocation to write.
+    pub change: Option<AllocationChangeKind>,
+    /// The command to the machine.
+    pub action: Option<ReconcileAction>,
+    /// What the attempt's end says of its job and its machine.
+    pub signal: OutcomeSignal,
 }
 
 impl Reconciliation {
-    const fn of(finding: Finding) -> Reconciliation {
+    const fn new(finding: Finding) -> Reconciliation {
         Reconciliation {
             finding,
-            write: None,
-            order: None,
-            tells: OutcomeSignal::Nothing,
+            change: None,
+            action: None,
+            signal: OutcomeSignal::Neutral,
         }
     }
-    fn writes(self, step: AllocationChangeKind) -> Reconciliation {
+
+    fn with_change(self, change: AllocationChangeKind) -> Reconciliation {
         Reconciliation {
-            write: Some(step),
+            change: Some(change),
             ..self
         }
     }
-    fn orders(self, order: ReconcileAction) -> Reconciliation {
+
+    fn with_action(self, action: ReconcileAction) -> Reconciliation {
         Reconciliation {
-            order: Some(order),
+            action: Some(action),
             ..self
         }
     }
 }
 
-/// Squares what is stored with what is reported.
+/// Compares the desired state of an attempt with the observed one.
 pub fn reconcile(
-    stored: DesiredState,
-    reported: ObservedState,
+    desired: DesiredState,
+    observed: ObservedState,
     evidence: HeartbeatEvidence,
     machine: MachineDisposition,
     task: TaskTraits,
 ) -> Reconciliation {
-    if evidence.shown == TokenState::Ahead {
-        return Reconciliation::of(Finding::Deposed);
+    if evidence.token == TokenState::Ahead {
+        return Reconciliation::new(Finding::Fenced);
     }
-    // Before the token is shown an earlier owner's answer might still start or stop something. It
-    // goes out with the answer, and the machine reports anew.
-    if evidence.late || evidence.shown == TokenState::Behind {
-        return Reconciliation::of(Finding::Nothing);
+    // Before the machine has acknowledged the fencing token an earlier shard leader's response might still
+    // start or stop something. The token goes out with the response, and the next heartbeat acknowledges it.
+    if evidence.superseded || evidence.token == TokenState::Behind {
+        return Reconciliation::new(Finding::Inconclusive);
     }
-    match reported {
-        ObservedState::Absent => absent(stored, evidence, machine),
-        ObservedState::Listed(TaskState::Exited, why) => exited(stored, why, task),
-        ObservedState::Listed(state, _) => alive(stored, state, machine, task),
+    match observed {
+        ObservedState::Absent => reconcile_absent(desired, evidence, machine),
+        ObservedState::Listed(TaskState::Exited, reason) => reconcile_exited(desired, reason, task),
+        ObservedState::Listed(state, _) => reconcile_alive(desired, state, machine, task),
     }
 }
 
-/// Not listed in a report that is newer than any answer which could have carried its command.
-fn absent(
-    stored: DesiredState,
+/// The attempt is not listed in a heartbeat that is newer than any response that could have carried its
+/// command.
+fn reconcile_absent(
+    desired: DesiredState,
     evidence: HeartbeatEvidence,
     machine: MachineDisposition,
 ) -> Reconciliation {
-    if !stored.viewed_here() {
-        return Reconciliation::of(Finding::Agrees);
+    if !desired.is_planned_here() {
+        return Reconciliation::new(Finding::Consistent);
     }
-    if !stored.durable_here() {
+    if !desired.is_durable_here() {
         // Not commanded before its start is durable; that write may still fail.
-        return Reconciliation::of(Finding::Agrees);
+        return Reconciliation::new(Finding::Consistent);
     }
-    // What an earlier owner started is not commanded again: that owner may have known it to be gone and
-    // have used its share of the team's limit for another start, the end not yet durable. Nor is what a
-    // higher session has killed.
-    let over = evidence.inherited || evidence.new_incarnation;
-    if over || stored.cancelled() || machine != MachineDisposition::Stays {
-        return Reconciliation::of(Finding::Gone).writes(AllocationChangeKind::Requeue);
+    // What an earlier shard leader started is not commanded again: that leader may have known it to be lost
+    // and have used its part of the team's quota for another start, the end not yet durable. Nor is what a
+    // higher incarnation has killed.
+    let lost = evidence.inherited || evidence.new_incarnation;
+    if lost || desired.is_cancelled() || machine != MachineDisposition::Retained {
+        return Reconciliation::new(Finding::Lost).with_change(AllocationChangeKind::Requeue);
     }
-    Reconciliation::of(Finding::NotBegun).orders(ReconcileAction::Run)
+    Reconciliation::new(Finding::NotStarted).with_action(ReconcileAction::Run)
 }
 
-fn exited(stored: DesiredState, why: Option<ExitReason>, task: TaskTraits) -> Reconciliation {
-    if !stored.viewed_here() {
-        // Its end must be durable before its entry goes: a start repeated after that runs it again.
-        return match stored.durable_here() {
-            true => Reconciliation::of(Finding::Agrees),
-            false => Reconciliation::of(Finding::Remnant).orders(ReconcileAction::Reap),
+fn reconcile_exited(
+    desired: DesiredState,
+    reason: Option<ExitReason>,
+    task: TaskTraits,
+) -> Reconciliation {
+    if !desired.is_planned_here() {
+        // Its end must be durable before its entry is removed: a start repeated after that would run it
+        // again.
+        return if desired.is_durable_here() {
+            Reconciliation::new(Finding::Consistent)
+        } else {
+            Reconciliation::new(Finding::LeftoverEntry).with_action(ReconcileAction::Reap)
         };
     }
-    let (tells, step) = match why {
-        Some(ExitReason::Done) if task.standing => {
-            (OutcomeSignal::Works, AllocationChangeKind::Requeue)
-        }
-        Some(ExitReason::Done) => (OutcomeSignal::Works, AllocationChangeKind::Finish),
-        Some(ExitReason::Error) => (OutcomeSignal::Fails, AllocationChangeKind::Requeue),
-        Some(ExitReason::Full | ExitReason::InUse) => {
-            (OutcomeSignal::Full, AllocationChangeKind::Requeue)
+    let (signal, change) = match reason {
+        Some(ExitReason::Done) if task.is_service => {
+            (OutcomeSignal::Success, AllocationChangeKind::Requeue)
         }
-        Some(ExitReason::Unknown) => (OutcomeSignal::NoDescription, AllocationChangeKind::Requeue),
-        Some(ExitReason::Stopped) | None => (OutcomeSignal::Nothing, AllocationChangeKind::Requeue),
+        Some(ExitReason::Done) => (OutcomeSignal::Success, AllocationChangeKind::Finish),
+        Some(ExitReason::Error) => (OutcomeSignal::Failure, AllocationChangeKind::Requeue),
+        Some(ExitReason::Full | ExitReason::InUse) => (
+            OutcomeSignal::CapacityExceeded,
+            AllocationChangeKind::Requeue,
+        ),
+        Some(ExitReason::Unknown) => (
+            OutcomeSignal::DescriptionMissing,
+            AllocationChangeKind::Requeue,
+        ),
+        Some(ExitReason::Stopped) | None => (OutcomeSignal::Neutral, AllocationChangeKind::Requeue),
     };
     Reconciliation {
-        tells,
-        ..Reconciliation::of(Finding::Ended).writes(step)
+        signal,
+        ..Reconciliation::new(Finding::Ended).with_change(change)
     }
 }
 
-/// Fetching its image, running or saving.
-fn alive(
-    stored: DesiredState,
+/// The attempt is pulling its image, running or making a checkpoint.
+fn reconcile_alive(
+    desired: DesiredState,
     state: TaskState,
     machine: MachineDisposition,
     task: TaskTraits,
 ) -> Reconciliation {
-    if !stored.viewed_here() && !stored.durable_here() {
-        return Reconciliation::of(Finding::Stray).orders(ReconcileAction::Kill);
+    if !desired.is_planned_here() && !desired.is_durable_here() {
+        return Reconciliation::new(Finding::Orphaned).with_action(ReconcileAction::Kill);
     }
-    if stored.cancelled() {
-        return Reconciliation::of(Finding::Stray).orders(ReconcileAction::Kill);
+    if desired.is_cancelled() {
+        return Reconciliation::new(Finding::Orphaned).with_action(ReconcileAction::Kill);
     }
-    let cell = Reconciliation::of(Finding::Agrees);
-    if state == TaskState::Saving {
-        return cell;
+    let consistent = Reconciliation::new(Finding::Consistent);
+    if state == TaskState::Checkpointing {
+        return consistent;
     }
     match machine {
-        MachineDisposition::Noticed { late }
-            if state == TaskState::Pulling || (task.saves && late) =>
+        MachineDisposition::Interrupted { checkpoint_due }
+            if state == TaskState::Pulling || (task.checkpoints && checkpoint_due) =>
         {
-            cell.orders(ReconcileAction::Stop)
+            consistent.with_action(ReconcileAction::Stop)
         }
-        MachineDisposition::Drained => cell.orders(ReconcileAction::Stop),
-        MachineDisposition::Stays
-        | MachineDisposition::Noticed { .. }
-        | MachineDisposition::Returning => cell,
+        MachineDisposition::Evicting => consistent.with_action(ReconcileAction::Stop),
+        MachineDisposition::Retained
+        | MachineDisposition::Interrupted { .. }
+        | MachineDisposition::Releasing => consistent,
     }
 }
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a controller concludes when it starts, or takes a part over: what of the state service to read
-//! first, and what a worker's report proves about what is stored. Pure: no clock, no socket.
+//! What a controller concludes when it starts or acquires a shard: which records to read first, what a
+//! worker's heartbeat and the records prove together, and what missing heartbeats mean. Pure: no clock, no
+//! socket.
 
 pub mod decision_table;
 pub mod silence;
--- a/crates/reconciliation/src/silence.rs
+++ b/crates/reconciliation/src/silence.rs
@@ -1,81 +1,93 @@
-//! What the silence of many machines at once means: a controller that hears nobody, a zone that is cut
-//! off, or machines that are gone. Silence alone proves nothing, so this only decides when to ask others and
-//! when to give up waiting.
+//! What missing heartbeats of many machines at once mean: an unreachable controller, a zone that is cut
+//! off, or machines that are gone. Silence alone proves nothing, so this only decides when to ask other
+//! controllers and when to stop waiting.
 
 use snowshelf_model::ids::MonotonicMillis;
 
 /// Fewer machines than this say nothing about the rest: each may have lost a message.
-const ENOUGH: u32 = 3;
-/// Share of a part's machines that must have turned up elsewhere before the part goes there.
-const HEARD_ELSEWHERE: f64 = 0.25;
-/// Share of a zone's machines that must be silent for the zone to be taken for cut off.
-const ZONE_SILENT: f64 = 0.6;
+const MIN_MACHINES: u32 = 3;
+/// Fraction of a shard's machines that must have reached other controllers before the shard is released to
+/// them.
+const REACHED_OTHERS_FRACTION: f64 = 0.25;
+/// Fraction of a zone's machines that must be silent for the zone to count as cut off.
+const SILENT_ZONE_FRACTION: f64 = 0.6;
+/// Allowance for connecting and for slow responses.
+const MARGIN_MS: u64 = 500;
+/// Divisor: this fraction of the time within which cancelled tasks must be gone remains for the release of
+/// their machine.
+const RELEASE_TIME_DIVISOR: u64 = 5;
 
-/// What an owner hears of its machines.
+/// The heartbeats that a shard leader has received from its machines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct HeartbeatSummary {
-    /// Machines that have reported to this owner, or have tasks by the records that it took over.
-    pub known: u32,
-    /// When the last report of any of them came, or when the part was taken.
-    pub last: MonotonicMillis,
+    /// Machines that have sent a heartbeat to this shard leader, or that have tasks by the records it has
+    /// read.
+    pub machines: u32,
+    /// When the last heartbeat of any of them came, or when the shard was acquired.
+    pub last_at: MonotonicMillis,
 }
 
-/// Whether an owner hears none of its machines, though each should have reported by now: a
-/// report comes every `report_ms`, a quarter more at the most.
-pub fn deaf(hearing: HeartbeatSummary, now: MonotonicMillis, report_ms: u64) -> bool {
-    hearing.known >= ENOUGH && now.since(hearing.last) > overdue_ms(report_ms)
+/// Whether no machine reaches the shard leader, though each should have sent a heartbeat by now. Machines
+/// send one every `heartbeat_ms`, and up to a quarter later.
+#[must_use]
+pub fn is_unreachable(summary: HeartbeatSummary, now: MonotonicMillis, heartbeat_ms: u64) -> bool {
+    summary.machines >= MIN_MACHINES
+        && now.since(summary.last_at) > heartbeat_overdue_ms(heartbeat_ms)
 }
 
-/// After so long without a report a machine's next one is late.
-pub fn overdue_ms(report_ms: u64) -> u64 {
-    report_ms + report_ms / 4 + MARGIN_MS
+/// The time after a heartbeat, in milliseconds, when the next one is overdue.
+#[must_use]
+pub fn heartbeat_overdue_ms(heartbeat_ms: u64) -> u64 {
+    heartbeat_ms + heartbeat_ms / 4 + MARGIN_MS
 }
 
-/// For connections to be made and answers to be slow.
-const MARGIN_MS: u64 = 500;
-
-/// Whether an owner that hears nobody should hand its part over: others are reached by its machines,
-/// which `elsewhere` counts. Where nobody hears them the machines are silent, and stay with their owner.
-pub fn hand_over(
-    hearing: HeartbeatSummary,
-    elsewhere: u32,
+/// Whether an unreachable shard leader should release its shard: `reached_others` of its machines reach
+/// other controllers. Where they reach nobody the machines are silent, and the shard stays.
+#[must_use]
+pub fn should_release_shard(
+    summary: HeartbeatSummary,
+    reached_others: u32,
     now: MonotonicMillis,
-    report_ms: u64,
+    heartbeat_ms: u64,
 ) -> bool {
-    deaf(hearing, now, report_ms)
-        && f64::from(elsewhere) >= HEARD_ELSEWHERE * f64::from(hearing.known)
+    is_unreachable(summary, now, heartbeat_ms)
+        && f64::from(reached_others) >= REACHED_OTHERS_FRACTION * f64::from(summary.machines)
 }
 
-/// How many of a zone's machines there are in a part, and how many of them are silent.
+/// How many of a shard's machines are in a zone, and how many of them are silent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct ZoneSilence {
-    pub known: u32,
+    /// The shard's machines in the zone.
+    pub machines: u32,
+    /// Those of them that are silent.
     pub silent: u32,
 }
 
 impl ZoneSilence {
-    /// Whether the zone is more likely cut off than its machines are gone one by one.
-    pub fn cut(self) -> bool {
-        self.silent >= ENOUGH && f64::from(self.silent) >= ZONE_SILENT * f64::from(self.known)
+    /// Whether it is more likely that the zone is cut off than that its machines are gone one by one.
+    #[must_use]
+    pub fn is_cut_off(self) -> bool {
+        self.silent >= MIN_MACHINES
+            && f64::from(self.silent) >= SILENT_ZONE_FRACTION * f64::from(self.machines)
     }
 }
 
-/// Share of the time within which cancelled tasks must be gone that is kept for their machine's return.
-const FOR_RETURN: u64 = 5;
-
-/// How long after a task's cancellation a machine that may still have it is returned if it is silent, for however
-/// short a time its owner of now has waited: one that hangs cannot end the task though its lease has run out, and
-/// owners that follow each other would each begin to wait anew.
-pub fn frozen_ms(cancel_ms: u64) -> u64 {
-    cancel_ms - cancel_ms / FOR_RETURN
+/// How long after a task's cancellation, in milliseconds, a silent machine that may still have the task is
+/// released, however short a time its present shard leader has waited: a machine that hangs cannot end the
+/// task though its lease has expired, and successive shard leaders would each begin to wait anew.
+#[must_use]
+pub fn release_after_cancellation_ms(cancel_ms: u64) -> u64 {
+    cancel_ms - cancel_ms / RELEASE_TIME_DIVISOR
 }
 
-/// For how long a machine may be silent before it is returned. Whether a cut ends soon cannot be known:
-/// waiting as long again as a machine in its place would take to be up costs twice the best at
-/// the most, whichever way it goes.
-pub fn patience_ms(ordinary_ms: u64, cut: bool, replaced_in_ms: u64) -> u64 {
-    match cut {
-        true => ordinary_ms.saturating_add(replaced_in_ms),
-        false => ordinary_ms,
+/// For how long, in milliseconds, a machine may be silent before it is released. Whether a cut ends soon
+/// cannot be known: waiting as long again as a replacement would take to be ready costs at most twice the
+/// optimum, whether or not the cut ends.
+#[must_use]
+pub fn release_after_silence_ms(ordinary_ms: u64, cut_off: bool, replacement_ms: u64) -> u64 {
+    if cut_off {
+        ordinary_ms.saturating_add(replacement_ms)
+    } else {
+        ordinary_ms
     }
 }
--- a/crates/reconciliation/src/startup_read.rs
+++ b/crates/reconciliation/src/startup_read.rs
@@ -1,108 +1,118 @@
-//! Which keys a start reads, in which order, so that parts serve before the whole is read.
+//! Which keys a startup read lists, in which order, so that shards are served before everything is read.
 //!
-//! A job that has not ended has at least one share (`alloc/<part>/<job>`), since a job's last part
-//! removes itself together with its share and sets the end. So the shares are an index of the open
-//! jobs: of all records under `job/`, which are never deleted, a start needs those that shares name
-//! and those that these need. They are found in what changed lately, and by pages that begin at the
-//! next one wanted, so that neither requests nor bytes grow with what has ended.
+//! A job that has not ended has at least one allocation (`alloc/<shard>/<job>`): the last shard of a job
+//! removes its allocation and ends the job in one compare-and-swap. So the allocations are an index of the
+//! open jobs: of all records under `job/`, which are never deleted, a start needs those that allocations
+//! name and their dependencies. They are found in recent changes, and by pages that begin at the next
+//! missing job, so that neither requests nor bytes grow with the number of finished jobs.
 
 use snowshelf_model::ids::JobId;
-use snowshelf_model::records::job_key;
+use snowshelf_model::records::{JOB_PREFIX, SHARD_PREFIX, job_key};
 use std::collections::BTreeSet;
 
-/// Most keys that the state service puts into a page.
-pub const MOST_A_PAGE: u32 = 1_000;
-/// Fewest keys asked for at once when those wanted lie far apart.
-const FEWEST_A_PAGE: u32 = 8;
-/// So many revisions are looked back for jobs that changed lately; the service keeps 10,000 changes,
-/// of which a revision may have several.
-const LOOK_BACK: u64 = 8_000;
-/// The same after the service said that this is too far.
-const LOOK_BACK_AGAIN: u64 = 1_500;
+/// Most keys that the key-value store puts into a page.
+const MAX_PAGE_KEYS: u32 = 1_000;
+/// Fewest keys in a page when missing jobs lie far apart.
+const MIN_PAGE_KEYS: u32 = 8;
+/// How many revisions back recent changes are asked for; the store retains 10,000 events, of which a
+/// revision may have several.
+const RECENT_REVISIONS: u64 = 8_000;
+/// The same after the store has said that it does not retain that many.
+const FEWER_RECENT_REVISIONS: u64 = 1_500;
 
-const JOBS: &str = "job/";
 /// Sorts after every job's key and before every other key that follows them.
-const BEYOND_JOBS: &str = "job0";
-const SHARD_OWNERS: &str = "part/";
+const AFTER_JOBS: &str = "job0";
 
-/// How far a reading is.
+/// The stage of a startup read.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub enum Stage {
-    /// Who owns which part: enough to take parts and to answer workers.
+    /// The owner of each shard: enough to acquire shards and to answer workers.
     #[default]
     ShardOwners,
-    /// Shares, the calendar's version, the format: all before the jobs' keys.
-    Shares,
-    /// Everything behind the jobs' keys: grants, members, machine types, the calendar, runs.
+    /// Allocations, the calendar's version, the format: all keys before those of jobs.
+    Allocations,
+    /// All keys after those of jobs: quotas, members, machine types, reservations, runs.
     Rest,
-    /// The jobs that shares name, and those that they need.
+    /// The jobs that allocations name, and their dependencies.
     Jobs,
-    /// All other jobs; only while somebody needs to know which have ended.
-    Ended,
-    Over,
+    /// All other jobs, if it is needed to know which have ended.
+    FinishedJobs,
+    /// Everything needed has been read.
+    Complete,
 }
 
-/// The next request of a reading.
+/// The next request of a startup read.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Ask {
-    /// Keys that start with `starts`, after `after`.
-    Page {
-        starts: &'static str,
+pub enum ReadRequest {
+    /// A page of keys.
+    List {
+        /// Only keys with this prefix.
+        prefix: &'static str,
+        /// Only keys after this one.
         after: String,
+        /// Most keys in the page.
         limit: u32,
     },
-    /// Changes of jobs since so many revisions before the one that the feed was followed from.
-    LookBack { revisions: u64 },
+    /// The changes of jobs before the watch began.
+    RecentChanges {
+        /// How many revisions before the one from which the watch is followed.
+        revisions: u64,
+    },
 }
 
-/// The keys that a page has answered for: those after `after`, up to and with `upto` (`None`: to the
-/// end), as far as they start with `starts`.
+/// The range of keys that a page has answered for.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Covered {
-    pub starts: &'static str,
+pub struct CoveredRange {
+    /// Only keys with this prefix.
+    pub prefix: &'static str,
+    /// Only keys after this one.
     pub after: String,
-    pub upto: Option<String>,
+    /// The last key of the range; `None` if it is not bounded.
+    pub last: Option<String>,
 }
 
-impl Covered {
-    pub fn has(&self, key: &str) -> bool {
-        key.starts_with(self.starts)
+impl CoveredRange {
+    /// Whether a key lies in the range.
+    #[must_use]
+    pub fn contains(&self, key: &str) -> bool {
+        key.starts_with(self.prefix)
             && key > self.after.as_str()
-            && self.upto.as_deref().is_none_or(|upto| key <= upto)
+            && self.last.as_deref().is_none_or(|last| key <= last)
     }
 }
 
-/// A reading underway.
+/// Plans a startup read: takes in which keys have been read, and says what to request next.
 #[derive(Debug)]
-pub struct Reading {
+pub struct ReadPlan {
     stage: Stage,
     /// The last key of the newest page of this stage.
     after: String,
-    /// All job keys up to this one have been passed by pages in order.
-    in_order: String,
-    wanted: BTreeSet<JobId>,
-    /// Looked for, and settled one way or the other.
-    settled: BTreeSet<JobId>,
-    limit: u32,
-    look_back: Option<u64>,
-    /// Whether ended jobs are to be read as well.
-    ended_too: bool,
-    /// A page of the jobs' has been read since they are what is read.
-    jobs_begun: bool,
+    /// All job keys up to this one have been covered by consecutive pages.
+    jobs_covered_to: String,
+    missing: BTreeSet<JobId>,
+    /// Jobs that have been read, or found not to exist.
+    resolved: BTreeSet<JobId>,
+    /// Most keys in the next page of jobs.
+    page_keys: u32,
+    /// How many revisions back to ask for recent changes; `None` once that has been done.
+    recent_revisions: Option<u64>,
+    finished_jobs_required: bool,
+    /// Whether a page of jobs has come in the stage of the jobs.
+    jobs_page_seen: bool,
 }
 
-impl Default for Reading {
-    fn default() -> Reading {
-        Reading {
+impl Default for ReadPlan {
+    fn default() -> ReadPlan {
+        ReadPlan {
             stage: Stage::ShardOwners,
             after: String::new(),
-            in_order: JOBS.to_string(),
-            wanted: BTreeSet::new(),
-            settled: BTreeSet::new(),
-            limit: MOST_A_PAGE,
-            look_back: Some(LOOK_BACK),
-            ended_too: false,
-            jobs_begun: false,
+            jobs_covered_to: JOB_PREFIX.to_string(),
+            missing: BTreeSet::new(),
+            resolved: BTreeSet::new(),
+            page_keys: MAX_PAGE_KEYS,
+            recent_revisions: Some(RECENT_REVISIONS),
+            finished_jobs_required: false,
+            jobs_page_seen: false,
         }
     }
 }
@@ -110,173 +120,197 @@
 /// A key that sorts just before `key` and after every other key that a job may have.
 fn just_before(key: &str) -> String {
     let mut bytes = key.as_bytes().to_vec();
-    // Jobs' ids end with a digit; whatever it is, nothing between is skipped but what starts alike.
+    // Names of jobs end with a digit; whatever it is, only keys with the same beginning lie between.
     match bytes.pop() {
         Some(last) if last.is_ascii_graphic() && last > b'!' => {
             bytes.push(last - 1);
             bytes.push(b'~');
-            String::from_utf8(bytes).unwrap_or_else(|_| JOBS.to_string())
+            String::from_utf8(bytes).unwrap_or_else(|_| JOB_PREFIX.to_string())
         }
-        _ => JOBS.to_string(),
+        _ => JOB_PREFIX.to_string(),
     }
 }
 
-impl Reading {
+fn list(prefix: &'static str, after: &str, limit: u32) -> ReadRequest {
+    ReadRequest::List {
+        prefix,
+        after: after.to_string(),
+        limit,
+    }
+}
+
+impl ReadPlan {
+    /// The stage of the read.
+    #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How many jobs are still looked for.
-    pub fn wanted(&self) -> usize {
-        self.wanted.len()
+    /// How many required jobs have not been read yet.
+    #[must_use]
+    pub fn missing_jobs(&self) -> usize {
+        self.missing.len()
     }
 
-    /// Jobs that must be known before the reading is over: those of shares, those known from before,
-    /// those that open jobs need. May be said again with more; what is settled is not looked for again.
-    pub fn want<'a>(&mut self, jobs: impl Iterator<Item = &'a JobId>) {
-        for job in jobs.filter(|job| !self.settled.contains(*job)) {
-            self.wanted.insert(job.clone());
-        }
-        if self.stage == Stage::Jobs {
-            self.end_jobs();
+    /// Requires that these jobs are read before the read is complete. May be called again with more; what
+    /// has been read is not looked for again.
+    pub fn require_jobs<'a>(&mut self, jobs: impl Iterator<Item = &'a JobId>) {
+        for job in jobs.filter(|job| !self.resolved.contains(*job)) {
+            self.missing.insert(job.clone());
         }
+        self.resolve_if_all_listed();
     }
 
-    /// Has ended jobs read as well, after all others.
-    pub fn want_ended(&mut self) {
-        self.ended_too = true;
+    /// Requires that finished jobs are read as well, after all others.
+    pub fn require_finished_jobs(&mut self) {
+        self.finished_jobs_required = true;
     }
 
-    /// A change of a job has been seen, by the feed or by looking back.
-    pub fn seen(&mut self, job: &JobId) {
-        self.wanted.remove(job);
-        self.settled.insert(job.clone());
-        if self.stage == Stage::Jobs {
-            self.end_jobs();
-        }
+    /// A job's record has been read in another way than by a page.
+    pub fn mark_read(&mut self, job: &JobId) {
+        self.missing.remove(job);
+        self.resolved.insert(job.clone());
+        self.resolve_if_all_listed();
     }
 
-    /// What to ask next; nothing once the reading is over, or waits to be told what is wanted.
-    pub fn next(&self) -> Option<Ask> {
-        let page = |starts, after: &str, limit| {
-            let after = after.to_string();
-            Some(Ask::Page {
-                starts,
-                after,
-                limit,
-            })
-        };
+    /// The next request; `None` once the read is complete, or as long as it waits for
+    /// [`ReadPlan::end_jobs_if_none_missing`].
+    #[must_use]
+    pub fn next_request(&self) -> Option<ReadRequest> {
         match self.stage {
-            Stage::ShardOwners => page(SHARD_OWNERS, &self.after, MOST_A_PAGE),
-            Stage::Shares | Stage::Rest => page("", &self.after, MOST_A_PAGE),
-            Stage::Jobs => match (self.look_back, self.wanted.first()) {
-                // The first page may settle it all: most deployments' jobs fit into a few.
-                (Some(revisions), Some(_)) if self.jobs_begun => Some(Ask::LookBack { revisions }),
-                (_, Some(job)) => page("", &just_before(&job_key(job)), self.limit),
-                (_, None) => None,
-            },
-            Stage::Ended => page("", &self.in_order, MOST_A_PAGE),
-            Stage::Over => None,
+            Stage::ShardOwners => Some(list(SHARD_PREFIX, &self.after, MAX_PAGE_KEYS)),
+            Stage::Allocations | Stage::Rest => Some(list("", &self.after, MAX_PAGE_KEYS)),
+            Stage::Jobs => {
+                let job = self.missing.first()?;
+                Some(match self.recent_revisions {
+                    // The first page may bring all: most deployments' jobs fit into a few pages.
+                    Some(revisions) if self.jobs_page_seen => {
+                        ReadRequest::RecentChanges { revisions }
+                    }
+                    _ => list("", &just_before(&job_key(job)), self.page_keys),
+                })
+            }
+            Stage::FinishedJobs => Some(list("", &self.jobs_covered_to, MAX_PAGE_KEYS)),
+            Stage::Complete => None,
         }
     }
 
-    /// Takes in which keys a page brought, for the `ask` it answers: what it has answered for.
-    pub fn page<'a>(
+    /// Takes in which keys the page for `request` brought, and whether more follow; the range that the page
+    /// has covered, or `None` if the request was not for a page.
+    pub fn on_page<'a>(
         &mut self,
-        ask: &Ask,
+        request: &ReadRequest,
         keys: impl Iterator<Item = &'a str>,
         more: bool,
-    ) -> Option<Covered> {
-        let Ask::Page { starts, after, .. } = ask else {
+    ) -> Option<CoveredRange> {
+        let ReadRequest::List { prefix, after, .. } = request else {
             return None;
         };
-        let last = keys.last();
-        let covered = Covered {
-            starts,
+        let covered = CoveredRange {
+            prefix,
             after: after.clone(),
-            // A page that says that there is more and brings nothing would be asked for for ever.
-            upto: last.filter(|_| more).map(str::to_string),
+            // Where no key came the range is unbounded whatever the page says, or it would be asked for
+            // for ever.
+            last: keys.last().filter(|_| more).map(str::to_string),
         };
-        let passed: Vec<JobId> = self
-            .wanted
+        let resolved = self.resolve_covered(&covered);
+        self.extend_covered_jobs(&covered);
+        self.advance(covered.last.as_deref(), resolved);
+        Some(covered)
+    }
+
+    /// Resolves the missing jobs in a range that has been listed; their number.
+    fn resolve_covered(&mut self, covered: &CoveredRange) -> usize {
+        let resolved: Vec<JobId> = self
+            .missing
             .iter()
-            .filter(|job| covered.has(&job_key(job)))
+            .filter(|job| covered.contains(&job_key(job)))
             .cloned()
             .collect();
-        for job in &passed {
-            self.wanted.remove(job);
-            self.settled.insert(job.clone());
+        for job in &resolved {
+            self.missing.remove(job);
+            self.resolved.insert(job.clone());
         }
-        let to = covered.upto.as_deref();
-        if starts.is_empty() && covered.after <= self.in_order {
-            let reached = to.unwrap_or(BEYOND_JOBS);
-            if reached > self.in_order.as_str() {
-                self.in_order = reached.to_string();
+        resolved.len()
+    }
+
+    fn extend_covered_jobs(&mut self, covered: &CoveredRange) {
+        if covered.prefix.is_empty() && covered.after <= self.jobs_covered_to {
+            let last = covered.last.as_deref().unwrap_or(AFTER_JOBS);
+            if last > self.jobs_covered_to.as_str() {
+                self.jobs_covered_to = last.to_string();
             }
         }
+    }
+
+    /// Goes to the next page or stage after a page up to `last` (`None`: nothing follows) that has resolved
+    /// so many missing jobs.
+    fn advance(&mut self, last: Option<&str>, resolved: usize) {
         match self.stage {
-            Stage::ShardOwners if to.is_none() => {
-                self.stage = Stage::Shares;
+            Stage::ShardOwners if last.is_none() => {
+                self.stage = Stage::Allocations;
                 self.after = String::new();
             }
-            Stage::Shares if to.is_none() => {
-                // All there is fits into these pages.
+            Stage::Allocations if last.is_none() => {
+                // There are no further keys at all.
                 self.stage = Stage::Jobs;
-                self.end_jobs();
+                self.resolve_if_all_listed();
             }
-            Stage::Shares if to.is_some_and(|to| to >= JOBS) => {
+            Stage::Allocations if last.is_some_and(|last| last >= JOB_PREFIX) => {
                 self.stage = Stage::Rest;
-                let beyond = to.filter(|to| *to >= BEYOND_JOBS);
-                self.after = beyond.unwrap_or(BEYOND_JOBS).to_string();
+                let beyond = last.filter(|last| *last >= AFTER_JOBS);
+                self.after = beyond.unwrap_or(AFTER_JOBS).to_string();
             }
-            Stage::Rest if to.is_none() => {
+            Stage::Rest if last.is_none() => {
                 self.stage = Stage::Jobs;
             }
-            Stage::ShardOwners | Stage::Shares | Stage::Rest => {
-                self.after = to.unwrap_or_default().to_string();
+            Stage::ShardOwners | Stage::Allocations | Stage::Rest => {
+                self.after = last.unwrap_or_default().to_string();
             }
             Stage::Jobs => {
-                self.jobs_begun = true;
-                // A page that brought several saves requests; one that brought a single one was read in
-                // vain but for its first key.
-                self.limit = match passed.len() {
-                    0 | 1 => (self.limit / 2).max(FEWEST_A_PAGE),
-                    _ => (self.limit * 2).min(MOST_A_PAGE),
+                self.jobs_page_seen = true;
+                // Larger pages save requests where a page resolves several jobs; otherwise all keys but the
+                // first are read in vain.
+                self.page_keys = match resolved {
+                    0 | 1 => (self.page_keys / 2).max(MIN_PAGE_KEYS),
+                    _ => (self.page_keys * 2).min(MAX_PAGE_KEYS),
                 };
-                self.end_jobs();
+                self.resolve_if_all_listed();
+            }
+            Stage::FinishedJobs if self.jobs_covered_to.as_str() >= AFTER_JOBS => {
+                self.stage = Stage::Complete;
             }
-            Stage::Ended if self.in_order.as_str() >= BEYOND_JOBS => self.stage = Stage::Over,
-            Stage::Ended | Stage::Over => {}
+            Stage::FinishedJobs | Stage::Complete => {}
         }
-        Some(covered)
     }
 
-    /// The answer to looking back has been taken in; `too_far`: the service keeps less than that.
-    pub fn looked_back(&mut self, too_far: bool) {
-        self.look_back = match self.look_back {
-            Some(LOOK_BACK) if too_far => Some(LOOK_BACK_AGAIN),
+    /// The response to a request for recent changes has been applied; `available`: the store still had them.
+    pub fn on_recent_changes(&mut self, available: bool) {
+        self.recent_revisions = match self.recent_revisions {
+            Some(RECENT_REVISIONS) if !available => Some(FEWER_RECENT_REVISIONS),
             _ => None,
         };
-        if self.stage == Stage::Jobs {
-            self.end_jobs();
-        }
+        self.resolve_if_all_listed();
     }
 
-    /// Goes on once the caller knows of no further jobs that it wants.
-    pub fn jobs_over(&mut self) {
-        if self.stage == Stage::Jobs && self.wanted.is_empty() {
-            self.stage = match self.ended_too && self.in_order.as_str() < BEYOND_JOBS {
-                true => Stage::Ended,
-                false => Stage::Over,
+    /// Ends the stage of the jobs if none is missing. To be called once the caller knows of no further jobs
+    /// to require.
+    pub fn end_jobs_if_none_missing(&mut self) {
+        if self.stage == Stage::Jobs && self.missing.is_empty() {
+            let all_covered = self.jobs_covered_to.as_str() >= AFTER_JOBS;
+            self.stage = if self.finished_jobs_required && !all_covered {
+                Stage::FinishedJobs
+            } else {
+                Stage::Complete
             };
         }
     }
 
-    fn end_jobs(&mut self) {
-        if self.in_order.as_str() >= BEYOND_JOBS {
-            // Nothing is left that a page could bring.
-            let rest = std::mem::take(&mut self.wanted);
-            self.settled.extend(rest);
+    /// Resolves all missing jobs if pages have covered all keys of jobs: they do not exist.
+    fn resolve_if_all_listed(&mut self) {
+        if self.stage == Stage::Jobs && self.jobs_covered_to.as_str() >= AFTER_JOBS {
+            let missing = std::mem::take(&mut self.missing);
+            self.resolved.extend(missing);
         }
     }
 }
--- a/crates/reconciliation/tests/decision_table.rs
+++ b/crates/reconciliation/tests/decision_table.rs
@@ -5,8 +5,8 @@
 use snowshelf_model::protocol::worker::{ExitReason, TaskState};
 use snowshelf_model::records::AllocationChangeKind;
 use snowshelf_reconciliation::decision_table::{
-    DesiredState, Finding, HeartbeatEvidence, MachineDisposition, ObservedState, REPORTED,
-    ReconcileAction, Reconciliation, STORED, TaskTraits, TokenState, reconcile,
+    DESIRED_STATES, DesiredState, Finding, HeartbeatEvidence, MachineDisposition, OBSERVED_STATES,
+    ObservedState, ReconcileAction, Reconciliation, TaskTraits, TokenState, reconcile,
 };
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -127,8 +127,8 @@
 
     fn machine(&self) -> MachineDisposition {
         match self.leaving {
-            true => MachineDisposition::Drained,
-            false => MachineDisposition::Stays,
+            true => MachineDisposition::Evicting,
+            false => MachineDisposition::Retained,
         }
     }
 
@@ -148,7 +148,7 @@
             };
             let stored = self.stored(attempt);
             let place = |r: &ObservedState| *r == reported;
-            seen.insert((stored, REPORTED.iter().position(place).unwrap()));
+            seen.insert((stored, OBSERVED_STATES.iter().position(place).unwrap()));
             let task = TaskTraits::default();
             let cell = reconcile(stored, reported, evidence, self.machine(), task);
             cells.push((attempt, cell));
@@ -162,12 +162,12 @@
         }
         let shown = report.fencing_token == self.owner;
         let evidence = HeartbeatEvidence {
-            shown: if shown {
+            token: if shown {
                 TokenState::Equal
             } else {
                 TokenState::Behind
             },
-            late: false,
+            superseded: false,
             new_incarnation: self
                 .picture
                 .incarnation
@@ -181,7 +181,7 @@
             late.old = true;
         }
         for (attempt, cell) in self.cells(evidence, reconcile, seen) {
-            match cell.write {
+            match cell.change {
                 Some(AllocationChangeKind::Finish) => self.view = Record::Finished,
                 Some(_) if self.view == Record::Here(attempt) => {
                     self.view = Record::Waiting(attempt + 1);
@@ -242,7 +242,9 @@
                     goes(TaskState::Exited, Some(ExitReason::Done));
                     goes(TaskState::Exited, Some(ExitReason::Error));
                 }
-                Some((TaskState::Saving, _)) => goes(TaskState::Exited, Some(ExitReason::Stopped)),
+                Some((TaskState::Checkpointing, _)) => {
+                    goes(TaskState::Exited, Some(ExitReason::Stopped))
+                }
                 _ => {}
             }
         }
@@ -267,7 +269,7 @@
             let mut orders = Vec::new();
             if w.picture.shown {
                 let cells = w.cells(HeartbeatEvidence::PLAIN, reconcile, seen);
-                orders.extend(cells.iter().filter_map(|(a, c)| Some((c.order?, *a))));
+                orders.extend(cells.iter().filter_map(|(a, c)| Some((c.action?, *a))));
             }
             let fencing_token = w.owner;
             w.answer = Some(Answer {
@@ -371,7 +373,7 @@
             }
             (ReconcileAction::Run, None) => Some((TaskState::Pulling, None)),
             (ReconcileAction::Stop, Some((TaskState::Running, _))) => {
-                Some((TaskState::Saving, None))
+                Some((TaskState::Checkpointing, None))
             }
             (ReconcileAction::Kill | ReconcileAction::Stop, Some((state, _)))
                 if state != TaskState::Exited =>
@@ -386,7 +388,7 @@
     /// Which promise is broken here, if any.
     fn broken(&self) -> Option<&'static str> {
         let on = |entry: &Option<(TaskState, Option<ExitReason>)>| {
-            entry.is_some_and(|(s, _)| matches!(s, TaskState::Running | TaskState::Saving))
+            entry.is_some_and(|(s, _)| matches!(s, TaskState::Running | TaskState::Checkpointing))
         };
         let here = self.listed.iter().any(on);
         match self.record {
@@ -436,23 +438,23 @@
         stored,
         reported,
         HeartbeatEvidence::PLAIN,
-        MachineDisposition::Stays,
+        MachineDisposition::Retained,
         TaskTraits::default(),
     );
     let finding = match cell.finding {
-        Finding::NotBegun => "not begun",
+        Finding::NotStarted => "not begun",
         Finding::Ended => "ended",
-        Finding::Gone => "gone",
-        Finding::Stray => "stray",
-        Finding::Remnant => "remnant",
-        Finding::Agrees | Finding::Nothing | Finding::Deposed => "agrees",
+        Finding::Lost => "gone",
+        Finding::Orphaned => "stray",
+        Finding::LeftoverEntry => "remnant",
+        Finding::Consistent | Finding::Inconclusive | Finding::Fenced => "agrees",
     };
-    let write = match cell.write {
+    let write = match cell.change {
         Some(AllocationChangeKind::Finish) => ", write done",
         Some(_) => ", write waits",
         None => "",
     };
-    let order = match cell.order {
+    let order = match cell.action {
         Some(ReconcileAction::Run) => ", run",
         Some(ReconcileAction::Kill) => ", kill",
         Some(ReconcileAction::Stop) => ", stop",
@@ -470,8 +472,9 @@
     let seen = search(reconcile).unwrap();
     let heads = COLUMNS.map(|(name, _)| name).join(" | ");
     let mut table = format!("| stored | {heads} |\n|{}\n", " --- |".repeat(10));
-    for stored in STORED {
-        let cells = COLUMNS.map(|(_, i)| show(stored, REPORTED[i], seen.contains(&(stored, i))));
+    for stored in DESIRED_STATES {
+        let cells =
+            COLUMNS.map(|(_, i)| show(stored, OBSERVED_STATES[i], seen.contains(&(stored, i))));
         table += &format!("| {stored:?} | {} |\n", cells.join(" | "));
     }
     let page = include_str!("../../../docs/recovery.md");
@@ -483,11 +486,11 @@
 #[test]
 fn a_wrong_table_is_found_out() {
     let hasty: Square = |stored, reported, evidence, machine, task| {
-        let shown = evidence.shown.max(TokenState::Equal);
+        let token = evidence.token.max(TokenState::Equal);
         reconcile(
             stored,
             reported,
-            HeartbeatEvidence { shown, ..evidence },
+            HeartbeatEvidence { token, ..evidence },
             machine,
             task,
         )
@@ -495,8 +498,8 @@
     assert_eq!(search(hasty), Err("ran_twice"));
     let kind: Square = |stored, reported, evidence, machine, task| {
         let cell = reconcile(stored, reported, evidence, machine, task);
-        let write = cell.write.map(|_| AllocationChangeKind::Finish);
-        Reconciliation { write, ..cell }
+        let change = cell.change.map(|_| AllocationChangeKind::Finish);
+        Reconciliation { change, ..cell }
     };
     assert_eq!(search(kind), Err("not_done"));
 }
--- a/crates/reconciliation/tests/silence.rs
+++ b/crates/reconciliation/tests/silence.rs
@@ -1,7 +1,7 @@
 //! How long silence is waited for where cancelled tasks may be frozen.
 
 use proptest::prelude::*;
-use snowshelf_reconciliation::silence::{frozen_ms, overdue_ms};
+use snowshelf_reconciliation::silence::{heartbeat_overdue_ms, release_after_cancellation_ms};
 
 proptest! {
     /// Guards against a return that is begun too late: an owner that has taken the part just before the moment waits
@@ -14,9 +14,9 @@
         spare_reports in 4u64..20,
     ) {
         let cancel_ms = report_ms * (lease_reports + spare_reports);
-        let begun = frozen_ms(cancel_ms);
+        let begun = release_after_cancellation_ms(cancel_ms);
         prop_assert!(begun + report_ms + report_ms / 4 <= cancel_ms);
         prop_assert!(begun < cancel_ms && begun >= cancel_ms / 2);
-        prop_assert!(overdue_ms(report_ms) > report_ms);
+        prop_assert!(heartbeat_overdue_ms(report_ms) > report_ms);
     }
 }
--- a/crates/watermark/tests/watermark.rs
+++ b/crates/watermark/tests/watermark.rs
@@ -2,10 +2,12 @@
 
 use proptest::prelude::*;
 use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
-use snowshelf_watermark::confirmation_round::{ConfirmationRounds, Ignored, PeerConfirmation};
+use snowshelf_watermark::confirmation_round::{
+    ConfirmationRounds, IgnoredConfirmation, PeerConfirmation,
+};
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use snowshelf_watermark::renewal::{
-    JobKnowledge, RenewalRefusal, WatermarkSource, authorize_renewal, known, may_begin,
+    JobKnowledge, RenewalRefusal, WatermarkSource, authorize_renewal, is_covered, may_start,
 };
 use snowshelf_watermark::{CancellationWatermark, answering_ms, with_drift};
 use std::collections::BTreeSet;
@@ -38,30 +40,30 @@
     // No room beside a lease: the safe side.
     assert_eq!(answering_ms(9_000, 10_000), 0);
     let at = Some(MonotonicMillis(5));
-    assert!(known(at, MonotonicMillis(105), 100));
-    assert!(!known(at, MonotonicMillis(106), 100));
-    assert!(!known(None, MonotonicMillis(5), 100));
+    assert!(is_covered(at, MonotonicMillis(105), 100));
+    assert!(!is_covered(at, MonotonicMillis(106), 100));
+    assert!(!is_covered(None, MonotonicMillis(5), 100));
     let idle = |basis, received| {
         authorize_renewal::<u32>(basis, MonotonicMillis(received), 100, [].into_iter())
     };
     for (basis, latest) in [
-        (WatermarkSource::Read(at), 105),
-        (WatermarkSource::Reading(MonotonicMillis(5)), 105),
+        (WatermarkSource::AllRecords(at), 105),
+        (WatermarkSource::SingleRecords(MonotonicMillis(5)), 105),
     ] {
         assert!(idle(basis, latest).is_ok());
         assert_eq!(idle(basis, latest + 1), Err(RenewalRefusal::Behind));
     }
     assert_eq!(
-        idle(WatermarkSource::Read(None), 5),
+        idle(WatermarkSource::AllRecords(None), 5),
         Err(RenewalRefusal::Behind)
     );
     // Neither source takes the horizon back.
     let mut watermark = CancellationWatermark::default();
-    watermark.attest(MonotonicMillis(9));
-    watermark.read(MonotonicMillis(7));
-    watermark.attest(MonotonicMillis(8));
+    watermark.advance_by_confirmation(MonotonicMillis(9));
+    watermark.advance_by_watch(MonotonicMillis(7));
+    watermark.advance_by_confirmation(MonotonicMillis(8));
     assert_eq!(
-        (watermark.at(), watermark.feed()),
+        (watermark.at(), watermark.watch()),
         (Some(MonotonicMillis(9)), Some(MonotonicMillis(7)))
     );
 }
@@ -76,8 +78,8 @@
         authorize_renewal(basis, MonotonicMillis(50), 100, listed).map(|r| r.into_halts())
     };
     for basis in [
-        WatermarkSource::Read(Some(MonotonicMillis(5))),
-        WatermarkSource::Reading(MonotonicMillis(5)),
+        WatermarkSource::AllRecords(Some(MonotonicMillis(5))),
+        WatermarkSource::SingleRecords(MonotonicMillis(5)),
     ] {
         assert_eq!(ask(basis, &[Open, Open]), Ok(vec![]));
         assert_eq!(ask(basis, &[Cancelled, Open, Cancelled]), Ok(vec![0, 2]));
@@ -86,9 +88,9 @@
             Err(RenewalRefusal::Unread)
         );
     }
-    assert!(may_begin(Some(MonotonicMillis(5)), MonotonicMillis(6_005)));
-    assert!(!may_begin(Some(MonotonicMillis(5)), MonotonicMillis(6_020)));
-    assert!(!may_begin(None, MonotonicMillis(5)));
+    assert!(may_start(Some(MonotonicMillis(5)), MonotonicMillis(6_005)));
+    assert!(!may_start(Some(MonotonicMillis(5)), MonotonicMillis(6_020)));
+    assert!(!may_start(None, MonotonicMillis(5)));
 }
 
 /// Guards against a horizon moved by words that do not prove it: each thing that can be missing.
@@ -96,23 +98,25 @@
 fn a_round_proves_nothing_unless_everybody_has_answered_it_in_full() {
     let mut a = ConfirmationRounds::new(7);
     let asked = MonotonicMillis(10_000);
-    let question = a.ask(asked, MonotonicMillis(4_000), others()).unwrap();
+    let question = a
+        .start_round(asked, MonotonicMillis(4_000), others())
+        .unwrap();
     assert_eq!((question.incarnation, question.sequence), (7, 1));
     assert!(question.window_ms >= 8_000);
     // One is missing.
     assert_eq!(
-        a.take(MonotonicMillis(10_010), &answer("b", 7, 1)),
+        a.on_confirmation(MonotonicMillis(10_010), &answer("b", 7, 1)),
         Ok(None)
     );
     // The same once more, somebody unknown, another life of the asker, another round.
     for (said, why) in [
-        (answer("b", 7, 1), Ignored::NotAwaited),
-        (answer("x", 7, 1), Ignored::NotAwaited),
-        (answer("c", 6, 1), Ignored::OtherIncarnation),
-        (answer("c", 7, 0), Ignored::OtherRound),
-        (answer("c", 7, 2), Ignored::OtherRound),
+        (answer("b", 7, 1), IgnoredConfirmation::NotAwaited),
+        (answer("x", 7, 1), IgnoredConfirmation::NotAwaited),
+        (answer("c", 6, 1), IgnoredConfirmation::OtherIncarnation),
+        (answer("c", 7, 0), IgnoredConfirmation::OtherRound),
+        (answer("c", 7, 2), IgnoredConfirmation::OtherRound),
     ] {
-        assert_eq!(a.take(MonotonicMillis(10_010), &said), Err(why));
+        assert_eq!(a.on_confirmation(MonotonicMillis(10_010), &said), Err(why));
     }
     // One that has started since, or told more than it can name.
     let short = PeerConfirmation {
@@ -120,34 +124,42 @@
         ..answer("c", 7, 1)
     };
     assert_eq!(
-        a.take(MonotonicMillis(10_020), &short),
-        Err(Ignored::Incomplete)
+        a.on_confirmation(MonotonicMillis(10_020), &short),
+        Err(IgnoredConfirmation::Incomplete)
     );
     // One that was underway for longer than its window reaches back beyond the horizon.
     assert_eq!(
-        a.take(MonotonicMillis(12_100), &answer("c", 7, 1)),
-        Err(Ignored::TooLate)
+        a.on_confirmation(MonotonicMillis(12_100), &answer("c", 7, 1)),
+        Err(IgnoredConfirmation::TooLate)
     );
     assert_eq!(
-        a.take(MonotonicMillis(10_030), &answer("c", 7, 1)),
+        a.on_confirmation(MonotonicMillis(10_030), &answer("c", 7, 1)),
         Ok(Some(asked))
     );
     // What comes after the round is over proves nothing for the next.
     assert_eq!(
-        a.take(MonotonicMillis(10_040), &answer("c", 7, 1)),
-        Err(Ignored::OtherRound)
+        a.on_confirmation(MonotonicMillis(10_040), &answer("c", 7, 1)),
+        Err(IgnoredConfirmation::OtherRound)
+    );
+    assert_eq!(
+        a.start_round(MonotonicMillis(10_500), asked, others()),
+        None
     );
-    assert_eq!(a.ask(MonotonicMillis(10_500), asked, others()), None);
-    let next = a.ask(MonotonicMillis(11_100), asked, others()).unwrap();
+    let next = a
+        .start_round(MonotonicMillis(11_100), asked, others())
+        .unwrap();
     assert_eq!(next.sequence, 2);
     assert_eq!(
-        a.take(MonotonicMillis(11_200), &answer("b", 7, 1)),
-        Err(Ignored::OtherRound)
+        a.on_confirmation(MonotonicMillis(11_200), &answer("b", 7, 1)),
+        Err(IgnoredConfirmation::OtherRound)
     );
     // A round that is not answered is asked anew, from the same horizon.
-    assert_eq!(a.ask(MonotonicMillis(12_500), asked, others()), None);
     assert_eq!(
-        a.ask(MonotonicMillis(12_700), asked, others())
+        a.start_round(MonotonicMillis(12_500), asked, others()),
+        None
+    );
+    assert_eq!(
+        a.start_round(MonotonicMillis(12_700), asked, others())
             .unwrap()
             .sequence,
         3
@@ -158,10 +170,10 @@
 #[test]
 fn a_count_that_does_not_reach_back_is_not_complete() {
     let mut confirmed = ConfirmedCancellations::default();
-    confirmed.begin(MonotonicMillis(1_000));
+    confirmed.start_recording(MonotonicMillis(1_000));
     let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
-    confirmed.tell(&job(1), MonotonicMillis(2_000));
-    confirmed.tell(&job(1), MonotonicMillis(9_000));
+    confirmed.record(&job(1), MonotonicMillis(2_000));
+    confirmed.record(&job(1), MonotonicMillis(9_000));
     assert_eq!(
         confirmed.within(MonotonicMillis(9_000), 8_000),
         Some(vec![&job(1)])
@@ -173,7 +185,7 @@
         Some(vec![])
     );
     for n in 2..10_000 {
-        confirmed.tell(&job(n), MonotonicMillis(10_000 + n as u64));
+        confirmed.record(&job(n), MonotonicMillis(10_000 + n as u64));
     }
     assert_eq!(confirmed.within(MonotonicMillis(20_000), 12_000), None);
     assert!(
@@ -204,7 +216,7 @@
         let mut underway: Vec<(u64, PeerConfirmation)> = Vec::new();
         let mut drawn = hops.iter();
         for now in (1_000..60_000u64).step_by(50) {
-            if let Some(q) = asker.ask(MonotonicMillis(now), watermark, others())
+            if let Some(q) = asker.start_round(MonotonicMillis(now), watermark, others())
                 && let Some((to, back, lost)) = drawn.next()
             {
                 for (m, name) in ["b", "c"].into_iter().enumerate() {
@@ -212,13 +224,13 @@
                     let at = now + if *lost == 0 { to % 50 } else { *to };
                     let life = ends.iter().filter(|(who, end)| *who == m && *end <= at).map(|(_, end)| *end).max();
                     let mut confirmed = ConfirmedCancellations::default();
-                    confirmed.begin(MonotonicMillis(life.unwrap_or(0)));
+                    confirmed.start_recording(MonotonicMillis(life.unwrap_or(0)));
                     let mut mine: Vec<(u64, usize)> = tells.iter().enumerate()
                         .filter(|(_, (who, t))| *who == m && *t <= at && life.is_none_or(|l| *t > l))
                         .map(|(n, (_, t))| (*t, n)).collect();
                     mine.sort_unstable();
                     for (t, n) in mine {
-                        confirmed.tell(&job(n), MonotonicMillis(t));
+                        confirmed.record(&job(n), MonotonicMillis(t));
                     }
                     let told = confirmed.within(MonotonicMillis(at), q.window_ms);
                     underway.push((at + if *lost == 0 { back % 50 } else { *back }, PeerConfirmation {
@@ -233,7 +245,7 @@
             let (here, later) = underway.into_iter().partition(|(at, _)| *at <= now);
             underway = later;
             for (_, said) in here as Vec<(u64, PeerConfirmation)> {
-                if let Ok(complete) = asker.take(MonotonicMillis(now), &said) {
+                if let Ok(complete) = asker.on_confirmation(MonotonicMillis(now), &said) {
                     known.extend(said.cancelled);
                     watermark = complete.unwrap_or(watermark);
                 }
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -176,7 +176,7 @@
                     let end = context.records.finished_job(&accept.job);
                     let state = end.map_or(JobState::Open, |end| end.state);
                     if state == JobState::Cancelled {
-                        self.confirmed.tell(&accept.job, context.now());
+                        self.confirmed.record(&accept.job, context.now());
                     }
                     let body = user::brief(&accept.job, user::state_word(state, 0));
                     for conn in accept.conns {
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -10,7 +10,7 @@
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::protocol::user;
 use snowshelf_model::records::{JobRecord, JobState, job_key};
-use snowshelf_watermark::renewal::known;
+use snowshelf_watermark::renewal::is_covered;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 /// Whether this controller knows what users were told, but for the last moments.
 pub(super) fn knows_confirmed(context: &Context) -> bool {
     let answering_ms = context.config.settings.answering_ms();
-    known(context.watermark, context.now(), answering_ms)
+    is_covered(context.watermark, context.now(), answering_ms)
 }
 
 impl JobApi {
@@ -192,7 +192,7 @@
         context: &mut Context,
     ) {
         if end.state == JobState::Cancelled {
-            self.confirmed.tell(job, context.now());
+            self.confirmed.record(job, context.now());
         }
         let word = user::state_word(end.state, 0);
         let body = match why {
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -130,7 +130,7 @@
     /// A gateway whose process begins at `now`.
     pub fn begun(now: MonotonicMillis) -> JobApi {
         let mut gateway = JobApi::default();
-        gateway.confirmed.begin(now);
+        gateway.confirmed.start_recording(now);
         gateway
     }
 
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -27,7 +27,7 @@
         }
         if !self.drain_state.is_idle() && now.since(self.draining_at) >= LOOK_MS {
             self.draining_at = now;
-            let away = now.since(self.list_watch.feed_at) > FEED_MS;
+            let away = now.since(self.list_watch.last_watch_at) > FEED_MS;
             self.drain_state.fresh = self.records.loaded && !away;
             self.drain_state.lost = self.gossip.lost(now);
             self.drain_state.again = self.gossip.again(now);
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -195,7 +195,7 @@
         }
         if let Some(asked) = self.listed_asked.remove(&job) {
             match &outcome {
-                GetOutcome::Found(_) => self.list_watch.read_alone(&job, asked),
+                GetOutcome::Found(_) => self.list_watch.on_single_read(&job, asked),
                 GetOutcome::NotFound(_) => {
                     self.listed_absent.insert(job.clone());
                 }
@@ -227,7 +227,7 @@
         let changed = take(&mut list_watch, &mut self.context());
         self.list_watch = list_watch;
         self.changed(changed);
-        if let Some(at) = self.list_watch.current_as_of {
+        if let Some(at) = self.list_watch.synced_up_to {
             self.read_as_of(at);
         }
         let mut list_watch = std::mem::take(&mut self.list_watch);
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -171,7 +171,7 @@
         let served = silent < 3_000 || self.outage();
         let response = if decides && served {
             let shards: Vec<ShardProgress> = self.shards.values().map(|s| s.progress()).collect();
-            let reads = self.list_watch.stage();
+            let reads = self.list_watch.stage_label();
             let deaf = self.reachability.deaf;
             let connections = &self.connections;
             Response::json(
@@ -179,7 +179,7 @@
                 &json!({"reads": reads, "deaf": deaf, "doors": connections, "parts": shards}),
             )
         } else {
-            let reads = self.list_watch.stage().unwrap_or("nothing");
+            let reads = self.list_watch.stage_label().unwrap_or("nothing");
             Response::later(503, &format!("not ready, reads {reads}"), 1)
         };
         self.effects.respond(conn, response);
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -130,7 +130,8 @@
     fn hears_none(&self) -> bool {
         let report_ms = self.config.settings.report_ms();
         let mut shards = self.shards.values().map(|s| s.heartbeat_summary());
-        !self.shards.is_empty() && shards.all(|h| silence::deaf(h, self.effects.now, report_ms))
+        !self.shards.is_empty()
+            && shards.all(|h| silence::is_unreachable(h, self.effects.now, report_ms))
     }
 
     /// Hands a part over whose machines reach others and not this controller.
@@ -142,7 +143,7 @@
             .values()
             .filter(|shard| {
                 let elsewhere = self.gossip.strangers(now, shard.id);
-                silence::hand_over(shard.heartbeat_summary(), elsewhere, now, report_ms)
+                silence::should_release_shard(shard.heartbeat_summary(), elsewhere, now, report_ms)
             })
             .map(|shard| shard.id)
             .collect();
@@ -174,7 +175,7 @@
 
     fn tick_runs(&mut self) {
         // Which of a run's jobs have ended must be known, or they would be submitted again.
-        let known = self.records.loaded && !self.list_watch.reads_ended();
+        let known = self.records.loaded && !self.list_watch.is_reading_finished_jobs();
         if !known || self.types.is_empty() || self.dag_runs.idle(&self.records) {
             return;
         }
@@ -383,7 +384,7 @@
             member: self.config.me.as_str().to_string(),
             state_silent_ms: self.state_silent_ms(),
             up_ms: now.since(self.started),
-            feed_silent_ms: now.since(self.list_watch.feed_at),
+            feed_silent_ms: now.since(self.list_watch.last_watch_at),
             shards,
             short_of: short_of.into_iter().collect(),
             missing,
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -6,7 +6,7 @@
 use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
 use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage};
 use snowshelf_watermark::confirmation_round::PeerConfirmation;
-use snowshelf_watermark::renewal::{FEED_LATE_MS, known};
+use snowshelf_watermark::renewal::{WATCH_LATE_MS, is_covered};
 use std::collections::BTreeSet;
 
 /// Less than this and workers are let go by a feed that is only slow.
@@ -31,18 +31,18 @@
         // Where the state service answers all but the feed, that does not say it either.
         let feed_late = self
             .watermark
-            .feed()
-            .is_none_or(|feed| now.since(feed) > FEED_LATE_MS);
+            .watch()
+            .is_none_or(|feed| now.since(feed) > WATCH_LATE_MS);
         if self.shards.is_empty() || (self.state_silent_ms() < UNSERVED_MS && !feed_late) {
             return;
         }
         let others: BTreeSet<Member> = self.others().cloned().collect();
         if others.is_empty() {
             // Nobody else tells users anything.
-            self.watermark.attest(now);
+            self.watermark.advance_by_confirmation(now);
             return;
         }
-        let Some(question) = self.confirmation_rounds.ask(now, at, others) else {
+        let Some(question) = self.confirmation_rounds.start_round(now, at, others) else {
             return;
         };
         let request = ConfirmationRequest {
@@ -87,7 +87,7 @@
         let lets_go = self
             .watermark
             .at()
-            .is_some_and(|at| !known(Some(at), now, answering_ms));
+            .is_some_and(|at| !is_covered(Some(at), now, answering_ms));
         if lets_go != self.lets_go {
             self.lets_go = lets_go;
             let behind_ms = self.watermark.at().map(|at| now.since(at));
@@ -103,7 +103,7 @@
 
     /// The mirror is current as of a new moment.
     pub(super) fn read_as_of(&mut self, at: MonotonicMillis) {
-        self.watermark.read(at);
+        self.watermark.advance_by_watch(at);
         // What was said before that is in the mirror if it is true.
         self.attested.retain(|_, said| *said >= at);
     }
@@ -159,7 +159,7 @@
                 .map(|j| JobId::new(j))
                 .collect(),
         };
-        match self.confirmation_rounds.take(now, &answer) {
+        match self.confirmation_rounds.on_confirmation(now, &answer) {
             Err(why) => {
                 tracing::info!(member = %answer.from, sequence = answer.sequence, ?why, "peer confirmation ignored");
             }
@@ -171,7 +171,7 @@
                     }
                 }
                 if let Some(asked) = complete {
-                    self.watermark.attest(asked);
+                    self.watermark.advance_by_confirmation(asked);
                 }
             }
         }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -17,8 +17,8 @@
         received: MonotonicMillis,
     ) -> Result<LeaseRenewal<(TaskRef, Attempt)>, RenewalRefusal> {
         let basis = match self.records.loaded {
-            true => WatermarkSource::Read(self.watermark),
-            false => WatermarkSource::Reading(self.began),
+            true => WatermarkSource::AllRecords(self.watermark),
+            false => WatermarkSource::SingleRecords(self.began),
         };
         let answering_ms = self.config.settings.answering_ms();
         let alive = listed.iter().filter(|t| t.state != TaskState::Exited);
--- a/src/coordination/list_watch.rs
+++ b/src/coordination/list_watch.rs
@@ -1,205 +1,223 @@
-//! Keeps the mirror fed: one reading, in stages, and the change feed from its first page on.
+//! Keeps the record cache current: one startup read, and a watch from the revision of its first page on.
 //!
-//! What is read first, and that no more is read than what is open, `snowshelf_reconciliation::startup_read`
-//! decides. The feed is followed meanwhile, so that a reading that takes longer than the service keeps
-//! changes for ends all the same.
+//! The protocol of a startup read:
+//! 1. `snowshelf_reconciliation::startup_read` decides which keys are listed, in which order. Its first page
+//!    says at which revision it was read, and the watch is followed from that revision while the read goes
+//!    on: a read that takes longer than the store retains events still ends with a complete cache.
+//! 2. Keys that were cached before are unconfirmed. Each page confirms the keys that it lists; an
+//!    unconfirmed key in the range of a page that does not list it has been deleted.
+//! 3. Jobs that allocations or dependencies name are looked for in recent changes, then by pages.
+//! 4. Once everything open is cached, the cache is loaded, and the watch goes on from the cache's revision.
+//!    Finished jobs are read afterwards, if open runs of graphs need them.
+//!
+//! Where the store no longer retains the events from the watched revision on, everything is read again.
 
 use super::context::{Context, KvRequest};
 use crate::storage::kv_client::{KvResponse, RequestPriority, WatchOutcome, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
-use snowshelf_model::protocol::state::RangePage;
-use snowshelf_reconciliation::startup_read::{Ask, Reading as Staged, Stage};
+use snowshelf_model::protocol::state::{RangePage, WatchEvent, WatchEvents};
+use snowshelf_model::records::JOB_PREFIX;
+use snowshelf_reconciliation::startup_read::{CoveredRange, ReadPlan, ReadRequest, Stage};
 use std::collections::BTreeSet;
 
-/// The least time between two openings of the feed, so that a burst of changes shares one answer.
-const FEED_GAP_MS: u64 = 150;
-/// A feed opened before this controller was refused may hang; it is opened anew this often.
-const FEED_WAIT_MS: u64 = 2_000;
-/// So often looking back is tried again before it is done without.
-const LOOK_BACK_TRIES: u32 = 2;
-/// Only jobs' keys are looked back for.
-const JOBS: &str = "job/";
+/// Least time between two watch requests, so that a burst of changes comes in one response.
+const WATCH_GAP_MS: u64 = 150;
+/// Longest time that the store may hold a watch request open. One sent before a connection was lost may
+/// hang; it is replaced this often.
+const WATCH_WAIT_MS: u64 = 2_000;
+/// Failed attempts after which recent changes are no longer asked for.
+const RECENT_CHANGES_TRIES: u32 = 2;
+/// First pause after a failed list request, doubled by each further failure up to [`LIST_RETRY_DOUBLINGS`].
+const LIST_RETRY_MS: u64 = 150;
+const LIST_RETRY_DOUBLINGS: u32 = 3;
+/// The same for watch requests.
+const WATCH_RETRY_MS: u64 = 200;
+const WATCH_RETRY_DOUBLINGS: u32 = 2;
 
-/// What is asked of the key-value store to keep the record cache current.
+/// A request to the key-value store that keeps the record cache current.
 #[derive(Clone, Copy, Debug)]
 pub enum ListWatchRequest {
     /// A page of keys.
-    Page,
+    List,
     /// The changes of jobs' records before the watch began.
     RecentChanges,
+    /// The changes since the watched revision.
     Watch,
 }
 
-/// A reading underway.
+/// A startup read underway.
 #[derive(Default)]
-struct Reading {
-    stages: Staged,
-    /// What was known when its first page came and no page has answered for yet.
-    known: BTreeSet<String>,
-    /// What has been asked and not answered.
-    asked: Option<Ask>,
-    /// How far the feed has been followed, once the first page has said from where; of no use once what is open is
-    /// known.
-    followed: Option<Version>,
-    /// Since when.
-    followed_at: Option<MonotonicMillis>,
-    /// What is open is known; ended jobs are still read.
-    open_known: bool,
-    items: u64,
-    /// When the request for its first page was sent.
-    began: MonotonicMillis,
+struct StartupRead {
+    plan: ReadPlan,
+    /// Keys that were cached when the first page came and that no page has covered yet.
+    unconfirmed: BTreeSet<String>,
+    /// The list request in flight.
+    request: Option<ReadRequest>,
+    /// The revision up to which the watch has been followed, once the first page has said from where. Unused
+    /// once everything open is cached.
+    watched_to: Option<Version>,
+    /// When the watch began.
+    watching_since: Option<MonotonicMillis>,
+    /// Everything open is cached; finished jobs are still read.
+    open_loaded: bool,
+    /// Keys that have been listed.
+    keys_listed: u64,
+    /// When the request for the first page was sent.
+    first_sent_at: MonotonicMillis,
 }
 
-/// One of the two lines of requests, each with at most one underway.
+/// Whether a request may be sent: at most one of its kind is in flight, and failures delay the next one.
 #[derive(Default)]
-struct Line {
-    busy: bool,
+struct RequestSlot {
+    in_flight: bool,
     next_at: MonotonicMillis,
     failures: u32,
 }
 
-impl Line {
-    fn free(&self, now: MonotonicMillis) -> bool {
-        !self.busy && now >= self.next_at
+impl RequestSlot {
+    fn is_free(&self, now: MonotonicMillis) -> bool {
+        !self.in_flight && now >= self.next_at
     }
-    fn failed(&mut self, next_at: MonotonicMillis) {
+
+    fn fail(&mut self, next_at: MonotonicMillis) {
         self.next_at = next_at;
         self.failures += 1;
     }
 }
 
+/// The list-and-watch of all records.
 #[derive(Default)]
 pub struct ListWatch {
-    pages: Line,
-    feed: Line,
-    reading: Option<Reading>,
-    opened: bool,
-    /// Which reading the feed's open request belongs to.
-    round: u64,
-    feed_round: u64,
-    page_round: u64,
-    /// When the change feed last answered, with a mirror that had been read.
-    pub feed_at: MonotonicMillis,
-    /// When the feed's open request was sent.
-    feed_sent: MonotonicMillis,
-    /// The mirror holds every change up to then: when the newest request was sent whose answer left no gap.
-    pub current_as_of: Option<MonotonicMillis>,
+    list_slot: RequestSlot,
+    watch_slot: RequestSlot,
+    startup: Option<StartupRead>,
+    /// A startup read has been completed, and the watch has followed since.
+    complete: bool,
+    /// Number of the newest startup read; responses to requests of earlier ones are ignored.
+    generation: u64,
+    list_generation: u64,
+    watch_generation: u64,
+    /// When the watch last responded while the cache was loaded.
+    pub last_watch_at: MonotonicMillis,
+    /// When the watch request in flight was sent.
+    watch_sent_at: MonotonicMillis,
+    /// The cache holds every change up to this time: when the newest request was sent whose response left
+    /// no gap.
+    pub synced_up_to: Option<MonotonicMillis>,
 }
 
 impl ListWatch {
-    /// What is being read, for operators; nothing once all is.
-    pub fn stage(&self) -> Option<&'static str> {
-        let reading = self.reading.as_ref()?;
-        Some(match reading.stages.stage() {
+    /// What is being read, as `GET /ready` shows it; `None` once everything has been read.
+    pub fn stage_label(&self) -> Option<&'static str> {
+        let startup = self.startup.as_ref()?;
+        Some(match startup.plan.stage() {
             Stage::ShardOwners => "parts",
-            Stage::Shares => "shares",
+            Stage::Allocations => "shares",
             Stage::Rest => "rest",
             Stage::Jobs => "jobs",
-            Stage::Ended | Stage::Over => "ended",
+            Stage::FinishedJobs | Stage::Complete => "ended",
         })
     }
 
-    /// A job has been read by itself, asked for then: of use if the feed was followed already.
-    pub fn read_alone(&mut self, job: &JobId, asked: MonotonicMillis) {
-        if let Some(reading) = &mut self.reading
-            && reading.followed_at.is_some_and(|at| asked >= at)
+    /// A job's record has been read by itself, by a request sent at `sent_at`. The startup read need not
+    /// look for it if the watch had begun by then.
+    pub fn on_single_read(&mut self, job: &JobId, sent_at: MonotonicMillis) {
+        if let Some(startup) = &mut self.startup
+            && startup.watching_since.is_some_and(|at| sent_at >= at)
         {
-            reading.stages.seen(job);
+            startup.plan.mark_read(job);
         }
     }
 
-    /// Whether ended jobs are still being read, which somebody waits for.
-    pub fn reads_ended(&self) -> bool {
-        self.reading.as_ref().is_some_and(|r| r.open_known)
+    /// Whether finished jobs are still being read.
+    pub fn is_reading_finished_jobs(&self) -> bool {
+        self.startup.as_ref().is_some_and(|s| s.open_loaded)
     }
 
+    /// Sends the requests that are due.
     pub fn tick(&mut self, context: &mut Context) {
-        let now = context.now();
-        if !self.opened && self.reading.is_none() {
-            self.round += 1;
+        if !self.complete && self.startup.is_none() {
+            self.generation += 1;
             context.records.begin_startup_read();
-            self.reading = Some(Reading::default());
+            self.startup = Some(StartupRead::default());
         }
-        if let Some(reading) = &mut self.reading
-            && self.pages.free(now)
-            && let Some(ask) = reading.stages.next()
-        {
-            // Pages keep clear of the room that leases and the feed need; and what has ended, of all others'.
-            let class = match reading.open_known {
-                true => RequestPriority::Reads,
-                false => RequestPriority::Admission,
-            };
-            if context.kv.has_budget(now, class, 0) {
-                self.pages.busy = true;
-                if reading.followed.is_none() {
-                    reading.began = now;
-                }
-                self.page_round = self.round;
-                match (&ask, reading.followed) {
-                    (Ask::LookBack { revisions }, Some(from)) => {
-                        let after = Version(from.0.saturating_sub(*revisions));
-                        context.kv.watch(
-                            context.effects,
-                            KvRequest::ListWatch(ListWatchRequest::RecentChanges),
-                            JOBS,
-                            after,
-                            0,
-                        );
-                    }
-                    (Ask::LookBack { .. }, None) => self.pages.busy = false,
-                    (
-                        Ask::Page {
-                            starts,
-                            after,
-                            limit,
-                        },
-                        _,
-                    ) => context.kv.list(
-                        context.effects,
-                        KvRequest::ListWatch(ListWatchRequest::Page),
-                        starts,
-                        after,
-                        *limit,
-                    ),
-                }
-                reading.asked = Some(ask);
-            }
+        self.send_list_request(context);
+        self.send_watch_request(context);
+    }
+
+    fn send_list_request(&mut self, context: &mut Context) {
+        let now = context.now();
+        let Some(startup) = &mut self.startup else {
+            return;
+        };
+        if !self.list_slot.is_free(now) {
+            return;
         }
-        let from = match &self.reading {
-            Some(reading) if !reading.open_known => reading.followed,
-            _ => Some(context.records.revision),
+        let Some(request) = startup.plan.next_request() else {
+            return;
         };
-        if let Some(from) = from
-            && self.feed.free(now)
-            && context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0)
-        {
-            self.feed.busy = true;
-            self.feed.next_at = now.plus(FEED_GAP_MS);
-            self.feed_round = self.round;
-            self.feed_sent = now;
-            // Asked often enough that an owner's knowledge is never old.
-            let wait_ms =
-                FEED_WAIT_MS.min((context.config.settings.answering_ms() / 4).max(FEED_GAP_MS));
-            context.kv.watch(
-                context.effects,
-                KvRequest::ListWatch(ListWatchRequest::Watch),
-                "",
-                from,
-                wait_ms,
-            );
+        // Lists leave a reserve to leases and the watch; those of finished jobs, to all other requests.
+        let priority = if startup.open_loaded {
+            RequestPriority::Reads
+        } else {
+            RequestPriority::Admission
+        };
+        if !context.kv.has_budget(now, priority, 0) {
+            return;
+        }
+        self.list_slot.in_flight = true;
+        if startup.watched_to.is_none() {
+            startup.first_sent_at = now;
+        }
+        self.list_generation = self.generation;
+        match (&request, startup.watched_to) {
+            (ReadRequest::RecentChanges { revisions }, Some(watched_to)) => {
+                let after = Version(watched_to.0.saturating_sub(*revisions));
+                let tag = KvRequest::ListWatch(ListWatchRequest::RecentChanges);
+                context.kv.watch(context.effects, tag, JOB_PREFIX, after, 0);
+            }
+            (ReadRequest::RecentChanges { .. }, None) => self.list_slot.in_flight = false,
+            (
+                ReadRequest::List {
+                    prefix,
+                    after,
+                    limit,
+                },
+                _,
+            ) => {
+                let tag = KvRequest::ListWatch(ListWatchRequest::List);
+                context.kv.list(context.effects, tag, prefix, after, *limit);
+            }
         }
+        startup.request = Some(request);
     }
 
-    /// The reading underway, if the answer that has come is to its newest request.
-    fn answered(&mut self) -> Option<(&mut Reading, Ask)> {
-        self.pages.busy = false;
-        let reading = self.reading.as_mut()?;
-        if self.page_round != self.round {
-            return None;
+    fn send_watch_request(&mut self, context: &mut Context) {
+        let now = context.now();
+        let watched_to = match &self.startup {
+            Some(startup) if !startup.open_loaded => startup.watched_to,
+            _ => Some(context.records.revision),
+        };
+        let Some(watched_to) = watched_to else {
+            return;
+        };
+        if !self.watch_slot.is_free(now)
+            || !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0)
+        {
+            return;
         }
-        let ask = reading.asked.take()?;
-        Some((reading, ask))
+        self.watch_slot.in_flight = true;
+        self.watch_slot.next_at = now.plus(WATCH_GAP_MS);
+        self.watch_generation = self.generation;
+        self.watch_sent_at = now;
+        // Short enough that the cancellation watermark never falls behind.
+        let longest_ms = (context.config.settings.answering_ms() / 4).max(WATCH_GAP_MS);
+        let wait_ms = WATCH_WAIT_MS.min(longest_ms);
+        let tag = KvRequest::ListWatch(ListWatchRequest::Watch);
+        context
+            .kv
+            .watch(context.effects, tag, "", watched_to, wait_ms);
     }
 
     /// Takes a response of the key-value store in.
@@ -210,12 +228,12 @@
         context: &mut Context,
     ) -> Vec<RecordChange> {
         match (request, response) {
-            (ListWatchRequest::Page, KvResponse::List(page)) => self.page(page, context),
+            (ListWatchRequest::List, KvResponse::List(page)) => self.on_page(page, context),
             (ListWatchRequest::RecentChanges, KvResponse::Watch(outcome)) => {
-                self.apply_recent_changes(outcome, context)
+                self.on_recent_changes(outcome, context)
             }
             (ListWatchRequest::Watch, KvResponse::Watch(outcome)) => {
-                self.apply_events(outcome, context)
+                self.on_watch(outcome, context)
             }
             (request, _) => {
                 unexpected_response(&request);
@@ -224,188 +242,220 @@
         }
     }
 
-    fn page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
+    /// Frees the list slot; the startup read and the request that the response answers, unless that was of
+    /// an earlier startup read.
+    fn complete_list_request(&mut self) -> Option<(&mut StartupRead, ReadRequest)> {
+        self.list_slot.in_flight = false;
+        let startup = self.startup.as_mut()?;
+        if self.list_generation != self.generation {
+            return None;
+        }
+        let request = startup.request.take()?;
+        Some((startup, request))
+    }
+
+    fn on_page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
         let Some(page) = page else {
-            self.pages.busy = false;
-            let again = context.effects.retry_at(150, self.pages.failures.min(3));
-            self.pages.failed(again);
+            self.list_slot.in_flight = false;
+            let doublings = self.list_slot.failures.min(LIST_RETRY_DOUBLINGS);
+            let next_at = context.effects.retry_at(LIST_RETRY_MS, doublings);
+            self.list_slot.fail(next_at);
             return Vec::new();
         };
-        self.pages.failures = 0;
-        let Some((reading, ask)) = self.answered() else {
+        self.list_slot.failures = 0;
+        let Some((startup, request)) = self.complete_list_request() else {
             return Vec::new();
         };
-        if reading.followed.is_none() {
-            reading.followed = Some(page.revision);
-            reading.followed_at = Some(context.effects.now);
-            reading.known = context.records.live_keys().into_iter().collect();
+        if startup.watched_to.is_none() {
+            startup.watched_to = Some(page.revision);
+            startup.watching_since = Some(context.effects.now);
+            startup.unconfirmed = context.records.live_keys().into_iter().collect();
         }
-        reading.items += page.items.len() as u64;
-        let mut changed = Vec::new();
+        startup.keys_listed += page.items.len() as u64;
+        let mut changes = Vec::new();
         for item in &page.items {
             let records = &mut *context.records;
-            changed.extend(records.apply_listed(&item.key, &item.value, item.version));
-            reading.known.remove(&item.key);
+            changes.extend(records.apply_listed(&item.key, &item.value, item.version));
+            startup.unconfirmed.remove(&item.key);
         }
         let keys = page.items.iter().map(|item| item.key.as_str());
         let more = page.more && !page.items.is_empty();
-        if let Some(covered) = reading.stages.page(&ask, keys, more) {
-            // What was known and is not found where it would have been is gone.
-            let from = covered.after.clone();
-            let gone: Vec<String> = reading
-                .known
-                .range(from..)
-                .take_while(|key| covered.upto.as_ref().is_none_or(|upto| *key <= upto))
-                .filter(|key| covered.has(key))
-                .cloned()
-                .collect();
-            for key in gone {
-                reading.known.remove(&key);
-                changed.extend(context.records.apply_absence(&key, page.revision));
+        if let Some(covered) = startup.plan.on_page(&request, keys, more) {
+            for key in startup.take_unconfirmed(&covered) {
+                changes.extend(context.records.apply_absence(&key, page.revision));
             }
         }
-        self.staged(context);
-        changed
+        self.advance_startup(context);
+        changes
     }
 
-    /// The answer to looking back: jobs that changed lately.
-    fn apply_recent_changes(
+    /// Applies the recent changes of jobs.
+    fn on_recent_changes(
         &mut self,
         outcome: WatchOutcome,
         context: &mut Context,
     ) -> Vec<RecordChange> {
-        // Guards against looking back for ever where such an answer never comes in time.
-        let failed =
-            matches!(outcome, WatchOutcome::Failed) && self.pages.failures < LOOK_BACK_TRIES;
-        let failures = self.pages.failures;
-        if failed {
-            self.pages.failed(context.effects.retry_at(150, failures));
+        // After some failures the read goes on without: such a response may never come in time.
+        let failures = self.list_slot.failures;
+        let retry = matches!(outcome, WatchOutcome::Failed) && failures < RECENT_CHANGES_TRIES;
+        if retry {
+            let next_at = context.effects.retry_at(LIST_RETRY_MS, failures);
+            self.list_slot.fail(next_at);
         } else {
-            self.pages.failures = 0;
+            self.list_slot.failures = 0;
         }
-        let Some((reading, _)) = self.answered().filter(|_| !failed) else {
+        let Some((startup, _)) = self.complete_list_request().filter(|_| !retry) else {
             return Vec::new();
         };
-        let too_far = !matches!(outcome, WatchOutcome::Events(_));
-        let log = match outcome {
-            WatchOutcome::Events(events) => events.log,
-            WatchOutcome::RevisionCompacted | WatchOutcome::Failed => Vec::new(),
+        let (log, available) = match outcome {
+            WatchOutcome::Events(events) => (events.log, true),
+            WatchOutcome::RevisionCompacted | WatchOutcome::Failed => (Vec::new(), false),
         };
-        let mut changed = Vec::new();
+        let mut changes = Vec::new();
         for entry in &log {
             if let Some(key) = &entry.put {
-                changed.extend(
+                changes.extend(
                     context
                         .records
                         .apply_listed(key, &entry.value, entry.version),
                 );
-                reading.known.remove(key);
-                if let Some(job) = key.strip_prefix(JOBS) {
-                    reading.stages.seen(&JobId::new(job));
-                }
+                startup.unconfirmed.remove(key);
+                startup.mark_read(key);
             }
         }
         tracing::info!(
             changes = log.len(),
-            wanted = reading.stages.wanted(),
+            missing_jobs = startup.plan.missing_jobs(),
             "recent job changes read"
         );
-        reading.stages.looked_back(too_far);
-        self.staged(context);
-        changed
+        startup.plan.on_recent_changes(available);
+        self.advance_startup(context);
+        changes
     }
 
-    /// Tells the mirror how far the reading is, and the reading what else is wanted.
-    fn staged(&mut self, context: &mut Context) {
-        let Some(reading) = &mut self.reading else {
+    /// Passes the read's stage on to the cache, and ends the read once it is complete.
+    fn advance_startup(&mut self, context: &mut Context) {
+        let Some(startup) = &mut self.startup else {
             return;
         };
-        let stage = reading.stages.stage();
+        let stage = startup.plan.stage();
         context.records.shard_owners_read |= stage > Stage::ShardOwners;
         context.records.allocations_read |= stage >= Stage::Jobs;
-        // Asked once all that was wanted is settled: what else is, by then.
-        if stage == Stage::Jobs && reading.stages.wanted() == 0 {
-            let wanted = context.records.missing_jobs();
-            reading.stages.want(wanted.iter());
-            // Jobs known from before may have changed while nothing was heard.
-            let known = reading.known.iter().filter_map(|k| k.strip_prefix(JOBS));
-            let known: Vec<JobId> = known.map(JobId::new).collect();
-            reading.stages.want(known.iter());
-            if context.records.has_open_runs() {
-                reading.stages.want_ended();
-            }
-            reading.stages.jobs_over();
+        if stage == Stage::Jobs && startup.plan.missing_jobs() == 0 {
+            startup.require_jobs(context);
         }
-        let stage = reading.stages.stage();
-        if stage >= Stage::Ended && !reading.open_known {
-            reading.open_known = true;
-            let revision = reading.followed.unwrap_or_default();
+        let stage = startup.plan.stage();
+        if stage >= Stage::FinishedJobs && !startup.open_loaded {
+            startup.open_loaded = true;
+            let revision = startup.watched_to.unwrap_or_default();
             tracing::info!(
                 revision = revision.0,
-                keys = reading.items,
+                keys = startup.keys_listed,
                 jobs = context.records.jobs.len(),
                 "startup read complete"
             );
             context.records.mark_loaded(revision);
-            self.current_as_of = self.current_as_of.max(Some(reading.began));
+            self.synced_up_to = self.synced_up_to.max(Some(startup.first_sent_at));
         }
-        if stage == Stage::Over {
+        if stage == Stage::Complete {
             context.records.end_startup_read();
-            self.reading = None;
-            self.opened = true;
+            self.startup = None;
+            self.complete = true;
         }
     }
 
-    fn apply_events(&mut self, outcome: WatchOutcome, context: &mut Context) -> Vec<RecordChange> {
-        self.feed.busy = false;
-        if self.feed_round != self.round {
+    fn on_watch(&mut self, outcome: WatchOutcome, context: &mut Context) -> Vec<RecordChange> {
+        self.watch_slot.in_flight = false;
+        if self.watch_generation != self.generation {
             return Vec::new();
         }
-        let now = context.now();
         match outcome {
-            WatchOutcome::Events(changes) => {
-                self.feed.failures = 0;
-                let mut changed = Vec::new();
-                let mut reading = self.reading.as_mut().filter(|r| !r.open_known);
-                for entry in &changes.log {
-                    if let Some(key) = &entry.put {
-                        if let Some(reading) = &mut reading
-                            && let Some(job) = key.strip_prefix(JOBS)
-                        {
-                            reading.stages.seen(&JobId::new(job));
-                        }
-                        changed.extend(context.records.apply(
-                            key,
-                            Some(&entry.value),
-                            entry.version,
-                        ));
-                    } else if let Some(key) = &entry.delete {
-                        changed.extend(context.records.apply(key, None, entry.version));
-                    }
-                }
-                let seen = match reading {
-                    Some(reading) => reading.followed.get_or_insert(changes.revision),
-                    None => {
-                        self.feed_at = now;
-                        self.current_as_of = self.current_as_of.max(Some(self.feed_sent));
-                        &mut context.records.revision
-                    }
-                };
-                *seen = (*seen).max(changes.revision);
-                context.records.prune_version_guards();
-                self.staged(context);
-                changed
+            WatchOutcome::Events(events) => return self.apply_events(&events, context),
+            WatchOutcome::RevisionCompacted => {
+                tracing::info!("watch revision compacted: reading all records again");
+                self.complete = false;
+                self.startup = None;
             }
-            outcome => {
-                if let WatchOutcome::RevisionCompacted = outcome {
-                    tracing::info!("watch revision compacted: reading all records again");
-                    self.opened = false;
-                    self.reading = None;
-                }
-                let again = context.effects.retry_at(200, self.feed.failures.min(2));
-                self.feed.failed(again);
-                Vec::new()
+            WatchOutcome::Failed => {}
+        }
+        let doublings = self.watch_slot.failures.min(WATCH_RETRY_DOUBLINGS);
+        let next_at = context.effects.retry_at(WATCH_RETRY_MS, doublings);
+        self.watch_slot.fail(next_at);
+        Vec::new()
+    }
+
+    fn apply_events(&mut self, events: &WatchEvents, context: &mut Context) -> Vec<RecordChange> {
+        self.watch_slot.failures = 0;
+        let mut changes = Vec::new();
+        let mut startup = self.startup.as_mut().filter(|s| !s.open_loaded);
+        for entry in &events.log {
+            if let Some(startup) = &mut startup
+                && let Some(key) = &entry.put
+            {
+                startup.mark_read(key);
+            }
+            changes.extend(apply_event(entry, context));
+        }
+        let watched_to = match startup {
+            Some(startup) => startup.watched_to.get_or_insert(events.revision),
+            None => {
+                self.last_watch_at = context.effects.now;
+                self.synced_up_to = self.synced_up_to.max(Some(self.watch_sent_at));
+                &mut context.records.revision
             }
+        };
+        *watched_to = (*watched_to).max(events.revision);
+        context.records.prune_version_guards();
+        self.advance_startup(context);
+        changes
+    }
+}
+
+fn apply_event(entry: &WatchEvent, context: &mut Context) -> Option<RecordChange> {
+    if let Some(key) = &entry.put {
+        return context
+            .records
+            .apply(key, Some(&entry.value), entry.version);
+    }
+    let key = entry.delete.as_ref()?;
+    context.records.apply(key, None, entry.version)
+}
+
+impl StartupRead {
+    /// A key's newest state has been applied: if it is a job's, the job need not be looked for.
+    fn mark_read(&mut self, key: &str) {
+        if let Some(job) = key.strip_prefix(JOB_PREFIX) {
+            self.plan.mark_read(&JobId::new(job));
+        }
+    }
+
+    /// Removes the unconfirmed keys in a range that has been listed: they have been deleted.
+    fn take_unconfirmed(&mut self, covered: &CoveredRange) -> Vec<String> {
+        let deleted: Vec<String> = self
+            .unconfirmed
+            .range(covered.after.clone()..)
+            .take_while(|key| covered.last.as_ref().is_none_or(|last| *key <= last))
+            .filter(|key| covered.contains(key))
+            .cloned()
+            .collect();
+        for key in &deleted {
+            self.unconfirmed.remove(key);
+        }
+        deleted
+    }
+
+    /// Once no job is missing: requires those that have become known to be needed meanwhile.
+    fn require_jobs(&mut self, context: &Context) {
+        self.plan
+            .require_jobs(context.records.missing_jobs().iter());
+        // Jobs cached before may have changed while the watch was interrupted.
+        let unconfirmed = self.unconfirmed.iter();
+        let jobs = unconfirmed.filter_map(|key| key.strip_prefix(JOB_PREFIX));
+        let jobs: Vec<JobId> = jobs.map(JobId::new).collect();
+        self.plan.require_jobs(jobs.iter());
+        if context.records.has_open_runs() {
+            self.plan.require_finished_jobs();
         }
+        self.plan.end_jobs_if_none_missing();
     }
 }
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -290,7 +290,7 @@
                     continue;
                 };
                 for item in m.listed.iter().filter(|t| t.task.job == *id) {
-                    let runs = matches!(item.state, TaskState::Running | TaskState::Saving);
+                    let runs = matches!(item.state, TaskState::Running | TaskState::Checkpointing);
                     let tried =
                         item.attempt.0 >= 2 && spans.get(item.task.task) == Some(item.attempt);
                     if runs
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -18,7 +18,7 @@
     DesiredState, HeartbeatEvidence, MachineDisposition, ObservedState, OutcomeSignal,
     ReconcileAction, TaskTraits, TokenState, reconcile,
 };
-use snowshelf_watermark::renewal::{LeaseRenewal, RenewalRefusal, may_begin};
+use snowshelf_watermark::renewal::{LeaseRenewal, RenewalRefusal, may_start};
 use std::collections::BTreeSet;
 
 /// Most commands in one answer: keeps it under the 64 KiB that a worker accepts.
@@ -157,12 +157,12 @@
         machine.listed = report.tasks;
         machine.stale = true;
         let evidence = HeartbeatEvidence {
-            shown: if shown {
+            token: if shown {
                 TokenState::Equal
             } else {
                 TokenState::Behind
             },
-            late: false,
+            superseded: false,
             new_incarnation,
             inherited: shown && std::mem::take(&mut machine.inherited),
         };
@@ -247,8 +247,8 @@
 
     fn nature(spec: Option<&JobSpec>) -> TaskTraits {
         spec.map_or(TaskTraits::default(), |s| TaskTraits {
-            standing: s.kind == JobKind::Service,
-            saves: s.checkpoint_s > 0.0,
+            is_service: s.kind == JobKind::Service,
+            checkpoints: s.checkpoint_s > 0.0,
         })
     }
 
@@ -276,7 +276,7 @@
             let reported = ObservedState::Listed(item.state, item.why);
             let cell = reconcile(stored, reported, evidence, leaving, nature);
             if item.why == Some(ExitReason::Stopped)
-                && cell.write == Some(AllocationChangeKind::Requeue)
+                && cell.change == Some(AllocationChangeKind::Requeue)
             {
                 stopped.push((job.clone(), task));
             }
@@ -295,7 +295,7 @@
         self.note_images(name, &listed, context);
         for (cell, job, task, attempt) in proofs {
             self.reconciliation.count(cell.finding);
-            let Some(what) = cell.write else { continue };
+            let Some(what) = cell.change else { continue };
             let machine = name.clone();
             let step = AllocationChange {
                 task,
@@ -304,7 +304,7 @@
                 what,
             };
             self.step(now, &job, step);
-            self.told(name, &job, task, cell.tells, now, context);
+            self.told(name, &job, task, cell.signal, now, context);
         }
         self.track_idle(name, now);
     }
@@ -320,8 +320,8 @@
         context: &Context,
     ) {
         match tells {
-            OutcomeSignal::Nothing => {}
-            OutcomeSignal::Works => {
+            OutcomeSignal::Neutral => {}
+            OutcomeSignal::Success => {
                 if let Some(m) = self.machines.get_mut(name) {
                     m.error_streak.clear();
                 }
@@ -329,7 +329,7 @@
                     j.failures = 0;
                 }
             }
-            OutcomeSignal::Fails => {
+            OutcomeSignal::Failure => {
                 self.blame(name, job, now);
                 if let Some(j) = self.jobs.get_mut(job).filter(|j| j.spec.run) {
                     *j.errors.entry(task).or_default() += 1;
@@ -338,12 +338,12 @@
                     }
                 }
             }
-            OutcomeSignal::Full => {
+            OutcomeSignal::CapacityExceeded => {
                 if let Some(m) = self.machines.get_mut(name) {
                     m.full_until = now.plus(2 * context.config.settings.report_ms());
                 }
             }
-            OutcomeSignal::NoDescription => {
+            OutcomeSignal::DescriptionMissing => {
                 if let Some(j) = self.jobs.get_mut(job) {
                     j.retry_at = now.plus(2_000);
                 }
@@ -365,7 +365,7 @@
                 continue;
             };
             match item.state {
-                TaskState::Running | TaskState::Saving => {
+                TaskState::Running | TaskState::Checkpointing => {
                     let gb = job.spec().map_or(0.0, |s| s.pull_gb);
                     m.images.used(job.image, gb, local_gb);
                 }
@@ -455,7 +455,7 @@
             return Vec::new();
         }
         let report_ms = context.config.settings.report_ms();
-        let begins = may_begin(context.watermark, now);
+        let begins = may_start(context.watermark, now);
         let mut commands = Vec::new();
         let mut order = |machine_leaves, reported, task: TaskRef, attempt| {
             let job = self.jobs.get(&task.job);
@@ -468,7 +468,7 @@
                     None | Some(Cause::Cancelled | Cause::Notice) => {
                         machine.leaving(now, save_s, report_ms)
                     }
-                    Some(_) => MachineDisposition::Drained,
+                    Some(_) => MachineDisposition::Evicting,
                 },
             };
             let mut stored = Self::stored(job, name, task.task, attempt);
@@ -479,7 +479,7 @@
             let nature = Self::nature(spec);
             let cell = reconcile(stored, reported, HeartbeatEvidence::PLAIN, leaving, nature);
             // Guards against a task that begins long after a cancellation which this owner could not hear of.
-            let order = cell.order.filter(|o| begins || *o != ReconcileAction::Run);
+            let order = cell.action.filter(|o| begins || *o != ReconcileAction::Run);
             commands.extend(order.map(|order| match order {
                 ReconcileAction::Run => Command::Run { task, attempt },
                 ReconcileAction::Reap => Command::Reap { task, attempt },
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -80,14 +80,14 @@
     pub fn leaving(&self, now: MonotonicMillis, save_s: f64, report_ms: u64) -> MachineDisposition {
         if let Some(until) = self.notice_until {
             let left = until.0.saturating_sub(now.0);
-            let late = left <= seconds_to_ms(save_s) + 2 * report_ms;
-            MachineDisposition::Noticed { late }
+            let checkpoint_due = left <= seconds_to_ms(save_s) + 2 * report_ms;
+            MachineDisposition::Interrupted { checkpoint_due }
         } else if self.draining.is_some() {
-            MachineDisposition::Drained
+            MachineDisposition::Evicting
         } else if self.returning {
-            MachineDisposition::Returning
+            MachineDisposition::Releasing
         } else {
-            MachineDisposition::Stays
+            MachineDisposition::Retained
         }
     }
 
@@ -95,7 +95,7 @@
     /// does not where a drain empties the machine.
     pub fn leaving_unbegun(&self, now: MonotonicMillis, report_ms: u64) -> MachineDisposition {
         match self.leaving(now, 0.0, report_ms) {
-            MachineDisposition::Stays if self.closed => MachineDisposition::Drained,
+            MachineDisposition::Retained if self.closed => MachineDisposition::Evicting,
             leaving => leaving,
         }
     }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -265,8 +265,8 @@
         let machines = self.machines.values();
         let known = machines.filter(|m| (m.reported || m.inherited) && !m.returning);
         known.fold(HeartbeatSummary::default(), |h, m| HeartbeatSummary {
-            known: h.known + 1,
-            last: h.last.max(m.heard),
+            machines: h.machines + 1,
+            last_at: h.last_at.max(m.heard),
         })
     }
 
@@ -449,7 +449,7 @@
                 let state = match item.state {
                     TaskState::Pulling => "pulling",
                     TaskState::Running => "running",
-                    TaskState::Saving => "saving",
+                    TaskState::Checkpointing => "saving",
                     TaskState::Exited => "exited",
                 };
                 if let Some(room) = room {
@@ -463,8 +463,8 @@
             cached = self.placed[0], coming = self.placed[1], absent = self.placed[2],
             waiting = self.waiting_cpus, jobs = self.jobs.len(), "shard load in CPUs");
         let done = &self.reconciliation;
-        tracing::info!(shard = %self.id, agree = done.agree, not_begun = done.not_begun, gone = done.gone,
-            ended = done.ended, stray = done.stray, remnant = done.remnant, stopped = ?self.stopped, "heartbeats reconciled");
+        tracing::info!(shard = %self.id, consistent = done.consistent, not_started = done.not_started, lost = done.lost,
+            ended = done.ended, orphaned = done.orphaned, leftover_entries = done.leftover_entries, stopped = ?self.stopped, "heartbeats reconciled");
     }
 
     fn step(&mut self, now: MonotonicMillis, job: &JobId, step: AllocationChange) -> bool {
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -6,7 +6,9 @@
 use crate::effects::Response;
 use snowshelf_drain::entry::Then;
 use snowshelf_model::ids::{Attempt, JobId, MachineId, TaskIndex, seconds_to_ms};
-use snowshelf_reconciliation::silence::{ZoneSilence, frozen_ms, overdue_ms, patience_ms};
+use snowshelf_reconciliation::silence::{
+    ZoneSilence, heartbeat_overdue_ms, release_after_cancellation_ms, release_after_silence_ms,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Names of returned machines that are remembered, to know late reports by.
@@ -45,9 +47,9 @@
             let limit = if noticed || missing.contains(&name) {
                 2 * report_ms
             } else {
-                let cut = zones.get(&m.zone).is_some_and(|z| z.cut());
+                let cut = zones.get(&m.zone).is_some_and(|z| z.is_cut_off());
                 let ready_s = context.types.get(&m.model).map_or(0.0, |t| t.ready_s);
-                patience_ms(lease_ms + 2 * report_ms, cut, seconds_to_ms(ready_s))
+                release_after_silence_ms(lease_ms + 2 * report_ms, cut, seconds_to_ms(ready_s))
             };
             let listed = m.lists_tasks();
             let emptied = m.closed && m.shown && !holds && !listed;
@@ -58,7 +60,7 @@
                 && !listed
                 && !waiting
                 && m.idle_since.is_some_and(|since| now.since(since) > idle_ms);
-            let frozen = frozen && silent > overdue_ms(report_ms);
+            let frozen = frozen && silent > heartbeat_overdue_ms(report_ms);
             if silent > limit || frozen || spent || idle {
                 tracing::info!(machine = %name, shard = %self.id, silent_ms = silent, frozen, spent, idle,
                     "machine scaled in");
@@ -81,7 +83,7 @@
     /// is heard. Guards against one that hangs for longer than cancelled tasks may stay, while owners change: each
     /// begins anew to count its silence, the cancellation's record does not.
     fn may_be_frozen(&self, name: &MachineId, context: &Context) -> bool {
-        let before = frozen_ms(context.config.settings.cancel_ms());
+        let before = release_after_cancellation_ms(context.config.settings.cancel_ms());
         let cancelled = self.jobs_on(name).filter(|(_, j)| j.cancelled());
         let mut at = cancelled.filter_map(|(_, j)| j.spec.ended);
         at.any(|at| context.effects.wall_ms.saturating_sub(at.0) > before)
@@ -94,7 +96,7 @@
         let mut zones: BTreeMap<usize, ZoneSilence> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.reported) {
             let zone = zones.entry(m.zone).or_default();
-            zone.known += 1;
+            zone.machines += 1;
             zone.silent += u32::from(now.since(m.heard) > silent_ms);
         }
         zones
