--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,4 +1,4 @@
-//! What snowshelf's packages share: names, versions and times; the records in the state service; the
+//! What snowshelf's packages share: names, versions and times; the records in the key-value store; the
 //! formats on the wire. Plain data and pure functions.
 
 pub mod ids;
--- a/crates/model/src/protocol/mod.rs
+++ b/crates/model/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! The outside world's formats. The wire's own names appear here and nowhere else.
+//! The formats of everything outside the process. The wire's own names appear in this module and nowhere
+//! else; each submodule maps them to the terms that the rest of the code uses.
 
 pub mod cloud;
 pub mod peer;
--- a/crates/model/src/protocol/user.rs
+++ b/crates/model/src/protocol/user.rs
@@ -1,4 +1,28 @@
-//! Users: submit, read and cancel jobs.
+//! The users' protocol: job submissions and the bodies of responses.
+//!
+//! The names on the wire, and what they are called here:
+//!
+//! | on the wire | here |
+//! | --- | --- |
+//! | `Ref` | job |
+//! | `Estado` | state of a job |
+//! | `Lote` | class |
+//! | `Cuadrilla` | team |
+//! | `Feitio` (`batch`, `standing`) | [`JobKind`] (batch, service) |
+//! | `Precedencia` | [`Priority`] |
+//! | `Tarefas` | number of tasks |
+//! | `Cpus`, `Gpus`, `MemGb` | [`Resources`] of a task |
+//! | `Matriz`, `PullGb` | container image, gigabytes to pull |
+//! | `Modelos` | machine types that are allowed |
+//! | `Parcela` | zone |
+//! | `Together` | gang: all tasks in one zone |
+//! | `Apart` | spread: tasks in several zones |
+//! | `Avulsas` | whether spot instances may be used |
+//! | `PrevisaoS` | estimated run time of a task, in seconds |
+//! | `MarcoS` | checkpoint interval, in seconds |
+//! | `GuardaS` | checkpoint duration, in seconds |
+//! | `PrazoS` | deadline, in seconds |
+//! | `Aguarda` | dependencies |
 
 use crate::ids::{JobId, Team};
 use crate::records::{JobKind, JobSpec, JobState, Priority, Resources};
@@ -6,269 +30,327 @@
 
 /// Most tasks that one job may have.
 pub const MAX_TASKS: u64 = 100_000;
+/// Most bytes of a text in a submission.
+const MAX_TEXT_BYTES: usize = 200;
+/// Most letters and digits in a job's name.
+const MAX_JOB_LETTERS: usize = 32;
+const MAX_JOB_DIGITS: usize = 20;
 
+/// Names of fields on the wire.
+mod field {
+    pub(super) const BODY: &str = "body";
+    pub(super) const JOB: &str = "Ref";
+    pub(super) const STATE: &str = "Estado";
+    pub(super) const CLASS: &str = "Lote";
+    pub(super) const TEAM: &str = "Cuadrilla";
+    pub(super) const KIND: &str = "Feitio";
+    pub(super) const PRIORITY: &str = "Precedencia";
+    pub(super) const TASKS: &str = "Tarefas";
+    pub(super) const CPUS: &str = "Cpus";
+    pub(super) const GPUS: &str = "Gpus";
+    pub(super) const MEMORY_GB: &str = "MemGb";
+    pub(super) const IMAGE: &str = "Matriz";
+    pub(super) const PULL_GB: &str = "PullGb";
+    pub(super) const MACHINE_TYPES: &str = "Modelos";
+    pub(super) const ZONE: &str = "Parcela";
+    pub(super) const GANG: &str = "Together";
+    pub(super) const SPREAD: &str = "Apart";
+    pub(super) const SPOT: &str = "Avulsas";
+    pub(super) const ESTIMATE_S: &str = "PrevisaoS";
+    pub(super) const CHECKPOINT_INTERVAL_S: &str = "MarcoS";
+    pub(super) const CHECKPOINT_DURATION_S: &str = "GuardaS";
+    pub(super) const DEADLINE_S: &str = "PrazoS";
+    pub(super) const DEPENDENCIES: &str = "Aguarda";
+}
+
+/// A field of a submission that is missing or invalid. Its text is part of the response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-#[error("{field}: {why}")]
-pub struct BadField {
+#[error("{field}: {reason}")]
+pub struct InvalidField {
+    /// The field's name on the wire.
     pub field: &'static str,
-    pub why: &'static str,
+    /// What is wrong with it.
+    pub reason: &'static str,
+}
+
+impl InvalidField {
+    const fn new(field: &'static str, reason: &'static str) -> InvalidField {
+        InvalidField { field, reason }
+    }
 }
 
 /// Whether `text` has the form of a job's name: lower-case letters, a dash, digits.
+#[must_use]
 pub fn is_job_id(text: &str) -> bool {
-    let Some((word, number)) = text.split_once('-') else {
+    let Some((letters, digits)) = text.split_once('-') else {
         return false;
     };
-    (1..=32).contains(&word.len())
-        && word.bytes().all(|b| b.is_ascii_lowercase())
-        && (1..=20).contains(&number.len())
-        && number.bytes().all(|b| b.is_ascii_digit())
+    (1..=MAX_JOB_LETTERS).contains(&letters.len())
+        && letters.bytes().all(|b| b.is_ascii_lowercase())
+        && (1..=MAX_JOB_DIGITS).contains(&digits.len())
+        && digits.bytes().all(|b| b.is_ascii_digit())
 }
 
+/// The fields of a submission.
 struct Fields(Map<String, Value>);
 
 impl Fields {
-    fn present(&self, field: &'static str) -> Option<&Value> {
-        self.0.get(field).filter(|v| !v.is_null())
+    fn parse(body: &[u8]) -> Result<Fields, InvalidField> {
+        let value: Value = serde_json::from_slice(body)
+            .map_err(|_| InvalidField::new(field::BODY, "is not JSON"))?;
+        match value {
+            Value::Object(map) => Ok(Fields(map)),
+            _ => Err(InvalidField::new(field::BODY, "must be an object")),
+        }
     }
-    fn required(&self, field: &'static str) -> Result<&Value, BadField> {
-        self.present(field).ok_or(BadField {
-            field,
-            why: "is missing",
-        })
+
+    /// A field's value, unless it is missing or null.
+    fn optional(&self, field: &'static str) -> Option<&Value> {
+        self.0.get(field).filter(|value| !value.is_null())
     }
-    fn text(&self, field: &'static str) -> Result<&str, BadField> {
-        let text = self.required(field)?.as_str().ok_or(BadField {
-            field,
-            why: "must be a string",
-        })?;
-        if text.is_empty() || text.len() > 200 {
-            return Err(BadField {
-                field,
-                why: "must have 1 to 200 bytes",
-            });
+
+    fn required(&self, field: &'static str) -> Result<&Value, InvalidField> {
+        self.optional(field)
+            .ok_or(InvalidField::new(field, "is missing"))
+    }
+
+    fn text(&self, field: &'static str) -> Result<&str, InvalidField> {
+        let text = self
+            .required(field)?
+            .as_str()
+            .ok_or(InvalidField::new(field, "must be a string"))?;
+        if text.is_empty() || text.len() > MAX_TEXT_BYTES {
+            return Err(InvalidField::new(field, "must have 1 to 200 bytes"));
         }
         Ok(text)
     }
-    fn amount_of(field: &'static str, value: &Value) -> Result<f64, BadField> {
-        match value.as_f64() {
-            Some(x) if x.is_finite() && x >= 0.0 => Ok(x),
-            _ => Err(BadField {
+
+    fn amount(&self, field: &'static str) -> Result<f64, InvalidField> {
+        match self.required(field)?.as_f64() {
+            Some(amount) if amount.is_finite() && amount >= 0.0 => Ok(amount),
+            _ => Err(InvalidField::new(
                 field,
-                why: "must be a number that is finite and not negative",
-            }),
+                "must be a number that is finite and not negative",
+            )),
         }
     }
-    fn amount(&self, field: &'static str) -> Result<f64, BadField> {
-        Self::amount_of(field, self.required(field)?)
+
+    fn flag(&self, field: &'static str) -> Result<bool, InvalidField> {
+        self.required(field)?
+            .as_bool()
+            .ok_or(InvalidField::new(field, "must be true or false"))
     }
-    fn flag(&self, field: &'static str) -> Result<bool, BadField> {
-        self.required(field)?.as_bool().ok_or(BadField {
-            field,
-            why: "must be true or false",
+
+    fn job(&self) -> Result<JobId, InvalidField> {
+        let job = self.text(field::JOB)?;
+        if !is_job_id(job) {
+            return Err(InvalidField::new(
+                field::JOB,
+                "must be letters, a dash and digits",
+            ));
+        }
+        Ok(JobId::new(job))
+    }
+
+    fn kind(&self) -> Result<JobKind, InvalidField> {
+        self.text(field::KIND)?
+            .parse()
+            .map_err(|_| InvalidField::new(field::KIND, "must be batch or standing"))
+    }
+
+    fn priority(&self) -> Result<Priority, InvalidField> {
+        self.text(field::PRIORITY)?
+            .parse()
+            .map_err(|_| InvalidField::new(field::PRIORITY, "must be prod, high, normal or idle"))
+    }
+
+    fn tasks(&self) -> Result<u32, InvalidField> {
+        match self.required(field::TASKS)?.as_u64() {
+            Some(tasks) if (1..=MAX_TASKS).contains(&tasks) => Ok(tasks as u32),
+            _ => Err(InvalidField::new(
+                field::TASKS,
+                "must be an integer from 1 to 100000",
+            )),
+        }
+    }
+
+    fn machine_types(&self) -> Result<Option<Vec<String>>, InvalidField> {
+        const INVALID: InvalidField =
+            InvalidField::new(field::MACHINE_TYPES, "must be a list of strings or null");
+        let Some(value) = self.optional(field::MACHINE_TYPES) else {
+            return Ok(None);
+        };
+        let list = value.as_array().ok_or(INVALID)?;
+        let names: Option<Vec<String>> = list
+            .iter()
+            .map(|name| name.as_str().map(str::to_string))
+            .collect();
+        names.map(Some).ok_or(INVALID)
+    }
+
+    fn zone(&self) -> Result<Option<String>, InvalidField> {
+        match self.optional(field::ZONE) {
+            None => Ok(None),
+            Some(_) => Ok(Some(self.text(field::ZONE)?.to_string())),
+        }
+    }
+
+    fn deadline_s(&self) -> Result<Option<f64>, InvalidField> {
+        match self.optional(field::DEADLINE_S) {
+            None => Ok(None),
+            Some(_) => self.amount(field::DEADLINE_S).map(Some),
+        }
+    }
+
+    /// The dependencies, each once, sorted.
+    fn dependencies(&self) -> Result<Vec<JobId>, InvalidField> {
+        const INVALID: InvalidField =
+            InvalidField::new(field::DEPENDENCIES, "must be a list of job ids or null");
+        let Some(list) = self.optional(field::DEPENDENCIES) else {
+            return Ok(Vec::new());
+        };
+        let jobs = list.as_array().ok_or(INVALID)?.iter().map(|value| {
+            let job = value.as_str().filter(|job| is_job_id(job));
+            job.map(JobId::new).ok_or(INVALID)
+        });
+        let mut jobs = jobs.collect::<Result<Vec<JobId>, InvalidField>>()?;
+        jobs.sort();
+        jobs.dedup();
+        Ok(jobs)
+    }
+
+    /// The job's description. The order decides which of several invalid fields is reported.
+    fn spec(&self) -> Result<JobSpec, InvalidField> {
+        let kind = self.kind()?;
+        let priority = self.priority()?;
+        let tasks = self.tasks()?;
+        let types = self.machine_types()?;
+        let zone = self.zone()?;
+        let deadline_s = self.deadline_s()?;
+        Ok(JobSpec {
+            class: self.text(field::CLASS)?.to_string(),
+            team: Team::new(self.text(field::TEAM)?),
+            kind,
+            priority,
+            tasks,
+            resources: Resources {
+                cpus: self.amount(field::CPUS)?,
+                gpus: self.amount(field::GPUS)?,
+                mem: self.amount(field::MEMORY_GB)?,
+            },
+            image: self.text(field::IMAGE)?.to_string(),
+            pull_gb: self.amount(field::PULL_GB)?,
+            types,
+            zone,
+            gang: self.flag(field::GANG)?,
+            spread: self.flag(field::SPREAD)?,
+            spot: self.flag(field::SPOT)?,
+            estimate_s: self.amount(field::ESTIMATE_S)?,
+            checkpoint_interval_s: self.amount(field::CHECKPOINT_INTERVAL_S)?,
+            checkpoint_duration_s: self.amount(field::CHECKPOINT_DURATION_S)?,
+            deadline_s,
         })
     }
 }
 
-/// What a user submits.
+/// A job as its user submits it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Submission {
+    /// The job's name.
     pub job: JobId,
+    /// The job's description.
     pub spec: JobSpec,
     /// Jobs that must be done first, each once, sorted.
     pub dependencies: Vec<JobId>,
 }
 
-/// The jobs that a submission names as needed.
-fn dependencies(f: &Fields) -> Result<Vec<JobId>, BadField> {
-    const WHY: BadField = BadField {
-        field: "Aguarda",
-        why: "must be a list of job ids or null",
-    };
-    let Some(list) = f.present("Aguarda") else {
-        return Ok(Vec::new());
-    };
-    let names = list.as_array().ok_or(WHY)?.iter().map(|v| {
-        let id = v.as_str().filter(|id| is_job_id(id));
-        id.map(JobId::new).ok_or(WHY)
-    });
-    let mut names = names.collect::<Result<Vec<JobId>, BadField>>()?;
-    names.sort();
-    names.dedup();
-    Ok(names)
-}
-
-/// The job that a submission names, whatever else is wrong with it.
-pub fn named(body: &[u8]) -> Option<JobId> {
+/// The job that a submission names, even if another field is invalid.
+#[must_use]
+pub fn submitted_job(body: &[u8]) -> Option<JobId> {
     let value: Value = serde_json::from_slice(body).ok()?;
-    let id = value.get("Ref")?.as_str().filter(|id| is_job_id(id))?;
-    Some(JobId::new(id))
+    let job = value
+        .get(field::JOB)?
+        .as_str()
+        .filter(|job| is_job_id(job))?;
+    Some(JobId::new(job))
 }
 
-/// Reads a submission; the error names the field that is wrong.
-pub fn parse_submission(body: &[u8]) -> Result<Submission, BadField> {
-    let value: Value = serde_json::from_slice(body).map_err(|_| BadField {
-        field: "body",
-        why: "is not JSON",
-    })?;
-    let Value::Object(map) = value else {
-        return Err(BadField {
-            field: "body",
-            why: "must be an object",
-        });
-    };
-    let f = Fields(map);
-    let id = f.text("Ref")?;
-    if !is_job_id(id) {
-        return Err(BadField {
-            field: "Ref",
-            why: "must be letters, a dash and digits",
-        });
-    }
-    let kind = match f.text("Feitio")? {
-        "batch" => JobKind::Batch,
-        "standing" => JobKind::Service,
-        _ => {
-            return Err(BadField {
-                field: "Feitio",
-                why: "must be batch or standing",
-            });
-        }
-    };
-    let priority = match f.text("Precedencia")? {
-        "prod" => Priority::Prod,
-        "high" => Priority::High,
-        "normal" => Priority::Normal,
-        "idle" => Priority::Idle,
-        _ => {
-            return Err(BadField {
-                field: "Precedencia",
-                why: "must be prod, high, normal or idle",
-            });
-        }
-    };
-    let tasks = match f.required("Tarefas")?.as_u64() {
-        Some(n) if (1..=MAX_TASKS).contains(&n) => n as u32,
-        _ => {
-            return Err(BadField {
-                field: "Tarefas",
-                why: "must be an integer from 1 to 100000",
-            });
-        }
-    };
-    let types = match f.present("Modelos") {
-        None => None,
-        Some(list) => {
-            const WHY: BadField = BadField {
-                field: "Modelos",
-                why: "must be a list of strings or null",
-            };
-            let list = list.as_array().ok_or(WHY)?;
-            let names: Option<Vec<String>> = list
-                .iter()
-                .map(|v| v.as_str().map(str::to_string))
-                .collect();
-            Some(names.ok_or(WHY)?)
-        }
-    };
-    let zone = match f.present("Parcela") {
-        None => None,
-        Some(_) => Some(f.text("Parcela")?.to_string()),
-    };
-    let deadline_s = match f.present("PrazoS") {
-        None => None,
-        Some(v) => Some(Fields::amount_of("PrazoS", v)?),
-    };
-    let spec = JobSpec {
-        class: f.text("Lote")?.to_string(),
-        team: Team::new(f.text("Cuadrilla")?),
-        kind,
-        priority,
-        tasks,
-        resources: Resources {
-            cpus: f.amount("Cpus")?,
-            gpus: f.amount("Gpus")?,
-            mem: f.amount("MemGb")?,
-        },
-        image: f.text("Matriz")?.to_string(),
-        pull_gb: f.amount("PullGb")?,
-        types,
-        zone,
-        together: f.flag("Together")?,
-        apart: f.flag("Apart")?,
-        spot: f.flag("Avulsas")?,
-        estimate_s: f.amount("PrevisaoS")?,
-        checkpoint_s: f.amount("MarcoS")?,
-        save_s: f.amount("GuardaS")?,
-        deadline_s,
-    };
+/// Parses a submission.
+///
+/// # Errors
+/// The first field that is missing or invalid.
+pub fn parse_submission(body: &[u8]) -> Result<Submission, InvalidField> {
+    let fields = Fields::parse(body)?;
     Ok(Submission {
-        job: JobId::new(id),
-        spec,
-        dependencies: dependencies(&f)?,
+        job: fields.job()?,
+        spec: fields.spec()?,
+        dependencies: fields.dependencies()?,
     })
 }
 
-/// A submission as its user sends it: what `parse_submission` reads.
+/// A submission as its user sends it: what [`parse_submission`] reads.
+#[must_use]
 pub fn submission_body(submission: &Submission) -> Value {
     let spec = &submission.spec;
-    let kind = match spec.kind {
-        JobKind::Batch => "batch",
-        JobKind::Service => "standing",
-    };
-    let priority = match spec.priority {
-        Priority::Prod => "prod",
-        Priority::High => "high",
-        Priority::Normal => "normal",
-        Priority::Idle => "idle",
-    };
     json!({
-        "Ref": submission.job.as_str(),
-        "Lote": spec.class,
-        "Cuadrilla": spec.team.as_str(),
-        "Feitio": kind,
-        "Precedencia": priority,
-        "Tarefas": spec.tasks,
-        "Cpus": spec.resources.cpus,
-        "Gpus": spec.resources.gpus,
-        "MemGb": spec.resources.mem,
-        "Matriz": spec.image,
-        "PullGb": spec.pull_gb,
-        "Modelos": spec.types,
-        "Parcela": spec.zone,
-        "Together": spec.together,
-        "Apart": spec.apart,
-        "Avulsas": spec.spot,
-        "PrevisaoS": spec.estimate_s,
-        "MarcoS": spec.checkpoint_s,
-        "GuardaS": spec.save_s,
-        "PrazoS": spec.deadline_s,
-        "Aguarda": submission.dependencies,
+        (field::JOB): submission.job.as_str(),
+        (field::CLASS): spec.class,
+        (field::TEAM): spec.team.as_str(),
+        (field::KIND): spec.kind.to_string(),
+        (field::PRIORITY): spec.priority.to_string(),
+        (field::TASKS): spec.tasks,
+        (field::CPUS): spec.resources.cpus,
+        (field::GPUS): spec.resources.gpus,
+        (field::MEMORY_GB): spec.resources.mem,
+        (field::IMAGE): spec.image,
+        (field::PULL_GB): spec.pull_gb,
+        (field::MACHINE_TYPES): spec.types,
+        (field::ZONE): spec.zone,
+        (field::GANG): spec.gang,
+        (field::SPREAD): spec.spread,
+        (field::SPOT): spec.spot,
+        (field::ESTIMATE_S): spec.estimate_s,
+        (field::CHECKPOINT_INTERVAL_S): spec.checkpoint_interval_s,
+        (field::CHECKPOINT_DURATION_S): spec.checkpoint_duration_s,
+        (field::DEADLINE_S): spec.deadline_s,
+        (field::DEPENDENCIES): submission.dependencies,
     })
 }
 
-/// The word a user reads for a job's state.
-pub fn state_word(state: JobState, running: u32) -> &'static str {
+/// The state of a job as users read it.
+#[must_use]
+pub fn job_state_label(state: JobState, running_tasks: u32) -> &'static str {
     match state {
         JobState::Done => "done",
         JobState::Cancelled => "aborted",
-        JobState::Open if running > 0 => "running",
+        JobState::Open if running_tasks > 0 => "running",
         JobState::Open => "queued",
     }
 }
 
-pub fn brief(job: &JobId, word: &str) -> Vec<u8> {
-    json!({"Ref": job.as_str(), "Estado": word})
+/// The body of a response with a job's state.
+#[must_use]
+pub fn job_state_body(job: &JobId, state: &str) -> Vec<u8> {
+    json!({(field::JOB): job.as_str(), (field::STATE): state})
         .to_string()
         .into_bytes()
 }
 
-pub fn full(job: &JobId, word: &str, done: u32, running: u32) -> Vec<u8> {
-    json!({"Ref": job.as_str(), "Estado": word, "done": done, "running": running})
-        .to_string()
-        .into_bytes()
+/// The body of a response with a job's state and its numbers of finished and running tasks.
+#[must_use]
+pub fn job_status_body(job: &JobId, state: &str, finished: u32, running: u32) -> Vec<u8> {
+    json!({
+        (field::JOB): job.as_str(),
+        (field::STATE): state,
+        "done": finished,
+        "running": running,
+    })
+    .to_string()
+    .into_bytes()
 }
 
-pub fn error(text: &str) -> Vec<u8> {
+/// The body of a response with an error.
+#[must_use]
+pub fn error_body(text: &str) -> Vec<u8> {
     json!({"error": text}).to_string().into_bytes()
 }
--- a/crates/model/src/records/allocation.rs
+++ b/crates/model/src/records/allocation.rs
@@ -1,144 +1,156 @@
-//! A part's share of a job, and the steps by which its owner changes it.
+//! A shard's allocation of a job, and the changes that the shard leader makes to it.
 
-use super::packed;
+use super::compact_encoding::{self, InvalidEncoding};
 use crate::ids::{Attempt, MachineId, TaskIndex};
 use crate::task_ranges::TaskRanges;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// `alloc/<p>/<job>`: a part's share of a job.
+/// `alloc/<shard>/<job>`: the tasks of a job that a shard is responsible for.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
-#[serde(try_from = "Stored")]
+#[serde(try_from = "StoredAllocation")]
 pub struct ShardAllocation {
-    /// Not started; the attempt is the next one to use.
+    /// Tasks that are not started; the attempt is the next one to use.
     #[serde(rename = "w", skip_serializing_if = "TaskRanges::is_empty")]
     pub waiting: TaskRanges,
-    /// Possibly on a machine; the attempt is the one commanded.
+    /// Tasks that may be on a machine; the attempt is the one commanded.
     #[serde(rename = "s", skip_serializing_if = "BTreeMap::is_empty")]
     pub started: BTreeMap<MachineId, TaskRanges>,
-    /// In the wide format only the first of them.
+    /// Tasks that are done; in format V2 only the first of them.
     #[serde(rename = "f", skip_serializing_if = "TaskRanges::is_empty")]
     pub finished: TaskRanges,
 }
 
-/// A share as it may stand in the state service.
+/// An allocation in either stored format.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Stored {
-    Short(String),
+enum StoredAllocation {
+    Compact(String),
     Plain {
-        #[serde(default)]
-        w: TaskRanges,
-        #[serde(default)]
-        s: BTreeMap<MachineId, TaskRanges>,
-        #[serde(default)]
-        f: TaskRanges,
+        #[serde(default, rename = "w")]
+        waiting: TaskRanges,
+        #[serde(default, rename = "s")]
+        started: BTreeMap<MachineId, TaskRanges>,
+        #[serde(default, rename = "f")]
+        finished: TaskRanges,
     },
 }
 
-impl TryFrom<Stored> for ShardAllocation {
-    type Error = &'static str;
-    fn try_from(stored: Stored) -> Result<ShardAllocation, Self::Error> {
+impl TryFrom<StoredAllocation> for ShardAllocation {
+    type Error = InvalidEncoding;
+
+    fn try_from(stored: StoredAllocation) -> Result<ShardAllocation, InvalidEncoding> {
         match stored {
-            Stored::Short(text) => {
-                let (waiting, started, finished) =
-                    packed::unpack(&text).ok_or("not a share's short form")?;
-                Ok(ShardAllocation {
-                    waiting,
-                    started,
-                    finished,
-                })
-            }
-            Stored::Plain { w, s, f } => Ok(ShardAllocation {
-                waiting: w,
-                started: s,
-                finished: f,
+            StoredAllocation::Compact(text) => compact_encoding::decode(&text),
+            StoredAllocation::Plain {
+                waiting,
+                started,
+                finished,
+            } => Ok(ShardAllocation {
+                waiting,
+                started,
+                finished,
             }),
         }
     }
 }
 
-/// A change an owner makes to its share. Every step may be applied twice with the effect of once.
+/// A change that a shard leader makes to an allocation. Applied twice it has the effect of once.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct AllocationChange {
+    /// The task.
     pub task: TaskIndex,
+    /// The attempt that starts or has ended.
     pub attempt: Attempt,
+    /// The machine that it starts or has ended on.
     pub machine: MachineId,
-    pub what: AllocationChangeKind,
+    /// The kind of the change.
+    pub kind: AllocationChangeKind,
 }
 
+/// The kind of a change of an allocation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AllocationChangeKind {
+    /// A waiting task starts on a machine.
     Start,
+    /// A started task is done.
     Finish,
-    /// Proven not to be on the machine; waits again, with the next attempt.
+    /// A started task is proven not to be on its machine; it waits again, with the next attempt.
     Requeue,
 }
 
-/// What a started task takes of a share's record at the most: its own range on a machine of its own,
-/// and the gap that it leaves among those that wait or are finished.
-const STARTED_BYTES: usize = 50;
+/// Most bytes that a started task takes of its allocation's record in format V1: its own range on a machine
+/// of its own, and the gap that it leaves among waiting or finished tasks.
+const STARTED_TASK_BYTES: usize = 50;
 
 impl ShardAllocation {
-    /// Most tasks that a share may have started at once, so that its record stays under the largest
-    /// value: a larger one is refused, and every write of the part with it.
-    pub fn most_started(value_bytes: usize) -> u32 {
-        (value_bytes * 9 / 10 / STARTED_BYTES) as u32
+    /// Most tasks that an allocation may have started at once in format V1, so that its record stays under
+    /// the largest value: a larger one is rejected, and every write of the shard with it.
+    #[must_use]
+    pub fn max_started(value_bytes: usize) -> u32 {
+        (value_bytes * 9 / 10 / STARTED_TASK_BYTES) as u32
     }
 
-    /// The value in the wide format: short, unless a machine's name does not allow it.
-    pub(super) fn packed(&self) -> Option<Value> {
-        match packed::pack(&self.waiting, &self.started, &self.finished) {
+    /// The value in format V2: compact, unless a machine's name does not allow it.
+    pub(super) fn to_compact_value(&self) -> Option<Value> {
+        match compact_encoding::encode(self) {
             Some(text) => Some(Value::String(text)),
             None => serde_json::to_value(self).ok(),
         }
     }
 
+    /// The attempt of a task that is started on a machine.
+    #[must_use]
     pub fn started_on(&self, machine: &MachineId, task: TaskIndex) -> Option<Attempt> {
         self.started.get(machine)?.get(task)
     }
 
+    /// Number of started tasks.
+    #[must_use]
     pub fn started_count(&self) -> u32 {
         self.started.values().map(TaskRanges::len).sum()
     }
 
-    /// Applies a step; false if the record no longer allows it and it must be forgotten.
-    pub fn apply(&mut self, step: &AllocationChange) -> bool {
-        let here = self.started_on(&step.machine, step.task) == Some(step.attempt);
-        match step.what {
-            AllocationChangeKind::Start => {
-                if here {
-                    return true;
-                }
-                if self.waiting.get(step.task) != Some(step.attempt) {
-                    return false;
-                }
-                self.waiting.remove(step.task);
-                self.started
-                    .entry(step.machine.clone())
-                    .or_default()
-                    .insert(step.task, step.attempt);
+    /// Applies a change; false if the allocation no longer allows it, so that it must be dropped.
+    pub fn apply(&mut self, change: &AllocationChange) -> bool {
+        let is_started = self.started_on(&change.machine, change.task) == Some(change.attempt);
+        match change.kind {
+            AllocationChangeKind::Start if is_started => true,
+            AllocationChangeKind::Start => self.start(change),
+            AllocationChangeKind::Finish | AllocationChangeKind::Requeue if !is_started => false,
+            AllocationChangeKind::Finish => {
+                self.remove_started(change);
+                self.finished.insert(change.task, Attempt(0));
                 true
             }
-            AllocationChangeKind::Finish | AllocationChangeKind::Requeue => {
-                if !here {
-                    return false;
-                }
-                if let Some(spans) = self.started.get_mut(&step.machine) {
-                    spans.remove(step.task);
-                    if spans.is_empty() {
-                        self.started.remove(&step.machine);
-                    }
-                }
-                if step.what == AllocationChangeKind::Finish {
-                    self.finished.insert(step.task, Attempt(0));
-                } else {
-                    self.waiting
-                        .insert(step.task, Attempt(step.attempt.0.saturating_add(1)));
-                }
+            AllocationChangeKind::Requeue => {
+                self.remove_started(change);
+                let next_attempt = Attempt(change.attempt.0.saturating_add(1));
+                self.waiting.insert(change.task, next_attempt);
                 true
             }
         }
     }
+
+    fn start(&mut self, change: &AllocationChange) -> bool {
+        if self.waiting.get(change.task) != Some(change.attempt) {
+            return false;
+        }
+        self.waiting.remove(change.task);
+        self.started
+            .entry(change.machine.clone())
+            .or_default()
+            .insert(change.task, change.attempt);
+        true
+    }
+
+    fn remove_started(&mut self, change: &AllocationChange) {
+        if let Some(tasks) = self.started.get_mut(&change.machine) {
+            tasks.remove(change.task);
+            if tasks.is_empty() {
+                self.started.remove(&change.machine);
+            }
+        }
+    }
 }
--- a/crates/model/src/records/storage_limits.rs
+++ b/crates/model/src/records/storage_limits.rs
@@ -1,56 +1,70 @@
-//! What may be written now, and whether a record keeps to it.
+//! The format and the limits within which records are written.
 
 use super::allocation::ShardAllocation;
+use super::compact_encoding;
 use super::format::RecordFormat;
 use super::job::JobRecord;
-use super::packed;
 use crate::ids::JobId;
 use serde_json::Value;
 
-/// What may be written now: the format, and what the state service takes.
+/// The format in which records are written, and the limits of the key-value store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StorageLimits {
+    /// The format.
     pub format: RecordFormat,
+    /// Most bytes of a value.
     pub value_bytes: usize,
+    /// Most mutations of a compare-and-swap.
     pub txn_ops: usize,
+    /// Most requests a second.
     pub rps: f64,
+    /// Most writes a second.
     pub write_rps: f64,
 }
 
-/// Bytes of the largest value that are left free, as its size may be counted differently.
+/// Bytes of the largest value that are not used, as the store may count its size differently.
 const SPARE_BYTES: usize = 32;
+/// Bytes of a list's brackets.
+const BRACKETS_BYTES: usize = 2;
+/// Bytes of a text's quotes and the comma after it.
+const LIST_ITEM_BYTES: usize = 3;
 
 impl StorageLimits {
     /// Whether a value is small enough to be written.
+    #[must_use]
     pub fn accepts(&self, value: &Value) -> bool {
         value.to_string().len() + SPARE_BYTES <= self.value_bytes
     }
 
-    /// A long list of needed jobs in values that are small enough: the same list, the same pieces,
-    /// whichever controller divides it.
+    /// Divides a long list of dependencies into chunks that are small enough to be written. The same list
+    /// gives the same chunks on every controller.
+    #[must_use]
     pub fn dependency_chunks(&self, dependencies: &[JobId]) -> Vec<Vec<JobId>> {
-        let available_bytes = self.value_bytes.saturating_sub(SPARE_BYTES + 2);
-        let mut pieces: Vec<Vec<JobId>> = Vec::new();
-        let mut left = 0;
+        let available_bytes = self
+            .value_bytes
+            .saturating_sub(SPARE_BYTES + BRACKETS_BYTES);
+        let mut chunks: Vec<Vec<JobId>> = Vec::new();
+        let mut remaining_bytes = 0;
         for dependency in dependencies {
-            let bytes = dependency.as_str().len() + 3;
-            match pieces.last_mut() {
-                Some(piece) if bytes <= left => piece.push(dependency.clone()),
+            let bytes = dependency.as_str().len() + LIST_ITEM_BYTES;
+            match chunks.last_mut() {
+                Some(chunk) if bytes <= remaining_bytes => chunk.push(dependency.clone()),
                 _ => {
-                    pieces.push(vec![dependency.clone()]);
-                    left = available_bytes;
+                    chunks.push(vec![dependency.clone()]);
+                    remaining_bytes = available_bytes;
                 }
             }
-            left = left.saturating_sub(bytes);
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
         }
-        pieces
+        chunks
     }
 
-    /// A share's value; `None` if it is too large now. It shrinks as tasks end.
-    pub fn encode_allocation(&self, alloc: &ShardAllocation) -> Option<Value> {
+    /// An allocation's value; `None` if it is too large now. It shrinks as tasks end.
+    #[must_use]
+    pub fn encode_allocation(&self, allocation: &ShardAllocation) -> Option<Value> {
         let value = match self.format {
-            RecordFormat::V1 => serde_json::to_value(alloc).ok(),
-            RecordFormat::V2 => alloc.packed(),
+            RecordFormat::V1 => serde_json::to_value(allocation).ok(),
+            RecordFormat::V2 => allocation.to_compact_value(),
         }?;
         if self.accepts(&value) {
             return Some(value);
@@ -58,44 +72,54 @@
         if self.format == RecordFormat::V1 {
             return None;
         }
-        let mut level = alloc.clone();
-        level.waiting.raise();
-        level.packed().filter(|value| self.accepts(value))
+        let mut coalesced = allocation.clone();
+        coalesced.waiting.raise_to_highest_attempt();
+        coalesced
+            .to_compact_value()
+            .filter(|value| self.accepts(value))
     }
 
-    /// A job's value; `None` if it is too large. Names of machine types that do not exist may go.
-    pub fn encode_job(&self, record: &JobRecord, exists: impl Fn(&str) -> bool) -> Option<Value> {
+    /// A job's value; `None` if it is too large. Machine types that do not exist may be dropped from it.
+    #[must_use]
+    pub fn encode_job(
+        &self,
+        record: &JobRecord,
+        type_exists: impl Fn(&str) -> bool,
+    ) -> Option<Value> {
         let value = serde_json::to_value(record).ok()?;
         if self.accepts(&value) {
             return Some(value);
         }
-        let mut slim = record.clone();
-        if let Some(types) = slim.spec.as_mut().and_then(|s| s.types.as_mut()) {
-            types.retain(|t| exists(t));
+        let mut reduced = record.clone();
+        if let Some(types) = reduced.spec.as_mut().and_then(|spec| spec.types.as_mut()) {
+            types.retain(|label| type_exists(label));
             types.sort();
             types.dedup();
         }
-        let value = serde_json::to_value(slim).ok()?;
+        let value = serde_json::to_value(reduced).ok()?;
         self.accepts(&value).then_some(value)
     }
 
-    /// How many more tasks may be started of a share so that no write that must follow, whatever
-    /// ends and requeues it tells of, becomes too large.
-    pub fn startable(&self, alloc: &ShardAllocation, started: u32, name_bytes: usize) -> u32 {
+    /// How many more tasks of an allocation may be started so that no later write, whatever ends and
+    /// requeues it contains, becomes too large. `started` tasks are started already; machines' names have
+    /// at most `name_bytes`.
+    #[must_use]
+    pub fn startable(&self, allocation: &ShardAllocation, started: u32, name_bytes: usize) -> u32 {
         let available_bytes = self.value_bytes.saturating_sub(SPARE_BYTES);
         match self.format {
             RecordFormat::V1 => {
-                ShardAllocation::most_started(available_bytes).saturating_sub(started)
+                ShardAllocation::max_started(available_bytes).saturating_sub(started)
             }
             RecordFormat::V2 => {
-                let last = alloc.waiting.spans().last();
-                let tries = alloc.waiting.spans().iter().map(|s| s.2).max();
-                let (task, attempt) = (last.map_or(0, |s| s.1), tries.unwrap_or(1));
-                // A start may split the range it comes from.
-                let each = packed::task_bytes(task, attempt) + name_bytes + 2;
-                let free = available_bytes
-                    .saturating_sub(packed::most_bytes(&alloc.waiting, &alloc.started) + 2 * each);
-                (free / each) as u32
+                let waiting = allocation.waiting.ranges();
+                let last_task = waiting.last().map_or(0, |range| range.end);
+                let attempt = waiting.iter().map(|range| range.attempt).max().unwrap_or(1);
+                // A start may split the range that it is taken from.
+                let bytes_each =
+                    compact_encoding::max_task_bytes(last_task, attempt) + name_bytes + 2;
+                let used = compact_encoding::max_bytes(&allocation.waiting, &allocation.started);
+                let free = available_bytes.saturating_sub(used + 2 * bytes_each);
+                (free / bytes_each) as u32
             }
         }
     }
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -1,147 +1,238 @@
-//! Sets of tasks kept as ranges, each range with the attempt that its tasks share.
+//! Sets of tasks stored as ranges, each with the attempt that its tasks share.
 
 use crate::ids::{Attempt, TaskIndex};
 use serde::{Deserialize, Serialize};
 
-/// Tasks `from..to`, all at the same attempt.
+/// The tasks `start..end` of a job, all at the same attempt. Stored as the array `[start, end, attempt]`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct TaskRange(pub u32, pub u32, pub u32);
+#[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
+pub struct TaskRange {
+    /// The first task.
+    pub start: u32,
+    /// The task after the last one.
+    pub end: u32,
+    /// The attempt of all of them.
+    pub attempt: u32,
+}
+
+impl From<(u32, u32, u32)> for TaskRange {
+    fn from((start, end, attempt): (u32, u32, u32)) -> TaskRange {
+        TaskRange {
+            start,
+            end,
+            attempt,
+        }
+    }
+}
+
+impl From<TaskRange> for (u32, u32, u32) {
+    fn from(range: TaskRange) -> (u32, u32, u32) {
+        (range.start, range.end, range.attempt)
+    }
+}
+
+impl TaskRange {
+    /// Number of tasks.
+    pub(crate) fn task_count(self) -> u32 {
+        self.end - self.start
+    }
+
+    /// Whether `next` continues this range: the following tasks at the same attempt.
+    fn is_continued_by(self, next: TaskRange) -> bool {
+        self.end == next.start && self.attempt == next.attempt
+    }
+}
 
-/// Sorted, disjoint, coalesced ranges.
+/// A set of tasks with their attempts: sorted, disjoint, coalesced ranges.
+///
+/// ```
+/// use snowshelf_model::ids::{Attempt, TaskIndex};
+/// use snowshelf_model::task_ranges::TaskRanges;
+///
+/// let mut tasks = TaskRanges::range(0, 4, 1);
+/// assert_eq!(tasks.remove(TaskIndex(2)), Some(Attempt(1)));
+/// assert_eq!(tasks.len(), 3);
+/// assert_eq!(tasks.get(TaskIndex(2)), None);
+/// tasks.insert(TaskIndex(2), Attempt(1));
+/// assert_eq!(tasks, TaskRanges::range(0, 4, 1));
+/// ```
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(try_from = "Vec<TaskRange>", into = "Vec<TaskRange>")]
 pub struct TaskRanges(Vec<TaskRange>);
 
+/// A list of ranges that is not a [`TaskRanges`].
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("ranges must be sorted, disjoint and not empty")]
+pub struct InvalidRanges;
+
 impl From<TaskRanges> for Vec<TaskRange> {
-    fn from(spans: TaskRanges) -> Self {
-        spans.0
+    fn from(ranges: TaskRanges) -> Self {
+        ranges.0
     }
 }
 
 impl TryFrom<Vec<TaskRange>> for TaskRanges {
-    type Error = &'static str;
-    fn try_from(list: Vec<TaskRange>) -> Result<Self, Self::Error> {
+    type Error = InvalidRanges;
+
+    fn try_from(list: Vec<TaskRange>) -> Result<Self, InvalidRanges> {
         let mut end = 0;
-        for span in &list {
-            if span.0 >= span.1 || span.0 < end {
-                return Err("ranges must be sorted, disjoint and not empty");
+        for range in &list {
+            if range.start >= range.end || range.start < end {
+                return Err(InvalidRanges);
             }
-            end = span.1;
+            end = range.end;
         }
         Ok(TaskRanges(list))
     }
 }
 
 impl TaskRanges {
-    pub fn range(from: u32, to: u32, attempt: u32) -> TaskRanges {
-        if from < to {
-            TaskRanges(vec![TaskRange(from, to, attempt)])
+    /// The tasks `start..end` at one attempt; empty if `start` is not less than `end`.
+    #[must_use]
+    pub fn range(start: u32, end: u32, attempt: u32) -> TaskRanges {
+        if start < end {
+            TaskRanges(vec![TaskRange {
+                start,
+                end,
+                attempt,
+            }])
         } else {
             TaskRanges::default()
         }
     }
 
+    /// Whether there is no task.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// Number of tasks.
+    #[must_use]
     pub fn len(&self) -> u32 {
-        self.0.iter().map(|s| s.1 - s.0).sum()
+        self.0.iter().map(|range| range.task_count()).sum()
     }
 
-    pub fn spans(&self) -> &[TaskRange] {
+    /// The ranges, in order.
+    #[must_use]
+    pub fn ranges(&self) -> &[TaskRange] {
         &self.0
     }
 
+    /// The place of the first range that ends after a task.
+    fn position(&self, task: TaskIndex) -> usize {
+        self.0.partition_point(|range| range.end <= task.0)
+    }
+
+    /// The attempt of a task, if the set contains it.
+    #[must_use]
     pub fn get(&self, task: TaskIndex) -> Option<Attempt> {
-        let at = self.0.partition_point(|s| s.1 <= task.0);
         self.0
-            .get(at)
-            .filter(|s| s.0 <= task.0)
-            .map(|s| Attempt(s.2))
+            .get(self.position(task))
+            .filter(|range| range.start <= task.0)
+            .map(|range| Attempt(range.attempt))
     }
 
-    /// Takes a task out and tells its attempt.
+    /// Removes a task and returns its attempt.
     pub fn remove(&mut self, task: TaskIndex) -> Option<Attempt> {
-        let at = self.0.partition_point(|s| s.1 <= task.0);
-        let span = *self.0.get(at).filter(|s| s.0 <= task.0)?;
+        let at = self.position(task);
+        let range = *self.0.get(at).filter(|range| range.start <= task.0)?;
         let mut remaining = Vec::with_capacity(2);
-        if span.0 < task.0 {
-            remaining.push(TaskRange(span.0, task.0, span.2));
+        if range.start < task.0 {
+            remaining.push(TaskRange {
+                end: task.0,
+                ..range
+            });
         }
-        if task.0 + 1 < span.1 {
-            remaining.push(TaskRange(task.0 + 1, span.1, span.2));
+        if task.0 + 1 < range.end {
+            remaining.push(TaskRange {
+                start: task.0 + 1,
+                ..range
+            });
         }
         self.0.splice(at..=at, remaining);
-        Some(Attempt(span.2))
+        Some(Attempt(range.attempt))
     }
 
-    /// Puts a task in, replacing what was said of it.
+    /// Inserts a task, replacing the attempt that it had.
     pub fn insert(&mut self, task: TaskIndex, attempt: Attempt) {
         self.remove(task);
-        let at = self.0.partition_point(|s| s.1 <= task.0);
-        self.0
-            .insert(at, TaskRange(task.0, task.0.saturating_add(1), attempt.0));
-        if let (Some(next), Some(span)) = (self.0.get(at + 1).copied(), self.0.get(at).copied())
-            && span.1 == next.0
-            && span.2 == next.2
+        let at = self.position(task);
+        let single = TaskRange {
+            start: task.0,
+            end: task.0.saturating_add(1),
+            attempt: attempt.0,
+        };
+        self.0.insert(at, single);
+        self.coalesce(at);
+        if at > 0 {
+            self.coalesce(at - 1);
+        }
+    }
+
+    /// Merges the range at `at` with the next one if that continues it.
+    fn coalesce(&mut self, at: usize) {
+        if let (Some(range), Some(next)) = (self.0.get(at).copied(), self.0.get(at + 1).copied())
+            && range.is_continued_by(next)
         {
-            self.0[at].1 = next.1;
+            self.0[at].end = next.end;
             self.0.remove(at + 1);
         }
-        if at > 0 {
-            let (before, span) = (self.0[at - 1], self.0[at]);
-            if before.1 == span.0 && before.2 == span.2 {
-                self.0[at - 1].1 = span.1;
-                self.0.remove(at);
-            }
-        }
     }
 
+    /// The first task and its attempt.
+    #[must_use]
     pub fn first(&self) -> Option<(TaskIndex, Attempt)> {
-        self.0.first().map(|s| (TaskIndex(s.0), Attempt(s.2)))
+        let range = self.0.first()?;
+        Some((TaskIndex(range.start), Attempt(range.attempt)))
     }
 
+    /// The tasks and their attempts, in order.
     pub fn iter(&self) -> impl Iterator<Item = (TaskIndex, Attempt)> + '_ {
-        self.0
-            .iter()
-            .flat_map(|s| (s.0..s.1).map(move |t| (TaskIndex(t), Attempt(s.2))))
+        self.0.iter().flat_map(|range| {
+            let attempt = Attempt(range.attempt);
+            (range.start..range.end).map(move |task| (TaskIndex(task), attempt))
+        })
     }
 
     /// Splits off up to `count` tasks from the end.
+    #[must_use]
     pub fn split_last(&mut self, count: u32) -> TaskRanges {
         let mut taken = Vec::new();
-        let mut left = count;
-        while left > 0 {
+        let mut remaining = count;
+        while remaining > 0 {
             let Some(last) = self.0.last_mut() else { break };
-            let size = last.1 - last.0;
-            if size <= left {
+            let size = last.task_count();
+            if size <= remaining {
                 taken.push(*last);
-                left -= size;
+                remaining -= size;
                 self.0.pop();
             } else {
-                taken.push(TaskRange(last.1 - left, last.1, last.2));
-                last.1 -= left;
-                left = 0;
+                let start = last.end - remaining;
+                taken.push(TaskRange { start, ..*last });
+                last.end = start;
+                remaining = 0;
             }
         }
         taken.reverse();
         TaskRanges(taken)
     }
 
-    /// Raises all tasks to the highest attempt among them; attempts only ever rise.
-    pub fn raise(&mut self) {
-        let attempt = self.0.iter().map(|s| s.2).max().unwrap_or(1);
-        let mut level: Vec<TaskRange> = Vec::new();
-        for span in &self.0 {
-            match level.last_mut() {
-                Some(last) if last.1 == span.0 => last.1 = span.1,
-                _ => level.push(TaskRange(span.0, span.1, attempt)),
+    /// Raises all tasks to the highest attempt among them; attempts never decrease.
+    pub fn raise_to_highest_attempt(&mut self) {
+        let attempts = self.0.iter().map(|range| range.attempt);
+        let attempt = attempts.max().unwrap_or(1);
+        let mut raised: Vec<TaskRange> = Vec::new();
+        for range in &self.0 {
+            match raised.last_mut() {
+                Some(last) if last.end == range.start => last.end = range.end,
+                _ => raised.push(TaskRange { attempt, ..*range }),
             }
         }
-        self.0 = level;
+        self.0 = raised;
     }
 
+    /// Inserts all tasks of another set.
     pub fn merge(&mut self, other: &TaskRanges) {
         for (task, attempt) in other.iter() {
             self.insert(task, attempt);
--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -28,7 +28,7 @@
             Ok(parsed) => parsed,
             Err(error) => {
                 tracing::info!(%error, "submission rejected: malformed");
-                match user::named(body) {
+                match user::submitted_job(body) {
                     // Guards against forgetting a job that was accepted: only the state service knows that it was not.
                     Some(job) => self.read(conn, &job, JobReadPurpose::Malformed(error), context),
                     None => {
@@ -243,10 +243,10 @@
         cpus: team.cpus_max,
         gpus: team.gpus_max,
     };
-    if !limit.covers(Grant::of(spec.resources.times(f64::from(count)))) {
+    if !limit.covers(Grant::from(spec.resources.times(f64::from(count)))) {
         return Some("the job needs more than the team's limit");
     }
-    if spec.together && spec.apart && spec.tasks > 1 {
+    if spec.gang && spec.spread && spec.tasks > 1 {
         return Some("the job must be both together and apart");
     }
     None
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -178,7 +178,7 @@
                     if state == JobState::Cancelled {
                         self.confirmed.record(&accept.job, context.now());
                     }
-                    let body = user::brief(&accept.job, user::state_word(state, 0));
+                    let body = user::job_state_body(&accept.job, user::job_state_label(state, 0));
                     for conn in accept.conns {
                         context
                             .effects
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -175,10 +175,10 @@
             context
                 .records
                 .task_counts(job, &record.shards, record.tasks);
-        let word = user::state_word(record.state, running);
+        let word = user::job_state_label(record.state, running);
         let body = match why {
-            JobReadPurpose::Poll => user::full(job, word, finished, running),
-            _ => user::brief(job, word),
+            JobReadPurpose::Poll => user::job_status_body(job, word, finished, running),
+            _ => user::job_state_body(job, word),
         };
         context.effects.respond(conn, Response::new(200, body));
     }
@@ -194,7 +194,7 @@
         if end.state == JobState::Cancelled {
             self.confirmed.record(job, context.now());
         }
-        let word = user::state_word(end.state, 0);
+        let word = user::job_state_label(end.state, 0);
         let body = match why {
             JobReadPurpose::Poll => {
                 let done = if end.state == JobState::Done {
@@ -202,12 +202,12 @@
                 } else {
                     0
                 };
-                user::full(job, word, done, 0)
+                user::job_status_body(job, word, done, 0)
             }
             JobReadPurpose::Resubmit
             | JobReadPurpose::Refuse(_)
             | JobReadPurpose::Malformed(_)
-            | JobReadPurpose::Cancel => user::brief(job, word),
+            | JobReadPurpose::Cancel => user::job_state_body(job, word),
         };
         self.cancel_tries.remove(&conn);
         context.effects.respond(conn, Response::new(200, body));
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -15,7 +15,7 @@
 use crate::storage::kv_client::{GetOutcome, KvResponse, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId, Team};
-use snowshelf_model::protocol::user::BadField;
+use snowshelf_model::protocol::user::InvalidField;
 use snowshelf_model::records::JobSpec;
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -54,7 +54,7 @@
     /// A submission that can never run, unless the job was accepted before; the reason.
     Refuse(&'static str),
     /// A submission with a field that is wrong or missing, unless the job was accepted before.
-    Malformed(BadField),
+    Malformed(InvalidField),
     Cancel,
 }
 
--- a/src/coordination/autoscaler/seeing.rs
+++ b/src/coordination/autoscaler/seeing.rs
@@ -26,8 +26,8 @@
                 continue;
             };
             // What saves as it goes loses next to nothing.
-            let length_s = match spec.checkpoint_s > 0.0 {
-                true => spec.checkpoint_s.min(estimate(spec, default_s)),
+            let length_s = match spec.checkpoint_interval_s > 0.0 {
+                true => spec.checkpoint_interval_s.min(estimate(spec, default_s)),
                 false => estimate(spec, default_s),
             };
             for (name, tasks) in &alloc.value.started {
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -16,7 +16,7 @@
     ConnectionId, JobId, MonotonicMillis, ShardId, WallClockMillis, shard_of,
 };
 use snowshelf_model::protocol::user;
-use snowshelf_model::protocol::worker::{Heartbeat, redirect};
+use snowshelf_model::protocol::worker::{Heartbeat, redirect_body};
 use snowshelf_model::records::job_key;
 use snowshelf_watermark::renewal::RenewalRefusal;
 use std::collections::BTreeSet;
@@ -44,7 +44,9 @@
             ("POST", "/checkin") => self.check_in(conn, &request.body),
             ("POST", "/api/jobs") => {
                 let mut job_api = std::mem::take(&mut self.job_api);
-                if self.state_silent_ms() >= UNSERVED_MS && user::named(&request.body).is_some() {
+                if self.state_silent_ms() >= UNSERVED_MS
+                    && user::submitted_job(&request.body).is_some()
+                {
                     let later = Response::later(503, "the state service is away", 2);
                     self.effects.respond(conn, later);
                 } else {
@@ -282,8 +284,8 @@
             // A worker sent to an owner whom no worker reaches waits there for 4 s, and is here again.
             .filter(|owner| *owner != self.config.me && !held && !self.gossip.is_deaf(now, owner));
         let response = match owner {
-            Some(owner) => Response::new(421, redirect(Some(owner.as_str()))),
-            None => Response::new(421, redirect(None)),
+            Some(owner) => Response::new(421, redirect_body(Some(owner.as_str()))),
+            None => Response::new(421, redirect_body(None)),
         };
         self.effects.respond(conn, response);
     }
--- a/src/coordination/dag_runs/asking.rs
+++ b/src/coordination/dag_runs/asking.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use snowshelf_dag::packing;
 use snowshelf_dag::run::Asked;
-use snowshelf_model::records::{RunId, sound};
+use snowshelf_model::records::{RunId, is_valid_run_name};
 
 #[derive(Debug)]
 pub enum Ask {
@@ -39,8 +39,10 @@
     let parts: Vec<&str> = rest.split('/').collect();
     Some(match (method, &parts[..]) {
         ("PUT", [graph]) => define(graph, body),
-        ("GET", [graph]) if sound(graph) => Read::Ask(Ask::ShowGraph(graph.to_string())),
-        ("POST", [graph, what @ ("pause" | "resume")]) if sound(graph) => {
+        ("GET", [graph]) if is_valid_run_name(graph) => {
+            Read::Ask(Ask::ShowGraph(graph.to_string()))
+        }
+        ("POST", [graph, what @ ("pause" | "resume")]) if is_valid_run_name(graph) => {
             Read::Ask(Ask::Pause(graph.to_string(), *what == "pause"))
         }
         ("POST", [graph, "runs"]) => begin(graph, body),
@@ -107,7 +109,7 @@
     let next = value
         .ok()
         .and_then(|v| v.get("run")?.as_str().map(str::to_string));
-    match next.filter(|next| sound(next) && next != run) {
+    match next.filter(|next| is_valid_run_name(next) && next != run) {
         Some(next) => Read::Ask(Ask::Rerun(id, next)),
         None => Read::Malformed(format!("run: must name another run, and {NAMES}")),
     }
@@ -115,7 +117,7 @@
 
 fn define(graph: &str, body: &[u8]) -> Read {
     match asked(graph, body) {
-        Ok(_) if !sound(graph) => Read::Malformed(format!("graph.name: {NAMES}")),
+        Ok(_) if !is_valid_run_name(graph) => Read::Malformed(format!("graph.name: {NAMES}")),
         Ok(asked) => {
             let text = packing::pack(&asked);
             Read::Ask(Ask::Define(graph.to_string(), Box::new(asked), text))
--- a/src/coordination/drains/facts.rs
+++ b/src/coordination/drains/facts.rs
@@ -12,9 +12,9 @@
 
 /// Tasks that have been tried before.
 pub fn tried(spans: &TaskRanges) -> u32 {
-    let tried = spans.spans().iter();
-    let tried = tried.filter(|s| (2..=MOST_TRIES).contains(&s.2));
-    tried.map(|s| s.1 - s.0).sum()
+    let tried = spans.ranges().iter();
+    let tried = tried.filter(|s| (2..=MOST_TRIES).contains(&s.attempt));
+    tried.map(|s| s.end - s.start).sum()
 }
 
 /// A team's open jobs.
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -102,7 +102,7 @@
         let lacks = granted.cpus - used.cpus < spec.resources.cpus;
         if granted.cpus >= spec.resources.cpus {
             // What ends of its team leaves grant to it.
-            used.add(Grant::of(spec.resources));
+            used.add(Grant::from(spec.resources));
         }
         let mut entries = pass.capacity_index.entries().iter();
         let free = entries.find(|e| e.what.name == machine).map(|e| e.free);
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -99,7 +99,7 @@
                     cpus: spec.resources.cpus,
                     force: closed.forced,
                 };
-                let loses = if spec.checkpoint_s > 0.0 {
+                let loses = if spec.checkpoint_interval_s > 0.0 {
                     0.0
                 } else {
                     spec.resources.cpus
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -11,7 +11,8 @@
     Attempt, ConnectionId, JobId, MachineId, MonotonicMillis, TaskIndex, seconds_to_ms,
 };
 use snowshelf_model::protocol::worker::{
-    Command, ExitReason, Heartbeat, HeartbeatResponse, TaskRef, TaskState, TaskStatus, redirect,
+    Command, ExitReason, Heartbeat, HeartbeatResponse, TaskRef, TaskState, TaskStatus,
+    redirect_body,
 };
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, JobKind, JobSpec};
 use snowshelf_reconciliation::decision_table::{
@@ -248,7 +249,7 @@
     fn nature(spec: Option<&JobSpec>) -> TaskTraits {
         spec.map_or(TaskTraits::default(), |s| TaskTraits {
             is_service: s.kind == JobKind::Service,
-            checkpoints: s.checkpoint_s > 0.0,
+            checkpoints: s.checkpoint_interval_s > 0.0,
         })
     }
 
@@ -273,9 +274,9 @@
             let ours = self.jobs.get(job);
             let stored = Self::stored(ours, name, task, attempt);
             let nature = Self::nature(ours.and_then(|j| j.spec()));
-            let reported = ObservedState::Listed(item.state, item.why);
+            let reported = ObservedState::Listed(item.state, item.exit_reason);
             let cell = reconcile(stored, reported, evidence, leaving, nature);
-            if item.why == Some(ExitReason::Stopped)
+            if item.exit_reason == Some(ExitReason::Stopped)
                 && cell.change == Some(AllocationChangeKind::Requeue)
             {
                 stopped.push((job.clone(), task));
@@ -295,13 +296,13 @@
         self.note_images(name, &listed, context);
         for (cell, job, task, attempt) in proofs {
             self.reconciliation.count(cell.finding);
-            let Some(what) = cell.change else { continue };
+            let Some(kind) = cell.change else { continue };
             let machine = name.clone();
             let step = AllocationChange {
                 task,
                 attempt,
                 machine,
-                what,
+                kind,
             };
             self.step(now, &job, step);
             self.told(name, &job, task, cell.signal, now, context);
@@ -460,7 +461,7 @@
         let mut order = |machine_leaves, reported, task: TaskRef, attempt| {
             let job = self.jobs.get(&task.job);
             let spec = job.and_then(|j| j.spec());
-            let save_s = spec.map_or(0.0, |s| s.save_s);
+            let save_s = spec.map_or(0.0, |s| s.checkpoint_duration_s);
             let leaving = match machine_leaves {
                 Some(leaving) => leaving,
                 // One door for every cause.
@@ -495,7 +496,7 @@
             }));
         };
         for item in &machine.listed {
-            let reported = ObservedState::Listed(item.state, item.why);
+            let reported = ObservedState::Listed(item.state, item.exit_reason);
             order(None, reported, item.task.clone(), item.attempt);
         }
         // Whether a task has to make room matters only to one that is there.
@@ -569,5 +570,5 @@
 fn let_go(conn: ConnectionId, context: &mut Context) {
     context
         .effects
-        .respond(conn, Response::new(421, redirect(None)));
+        .respond(conn, Response::new(421, redirect_body(None)));
 }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -74,7 +74,7 @@
         let cancelled = self.cancelled();
         self.steps.retain(|numbered| {
             // A start that is not durable when the job is cancelled must never become so.
-            if cancelled && numbered.step.what == AllocationChangeKind::Start {
+            if cancelled && numbered.step.kind == AllocationChangeKind::Start {
                 let here = view.started_on(&numbered.step.machine, numbered.step.task);
                 return here == Some(numbered.step.attempt);
             }
@@ -89,7 +89,7 @@
         let starts = self
             .steps
             .iter()
-            .filter(|s| s.step.what == AllocationChangeKind::Start);
+            .filter(|s| s.step.kind == AllocationChangeKind::Start);
         starts.map(|s| now.since(s.taken).max(1)).sum()
     }
     /// Whether there is something to write, and how much it presses.
@@ -101,7 +101,7 @@
         } else if self
             .steps
             .iter()
-            .any(|s| s.step.what == AllocationChangeKind::Start)
+            .any(|s| s.step.kind == AllocationChangeKind::Start)
         {
             Some(WritePriority::Starts)
         } else if !self.steps.is_empty() {
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -475,7 +475,7 @@
             return false;
         }
         let name = &step.machine;
-        match step.what {
+        match step.kind {
             AllocationChangeKind::Start => {
                 entry.started += 1;
                 self.on.entry(name.clone()).or_default().insert(job.clone());
@@ -566,6 +566,6 @@
         task,
         attempt,
         machine: machine.clone(),
-        what: AllocationChangeKind::Requeue,
+        kind: AllocationChangeKind::Requeue,
     }
 }
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -99,7 +99,7 @@
             let starts = job
                 .steps
                 .iter()
-                .any(|s| s.step.what == AllocationChangeKind::Start);
+                .any(|s| s.step.kind == AllocationChangeKind::Start);
             // What is too large now is written once enough of its tasks have ended: until then their
             // machines repeat the ends, and nothing more of it is started.
             let (share, record) = if over {
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -462,8 +462,8 @@
             return;
         }
         let mut zones = ZoneRule {
-            together: spec.together,
-            most: spec.apart.then(|| spec.tasks.div_ceil(2)),
+            together: spec.gang,
+            most: spec.spread.then(|| spec.tasks.div_ceil(2)),
             ..ZoneRule::default()
         };
         if spec.zones_bound() {
@@ -488,10 +488,10 @@
         if fits > covered {
             let lacking = self.short_of.entry(team).or_insert(QuotaShortfall {
                 all: Grant::default(),
-                task: Grant::of(room),
+                task: Grant::from(room),
             });
             let more = room.times(f64::from(fits - covered));
-            lacking.all.add(Grant::of(more));
+            lacking.all.add(Grant::from(more));
             lacking.task.cpus = lacking.task.cpus.min(room.cpus);
             lacking.task.gpus = lacking.task.gpus.min(room.gpus);
             let mut left = covered;
@@ -513,13 +513,13 @@
                     task,
                     attempt,
                     machine: name.clone(),
-                    what: AllocationChangeKind::Start,
+                    kind: AllocationChangeKind::Start,
                 };
                 if !self.step(now, id, step) {
                     break;
                 }
                 pass.capacity_index.take(at, room);
-                used.add(Grant::of(room));
+                used.add(Grant::from(room));
             }
             if let Some(m) = self.machines.get_mut(&name) {
                 m.idle_since = None;
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -36,7 +36,7 @@
                 && let Some(spec) = job.spec()
             {
                 let entry = used.entry(spec.team.clone()).or_default();
-                entry.add(Grant::of(spec.resources.times(f64::from(count))));
+                entry.add(Grant::from(spec.resources.times(f64::from(count))));
             }
         }
         used
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -331,7 +331,7 @@
                 .listed
                 .iter()
                 .filter_map(|t| jobs.get(&t.task.job)?.spec());
-            let save_s = saves.map(|s| s.save_s).fold(0.0, f64::max);
+            let save_s = saves.map(|s| s.checkpoint_duration_s).fold(0.0, f64::max);
             let ahead = 2 * report_ms + HEAR_MS + seconds_to_ms(save_s);
             if let Some(closing) = context.guard.empties(pool, now, ahead) {
                 tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -186,7 +186,7 @@
     fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, context: &Context) -> bool {
         let granted = self.granted(&spec.team, context);
         let mut next = used.get(&spec.team).copied().unwrap_or_default();
-        next.add(Grant::of(spec.resources));
+        next.add(Grant::from(spec.resources));
         granted.covers(next)
     }
 
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -54,7 +54,7 @@
     }
     /// Tells why not.
     pub fn error(status: u16, why: &str) -> Response {
-        Response::new(status, snowshelf_model::protocol::user::error(why))
+        Response::new(status, snowshelf_model::protocol::user::error_body(why))
     }
     /// Cannot be taken now: says so at once, and when to come back.
     pub fn later(status: u16, why: &str, after_s: u64) -> Response {
--- a/src/storage/record_cache/record_key.rs
+++ b/src/storage/record_cache/record_key.rs
@@ -4,8 +4,8 @@
 use snowshelf_model::ids::{JobId, Member, ShardId, Team};
 use snowshelf_model::records::{
     CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, RunId, allocation_key, definition_key,
-    dependency_chunk_key, graph_key, job_key, member_key, plan_key, quota_key, run_key, shard_key,
-    sound,
+    dependency_chunk_key, graph_key, is_valid_run_name, job_key, member_key, plan_key, quota_key,
+    run_key, shard_key,
 };
 use std::fmt;
 use std::str::FromStr;
@@ -145,7 +145,7 @@
                 let run = RunId::parse(key.owner)?;
                 Some(RecordKey::PlanChunk(key.with_owner(run)))
             }),
-            "graph" => sound(rest).then(|| RecordKey::Graph(rest.to_string())),
+            "graph" => is_valid_run_name(rest).then(|| RecordKey::Graph(rest.to_string())),
             "def" => ChunkKey::parse(rest).map(|key| {
                 let graph = key.owner.to_string();
                 RecordKey::DefinitionChunk(key.with_owner(graph))
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -379,7 +379,7 @@
     use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
     use snowshelf_model::task_ranges::TaskRanges;
     for value_bytes in [16 * 1024, 32 * 1024] {
-        let most = ShardAllocation::most_started(value_bytes);
+        let most = ShardAllocation::max_started(value_bytes);
         assert!(most >= 250);
         let mut share = ShardAllocation {
             waiting: TaskRanges::range(90_000, 90_000 + 2 * most, 10),
@@ -391,7 +391,7 @@
                 task: TaskIndex(90_000 + 2 * i),
                 attempt: Attempt(10),
                 machine: MachineId::new(&format!("n-{:06}", 900_000 + i)),
-                what: AllocationChangeKind::Start,
+                kind: AllocationChangeKind::Start,
             };
             assert!(share.apply(&step));
         }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -14,7 +14,7 @@
 };
 use snowshelf_model::protocol::user::{Submission, parse_submission};
 use snowshelf_model::protocol::worker::Heartbeat;
-use snowshelf_model::records::packed;
+use snowshelf_model::records::compact_encoding;
 use snowshelf_model::records::{
     AllocationChange, AllocationChangeKind, Grant, JobRecord, JobState, QuotaRecord, RecordFormat,
     Resources, ShardAllocation, StorageLimits,
@@ -58,7 +58,7 @@
 
 /// A share's short form, and back.
 fn pack(share: &ShardAllocation) -> Option<String> {
-    packed::pack(&share.waiting, &share.started, &share.finished)
+    compact_encoding::encode(share)
 }
 
 fn unpack(text: &str) -> Option<ShardAllocation> {
@@ -137,14 +137,14 @@
 
 /// The step that an owner looking at `view` would take for an operation.
 fn step_for(view: &ShardAllocation, op: &Op) -> AllocationChange {
-    let (task, machine, what) = match op {
+    let (task, machine, kind) = match op {
         Op::Start(t, m) => (*t, *m, AllocationChangeKind::Start),
         Op::Finish(t, m) => (*t, *m, AllocationChangeKind::Finish),
         Op::Requeue(t, m) => (*t, *m, AllocationChangeKind::Requeue),
     };
     let machine = MachineId::new(&format!("n-{machine}"));
     let task = TaskIndex(task);
-    let attempt = match what {
+    let attempt = match kind {
         AllocationChangeKind::Start => view.waiting.get(task),
         _ => view.started_on(&machine, task),
     };
@@ -152,7 +152,7 @@
         task,
         attempt: attempt.unwrap_or(Attempt(999)),
         machine,
-        what,
+        kind,
     }
 }
 
@@ -220,8 +220,8 @@
             let wanted: Vec<(u32, u32)> = model.iter().map(|(t, a)| (*t, *a)).collect();
             prop_assert_eq!(listed, wanted);
             // Neighbours with the same attempt are one range, and the wire form reads back.
-            for pair in spans.spans().windows(2) {
-                prop_assert!(pair[0].1 < pair[1].0 || pair[0].2 != pair[1].2);
+            for pair in spans.ranges().windows(2) {
+                prop_assert!(pair[0].end < pair[1].start || pair[0].attempt != pair[1].attempt);
             }
             let text = serde_json::to_string(&spans).unwrap();
             prop_assert_eq!(serde_json::from_str::<TaskRanges>(&text).unwrap(), spans.clone());
@@ -246,7 +246,7 @@
             let attempts_before = view.waiting.get(step.task);
             if view.apply(&step) {
                 steps.push(step.clone());
-                if step.what == AllocationChangeKind::Requeue {
+                if step.kind == AllocationChangeKind::Requeue {
                     prop_assert!(view.waiting.get(step.task).unwrap() > step.attempt);
                     prop_assert!(attempts_before.is_none());
                 }
@@ -287,12 +287,12 @@
                 for _ in 0..most.min(pick as u32) {
                     let Some((task, attempt)) = share.waiting.first() else { break };
                     let machine = MachineId::new(&format!("n-{machine:06}"));
-                    share.apply(&AllocationChange { task, attempt, machine, what: AllocationChangeKind::Start });
+                    share.apply(&AllocationChange { task, attempt, machine, kind: AllocationChangeKind::Start });
                 }
             } else {
                 let step = if what == 3 { AllocationChangeKind::Finish } else { AllocationChangeKind::Requeue };
                 for (machine, task, attempt) in started.into_iter().skip(pick % 7).step_by(1 + pick % 3).take(pick) {
-                    share.apply(&AllocationChange { task, attempt, machine, what: step });
+                    share.apply(&AllocationChange { task, attempt, machine, kind: step });
                     let fits = storage_limits.encode_allocation(&share).is_some();
                     prop_assert!(fits, "{} bytes", pack(&share).unwrap().len());
                 }
@@ -382,7 +382,7 @@
     fn a_job_is_split_without_loss(tasks in 1..3000u32, free in proptest::collection::vec(0.0..200.0f64, 3), bound: bool) {
         let Submission { job: id, mut spec, .. } = parse_submission(submission().to_string().as_bytes()).unwrap();
         spec.tasks = tasks;
-        spec.together = bound;
+        spec.gang = bound;
         let free: BTreeMap<ShardId, ShardCapacity> = free.iter().enumerate().map(|(i, f)| (ShardId(i as u32), ShardCapacity { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
         let shares = split(&id, &spec, 0.0, 3, &free);
         let mut all = TaskRanges::default();
@@ -515,7 +515,7 @@
                 task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
-                what: AllocationChangeKind::Start,
+                kind: AllocationChangeKind::Start,
             };
             assert!(share.apply(&step));
         }
@@ -525,7 +525,7 @@
         let mut fits = 0;
         for i in 0..580u32 {
             let machine = MachineId::new(&format!("n-{i:06}"));
-            let what = if lost {
+            let kind = if lost {
                 AllocationChangeKind::Requeue
             } else {
                 AllocationChangeKind::Finish
@@ -534,7 +534,7 @@
                 task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
-                what
+                kind
             }));
             let small = storage_limits.encode_allocation(&share).is_some();
             assert!(small || fits == 0, "it fitted before");
