--- a/crates/calendar/src/amount.rs
+++ b/crates/calendar/src/amount.rs
@@ -1,47 +1,54 @@
-//! Amounts as whole thousandths, so that what is added and taken away again leaves nothing over.
+//! Amounts of resources as whole thousandths, so that additions and subtractions are exact.
 
 use serde::{Deserialize, Serialize};
 use snowshelf_model::records::Resources;
 
-/// Thousandths of CPUs, GPUs and GB of memory.
+/// An amount of resources, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct Amount {
+    /// Thousandths of CPUs.
     #[serde(rename = "c")]
     pub cpus: i64,
+    /// Thousandths of GPUs.
     #[serde(rename = "g", default, skip_serializing_if = "is_zero")]
     pub gpus: i64,
+    /// Thousandths of gigabytes of memory.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
     pub mem: i64,
 }
 
-fn is_zero(n: &i64) -> bool {
-    *n == 0
+fn is_zero(number: &i64) -> bool {
+    *number == 0
 }
 
 /// Far more than any deployment has, and far from where sums would overflow.
-const MOST: f64 = 1e15;
+const MAX_THOUSANDTHS: f64 = 1e15;
 
-/// Parts that an amount can be divided into.
+/// Number of equal fractions that an amount can be divided into.
 pub const WHOLE: i64 = 1_000_000;
 
-fn thousandths(x: f64) -> i64 {
-    (x * 1000.0).ceil().clamp(-MOST, MOST) as i64
+fn thousandths(amount: f64) -> i64 {
+    (amount * 1000.0)
+        .ceil()
+        .clamp(-MAX_THOUSANDTHS, MAX_THOUSANDTHS) as i64
 }
 
 impl Amount {
+    /// Nothing.
     pub const ZERO: Amount = Amount {
         cpus: 0,
         gpus: 0,
         mem: 0,
     };
-    /// Where nothing bounds what may be had.
+    /// No bound.
     pub const BOUNDLESS: Amount = Amount {
         cpus: i64::MAX / 4,
         gpus: i64::MAX / 4,
         mem: i64::MAX / 4,
     };
 
-    /// Rounded up to thousandths.
+    /// Converts resources, rounded up to thousandths.
+    #[must_use]
     pub fn of(room: Resources) -> Amount {
         Amount {
             cpus: thousandths(room.cpus),
@@ -50,6 +57,8 @@
         }
     }
 
+    /// Converts the amount to resources.
+    #[must_use]
     pub fn room(self) -> Resources {
         Resources {
             cpus: self.cpus as f64 / 1000.0,
@@ -66,31 +75,50 @@
         }
     }
 
+    /// The sum of both.
+    #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
         self.each(other, i64::saturating_add)
     }
+
+    /// This amount less the other; may be negative.
+    #[must_use]
     pub fn minus(self, other: Amount) -> Amount {
         self.each(other, i64::saturating_sub)
     }
+
+    /// The larger of both, for each resource.
+    #[must_use]
     pub fn max(self, other: Amount) -> Amount {
         self.each(other, i64::max)
     }
+
+    /// The smaller of both, for each resource.
+    #[must_use]
     pub fn min(self, other: Amount) -> Amount {
         self.each(other, i64::min)
     }
-    pub fn times(self, n: i64) -> Amount {
-        self.each(Amount::ZERO, |a, _| a.saturating_mul(n))
+
+    /// The amount `factor` times.
+    #[must_use]
+    pub fn times(self, factor: i64) -> Amount {
+        self.each(Amount::ZERO, |a, _| a.saturating_mul(factor))
     }
 
+    /// Whether the amount fits into `free`, for each resource.
+    #[must_use]
     pub fn fits_in(self, free: Amount) -> bool {
         self.cpus <= free.cpus && self.gpus <= free.gpus && self.mem <= free.mem
     }
 
+    /// Whether it is nothing.
+    #[must_use]
     pub fn is_zero(self) -> bool {
         self == Amount::ZERO
     }
 
-    /// How many of this amount's `WHOLE` parts go into `free`.
+    /// How many of this amount's [`WHOLE`] fractions fit into `free`.
+    #[must_use]
     pub fn parts_in(self, free: Amount) -> i64 {
         let fits = |need: i64, have: i64| match need {
             ..=0 => WHOLE,
@@ -104,7 +132,8 @@
             .min(fits(self.mem, free.mem))
     }
 
-    /// From the `from`th to before the `to`th of `WHOLE` parts: neighbouring pieces add up exactly.
+    /// The fractions `from..to` of [`WHOLE`]; adjacent pieces add up exactly.
+    #[must_use]
     pub fn piece(self, from: i64, to: i64) -> Amount {
         let upto =
             |whole: i64, n: i64| (i128::from(whole) * i128::from(n) / i128::from(WHOLE)) as i64;
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -258,7 +258,7 @@
         }
         (None, None, Some(rule)) => {
             rule.check()
-                .map_err(|(field, why)| malformed(&format!("rule.{field}"), &why))?;
+                .map_err(|invalid| malformed(&format!("rule.{}", invalid.field), invalid.reason))?;
             When::Again(rule)
         }
         (Some(_), None, None) => return Err(malformed("until", "is missing")),
--- a/crates/calendar/src/guard.rs
+++ b/crates/calendar/src/guard.rs
@@ -1,4 +1,4 @@
-//! What placement and renting keep to now and soon: closings and held amounts, pool by pool.
+//! The near future of the calendar, which placement and scale-out obey: closings and held amounts by pool.
 
 use crate::amount::Amount;
 use crate::calendar::{Calendar, Pool};
@@ -6,44 +6,55 @@
 use snowshelf_model::ids::{Team, WallClockMillis, seconds_to_ms};
 use std::collections::BTreeMap;
 
-/// A closing of a pool, present or to come.
+/// An occurrence of a maintenance window in a pool, present or future.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Closing {
+    /// The window.
     pub window: Name,
+    /// When the pool closes.
     pub from: WallClockMillis,
+    /// When it opens again.
     pub until: WallClockMillis,
-    /// How long before it nothing starts that would run into it; none: at any time.
+    /// How long before it, in milliseconds, no task is started that would run into it; `None`: at any time.
     pub lead_ms: Option<u64>,
 }
 
 /// An amount that is reserved in a pool, now or soon.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Hold {
+    /// The reservation.
     pub reservation: Name,
+    /// The team that it is for.
     pub team: Team,
+    /// The pool.
     pub pool: Pool,
+    /// The amount in this pool.
     pub amount: Amount,
+    /// Whether spot instances will do.
     pub spot: bool,
+    /// When it begins.
     pub from: WallClockMillis,
+    /// When it ends.
     pub until: WallClockMillis,
 }
 
 /// The part of the calendar that matters for decisions taken now.
 #[derive(Clone, Debug, Default)]
 pub struct Guard {
-    /// By pool, the earliest first.
+    /// The closings of each pool, the earliest first.
     pub closings: BTreeMap<Pool, Vec<Closing>>,
-    /// The earliest first; those of windows' times are left out.
+    /// The reserved amounts, the earliest first.
     pub holds: Vec<Hold>,
-    /// How far the clocks of two hosts may differ from true time, each.
+    /// How far the clock of each host may differ from true time, in milliseconds.
     pub skew_ms: u64,
 }
 
-/// Closings looked at of one window at the most: later ones are none of today's decisions.
-const MOST_AHEAD: usize = 8;
+/// Most closings of one window that are considered: later ones do not matter yet.
+const MAX_CLOSINGS: usize = 8;
 
 impl Guard {
-    /// What of the calendar lies between now and so long ahead.
+    /// The part of the calendar from `now` up to `ahead_ms` ahead.
+    #[must_use]
     pub fn of(calendar: &Calendar, now: WallClockMillis, ahead_ms: u64, skew_ms: u64) -> Guard {
         let until = WallClockMillis(now.0.saturating_add(ahead_ms));
         let since = WallClockMillis(now.0.saturating_sub(2 * skew_ms));
@@ -51,7 +62,7 @@
         for (name, window, times) in calendar.windows() {
             let first = times.partition_point(|(_, end)| *end <= since);
             let soon = times[first..].iter().take_while(|(from, _)| *from < until);
-            for (from, end) in soon.take(MOST_AHEAD) {
+            for (from, end) in soon.take(MAX_CLOSINGS) {
                 let closing = Closing {
                     window: name.clone(),
                     from: *from,
@@ -94,16 +105,21 @@
         }
     }
 
+    /// Whether there is neither a closing nor a reserved amount.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.closings.is_empty() && self.holds.is_empty()
     }
 
+    /// The closings of a pool, the earliest first.
+    #[must_use]
     pub fn closings_of(&self, pool: &Pool) -> &[Closing] {
         self.closings.get(pool).map_or(&[], |list| list)
     }
 
     /// The closing that forbids a task to start in a pool now, if one does. `run_ms`: how long it is
-    /// taken to be there; none: until it is stopped, as a service.
+    /// expected to run; `None`: until it is stopped, like a service.
+    #[must_use]
     pub fn forbids(
         &self,
         pool: &Pool,
@@ -127,8 +143,8 @@
         })
     }
 
-    /// The closing for which a pool must be empty of tasks, or becoming so, now: `ahead_ms` is how
-    /// long that takes.
+    /// The closing for which a pool must be empty of tasks now, or being emptied, which takes `ahead_ms`.
+    #[must_use]
     pub fn empties(&self, pool: &Pool, now: WallClockMillis, ahead_ms: u64) -> Option<&Closing> {
         let latest = now.0.saturating_add(self.skew_ms).saturating_add(ahead_ms);
         let mut list = self.closings_of(pool).iter();
--- a/crates/calendar/src/recur.rs
+++ b/crates/calendar/src/recur.rs
@@ -1,8 +1,8 @@
-//! When a window comes again: rules in local time of a named zone.
+//! Recurrence of maintenance windows: rules in local time of a named time zone.
 //!
-//! A window begins at a wall clock's time and lasts an elapsed time. Where the clocks are put forward
-//! over its beginning, it begins as much later as they were put forward; where they are put back, it
-//! begins at the first of the two times that read alike.
+//! A window begins at a local time and lasts for a duration. Where clocks are put forward over its
+//! beginning, it begins later by as much; where they are put back, it begins at the first of the two equal
+//! local times.
 
 use jiff::civil::{Date, Time, Weekday};
 use jiff::tz::TimeZone;
@@ -10,23 +10,35 @@
 use serde::{Deserialize, Serialize};
 use snowshelf_model::ids::WallClockMillis;
 
+/// The unit of a recurrence.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Every {
+    /// Days.
     Day,
+    /// Weeks.
     Week,
+    /// Months.
     Month,
 }
 
+/// A day of the week.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Day {
+    /// Monday.
     Mon,
+    /// Tuesday.
     Tue,
+    /// Wednesday.
     Wed,
+    /// Thursday.
     Thu,
+    /// Friday.
     Fri,
+    /// Saturday.
     Sat,
+    /// Sunday.
     Sun,
 }
 
@@ -44,30 +56,31 @@
     }
 }
 
-/// When a window comes again, as its owner writes it.
+/// The recurrence of a window, as its owner writes it.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Rule {
+    /// The unit.
     pub every: Every,
-    /// Every how many days, weeks or months, counted from the first.
+    /// Every how many units, counted from the first date.
     #[serde(default = "one")]
     pub interval: u32,
-    /// On which days of the week; of `week` only. None: the first date's.
+    /// The days of the week, for `week` only; empty: that of the first date.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub on: Vec<Day>,
-    /// On which day of the month, from the end if negative; of `month` only. Months without that day
-    /// are passed over. None: the first date's.
+    /// The day of the month, counted from the end if negative, for `month` only. Months without that day
+    /// are skipped. `None`: that of the first date.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub day: Option<i8>,
-    /// The wall clock's time, as `02:30`.
+    /// The local time, like `02:30`.
     pub at: Time,
-    /// A zone of the time zone database, as `Europe/Lisbon`.
+    /// A zone of the time zone database, like `Europe/Lisbon`.
     pub zone: String,
     /// The first date.
     pub first: Date,
-    /// The last date; none: for ever.
+    /// The last date; `None`: it recurs without end.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub last: Option<Date>,
-    /// How long it lasts, in seconds.
+    /// The duration, in seconds.
     pub for_s: u32,
 }
 
@@ -75,13 +88,28 @@
     1
 }
 
-/// Days that are looked at for one occurrence at the most, so that a rule without any ends.
-const MOST_DAYS: i64 = 4_000;
+/// Most days that are examined, so that a rule without occurrences ends.
+const MAX_DAYS: i64 = 4_000;
+
+const DAY_MS: u64 = 86_400_000;
+
+/// A field of a rule that is invalid. Its text is part of the response.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("rule.{field}: {reason}")]
+pub struct InvalidRule {
+    /// The field.
+    pub field: &'static str,
+    /// What is wrong with it.
+    pub reason: &'static str,
+}
 
 impl Rule {
-    /// What is wrong with the rule, by field.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
-        let bad = |field, why: &str| Err((field, why.to_string()));
+    /// Checks the rule's fields.
+    ///
+    /// # Errors
+    /// The first field that is invalid.
+    pub fn check(&self) -> Result<(), InvalidRule> {
+        let bad = |field, reason| Err(InvalidRule { field, reason });
         if TimeZone::get(&self.zone).is_err() {
             return bad("zone", "is no zone of the time zone database");
         }
@@ -112,7 +140,7 @@
         Ok(())
     }
 
-    /// Whether it comes on this date.
+    /// Whether there is an occurrence on this date.
     fn on_date(&self, date: Date) -> bool {
         if date < self.first || self.last.is_some_and(|last| date > last) {
             return false;
@@ -143,7 +171,7 @@
         }
     }
 
-    /// When it begins on this date.
+    /// When an occurrence on this date begins.
     fn begins(&self, date: Date, zone: &TimeZone) -> Option<WallClockMillis> {
         let zoned = date
             .to_datetime(self.at)
@@ -155,6 +183,7 @@
     }
 
     /// The occurrences that end after `from` and begin before `until`, in order, at most `most`.
+    #[must_use]
     pub fn occurrences(
         &self,
         from: WallClockMillis,
@@ -165,14 +194,14 @@
         let Ok(zone) = TimeZone::get(&self.zone) else {
             return found;
         };
-        let long = u64::from(self.for_s) * 1000;
-        // A day more on both sides: dates differ between zones.
-        let start = from.0.saturating_sub(long + 2 * 86_400_000);
+        let duration_ms = u64::from(self.for_s) * 1000;
+        // One more day on both sides: dates differ between zones.
+        let start = from.0.saturating_sub(duration_ms + 2 * DAY_MS);
         let Ok(start) = Timestamp::from_millisecond(start.min(1 << 47) as i64) else {
             return found;
         };
         let mut date = start.to_zoned_datetime(zone.clone()).date().max(self.first);
-        for _ in 0..MOST_DAYS {
+        for _ in 0..MAX_DAYS {
             if found.len() >= most || self.last.is_some_and(|last| date > last) {
                 break;
             }
@@ -182,9 +211,9 @@
             }
             if self.on_date(date)
                 && let Some(at) = begins
-                && at.0 + long > from.0
+                && at.0 + duration_ms > from.0
             {
-                found.push((at, WallClockMillis(at.0 + long)));
+                found.push((at, WallClockMillis(at.0 + duration_ms)));
             }
             let Ok(next) = date.checked_add(1.day()) else {
                 break;
--- a/crates/calendar/src/refusal.rs
+++ b/crates/calendar/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a reservation or a window is not taken, in full.
+//! Why a reservation or a window is rejected.
 
 use crate::amount::Amount;
 use crate::entry::{Name, shown};
@@ -6,63 +6,77 @@
 use snowshelf_model::ids::WallClockMillis;
 use std::fmt;
 
+/// The kind of an entry of the calendar.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Kind {
+    /// A reservation.
     Reservation,
+    /// A maintenance window.
     Window,
 }
 
-/// Something taken earlier that stands in the way, and when it does.
+/// An earlier entry that conflicts with the request, and when.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Clash {
+    /// The entry's kind.
     pub kind: Kind,
+    /// The entry's name.
     pub name: Name,
+    /// When the entry begins.
     pub from: WallClockMillis,
+    /// When the entry ends.
     pub until: WallClockMillis,
 }
 
-/// What runs short where there is a clash.
+/// What is exhausted where there is a clash.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Short {
-    /// Room in the places allowed.
+    /// The resources of the allowed pools.
     Resources,
     /// The team's limit.
     Limit,
-    /// What would be closed is reserved.
+    /// The pools to be closed are reserved.
     Reserved,
 }
 
+/// Why a reservation or a window is rejected. Its text is part of the response.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Refusal {
+    /// It lies in the past.
     Past,
+    /// It ends after this time, up to which the calendar is planned.
     TooFar(WallClockMillis),
+    /// The team does not exist.
     UnknownTeam,
-    /// No machine type in the zones and types allowed.
+    /// No machine type is in the allowed zones and types.
     NoPlace,
-    /// More than all places allowed ever have; what they have.
+    /// It exceeds what all allowed pools ever have: this amount.
     NeverFits(Amount),
-    /// More than the team's limit; the limit.
+    /// It exceeds the team's limit: this amount.
     OverLimit(Amount),
+    /// The calendar already has this number of entries, the most allowed.
     TooMany(usize),
     /// Another entry has the name.
     Taken,
-    /// It fits, but not then.
+    /// It fits, but not at that time.
     Clash {
+        /// What is exhausted.
         short: Short,
         /// How much is missing, where that is an amount.
         lacks: Amount,
-        /// Everything in the way.
+        /// All conflicting entries.
         clashes: Vec<Clash>,
         /// The first time at which it would fit, if one was found.
         fits_from: Option<WallClockMillis>,
     },
 }
 
-/// Most clashes that one answer names.
-const MOST_NAMED: usize = 20;
+/// Most clashes that one response names.
+const MAX_NAMED: usize = 20;
 
 impl Refusal {
-    /// The status that tells it: 409 for what may fit another time, 422 for what never does.
+    /// The status of the response: 409 for what may fit another time, 422 for what never does.
+    #[must_use]
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Clash { .. } | Refusal::Taken | Refusal::TooMany(_) => 409,
@@ -70,6 +84,8 @@
         }
     }
 
+    /// The body of the response.
+    #[must_use]
     pub fn body(&self) -> Value {
         let mut body = json!({"error": self.to_string()});
         if let Refusal::Clash {
@@ -81,7 +97,7 @@
         {
             let list: Vec<Value> = clashes
                 .iter()
-                .take(MOST_NAMED)
+                .take(MAX_NAMED)
                 .map(|c| {
                     let kind = match c.kind {
                         Kind::Reservation => "reservation",
@@ -92,8 +108,8 @@
                 })
                 .collect();
             body["clashes"] = json!(list);
-            if clashes.len() > MOST_NAMED {
-                body["more_clashes"] = json!(clashes.len() - MOST_NAMED);
+            if clashes.len() > MAX_NAMED {
+                body["more_clashes"] = json!(clashes.len() - MAX_NAMED);
             }
             if !lacks.is_zero() {
                 let room = lacks.room();
--- a/crates/calendar/src/timeline.rs
+++ b/crates/calendar/src/timeline.rs
@@ -1,9 +1,9 @@
-//! What is booked over time, as changes at points of time in a persistent tree.
+//! The amount booked over time, as changes at points of time in a persistent tree.
 //!
-//! Every node knows the sum of the changes below it and the highest level that they reach on the way, so
-//! that the highest level between two times is found in logarithmic time. Nothing is changed in
-//! place: a what-if is a clone that shares all it has not changed. The tree's shape follows from its
-//! keys alone (a treap whose priorities are hashes of the keys).
+//! Every node stores the sum of the changes below it and the highest level that they reach, so that the
+//! highest level between two times is found in logarithmic time. Nothing is changed in place: a clone
+//! shares everything that is not changed in it. The tree's shape follows from its keys alone (a treap
+//! whose priorities are hashes of the keys).
 
 use crate::amount::Amount;
 use snowshelf_model::ids::WallClockMillis;
@@ -20,7 +20,7 @@
     right: Link,
 }
 
-/// A run of changes: what they come to, and the highest level on the way, the start included.
+/// A sequence of changes: their sum, and the highest level reached, the start included.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Span {
     sum: Amount,
@@ -90,8 +90,12 @@
     }
 }
 
-/// The run of changes after `from` and before `until`, where these are given.
-fn run(link: &Link, from: Option<WallClockMillis>, until: Option<WallClockMillis>) -> Span {
+/// The changes after `from` and before `until`, where these are given.
+fn changes_between(
+    link: &Link,
+    from: Option<WallClockMillis>,
+    until: Option<WallClockMillis>,
+) -> Span {
     let Some(n) = link else {
         return Span::default();
     };
@@ -99,14 +103,14 @@
         return n.below;
     }
     if from.is_some_and(|from| n.at <= from) {
-        return run(&n.right, from, until);
+        return changes_between(&n.right, from, until);
     }
     if until.is_some_and(|until| n.at >= until) {
-        return run(&n.left, from, until);
+        return changes_between(&n.left, from, until);
     }
-    run(&n.left, from, None)
+    changes_between(&n.left, from, None)
         .then(Span::of(n.change))
-        .then(run(&n.right, None, until))
+        .then(changes_between(&n.right, None, until))
 }
 
 /// The first time after `from` and before `until` at which the level, coming from `level`, does not
@@ -137,7 +141,7 @@
     first_over(&n.right, None, until, level, most)
 }
 
-/// What is booked at every moment.
+/// The amount booked at every time.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     root: Link,
@@ -157,13 +161,15 @@
         }
     }
 
-    /// With `amount` more from `from` to before `until`.
+    /// The timeline with `amount` more from `from` to before `until`.
+    #[must_use]
     pub fn with(&self, from: WallClockMillis, until: WallClockMillis, amount: Amount) -> Timeline {
         self.change(from, amount)
             .change(until, Amount::ZERO.minus(amount))
     }
 
-    /// Without what was put in by `with`.
+    /// The timeline without what [`Timeline::with`] added.
+    #[must_use]
     pub fn without(
         &self,
         from: WallClockMillis,
@@ -173,9 +179,10 @@
         self.with(from, until, Amount::ZERO.minus(amount))
     }
 
-    /// What is booked at a moment.
+    /// The amount booked at a time.
+    #[must_use]
     pub fn level(&self, at: WallClockMillis) -> Amount {
-        run(
+        changes_between(
             &self.root,
             None,
             Some(WallClockMillis(at.0.saturating_add(1))),
@@ -184,12 +191,14 @@
     }
 
     /// The most that is booked of each resource from `from` to before `until`.
+    #[must_use]
     pub fn peak(&self, from: WallClockMillis, until: WallClockMillis) -> Amount {
         let level = self.level(from);
-        level.plus(run(&self.root, Some(from), Some(until)).peak)
+        level.plus(changes_between(&self.root, Some(from), Some(until)).peak)
     }
 
-    /// The first moment from `from` to before `until` at which more than `most` is booked.
+    /// The first time from `from` to before `until` at which more than `most` is booked.
+    #[must_use]
     pub fn first_over(
         &self,
         from: WallClockMillis,
@@ -203,7 +212,8 @@
         first_over(&self.root, Some(from), Some(until), level, most).err()
     }
 
-    /// The next moment after `at` at which the level changes.
+    /// The next time after `at` at which the level changes.
+    #[must_use]
     pub fn next_change(&self, at: WallClockMillis) -> Option<WallClockMillis> {
         let (mut link, mut found) = (&self.root, None);
         while let Some(n) = link {
@@ -217,6 +227,8 @@
         found
     }
 
+    /// Whether nothing is ever booked.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.root.is_none()
     }
--- a/crates/model/src/protocol/cloud.rs
+++ b/crates/model/src/protocol/cloud.rs
@@ -81,7 +81,7 @@
 
 /// The response with all machine types.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct TypesAnswer {
+pub struct MachineTypesResponse {
     /// The machine types.
     #[serde(rename = "Modelos")]
     pub types: Vec<MachineType>,
@@ -89,7 +89,7 @@
 
 /// The response to a scale-out.
 #[derive(Debug, Deserialize)]
-pub struct RentAnswer {
+pub struct ScaleOutResponse {
     /// The new machines.
     #[serde(rename = "Prensas")]
     pub machines: Vec<MachineId>,
@@ -98,7 +98,7 @@
 /// The state of a machine by the cloud's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListedState {
+pub enum ListedMachineState {
     /// Not ready yet.
     Booting,
     /// Ready.
@@ -109,7 +109,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// The machine.
     #[serde(rename = "Ref")]
     pub machine: MachineId,
@@ -124,7 +124,7 @@
     pub spot: bool,
     /// Its state.
     #[serde(rename = "Estado")]
-    pub state: ListedState,
+    pub state: ListedMachineState,
     /// How long it has existed, in seconds.
     #[serde(rename = "AgeS", default)]
     pub age_s: f64,
@@ -132,10 +132,10 @@
 
 /// A page of the cloud's list of machines.
 #[derive(Debug, Deserialize)]
-pub struct ListAnswer {
+pub struct MachineListResponse {
     /// The machines.
     #[serde(rename = "Prensas")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(rename = "More", default)]
     pub more: bool,
@@ -143,7 +143,7 @@
 
 /// The body of a request for `number` new machines; `name` makes it idempotent.
 #[must_use]
-pub fn rent_body(name: &str, model: &str, zone: &str, spot: bool, number: u32) -> Vec<u8> {
+pub fn scale_out_body(name: &str, model: &str, zone: &str, spot: bool, number: u32) -> Vec<u8> {
     json!({"Pedido": name, "Modelo": model, "Parcela": zone, "Avulsas": spot, "Number": number})
         .to_string()
         .into_bytes()
--- a/crates/model/src/protocol/peer.rs
+++ b/crates/model/src/protocol/peer.rs
@@ -13,7 +13,7 @@
     pub request: Option<ConfirmationRequest>,
     /// The response to one.
     #[prost(message, optional, tag = "102")]
-    pub attestation: Option<Confirmation>,
+    pub confirmation: Option<Confirmation>,
 }
 
 /// Requests the jobs whose cancellation was confirmed to users lately.
@@ -73,19 +73,19 @@
     pub shards: Vec<ShardStatus>,
     /// Teams of which it could start more tasks with a larger quota grant.
     #[prost(string, repeated, tag = "5")]
-    pub short_of: Vec<String>,
+    pub quota_limited_teams: Vec<String>,
     /// Machines that the cloud's list lacks or shows as failed; sent by the leader.
     #[prost(string, repeated, tag = "6")]
     pub missing: Vec<String>,
     /// How long ago the watch last responded, in milliseconds.
     #[prost(uint64, tag = "7")]
-    pub feed_silent_ms: u64,
+    pub watch_silent_ms: u64,
     /// No worker reaches this controller, though others are reached.
     #[prost(bool, tag = "8")]
-    pub deaf: bool,
+    pub unreachable_by_workers: bool,
     /// Shards of other controllers whose machines sent heartbeats here lately.
     #[prost(message, repeated, tag = "9")]
-    pub strangers: Vec<ForeignHeartbeats>,
+    pub foreign_heartbeats: Vec<ForeignHeartbeats>,
     /// What each drain waits for; sent by the leader.
     #[prost(message, repeated, tag = "10")]
     pub waits: Vec<DrainProgress>,
@@ -102,7 +102,7 @@
     pub waits: String,
     /// What blocks the evictions of its step.
     #[prost(string, repeated, tag = "3")]
-    pub held: Vec<String>,
+    pub blocked_by: Vec<String>,
 }
 
 /// How many of a shard's machines lately sent heartbeats to a controller that does not lead the shard.
@@ -130,7 +130,7 @@
     pub waiting_cpus: f64,
     /// Machines that sent a heartbeat lately.
     #[prost(string, repeated, tag = "4")]
-    pub heard: Vec<String>,
+    pub recent_heartbeats: Vec<String>,
     /// CPUs of all its machines.
     #[prost(double, tag = "5")]
     pub capacity_cpus: f64,
@@ -139,7 +139,7 @@
     pub pools: Vec<PoolSize>,
     /// CPUs reserved for teams; not counted in `free_cpus`.
     #[prost(message, repeated, tag = "7")]
-    pub kept: Vec<ReservedCpus>,
+    pub reserved: Vec<ReservedCpus>,
     /// Jobs of graphs' runs that fail there.
     #[prost(message, repeated, tag = "8")]
     pub failing: Vec<FailingJob>,
@@ -149,16 +149,16 @@
     pub empty: Vec<String>,
     /// Machines that failed the tasks they started.
     #[prost(string, repeated, tag = "10")]
-    pub sick: Vec<String>,
+    pub failing_machines: Vec<String>,
     /// What blocks the evictions of drains.
     #[prost(string, repeated, tag = "11")]
-    pub held: Vec<String>,
+    pub blocked_by: Vec<String>,
     /// Tasks on machines that are silent or about to be interrupted.
     #[prost(message, repeated, tag = "12")]
     pub lost: Vec<LostTasks>,
     /// Tasks of earlier attempts that run again.
     #[prost(message, repeated, tag = "13")]
-    pub again: Vec<RestartedTasks>,
+    pub restarted: Vec<RestartedTasks>,
     /// Waiting jobs that none of its machines could run, oldest first.
     #[prost(string, repeated, tag = "14")]
     pub stranded: Vec<String>,
--- a/crates/model/src/protocol/worker.rs
+++ b/crates/model/src/protocol/worker.rs
@@ -100,13 +100,13 @@
     Done,
     /// It was halted.
     Stopped,
-    /// It failed.
+    /// It failed, mostly because the machine is faulty.
     Error,
-    /// The machine had no capacity for it.
+    /// The start was refused: the machine had not enough free resources.
     Full,
-    /// Another attempt of it was on the machine.
+    /// The start was refused: another attempt of the task was on the machine.
     InUse,
-    /// The worker does not know the job.
+    /// The start was refused: the job is not known.
     Unknown,
 }
 
--- a/crates/model/src/records/job.rs
+++ b/crates/model/src/records/job.rs
@@ -87,7 +87,7 @@
 /// A job's description.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class of the job, by which users group their jobs.
+    /// The class of jobs that it belongs to; the settings state the objectives of each class.
     pub class: String,
     /// The team that the job counts for.
     pub team: Team,
@@ -100,9 +100,9 @@
     /// What each task requires.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// The container image.
+    /// The image that a machine must have before a task can start.
     pub image: String,
-    /// Gigabytes to pull for the image.
+    /// The image's size in gigabytes, to be pulled once for each machine.
     pub pull_gb: f64,
     /// The machine types that are allowed; `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -118,12 +118,12 @@
     pub spread: bool,
     /// Whether tasks may run on spot instances.
     pub spot: bool,
-    /// Estimated run time of a task, in seconds.
+    /// The owner's estimate of a task's run time without the pull, in seconds; 0 for services.
     pub estimate_s: f64,
     /// Interval between two checkpoints of a task, in seconds; 0: it makes none.
     #[serde(rename = "checkpoint_s", default)]
     pub checkpoint_interval_s: f64,
-    /// How long a checkpoint takes, in seconds.
+    /// How long a task needs for a checkpoint when it is stopped, in seconds.
     #[serde(rename = "save_s", default)]
     pub checkpoint_duration_s: f64,
     /// The deadline, in seconds after the submission, if any.
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -3,5 +3,6 @@
 //! socket.
 
 pub mod decision_table;
+mod findings;
 pub mod silence;
 pub mod startup_read;
--- a/crates/reconciliation/tests/decision_table.rs
+++ b/crates/reconciliation/tests/decision_table.rs
@@ -1,5 +1,5 @@
 //! The decision table against a plain model: one task, one machine, two owners one after the other, and every
-//! order in which reports, answers, writes, ends, expired leases and a takeover can fall. All
+//! order in which heartbeats, responses, writes, ends, expired leases and a takeover can fall. All
 //! states are searched; nothing in the model knows of the table.
 
 use snowshelf_model::protocol::worker::{ExitReason, TaskState};
@@ -10,7 +10,7 @@
 };
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-type Square = fn(
+type ReconcileFn = fn(
     DesiredState,
     ObservedState,
     HeartbeatEvidence,
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Report {
+struct Heartbeat {
     incarnation: u8,
     fencing_token: u8,
     listed: Listed,
@@ -40,79 +40,79 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Answer {
+struct Response {
     fencing_token: u8,
     orders: Vec<(ReconcileAction, u8)>,
 }
 
-/// What an owner has of the machine.
+/// What a shard leader knows of the machine.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
-struct Picture {
+struct MachineView {
     incarnation: Option<u8>,
-    shown: bool,
+    acknowledged: bool,
     listed: Listed,
     inherited: bool,
-    /// A report has been taken in and not answered.
-    asked: bool,
+    /// A heartbeat has been taken in and not responded to.
+    response_due: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct World {
+struct Model {
     record: Record,
     view: Record,
     cancelled: bool,
-    /// The share is over and gone.
-    closed: bool,
+    /// The allocation has been removed.
+    allocation_removed: bool,
     owner: u8,
-    /// What the first owner had durably started here when the second took over: it may still say so.
-    before: Option<u8>,
-    picture: Picture,
+    /// What the first shard leader had durably started here when the second took over: it may still say so.
+    previous_start: Option<u8>,
+    machine_view: MachineView,
     incarnation: u8,
     fencing_token: u8,
     listed: Listed,
-    /// The report that the machine waits for an answer to, and one that it has given up.
-    report: Option<Report>,
-    late: Option<Report>,
-    waits: bool,
-    answer: Option<Answer>,
+    /// The heartbeat that the machine waits for an response to, and one that it has given up.
+    heartbeat: Option<Heartbeat>,
+    late_heartbeat: Option<Heartbeat>,
+    awaits_response: bool,
+    response: Option<Response>,
     /// The task has completed somewhere.
     completed: bool,
     leaving: bool,
 }
 
-const BEGIN: World = World {
+const INITIAL: Model = Model {
     record: Record::Waiting(1),
     view: Record::Waiting(1),
     cancelled: false,
-    closed: false,
+    allocation_removed: false,
     owner: 1,
-    before: None,
-    picture: Picture {
+    previous_start: None,
+    machine_view: MachineView {
         incarnation: None,
-        shown: false,
+        acknowledged: false,
         listed: [None; 2],
         inherited: false,
-        asked: false,
+        response_due: false,
     },
     incarnation: 1,
     fencing_token: 0,
     listed: [None; 2],
-    report: None,
-    late: None,
-    waits: false,
-    answer: None,
+    heartbeat: None,
+    late_heartbeat: None,
+    awaits_response: false,
+    response: None,
     completed: false,
     leaving: false,
 };
 
-impl World {
-    fn stored(&self, attempt: u8) -> DesiredState {
+impl Model {
+    fn desired_state(&self, attempt: u8) -> DesiredState {
         let (viewed, durable) = (
             self.view == Record::Here(attempt),
             self.record == Record::Here(attempt),
         );
         match (viewed, durable, self.cancelled, self.view) {
-            _ if self.closed => DesiredState::NotOurs,
+            _ if self.allocation_removed => DesiredState::NotOurs,
             (true, false, _, _) => DesiredState::Starting,
             (true, true, false, _) => DesiredState::Here,
             (true, true, true, _) => DesiredState::Cancelled,
@@ -136,48 +136,53 @@
     fn cells(
         &self,
         evidence: HeartbeatEvidence,
-        reconcile: Square,
+        reconcile: ReconcileFn,
         seen: &mut Seen,
     ) -> Vec<(u8, Reconciliation)> {
         let mut cells = Vec::new();
         for attempt in 1..=ATTEMPTS {
-            let reported = match self.picture.listed[attempt as usize - 1] {
+            let observed = match self.machine_view.listed[attempt as usize - 1] {
                 Some((state, why)) => ObservedState::Listed(state, why),
                 None if self.view == Record::Here(attempt) => ObservedState::Absent,
                 None => continue,
             };
-            let stored = self.stored(attempt);
-            let place = |r: &ObservedState| *r == reported;
-            seen.insert((stored, OBSERVED_STATES.iter().position(place).unwrap()));
+            let desired = self.desired_state(attempt);
+            let place = |r: &ObservedState| *r == observed;
+            seen.insert((desired, OBSERVED_STATES.iter().position(place).unwrap()));
             let task = TaskTraits::default();
-            let cell = reconcile(stored, reported, evidence, self.machine(), task);
+            let cell = reconcile(desired, observed, evidence, self.machine(), task);
             cells.push((attempt, cell));
         }
         cells
     }
 
-    fn take_in(&mut self, report: &Report, reconcile: Square, seen: &mut Seen) {
-        if report.old {
+    fn receive_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        reconcile: ReconcileFn,
+        seen: &mut Seen,
+    ) {
+        if heartbeat.old {
             return;
         }
-        let shown = report.fencing_token == self.owner;
+        let acknowledged = heartbeat.fencing_token == self.owner;
         let evidence = HeartbeatEvidence {
-            token: if shown {
+            token: if acknowledged {
                 TokenState::Equal
             } else {
                 TokenState::Behind
             },
             superseded: false,
             new_incarnation: self
-                .picture
+                .machine_view
                 .incarnation
-                .is_some_and(|s| s < report.incarnation),
-            inherited: shown && std::mem::take(&mut self.picture.inherited),
+                .is_some_and(|s| s < heartbeat.incarnation),
+            inherited: acknowledged && std::mem::take(&mut self.machine_view.inherited),
         };
-        self.picture.incarnation = Some(report.incarnation);
-        self.picture.shown = shown;
-        self.picture.listed = report.listed;
-        if let Some(late) = &mut self.late {
+        self.machine_view.incarnation = Some(heartbeat.incarnation);
+        self.machine_view.acknowledged = acknowledged;
+        self.machine_view.listed = heartbeat.listed;
+        if let Some(late) = &mut self.late_heartbeat {
             late.old = true;
         }
         for (attempt, cell) in self.cells(evidence, reconcile, seen) {
@@ -192,31 +197,32 @@
     }
 
     /// Every state that one event leads to.
-    fn next(&self, reconcile: Square, seen: &mut Seen) -> Vec<World> {
+    fn next(&self, reconcile: ReconcileFn, seen: &mut Seen) -> Vec<Model> {
         let mut next = Vec::new();
-        let mut event = |change: &mut dyn FnMut(&mut World) -> bool| {
-            let mut world = self.clone();
-            if change(&mut world) {
-                next.push(world);
+        let mut event = |change: &mut dyn FnMut(&mut Model) -> bool| {
+            let mut model = self.clone();
+            if change(&mut model) {
+                next.push(model);
             }
         };
-        // The machine reports; gives the report up, which may still arrive; its lease ends.
+        // The machine heartbeats; gives the heartbeat up, which may still arrive; its lease ends.
         event(&mut |w| {
-            let report = Report {
+            let heartbeat = Heartbeat {
                 incarnation: w.incarnation,
                 fencing_token: w.fencing_token,
                 listed: w.listed,
                 old: false,
             };
-            !std::mem::replace(&mut w.waits, true) && w.report.replace(report).is_none()
+            !std::mem::replace(&mut w.awaits_response, true)
+                && w.heartbeat.replace(heartbeat).is_none()
         });
         event(&mut |w| {
-            // Whatever is answered to it goes to a connection that is closed.
-            (w.answer, w.picture.asked) = (None, false);
-            if let Some(report) = w.report.take() {
-                w.late = Some(report);
+            // Whatever is responded to to it goes to a connection that is closed.
+            (w.response, w.machine_view.response_due) = (None, false);
+            if let Some(heartbeat) = w.heartbeat.take() {
+                w.late_heartbeat = Some(heartbeat);
             }
-            std::mem::take(&mut w.waits)
+            std::mem::take(&mut w.awaits_response)
         });
         event(&mut |w| {
             w.incarnation += 1;
@@ -248,54 +254,58 @@
                 _ => {}
             }
         }
-        // Reports and answers arrive.
+        // Reports and responses arrive.
         event(&mut |w| {
-            let Some(report) = w.report.take() else {
+            let Some(heartbeat) = w.heartbeat.take() else {
                 return false;
             };
-            w.take_in(&report, reconcile, seen);
-            w.picture.asked = true;
+            w.receive_heartbeat(&heartbeat, reconcile, seen);
+            w.machine_view.response_due = true;
             true
         });
         event(&mut |w| {
-            let Some(report) = w.late.take() else {
+            let Some(heartbeat) = w.late_heartbeat.take() else {
                 return false;
             };
-            w.take_in(&report, reconcile, seen);
+            w.receive_heartbeat(&heartbeat, reconcile, seen);
             true
         });
         event(&mut |w| {
-            let asked = std::mem::take(&mut w.picture.asked) && w.waits && w.report.is_none();
+            let asked = std::mem::take(&mut w.machine_view.response_due)
+                && w.awaits_response
+                && w.heartbeat.is_none();
             let mut orders = Vec::new();
-            if w.picture.shown {
+            if w.machine_view.acknowledged {
                 let cells = w.cells(HeartbeatEvidence::PLAIN, reconcile, seen);
                 orders.extend(cells.iter().filter_map(|(a, c)| Some((c.action?, *a))));
             }
             let fencing_token = w.owner;
-            w.answer = Some(Answer {
+            w.response = Some(Response {
                 fencing_token,
                 orders,
             });
             asked
         });
-        // The first owner, which does not know that it is deposed, answers instead.
+        // The first shard leader, which does not know that it is deposed, responses instead.
         event(&mut |w| {
-            let order = w.before.map(|attempt| (ReconcileAction::Run, attempt));
+            let order = w
+                .previous_start
+                .map(|attempt| (ReconcileAction::Run, attempt));
             let orders = order.into_iter().collect();
-            w.answer = Some(Answer {
+            w.response = Some(Response {
                 fencing_token: 1,
                 orders,
             });
-            w.owner == 2 && w.report.take().is_some()
+            w.owner == 2 && w.heartbeat.take().is_some()
         });
         event(&mut |w| {
-            let Some(answer) = w.answer.take() else {
+            let Some(response) = w.response.take() else {
                 return false;
             };
-            w.waits = false;
-            if answer.fencing_token >= w.fencing_token {
-                w.fencing_token = answer.fencing_token;
-                for (order, attempt) in answer.orders {
+            w.awaits_response = false;
+            if response.fencing_token >= w.fencing_token {
+                w.fencing_token = response.fencing_token;
+                for (order, attempt) in response.orders {
                     w.execute(order, attempt);
                 }
             }
@@ -305,11 +315,11 @@
         if let Record::Waiting(attempt) = self.view
             && attempt <= ATTEMPTS
             && !self.cancelled
-            && !self.closed
+            && !self.allocation_removed
         {
             event(&mut |w| {
                 w.view = Record::Here(attempt);
-                w.picture.shown && !w.leaving
+                w.machine_view.acknowledged && !w.leaving
             });
             event(&mut |w| {
                 w.view = Record::Elsewhere(attempt);
@@ -335,7 +345,7 @@
         event(&mut |w| {
             let idle = w.cancelled && matches!(w.record, Record::Waiting(_));
             let over = w.record == w.view && (idle || w.record == Record::Finished);
-            !std::mem::replace(&mut w.closed, over) && over
+            !std::mem::replace(&mut w.allocation_removed, over) && over
         });
         // The user cancels: what is not durable is not started any more.
         event(&mut |w| {
@@ -344,7 +354,7 @@
             {
                 w.view = Record::Waiting(a);
             }
-            !w.closed && !std::mem::replace(&mut w.cancelled, true)
+            !w.allocation_removed && !std::mem::replace(&mut w.cancelled, true)
         });
         event(&mut |w| !std::mem::replace(&mut w.leaving, true));
         // Another owner takes over, with what is durable.
@@ -353,11 +363,11 @@
                 Record::Here(attempt) => Some(attempt),
                 _ => None,
             };
-            w.before = here;
+            w.previous_start = here;
             w.view = w.record;
-            w.picture = Picture {
+            w.machine_view = MachineView {
                 inherited: here.is_some(),
-                ..Picture::default()
+                ..MachineView::default()
             };
             std::mem::replace(&mut w.owner, 2) == 1
         });
@@ -386,7 +396,7 @@
     }
 
     /// Which promise is broken here, if any.
-    fn broken(&self) -> Option<&'static str> {
+    fn broken_rule(&self) -> Option<&'static str> {
         let on = |entry: &Option<(TaskState, Option<ExitReason>)>| {
             entry.is_some_and(|(s, _)| matches!(s, TaskState::Running | TaskState::Checkpointing))
         };
@@ -403,15 +413,15 @@
 type Seen = BTreeSet<(DesiredState, usize)>;
 
 /// Searches all states; the first broken promise, or which cells were needed.
-fn search(reconcile: Square) -> Result<Seen, &'static str> {
+fn explore(reconcile: ReconcileFn) -> Result<Seen, &'static str> {
     let mut seen = Seen::new();
-    let mut known = HashSet::from([BEGIN]);
-    let mut queue = VecDeque::from([BEGIN]);
-    while let Some(world) = queue.pop_front() {
-        if let Some(broken) = world.broken() {
-            return Err(broken);
+    let mut known = HashSet::from([INITIAL]);
+    let mut queue = VecDeque::from([INITIAL]);
+    while let Some(model) = queue.pop_front() {
+        if let Some(broken_rule) = model.broken_rule() {
+            return Err(broken_rule);
         }
-        for next in world.next(reconcile, &mut seen) {
+        for next in model.next(reconcile, &mut seen) {
             if known.insert(next.clone()) {
                 queue.push_back(next);
             }
@@ -433,10 +443,10 @@
     ("unknown", 9),
 ];
 
-fn show(stored: DesiredState, reported: ObservedState, reached: bool) -> String {
+fn show(desired: DesiredState, observed: ObservedState, reached: bool) -> String {
     let cell = reconcile(
-        stored,
-        reported,
+        desired,
+        observed,
         HeartbeatEvidence::PLAIN,
         MachineDisposition::Retained,
         TaskTraits::default(),
@@ -468,38 +478,38 @@
 /// Guards against a table in the documents that is not the one in force, and against a cell that somebody
 /// reaches although it is said that nobody does.
 #[test]
-fn no_order_of_events_breaks_a_promise() {
-    let seen = search(reconcile).unwrap();
+fn no_order_of_events_breaks_a_rule() {
+    let seen = explore(reconcile).unwrap();
     let heads = COLUMNS.map(|(name, _)| name).join(" | ");
     let mut table = format!("| stored | {heads} |\n|{}\n", " --- |".repeat(10));
-    for stored in DESIRED_STATES {
+    for desired in DESIRED_STATES {
         let cells =
-            COLUMNS.map(|(_, i)| show(stored, OBSERVED_STATES[i], seen.contains(&(stored, i))));
-        table += &format!("| {stored:?} | {} |\n", cells.join(" | "));
+            COLUMNS.map(|(_, i)| show(desired, OBSERVED_STATES[i], seen.contains(&(desired, i))));
+        table += &format!("| {desired:?} | {} |\n", cells.join(" | "));
     }
     let page = include_str!("../../../docs/recovery.md");
     assert!(page.contains(&table), "docs/recovery.md lacks:\n{table}");
 }
 
-/// The search can fail: a table that takes the word of a report that has not shown the token, one that takes a failed
-/// task for a done one.
+/// The exploration can fail: with a table that trusts a heartbeat which has not acknowledged the fencing token, and with one
+/// that finishes a failed task.
 #[test]
-fn a_wrong_table_is_found_out() {
-    let hasty: Square = |stored, reported, evidence, machine, task| {
+fn a_wrong_table_breaks_a_rule() {
+    let ignores_token: ReconcileFn = |desired, observed, evidence, machine, task| {
         let token = evidence.token.max(TokenState::Equal);
         reconcile(
-            stored,
-            reported,
+            desired,
+            observed,
             HeartbeatEvidence { token, ..evidence },
             machine,
             task,
         )
     };
-    assert_eq!(search(hasty), Err("ran_twice"));
-    let kind: Square = |stored, reported, evidence, machine, task| {
-        let cell = reconcile(stored, reported, evidence, machine, task);
+    assert_eq!(explore(ignores_token), Err("ran_twice"));
+    let finishes_failed: ReconcileFn = |desired, observed, evidence, machine, task| {
+        let cell = reconcile(desired, observed, evidence, machine, task);
         let change = cell.change.map(|_| AllocationChangeKind::Finish);
         Reconciliation { change, ..cell }
     };
-    assert_eq!(search(kind), Err("not_done"));
+    assert_eq!(explore(finishes_failed), Err("not_done"));
 }
--- a/crates/watermark/src/renewal.rs
+++ b/crates/watermark/src/renewal.rs
@@ -73,7 +73,7 @@
 /// Decides whether a heartbeat that came at `received` may be responded to, so that the lease of its
 /// worker's tasks is renewed from the time when it was sent.
 ///
-/// Each listed task then ends in time, whoever responded before and whoever will, for one of three reasons.
+/// Each of the listed `tasks` then ends in time, whoever responded before and whoever will, for one of three reasons.
 /// Its job is known to be cancelled: the response halts it, and a response that does not arrive renews
 /// nothing. Its job was cancelled after the watermark: the confirmation came after that time, and
 /// `answering_ms` leaves a lease of `cancel_s`. Its job is unread: there is no response. A heartbeat that
@@ -85,7 +85,7 @@
     source: WatermarkSource,
     received: MonotonicMillis,
     answering_ms: u64,
-    listed: impl Iterator<Item = (T, JobKnowledge)>,
+    tasks: impl Iterator<Item = (T, JobKnowledge)>,
 ) -> Result<LeaseRenewal<T>, RenewalRefusal> {
     let watermark = match source {
         WatermarkSource::AllRecords(watermark) => watermark,
@@ -95,7 +95,7 @@
         return Err(RenewalRefusal::Behind);
     }
     let mut halts = Vec::new();
-    for (task, knowledge) in listed {
+    for (task, knowledge) in tasks {
         match knowledge {
             JobKnowledge::Open => {}
             JobKnowledge::Cancelled => halts.push(task),
--- a/crates/watermark/tests/watermark.rs
+++ b/crates/watermark/tests/watermark.rs
@@ -12,7 +12,7 @@
 use snowshelf_watermark::{CancellationWatermark, answering_ms, with_drift};
 use std::collections::BTreeSet;
 
-fn others() -> BTreeSet<Member> {
+fn peers() -> BTreeSet<Member> {
     ["b", "c"].map(Member::new).into()
 }
 
@@ -29,7 +29,7 @@
 /// Guards against an answer that lets a task live beyond `cancel_s`: of the two clocks one may be slow and
 /// the other fast.
 #[test]
-fn what_an_answer_keeps_alive_ends_within_the_time_for_cancelling() {
+fn what_a_renewal_keeps_alive_ends_within_cancel_s() {
     for (cancel_ms, lease_ms) in [(56_000, 31_000), (52_000, 22_000), (35_000, 10_000)] {
         let answering = answering_ms(cancel_ms, lease_ms);
         let (slow, most) = (1.0 + 0.0005, cancel_ms as f64);
@@ -71,7 +71,7 @@
 /// Guards against an answer that renews the lease of a task that is known to be cancelled and says nothing of it, and
 /// against one given before the jobs that the report lists have been read.
 #[test]
-fn an_answer_halts_what_is_cancelled_and_waits_for_what_is_unread() {
+fn a_renewal_halts_cancelled_tasks_and_is_refused_for_unread_jobs() {
     use JobKnowledge::*;
     let ask = |basis, listed: &[JobKnowledge]| {
         let listed = listed.iter().copied().enumerate();
@@ -95,11 +95,11 @@
 
 /// Guards against a horizon moved by words that do not prove it: each thing that can be missing.
 #[test]
-fn a_round_proves_nothing_unless_everybody_has_answered_it_in_full() {
+fn a_round_proves_nothing_unless_all_peers_have_answered_completely() {
     let mut a = ConfirmationRounds::new(7);
     let asked = MonotonicMillis(10_000);
     let question = a
-        .start_round(asked, MonotonicMillis(4_000), others())
+        .start_round(asked, MonotonicMillis(4_000), peers())
         .unwrap();
     assert_eq!((question.incarnation, question.sequence), (7, 1));
     assert!(question.window_ms >= 8_000);
@@ -141,12 +141,9 @@
         a.on_confirmation(MonotonicMillis(10_040), &answer("c", 7, 1)),
         Err(IgnoredConfirmation::OtherRound)
     );
-    assert_eq!(
-        a.start_round(MonotonicMillis(10_500), asked, others()),
-        None
-    );
+    assert_eq!(a.start_round(MonotonicMillis(10_500), asked, peers()), None);
     let next = a
-        .start_round(MonotonicMillis(11_100), asked, others())
+        .start_round(MonotonicMillis(11_100), asked, peers())
         .unwrap();
     assert_eq!(next.sequence, 2);
     assert_eq!(
@@ -154,12 +151,9 @@
         Err(IgnoredConfirmation::OtherRound)
     );
     // A round that is not answered is asked anew, from the same horizon.
+    assert_eq!(a.start_round(MonotonicMillis(12_500), asked, peers()), None);
     assert_eq!(
-        a.start_round(MonotonicMillis(12_500), asked, others()),
-        None
-    );
-    assert_eq!(
-        a.start_round(MonotonicMillis(12_700), asked, others())
+        a.start_round(MonotonicMillis(12_700), asked, peers())
             .unwrap()
             .sequence,
         3
@@ -168,7 +162,7 @@
 
 /// Guards against vouching for what an earlier life has told, or for more than is kept.
 #[test]
-fn a_count_that_does_not_reach_back_is_not_complete() {
+fn a_record_that_does_not_reach_back_is_incomplete() {
     let mut confirmed = ConfirmedCancellations::default();
     confirmed.start_recording(MonotonicMillis(1_000));
     let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
@@ -202,7 +196,7 @@
     /// moments, questions and answers take drawn times, lives end, and after each complete round everything that
     /// was told before its horizon has been named.
     #[test]
-    fn everything_told_before_the_horizon_is_known(
+    fn everything_confirmed_before_the_watermark_is_known(
         tells in prop::collection::vec((0..2usize, 0..60_000u64), 0..40),
         ends in prop::collection::vec((0..2usize, 0..60_000u64), 0..3),
         hops in prop::collection::vec((0..4_000u64, 0..4_000u64, 0..2u8), 60),
@@ -216,7 +210,7 @@
         let mut underway: Vec<(u64, PeerConfirmation)> = Vec::new();
         let mut drawn = hops.iter();
         for now in (1_000..60_000u64).step_by(50) {
-            if let Some(q) = asker.start_round(MonotonicMillis(now), watermark, others())
+            if let Some(q) = asker.start_round(MonotonicMillis(now), watermark, peers())
                 && let Some((to, back, lost)) = drawn.next()
             {
                 for (m, name) in ["b", "c"].into_iter().enumerate() {
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -13,7 +13,8 @@
 use reserving::{reserved, shut};
 use snowshelf_model::ids::{FencingToken, MachineId, MonotonicMillis, seconds_to_ms};
 use snowshelf_model::protocol::cloud::{
-    ListAnswer, Listed, ListedState, MachineType, RentAnswer, TypesAnswer, rent_body,
+    ListedMachine, ListedMachineState, MachineListResponse, MachineType, MachineTypesResponse,
+    ScaleOutResponse, scale_out_body,
 };
 use snowshelf_model::records::{JobState, Resources};
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,8 +39,8 @@
     next_name: u64,
     types_at: Option<MonotonicMillis>,
     list_at: Option<MonotonicMillis>,
-    listing: Option<(String, Vec<Listed>)>,
-    listed: BTreeMap<MachineId, Listed>,
+    listing: Option<(String, Vec<ListedMachine>)>,
+    listed: BTreeMap<MachineId, ListedMachine>,
     /// Answered by a rental, not listed yet.
     rented: BTreeMap<MachineId, Rented>,
     returned: BTreeMap<MachineId, MonotonicMillis>,
@@ -177,17 +178,21 @@
             CallOutcome::Unanswered => (0, b""),
         };
         match tag {
-            CloudTag::Types if status == 200 => match serde_json::from_slice::<TypesAnswer>(body) {
-                Ok(answer) => return Some(Some(answer.types)),
-                Err(error) => tracing::error!(%error, "machine types response unreadable"),
-            },
-            CloudTag::List if status == 200 => match serde_json::from_slice::<ListAnswer>(body) {
-                Ok(answer) => self.list_done(answer, context),
-                Err(error) => {
-                    tracing::error!(%error, "machine list response unreadable");
-                    self.listing = None;
+            CloudTag::Types if status == 200 => {
+                match serde_json::from_slice::<MachineTypesResponse>(body) {
+                    Ok(answer) => return Some(Some(answer.types)),
+                    Err(error) => tracing::error!(%error, "machine types response unreadable"),
                 }
-            },
+            }
+            CloudTag::List if status == 200 => {
+                match serde_json::from_slice::<MachineListResponse>(body) {
+                    Ok(answer) => self.list_done(answer, context),
+                    Err(error) => {
+                        tracing::error!(%error, "machine list response unreadable");
+                        self.listing = None;
+                    }
+                }
+            }
             CloudTag::List => self.listing = None,
             CloudTag::Rent(name) => self.rent_done(&name, status, body, context.effects),
             CloudTag::LeaderScaleIn(names) => {
@@ -207,7 +212,7 @@
         Some(None)
     }
 
-    fn list_done(&mut self, answer: ListAnswer, context: &mut Context) {
+    fn list_done(&mut self, answer: MachineListResponse, context: &mut Context) {
         let Some((after, found)) = &mut self.listing else {
             return;
         };
@@ -226,7 +231,7 @@
         self.returned.retain(|_, at| now.since(*at) < 10 * lag);
         let seen: BTreeSet<&MachineId> = found
             .iter()
-            .filter(|l| l.state != ListedState::Failed)
+            .filter(|l| l.state != ListedMachineState::Failed)
             .map(|l| &l.machine)
             .collect();
         // Once listed, a machine stays listed until it is gone, but a list may be older than the
@@ -270,7 +275,7 @@
         rent.underway = false;
         match status {
             200 => {
-                let answer = serde_json::from_slice::<RentAnswer>(body);
+                let answer = serde_json::from_slice::<ScaleOutResponse>(body);
                 let pool = rent.pool.clone();
                 let number = rent.number;
                 match answer {
@@ -380,7 +385,8 @@
         };
         for l in self.listed.values() {
             // What a drain empties is replaced while it still serves, and not counted twice.
-            if l.state != ListedState::Failed && !context.drains.leaving.contains(&l.machine) {
+            if l.state != ListedMachineState::Failed && !context.drains.leaving.contains(&l.machine)
+            {
                 add(Pool {
                     model: l.model.clone(),
                     zone: l.zone.clone(),
@@ -421,7 +427,7 @@
             self.next_name += 1;
             // The name holds the leadership's token, so no other leader ever uses it.
             let name = format!("r-{}-{}", self.fencing_token, self.next_name);
-            let body = rent_body(&name, &pool.model, &pool.zone, pool.spot, number);
+            let body = scale_out_body(&name, &pool.model, &pool.zone, pool.spot, number);
             let rent = Rent {
                 pool,
                 number,
@@ -457,10 +463,10 @@
             let ready_s = context.types.get(&l.model).map_or(60.0, |t| t.ready_s);
             let heard = self.heard.get(l.machine.as_str()).copied();
             let stale = match l.state {
-                ListedState::Failed => true,
-                ListedState::Booting => heard.is_none() && l.age_s > 3.0 * ready_s + 20.0,
+                ListedMachineState::Failed => true,
+                ListedMachineState::Booting => heard.is_none() && l.age_s > 3.0 * ready_s + 20.0,
                 // Up for long, and no owner has heard of it while all parts had owners.
-                ListedState::Running => {
+                ListedMachineState::Running => {
                     owned
                         && now.since(self.since) > seconds_to_ms(3.0 * lease_s + 20.0)
                         && l.age_s > 3.0 * ready_s + 3.0 * lease_s
--- a/src/coordination/autoscaler/seeing.rs
+++ b/src/coordination/autoscaler/seeing.rs
@@ -5,7 +5,7 @@
 use crate::coordination::placement::estimate;
 use snowshelf_drain::stepping::Seen;
 use snowshelf_model::ids::{MachineId, WallClockMillis, seconds_to_ms};
-use snowshelf_model::protocol::cloud::ListedState;
+use snowshelf_model::protocol::cloud::ListedMachineState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine is up for others once an owner has heard of it this lately.
@@ -39,7 +39,7 @@
         }
         let lag_ms = seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s);
         let listed = self.listed.values();
-        let listed = listed.filter(|l| l.state != ListedState::Failed);
+        let listed = listed.filter(|l| l.state != ListedMachineState::Failed);
         let seen = listed.map(|l| {
             let (busy, loses) = work.get(&l.machine).copied().unwrap_or_default();
             let heard = self.heard.get(l.machine.as_str());
@@ -50,7 +50,7 @@
                 model: l.model.clone(),
                 spot: l.spot,
                 rented: WallClockMillis(self.listed_wall.saturating_sub(age_ms)),
-                up: l.state == ListedState::Running
+                up: l.state == ListedMachineState::Running
                     && heard.is_some_and(|at| now.since(*at) <= HEARD_MS),
                 cpus: context.types.get(&l.model).map_or(0.0, |t| t.cpus),
                 busy,
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -80,7 +80,7 @@
             .map(|(name, reason)| DrainProgress {
                 drain: name.as_str().to_string(),
                 waits: reason.waits.clone(),
-                held: reason.held.iter().take(MOST_HELD).cloned().collect(),
+                blocked_by: reason.held.iter().take(MOST_HELD).cloned().collect(),
             })
             .collect()
     }
@@ -113,8 +113,8 @@
             self.with_shard(ShardId(hint.shard_id), |shard, context| {
                 hint.empty = shard.emptied(context).iter().map(text).collect();
                 hint.empty.truncate(3 * MOST_NAMES);
-                hint.sick = shard.sick().map(text).take(MOST_NAMES).collect();
-                hint.held = shard.held_back.iter().take(MOST_HELD).cloned().collect();
+                hint.failing_machines = shard.sick().map(text).take(MOST_NAMES).collect();
+                hint.blocked_by = shard.held_back.iter().take(MOST_HELD).cloned().collect();
                 let lost = shard.losing(now, context).into_iter();
                 let lost = lost.map(|(team, amount): (Team, Amount)| LostTasks {
                     team: team.as_str().to_string(),
@@ -123,7 +123,7 @@
                 });
                 hint.lost = lost.collect();
                 let again = shard.again(context).into_iter().take(MOST_AGAIN);
-                hint.again = again
+                hint.restarted = again
                     .map(|(job, tasks)| RestartedTasks {
                         job: job.as_str().to_string(),
                         tasks,
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -344,7 +344,7 @@
                         errors,
                     })
                     .collect(),
-                kept: shard
+                reserved: shard
                     .kept_room
                     .iter()
                     .map(|(team, k)| ReservedCpus {
@@ -352,7 +352,7 @@
                         cpus: k.promised,
                     })
                     .collect(),
-                heard: Vec::new(),
+                recent_heartbeats: Vec::new(),
                 stranded: offers(shard, StealOffer::Stranded),
                 overdue: offers(shard, StealOffer::Overdue),
                 ..ShardStatus::default()
@@ -363,7 +363,7 @@
         if let Some(first) = shards.first_mut() {
             let heard = self.shards.values().flat_map(|s| s.heard(now, HEARD_MS));
             let heard: BTreeSet<MachineId> = heard.cloned().collect();
-            first.heard = self.heard_turns.next(&heard, HEARD_BYTES);
+            first.recent_heartbeats = self.heard_turns.next(&heard, HEARD_BYTES);
         }
         let missing = self
             .autoscaler
@@ -374,8 +374,8 @@
         let within_ms = STRANGERS_REPORTS * self.config.settings.report_ms();
         let strangers = self.reachability.strangers(now, within_ms).into_iter();
         let hint = PeerStatus {
-            deaf: self.reachability.deaf || self.hears_none(),
-            strangers: strangers
+            unreachable_by_workers: self.reachability.deaf || self.hears_none(),
+            foreign_heartbeats: strangers
                 .map(|(shard_id, machines)| ForeignHeartbeats {
                     shard_id: shard_id.0,
                     machines,
@@ -384,9 +384,9 @@
             member: self.config.me.as_str().to_string(),
             state_silent_ms: self.state_silent_ms(),
             up_ms: now.since(self.started),
-            feed_silent_ms: now.since(self.list_watch.last_watch_at),
+            watch_silent_ms: now.since(self.list_watch.last_watch_at),
             shards,
-            short_of: short_of.into_iter().collect(),
+            quota_limited_teams: short_of.into_iter().collect(),
             missing,
             waits: self.drain_waits(),
         };
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -54,7 +54,7 @@
         for member in self.others().cloned().collect::<Vec<_>>() {
             let proof = PeerMessage {
                 request: Some(request.clone()),
-                attestation: None,
+                confirmation: None,
             };
             self.effects
                 .outputs
@@ -113,7 +113,7 @@
         if let Some(request) = proof.request {
             self.attest(&request);
         }
-        if let Some(attestation) = proof.attestation {
+        if let Some(attestation) = proof.confirmation {
             self.attested(attestation);
         }
     }
@@ -141,7 +141,7 @@
         };
         let proof = PeerMessage {
             request: None,
-            attestation: Some(attestation),
+            confirmation: Some(attestation),
         };
         self.effects.outputs.push(Effect::PeerMessage(asker, proof));
     }
--- a/src/coordination/gossip.rs
+++ b/src/coordination/gossip.rs
@@ -109,10 +109,10 @@
             // Guards against giving a part to a home that does not see it being given: others would
             // take it, and give it again, every second.
             .filter(|(_, h)| {
-                !h.deaf
+                !h.unreachable_by_workers
                     && h.up_ms >= SETTLED_MS
                     && h.state_silent_ms < 1_500
-                    && h.feed_silent_ms < SETTLED_MS
+                    && h.watch_silent_ms < SETTLED_MS
             })
             .map(|(m, _)| m)
             .collect();
@@ -124,20 +124,21 @@
 
     /// Whether a controller says that no worker reaches it.
     pub fn is_deaf(&self, now: MonotonicMillis, member: &Member) -> bool {
-        self.fresh(now).any(|(m, h)| m == member && h.deaf)
+        self.fresh(now)
+            .any(|(m, h)| m == member && h.unreachable_by_workers)
     }
 
     /// The most machines of a part that any one of the others has lately been reached by.
     pub fn strangers(&self, now: MonotonicMillis, shard_id: ShardId) -> u32 {
-        let fresh = self.fresh(now).filter(|(_, h)| !h.deaf);
-        let counts = fresh.flat_map(|(_, h)| h.strangers.iter());
+        let fresh = self.fresh(now).filter(|(_, h)| !h.unreachable_by_workers);
+        let counts = fresh.flat_map(|(_, h)| h.foreign_heartbeats.iter());
         let ours = counts.filter(|s| s.shard_id == shard_id.0);
         ours.map(|s| s.machines).max().unwrap_or(0)
     }
 
     pub fn short_of(&self, now: MonotonicMillis) -> BTreeSet<Team> {
         self.fresh(now)
-            .flat_map(|(_, h)| h.short_of.iter().map(|t| Team::new(t)))
+            .flat_map(|(_, h)| h.quota_limited_teams.iter().map(|t| Team::new(t)))
             .collect()
     }
 
@@ -193,7 +194,7 @@
         shards
             .flat_map(|p| {
                 let shard_id = ShardId(p.shard_id);
-                p.kept
+                p.reserved
                     .iter()
                     .map(move |k| ((shard_id, Team::new(&k.team)), k.cpus))
             })
@@ -213,7 +214,7 @@
             .filter_map(|w| {
                 let reason = Reason {
                     waits: w.waits.clone(),
-                    held: w.held.clone(),
+                    held: w.blocked_by.clone(),
                 };
                 Some((Name::parse(&w.drain)?, reason))
             })
@@ -228,8 +229,8 @@
                 list.iter().map(|m| MachineId::new(m)).collect()
             };
             heard.empty.extend(names(&shard_id.empty));
-            heard.sick.extend(names(&shard_id.sick));
-            heard.held.extend(shard_id.held.iter().cloned());
+            heard.sick.extend(names(&shard_id.failing_machines));
+            heard.held.extend(shard_id.blocked_by.iter().cloned());
         }
         heard
     }
@@ -240,7 +241,7 @@
         shards
             .flat_map(|p| {
                 let shard_id = ShardId(p.shard_id);
-                p.again
+                p.restarted
                     .iter()
                     .map(move |a| ((shard_id, JobId::new(&a.job)), a.tasks))
             })
@@ -268,7 +269,7 @@
     pub fn heard_machines(&self, now: MonotonicMillis) -> BTreeSet<String> {
         self.fresh(now)
             .flat_map(|(_, h)| h.shards.iter())
-            .flat_map(|p| p.heard.iter().cloned())
+            .flat_map(|p| p.recent_heartbeats.iter().cloned())
             .collect()
     }
 }
--- a/src/coordination/list_watch.rs
+++ b/src/coordination/list_watch/mod.rs
@@ -12,14 +12,16 @@
 //!
 //! Where the store no longer retains the events from the watched revision on, everything is read again.
 
+mod startup;
+
 use super::context::{Context, KvRequest};
 use crate::storage::kv_client::{KvResponse, RequestPriority, WatchOutcome, unexpected_response};
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{RangePage, WatchEvent, WatchEvents};
 use snowshelf_model::records::JOB_PREFIX;
-use snowshelf_reconciliation::startup_read::{CoveredRange, ReadPlan, ReadRequest, Stage};
-use std::collections::BTreeSet;
+use snowshelf_reconciliation::startup_read::{ReadRequest, Stage};
+use startup::{RequestSlot, StartupRead};
 
 /// Least time between two watch requests, so that a burst of changes comes in one response.
 const WATCH_GAP_MS: u64 = 150;
@@ -46,46 +48,6 @@
     Watch,
 }
 
-/// A startup read underway.
-#[derive(Default)]
-struct StartupRead {
-    plan: ReadPlan,
-    /// Keys that were cached when the first page came and that no page has covered yet.
-    unconfirmed: BTreeSet<String>,
-    /// The list request in flight.
-    request: Option<ReadRequest>,
-    /// The revision up to which the watch has been followed, once the first page has said from where. Unused
-    /// once everything open is cached.
-    watched_to: Option<Version>,
-    /// When the watch began.
-    watching_since: Option<MonotonicMillis>,
-    /// Everything open is cached; finished jobs are still read.
-    open_loaded: bool,
-    /// Keys that have been listed.
-    keys_listed: u64,
-    /// When the request for the first page was sent.
-    first_sent_at: MonotonicMillis,
-}
-
-/// Whether a request may be sent: at most one of its kind is in flight, and failures delay the next one.
-#[derive(Default)]
-struct RequestSlot {
-    in_flight: bool,
-    next_at: MonotonicMillis,
-    failures: u32,
-}
-
-impl RequestSlot {
-    fn is_free(&self, now: MonotonicMillis) -> bool {
-        !self.in_flight && now >= self.next_at
-    }
-
-    fn fail(&mut self, next_at: MonotonicMillis) {
-        self.next_at = next_at;
-        self.failures += 1;
-    }
-}
-
 /// The list-and-watch of all records.
 #[derive(Default)]
 pub struct ListWatch {
@@ -420,42 +382,3 @@
     let key = entry.delete.as_ref()?;
     context.records.apply(key, None, entry.version)
 }
-
-impl StartupRead {
-    /// A key's newest state has been applied: if it is a job's, the job need not be looked for.
-    fn mark_read(&mut self, key: &str) {
-        if let Some(job) = key.strip_prefix(JOB_PREFIX) {
-            self.plan.mark_read(&JobId::new(job));
-        }
-    }
-
-    /// Removes the unconfirmed keys in a range that has been listed: they have been deleted.
-    fn take_unconfirmed(&mut self, covered: &CoveredRange) -> Vec<String> {
-        let deleted: Vec<String> = self
-            .unconfirmed
-            .range(covered.after.clone()..)
-            .take_while(|key| covered.last.as_ref().is_none_or(|last| *key <= last))
-            .filter(|key| covered.contains(key))
-            .cloned()
-            .collect();
-        for key in &deleted {
-            self.unconfirmed.remove(key);
-        }
-        deleted
-    }
-
-    /// Once no job is missing: requires those that have become known to be needed meanwhile.
-    fn require_jobs(&mut self, context: &Context) {
-        self.plan
-            .require_jobs(context.records.missing_jobs().iter());
-        // Jobs cached before may have changed while the watch was interrupted.
-        let unconfirmed = self.unconfirmed.iter();
-        let jobs = unconfirmed.filter_map(|key| key.strip_prefix(JOB_PREFIX));
-        let jobs: Vec<JobId> = jobs.map(JobId::new).collect();
-        self.plan.require_jobs(jobs.iter());
-        if context.records.has_open_runs() {
-            self.plan.require_finished_jobs();
-        }
-        self.plan.end_jobs_if_none_missing();
-    }
-}
--- a/tests/cancellation_confirmation.rs
+++ b/tests/cancellation_confirmation.rs
@@ -33,7 +33,7 @@
     };
     PeerMessage {
         request: Some(request),
-        attestation: None,
+        confirmation: None,
     }
 }
 
@@ -50,7 +50,7 @@
     );
     let proofs = outputs.into_iter().filter_map(|output| match output {
         Effect::PeerMessage(member, proof) => {
-            Some((member.as_str().to_string(), proof.attestation?))
+            Some((member.as_str().to_string(), proof.confirmation?))
         }
         _ => None,
     });
@@ -101,7 +101,7 @@
         };
         let proof = PeerMessage {
             request: None,
-            attestation: Some(attestation),
+            confirmation: Some(attestation),
         };
         assert_eq!(answers(&mut controller, proof, 50), []);
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -338,10 +338,10 @@
         ops: snowshelf::operator::OperatorSettings::default(),
         can: Default::default(),
     };
-    let hint = |feed_silent_ms| PeerStatus {
+    let hint = |watch_silent_ms| PeerStatus {
         member: "b".into(),
         up_ms: 60_000,
-        feed_silent_ms,
+        watch_silent_ms,
         ..PeerStatus::default()
     };
     let mut peers = Gossip::default();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -681,10 +681,10 @@
     let mut told: BTreeSet<String> = BTreeSet::new();
     for message in 0..6 {
         let shard_id = ShardStatus {
-            heard: heard.next(&names, HEARD_BYTES),
+            recent_heartbeats: heard.next(&names, HEARD_BYTES),
             ..ShardStatus::default()
         };
-        told.extend(shard_id.heard.iter().cloned());
+        told.extend(shard_id.recent_heartbeats.iter().cloned());
         let hint = PeerStatus {
             missing: missing.next(&names, MISSING_BYTES),
             shards: vec![shard_id],
