--- a/crates/calendar/examples/admissions.rs
+++ b/crates/calendar/examples/admissions.rs
@@ -17,6 +17,7 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
+#[expect(clippy::too_many_lines, reason = "one measurement after the other")]
 fn main() {
     let entries: usize = std::env::args()
         .nth(1)
--- a/crates/calendar/src/admission.rs
+++ b/crates/calendar/src/admission.rs
@@ -34,7 +34,7 @@
             return Err(Refusal::OverLimit(limit));
         }
         let most = pools.iter().map(|p| bounds.pools[*p]);
-        let most = most.fold(Amount::ZERO, |sum, a| sum.plus(a));
+        let most = most.fold(Amount::ZERO, Amount::plus);
         let fits: i64 = pools
             .iter()
             .map(|p| wanted.amount.parts_in(bounds.pools[*p]))
--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -1,8 +1,8 @@
 //! The calendar: what is reserved and closed.
 //!
-//! A reservation holds the same places for its whole time: its amount is divided over the pools (a zone
-//! and a machine type) that it may use, those with most room first. What was taken is never divided
-//! anew, so that whoever was told where and when can rely on it.
+//! A reservation has the same pools for its whole time: its amount is divided over the pools (a zone and a
+//! machine type) that it may use, those with most free resources first. An accepted reservation is never
+//! divided again, so that its owner can rely on where and when it is.
 
 use crate::amount::Amount;
 use crate::entry::{Name, Reservation, Window};
@@ -15,11 +15,15 @@
 /// A zone and a machine type.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Pool {
+    /// The zone.
     pub zone: Arc<str>,
+    /// The machine type.
     pub model: Arc<str>,
 }
 
 impl Pool {
+    /// The pool of a zone and a machine type.
+    #[must_use]
     pub fn new(zone: &str, model: &str) -> Pool {
         Pool {
             zone: zone.into(),
@@ -28,19 +32,20 @@
     }
 }
 
-/// What the deployment can have at the most.
+/// The bounds of the deployment.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Bounds {
-    /// By pool, `BOUNDLESS` where nothing is known.
+    /// The capacity of each pool, [`Amount::BOUNDLESS`] where it is not known.
     pub pools: BTreeMap<Pool, Amount>,
-    /// By team.
+    /// The limit of each team.
     pub limits: BTreeMap<Team, Amount>,
-    /// How far ahead things are planned.
+    /// How far ahead entries are planned, in milliseconds.
     pub horizon_ms: u64,
+    /// Most reservations and windows together.
     pub most_entries: usize,
 }
 
-/// A window and when it comes, as far as is planned.
+/// A window and its occurrences, as far as is planned.
 #[derive(Clone, Debug)]
 pub(crate) struct Closing {
     pub window: Arc<Window>,
@@ -51,13 +56,15 @@
 
 /// The most occurrences of one window that are planned.
 pub(crate) const MOST_TIMES: usize = 1_100;
-/// A request may begin so long before it arrives.
+/// How long before its arrival the time of a request may begin, in milliseconds.
 pub(crate) const ARRIVAL_MS: u64 = 60_000;
 
+/// The accepted reservations and windows, with the amounts that are booked over time. A clone shares
+/// everything that is not changed in it.
 #[derive(Clone, Debug, Default)]
 pub struct Calendar {
     pub(crate) bounds: Arc<Bounds>,
-    /// Up to when recurring windows are worked out.
+    /// Up to when the occurrences of windows are computed.
     pub(crate) planned: WallClockMillis,
     pub(crate) reservations: OrdMap<Name, Arc<Reservation>>,
     pub(crate) windows: OrdMap<Name, Closing>,
@@ -66,7 +73,7 @@
     pub(crate) closed: OrdMap<Pool, Timeline>,
 }
 
-/// A closed pool counts one of these.
+/// The amount that a closing books in `closed`.
 const CLOSED: Amount = Amount {
     cpus: 1,
     gpus: 0,
@@ -75,6 +82,7 @@
 
 impl Calendar {
     /// An empty calendar, planned from `now` on.
+    #[must_use]
     pub fn new(bounds: Arc<Bounds>, now: WallClockMillis) -> Calendar {
         Calendar {
             planned: WallClockMillis(now.0.saturating_add(bounds.horizon_ms)),
@@ -83,33 +91,49 @@
         }
     }
 
-    /// Whether it is planned as far as it should be, but for a day.
+    /// Whether it is planned as far ahead as the bounds say, less a day.
+    #[must_use]
     pub fn plans_ahead(&self, now: WallClockMillis) -> bool {
         let ahead = self.planned.0.saturating_sub(now.0);
         ahead.saturating_add(DAY_MS) >= self.bounds.horizon_ms
     }
 
-    /// Whether it is still right for these bounds.
+    /// Whether it is still valid for these bounds.
+    #[must_use]
     pub fn serves(&self, bounds: &Bounds, now: WallClockMillis) -> bool {
         *self.bounds == *bounds && self.plans_ahead(now)
     }
 
+    /// Up to when it is planned.
+    #[must_use]
     pub fn planned(&self) -> WallClockMillis {
         self.planned
     }
+
+    /// The bounds that it was made for.
+    #[must_use]
     pub fn bounds(&self) -> &Arc<Bounds> {
         &self.bounds
     }
+
+    /// The reservation with this name.
+    #[must_use]
     pub fn reservation(&self, name: &Name) -> Option<&Arc<Reservation>> {
         self.reservations.get(name)
     }
+
+    /// The window with this name.
+    #[must_use]
     pub fn window(&self, name: &Name) -> Option<&Arc<Window>> {
         self.windows.get(name).map(|c| &c.window)
     }
+
+    /// All reservations.
     pub fn reservations(&self) -> impl Iterator<Item = (&Name, &Arc<Reservation>)> {
         self.reservations.iter()
     }
-    /// Windows with their planned times.
+
+    /// All windows with their planned occurrences.
     pub fn windows(
         &self,
     ) -> impl Iterator<Item = (&Name, &Arc<Window>, &[(WallClockMillis, WallClockMillis)])> {
@@ -117,16 +141,20 @@
             .iter()
             .map(|(n, c)| (n, &c.window, &c.times[..]))
     }
+
+    /// Number of reservations and windows.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.reservations.len() + self.windows.len()
     }
+
+    /// Whether there is neither a reservation nor a window.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    // ---- what was taken, as the records say -----------------------------------------------
-
-    /// Puts a reservation in, or takes it out, without asking whether it fits.
+    /// Inserts or removes a reservation, without checking whether it fits.
     pub fn set_reservation(&mut self, name: &Name, new: Option<Arc<Reservation>>) {
         if let Some(old) = self.reservations.remove(name) {
             self.book(&old, false);
@@ -151,7 +179,7 @@
         self.teams.insert(r.team.clone(), change(&line, r.amount));
     }
 
-    /// Puts a window in, or takes it out, without asking whether it may be.
+    /// Inserts or removes a window, without checking for conflicts.
     pub fn set_window(&mut self, name: &Name, new: Option<Arc<Window>>, now: WallClockMillis) {
         if let Some(old) = self.windows.remove(name) {
             self.close(&old, false);
@@ -187,9 +215,8 @@
             .collect()
     }
 
-    // ---- what holds now and soon ----------------------------------------------------------
-
-    /// What is reserved in a pool at a moment.
+    /// The amount reserved in a pool at a time.
+    #[must_use]
     pub fn reserved_at(&self, pool: &Pool, at: WallClockMillis) -> Amount {
         self.booked
             .get(pool)
@@ -197,7 +224,8 @@
             .unwrap_or_default()
     }
 
-    /// Whether a pool is closed at any moment from `from` to before `until`.
+    /// Whether a pool is closed at any time from `from` to before `until`.
+    #[must_use]
     pub fn closed_within(
         &self,
         pool: &Pool,
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -1,4 +1,4 @@
-//! Reservations and windows: as users write them, checked field by field, and as they are kept.
+//! Reservations and maintenance windows: the requests of users, validated field by field, and the records.
 
 use crate::amount::Amount;
 use crate::recur::Rule;
@@ -17,10 +17,14 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// Letters, digits, `.`, `_` and `-`, a letter or digit first, 64 bytes at the most.
+    /// Parses a name: 1 to 64 letters, digits, `.`, `_` and `-`, a letter or digit first.
+    #[must_use]
     pub fn parse(text: &str) -> Option<Name> {
         is_valid_name(text, b"._-").then(|| Name(text.into()))
     }
+
+    /// The name's text.
+    #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -38,11 +42,13 @@
     }
 }
 
-/// What is wrong with a request, and where.
+/// A field of a request that is missing or invalid. Its text is part of the response.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{field}: {why}")]
 pub struct Malformed {
+    /// The path of the field.
     pub field: String,
+    /// What is wrong with it.
     pub why: String,
 }
 
@@ -87,35 +93,42 @@
     list.iter().try_for_each(|t| short_text(t))
 }
 
-/// A reservation as its owner asks for it.
+/// A request for a reservation.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize, Validate)]
 pub struct ReservationRequest {
+    /// The reservation's name.
     #[garde(custom(is_name))]
     pub name: String,
+    /// The team that it is for.
     #[garde(custom(text))]
     pub team: String,
+    /// CPUs.
     #[garde(range(min = 0.001, max = 1e9))]
     pub cpus: f64,
+    /// GPUs.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e9))]
     pub gpus: f64,
+    /// Gigabytes of memory.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e9))]
     pub mem_gb: f64,
-    /// The only zone; none: any.
+    /// The zone that is required; `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(custom(some_text))]
     pub zone: Option<String>,
-    /// The only machine types; none: any.
+    /// The machine types that are allowed; `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(custom(texts))]
     pub types: Option<Vec<String>>,
-    /// Whether cheap machines, which may be taken back, will do.
+    /// Whether spot instances will do.
     #[serde(default)]
     #[garde(skip)]
     pub spot: bool,
+    /// When it begins.
     #[garde(skip)]
     pub from: Timestamp,
+    /// When it ends.
     #[garde(skip)]
     pub until: Timestamp,
     /// Whether it may be moved to the first time that fits.
@@ -124,42 +137,51 @@
     pub movable: bool,
 }
 
-/// A maintenance window as its owner declares it: either from and until, or a rule.
+/// A request for a maintenance window: either with from and until, or with a rule.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize, Validate)]
 pub struct WindowRequest {
+    /// The window's name.
     #[garde(custom(is_name))]
     pub name: String,
+    /// The zone that it closes.
     #[garde(custom(text))]
     pub zone: String,
+    /// The machine types that it closes; `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(custom(texts))]
     pub types: Option<Vec<String>>,
+    /// When it begins.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub from: Option<Timestamp>,
+    /// When it ends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub until: Option<Timestamp>,
+    /// Its recurrence.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub rule: Option<Rule>,
-    /// How long before it nothing starts that would run into it; none: at any time.
+    /// How long before it, in seconds, no task is started that would run into it; `None`: at any time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 0.0, max = 1e8))]
     pub lead_s: Option<f64>,
-    /// Whether it is declared over reservations too.
+    /// Whether it is accepted although it conflicts with reservations.
     #[serde(default)]
     #[garde(skip)]
     pub force: bool,
 }
 
-/// Reads a request and checks every field of it; the error names the first that is not sound.
+/// Parses a request and validates its fields.
+///
+/// # Errors
+/// The first field that is missing or invalid.
 pub fn read<T: DeserializeOwned + Validate<Context = ()>>(body: &[u8]) -> Result<T, Malformed> {
     let mut reader = serde_json::Deserializer::from_slice(body);
     let request: T = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
         let path = e.path().to_string();
         let why = e.inner().to_string();
-        // A missing field is told of at the object that lacks it.
+        // The parser reports a missing field at the object that lacks it.
         let missing = why
             .split('`')
             .nth(1)
@@ -184,33 +206,45 @@
     Ok(request)
 }
 
-/// A moment as this process keeps it; before 1970 there is none.
+/// Converts a time; times before 1970 are invalid.
 fn moment(field: &str, at: Timestamp) -> Result<WallClockMillis, Malformed> {
     let ms = u64::try_from(at.as_millisecond());
     ms.map(WallClockMillis)
         .map_err(|_| malformed(field, "lies before 1970"))
 }
 
-/// A moment as users read it.
+/// A time as users read it.
+#[must_use]
 pub fn shown(at: WallClockMillis) -> String {
     let ms = i64::try_from(at.0).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(ms).map_or_else(|_| format!("{ms} ms"), |t| t.to_string())
 }
 
-/// What is asked for, before it is known where it may be had.
+/// A validated request for a reservation, not yet divided over pools.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Wanted {
+    /// The team that it is for.
     pub team: Team,
+    /// The amount.
     pub amount: Amount,
+    /// The zone that is required; `None`: any.
     pub zone: Option<String>,
+    /// The machine types that are allowed, sorted; `None`: all.
     pub types: Option<Vec<String>>,
+    /// Whether spot instances will do.
     pub spot: bool,
+    /// When it begins.
     pub from: WallClockMillis,
+    /// When it ends.
     pub until: WallClockMillis,
+    /// Whether it may be moved to the first time that fits.
     pub movable: bool,
 }
 
-/// Reads a reservation's request.
+/// Parses a request for a reservation.
+///
+/// # Errors
+/// The first field that is missing or invalid.
 pub fn parse_reservation(body: &[u8]) -> Result<(Name, Wanted), Malformed> {
     let request: ReservationRequest = read(body)?;
     let name = Name::parse(&request.name).ok_or(malformed("name", "is no name"))?;
@@ -244,7 +278,10 @@
     Ok((name, wanted))
 }
 
-/// Reads a window's request; also whether it is forced.
+/// Parses a request for a maintenance window; also whether it is forced.
+///
+/// # Errors
+/// The first field that is missing or invalid.
 pub fn parse_window(body: &[u8]) -> Result<(Name, Window, bool), Malformed> {
     let request: WindowRequest = read(body)?;
     let name = Name::parse(&request.name).ok_or(malformed("name", "is no name"))?;
@@ -275,38 +312,50 @@
     Ok((name, window, request.force))
 }
 
-/// A part of a reservation's amount, in one place.
+/// The part of a reservation's amount that is reserved in one pool.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Share {
+    /// The pool's zone.
     #[serde(rename = "z")]
     pub zone: String,
+    /// The pool's machine type.
     #[serde(rename = "t")]
     pub model: String,
+    /// The amount.
     #[serde(rename = "a")]
     pub amount: Amount,
 }
 
-/// `res/<name>`: a reservation that was taken.
+/// `res/<name>`: a reservation that was accepted.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Reservation {
+    /// The team that it is for.
     pub team: Team,
+    /// The whole amount.
     pub amount: Amount,
+    /// The zone that was required, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// The machine types that were allowed, if not all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// Whether spot instances will do.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
+    /// When it begins.
     pub from: WallClockMillis,
+    /// When it ends.
     pub until: WallClockMillis,
-    /// When it was asked for, if it was moved.
+    /// The beginning that was requested, if it was moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moved_from: Option<WallClockMillis>,
+    /// The pools that it is divided over.
     pub shares: Vec<Share>,
 }
 
 impl Reservation {
-    /// Whether a request asks for just this.
+    /// Whether a request is for exactly this reservation.
+    #[must_use]
     pub fn answers(&self, wanted: &Wanted) -> bool {
         let asked = self.moved_from.unwrap_or(self.from);
         let long = self.until.0 - self.from.0.min(self.until.0);
@@ -320,29 +369,39 @@
     }
 }
 
+/// When a maintenance window is.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum When {
+    /// Once.
     Once {
+        /// When it begins.
         from: WallClockMillis,
+        /// When it ends.
         until: WallClockMillis,
     },
+    /// It recurs.
     Again(Rule),
 }
 
-/// `win/<name>`: a maintenance window that was declared.
+/// `win/<name>`: a maintenance window that was accepted.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Window {
+    /// The zone that it closes.
     pub zone: String,
+    /// The machine types that it closes; `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// When it is.
     pub when: When,
+    /// How long before it, in seconds, no task is started that would run into it; `None`: at any time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lead_s: Option<f64>,
 }
 
 impl Window {
-    /// Its occurrences that end after `from` and begin before `until`.
+    /// Its occurrences that end after `from` and begin before `until`, in order, at most `most`.
+    #[must_use]
     pub fn occurrences(
         &self,
         from: WallClockMillis,
@@ -358,6 +417,8 @@
         }
     }
 
+    /// Whether it closes the pool of this zone and machine type.
+    #[must_use]
     pub fn concerns(&self, zone: &str, model: &str) -> bool {
         let mut types = self.types.iter().flatten();
         self.zone == zone && (self.types.is_none() || types.any(|t| t == model))
--- a/crates/calendar/tests/model.rs
+++ b/crates/calendar/tests/model.rs
@@ -209,6 +209,7 @@
 }
 
 /// Every clash named is an entry that overlaps and takes of what is short.
+#[expect(clippy::too_many_lines, reason = "one case for each refusal")]
 fn named_are_real(plain: &Plain, wanted: &Wanted, refusal: &Refusal) -> Result<(), TestCaseError> {
     let Refusal::Clash {
         short,
--- a/crates/reconciliation/tests/decision_table.rs
+++ b/crates/reconciliation/tests/decision_table.rs
@@ -197,6 +197,10 @@
     }
 
     /// Every state that one event leads to.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "a list of events, one after the other"
+    )]
     fn next(&self, reconcile: ReconcileFn, seen: &mut Seen) -> Vec<Model> {
         let mut next = Vec::new();
         let mut event = |change: &mut dyn FnMut(&mut Model) -> bool| {
@@ -249,7 +253,7 @@
                     goes(TaskState::Exited, Some(ExitReason::Error));
                 }
                 Some((TaskState::Checkpointing, _)) => {
-                    goes(TaskState::Exited, Some(ExitReason::Stopped))
+                    goes(TaskState::Exited, Some(ExitReason::Stopped));
                 }
                 _ => {}
             }
--- a/crates/watermark/tests/watermark.rs
+++ b/crates/watermark/tests/watermark.rs
@@ -7,7 +7,8 @@
 };
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use snowshelf_watermark::renewal::{
-    JobKnowledge, RenewalRefusal, WatermarkSource, authorize_renewal, is_covered, may_start,
+    JobKnowledge, LeaseRenewal, RenewalRefusal, WatermarkSource, authorize_renewal, is_covered,
+    may_start,
 };
 use snowshelf_watermark::{CancellationWatermark, answering_ms, with_drift};
 use std::collections::BTreeSet;
@@ -75,7 +76,7 @@
     use JobKnowledge::*;
     let ask = |basis, listed: &[JobKnowledge]| {
         let listed = listed.iter().copied().enumerate();
-        authorize_renewal(basis, MonotonicMillis(50), 100, listed).map(|r| r.into_halts())
+        authorize_renewal(basis, MonotonicMillis(50), 100, listed).map(LeaseRenewal::into_halts)
     };
     for basis in [
         WatermarkSource::AllRecords(Some(MonotonicMillis(5))),
--- a/src/coordination/list_watch/mod.rs
+++ b/src/coordination/list_watch/mod.rs
@@ -98,7 +98,7 @@
     }
 
     /// Sends the requests that are due.
-    pub fn tick(&mut self, context: &mut Context) {
+    pub fn tick(&mut self, context: &mut Context<'_>) {
         if !self.complete && self.startup.is_none() {
             self.generation += 1;
             context.records.begin_startup_read();
@@ -108,7 +108,7 @@
         self.send_watch_request(context);
     }
 
-    fn send_list_request(&mut self, context: &mut Context) {
+    fn send_list_request(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let Some(startup) = &mut self.startup else {
             return;
@@ -155,7 +155,7 @@
         startup.request = Some(request);
     }
 
-    fn send_watch_request(&mut self, context: &mut Context) {
+    fn send_watch_request(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let watched_to = match &self.startup {
             Some(startup) if !startup.open_loaded => startup.watched_to,
@@ -187,7 +187,7 @@
         &mut self,
         request: ListWatchRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         match (request, response) {
             (ListWatchRequest::List, KvResponse::List(page)) => self.on_page(page, context),
@@ -216,7 +216,7 @@
         Some((startup, request))
     }
 
-    fn on_page(&mut self, page: Option<RangePage>, context: &mut Context) -> Vec<RecordChange> {
+    fn on_page(&mut self, page: Option<RangePage>, context: &mut Context<'_>) -> Vec<RecordChange> {
         let Some(page) = page else {
             self.list_slot.in_flight = false;
             let doublings = self.list_slot.failures.min(LIST_RETRY_DOUBLINGS);
@@ -255,7 +255,7 @@
     fn on_recent_changes(
         &mut self,
         outcome: WatchOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         // After some failures the read goes on without: such a response may never come in time.
         let failures = self.list_slot.failures;
@@ -296,7 +296,7 @@
     }
 
     /// Passes the read's stage on to the cache, and ends the read once it is complete.
-    fn advance_startup(&mut self, context: &mut Context) {
+    fn advance_startup(&mut self, context: &mut Context<'_>) {
         let Some(startup) = &mut self.startup else {
             return;
         };
@@ -326,7 +326,7 @@
         }
     }
 
-    fn on_watch(&mut self, outcome: WatchOutcome, context: &mut Context) -> Vec<RecordChange> {
+    fn on_watch(&mut self, outcome: WatchOutcome, context: &mut Context<'_>) -> Vec<RecordChange> {
         self.watch_slot.in_flight = false;
         if self.watch_generation != self.generation {
             return Vec::new();
@@ -346,7 +346,11 @@
         Vec::new()
     }
 
-    fn apply_events(&mut self, events: &WatchEvents, context: &mut Context) -> Vec<RecordChange> {
+    fn apply_events(
+        &mut self,
+        events: &WatchEvents,
+        context: &mut Context<'_>,
+    ) -> Vec<RecordChange> {
         self.watch_slot.failures = 0;
         let mut changes = Vec::new();
         let mut startup = self.startup.as_mut().filter(|s| !s.open_loaded);
@@ -373,7 +377,7 @@
     }
 }
 
-fn apply_event(entry: &WatchEvent, context: &mut Context) -> Option<RecordChange> {
+fn apply_event(entry: &WatchEvent, context: &mut Context<'_>) -> Option<RecordChange> {
     if let Some(key) = &entry.put {
         return context
             .records
--- a/src/coordination/list_watch/startup.rs
+++ b/src/coordination/list_watch/startup.rs
@@ -70,7 +70,7 @@
     }
 
     /// Once no job is missing: requires those that have become known to be needed meanwhile.
-    pub(super) fn require_jobs(&mut self, context: &Context) {
+    pub(super) fn require_jobs(&mut self, context: &Context<'_>) {
         self.plan
             .require_jobs(context.records.missing_jobs().iter());
         // Jobs cached before may have changed while the watch was interrupted.
--- a/src/storage/record_cache/apply.rs
+++ b/src/storage/record_cache/apply.rs
@@ -152,6 +152,10 @@
         };
     }
 
+    #[allow(
+        clippy::too_many_lines,
+        reason = "a table: one arm for each kind of record"
+    )]
     fn store(&mut self, state: KeyState<'_>) -> Option<RecordChange> {
         Some(match state.key.parse().ok()? {
             RecordKey::Job(job) => self.store_job(job, state),
