--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -6,7 +6,8 @@
 
 pub use planning::{Have, Pool, Want, plan};
 
-use super::context::{CloudClient, CloudTag, Context};
+use super::cloud_client::{CloudClient, CloudRequest};
+use super::context::Context;
 use super::placement::patience_s;
 use super::shard::reservations::stay_ms;
 use crate::effects::{CallOutcome, Effects, Method};
@@ -104,12 +105,12 @@
         let now = context.now();
         let types_due = self.types_at.is_none_or(|at| now.since(at) > 30_000)
             || (context.types.is_empty() && self.types_at.is_none_or(|at| now.since(at) > 4_500));
-        if types_due && self.cloud.may(now) {
+        if types_due && self.cloud.may_call(now) {
             self.types_at = Some(now);
             let path = "/machine_types".to_string();
             self.cloud.call(
                 context.effects,
-                CloudTag::Types,
+                CloudRequest::ListMachineTypes,
                 Method::Get,
                 path,
                 Vec::new(),
@@ -118,7 +119,7 @@
         let lag = seconds_to_ms(context.config.settings.deployment.cloud.list_lag_s).max(2_000);
         let list_due = self.list_at.is_none_or(|at| now.since(at) > lag)
             || (self.listing.is_some() && self.list_at.is_some_and(|at| now.since(at) > 4_500));
-        if list_due && self.cloud.may(now) {
+        if list_due && self.cloud.may_call(now) {
             self.list_at = Some(now);
             self.listing = Some((String::new(), Vec::new()));
             self.list_page(context);
@@ -130,13 +131,13 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in again {
-            if self.cloud.may(now) {
+            if self.cloud.may_call(now) {
                 self.order(&name, context);
             }
         }
         if self.have_list && now.since(self.plan_at) >= 500 && !context.types.is_empty() {
             self.plan_at = now;
-            if self.cloud.may(now) {
+            if self.cloud.may_call(now) {
                 self.rent(context);
             }
             self.give_back(owned, context);
@@ -156,7 +157,7 @@
         };
         self.cloud.call(
             context.effects,
-            CloudTag::List,
+            CloudRequest::ListMachines,
             Method::Get,
             path,
             Vec::new(),
@@ -170,7 +171,7 @@
         result: &CallOutcome,
         context: &mut Context,
     ) -> Option<Option<Vec<MachineType>>> {
-        let tag = self.cloud.done(id, result)?;
+        let tag = self.cloud.on_response(id, result)?;
         let now = context.now();
         let (status, body): (u16, &[u8]) = match result {
             CallOutcome::Response { status, body } => (*status, body),
@@ -178,13 +179,13 @@
             CallOutcome::Unanswered => (0, b""),
         };
         match tag {
-            CloudTag::Types if status == 200 => {
+            CloudRequest::ListMachineTypes if status == 200 => {
                 match serde_json::from_slice::<MachineTypesResponse>(body) {
                     Ok(answer) => return Some(Some(answer.types)),
                     Err(error) => tracing::error!(%error, "machine types response unreadable"),
                 }
             }
-            CloudTag::List if status == 200 => {
+            CloudRequest::ListMachines if status == 200 => {
                 match serde_json::from_slice::<MachineListResponse>(body) {
                     Ok(answer) => self.list_done(answer, context),
                     Err(error) => {
@@ -193,9 +194,9 @@
                     }
                 }
             }
-            CloudTag::List => self.listing = None,
-            CloudTag::Rent(name) => self.rent_done(&name, status, body, context.effects),
-            CloudTag::LeaderScaleIn(names) => {
+            CloudRequest::ListMachines => self.listing = None,
+            CloudRequest::ScaleOut(name) => self.rent_done(&name, status, body, context.effects),
+            CloudRequest::LeaderScaleIn(names) => {
                 self.releasing = false;
                 if status == 200 {
                     for name in names {
@@ -207,7 +208,7 @@
                     }
                 }
             }
-            CloudTag::Types | CloudTag::ShardScaleIn(..) => {}
+            CloudRequest::ListMachineTypes | CloudRequest::ShardScaleIn(..) => {}
         }
         Some(None)
     }
@@ -332,7 +333,7 @@
             if !context.dependency_graph.is_ready(id, &record.value) {
                 continue;
             }
-            let waited_s = context.dependency_graph.waited_s(id, &record.value);
+            let waited_s = context.dependency_graph.blocked_s(id, &record.value);
             let mut tasks = 0;
             for shard_id in &record.value.shards {
                 if let Some(a) = context.records.allocations.get(&(*shard_id, id.clone())) {
@@ -421,7 +422,7 @@
             brings(b).total_cmp(&brings(a))
         });
         for (pool, number) in orders {
-            if !self.cloud.may(now) {
+            if !self.cloud.may_call(now) {
                 break;
             }
             self.next_name += 1;
@@ -446,7 +447,7 @@
         if let Some(rent) = self.rents.get_mut(name) {
             rent.underway = true;
             let body = rent.body.clone();
-            let tag = CloudTag::Rent(name.to_string());
+            let tag = CloudRequest::ScaleOut(name.to_string());
             self.cloud
                 .call(context.effects, tag, Method::Post, "/hosts".into(), body);
         }
@@ -479,11 +480,11 @@
             }
         }
         back.truncate(100);
-        if !back.is_empty() && self.cloud.may(now) {
+        if !back.is_empty() && self.cloud.may_call(now) {
             self.releasing = true;
             self.cloud.release(
                 context.effects,
-                CloudTag::LeaderScaleIn(back.clone()),
+                CloudRequest::LeaderScaleIn(back.clone()),
                 &back,
             );
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,11 @@
-//! Who decides what: ownership of parts, a part's scheduler, the users' gateway, the leader's fleet.
+//! The actors of one controller: leases and shard leadership, a shard's scheduler, the job API, the cluster leader's
+//! autoscaler and drains, and what they use in common.
 
 pub mod api;
 pub mod autoscaler;
+pub mod cloud_client;
+mod conditional_write;
+pub mod config;
 pub mod context;
 pub mod controller;
 pub mod dag_runs;
@@ -12,10 +16,15 @@
 pub mod images;
 mod lease_renewal;
 pub mod leases;
+mod list_request;
 pub mod list_watch;
 mod pending_requests;
 pub mod placement;
 mod query;
 pub mod reachability;
+mod request_error;
 pub mod reservations;
 pub mod shard;
+pub mod shard_capacity;
+pub mod storage_budget;
+mod unavailable;
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -2,7 +2,8 @@
 
 use super::reservations::rented_ahead_ms;
 use super::{Shard, requeue};
-use crate::coordination::context::{CloudTag, Context};
+use crate::coordination::cloud_client::CloudRequest;
+use crate::coordination::context::Context;
 use crate::effects::Response;
 use snowshelf_drain::entry::Then;
 use snowshelf_model::ids::{Attempt, JobId, MachineId, TaskIndex, seconds_to_ms};
@@ -32,7 +33,7 @@
             let frozen = self.may_be_frozen(&name, context);
             let busy = holds || self.kept_ready(&name, ahead_ms, context);
             // What a drain keeps empty is not handed back, and what it returns goes when it is empty.
-            let then = context.drains.closed.get(&name).map(|c| c.then);
+            let then = context.drains.cordoned.get(&name).map(|c| c.then);
             let Some(m) = self.machines.get_mut(&name) else {
                 continue;
             };
@@ -68,12 +69,12 @@
                 back.push(name);
             }
         }
-        if !back.is_empty() && !self.releasing && context.cloud.may(now) {
+        if !back.is_empty() && !self.releasing && context.cloud.may_call(now) {
             back.truncate(100);
             self.releasing = true;
             context.cloud.release(
                 context.effects,
-                CloudTag::ShardScaleIn(self.id, self.fencing_token, back.clone()),
+                CloudRequest::ShardScaleIn(self.id, self.fencing_token, back.clone()),
                 &back,
             );
         }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,13 +2,17 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf::coordination::api::split;
-use snowshelf::coordination::dependencies::DependencyGraph;
-use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
-use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
+use snowshelf::coordination::api::partition;
+use snowshelf::coordination::dependencies::{DependencyGraph, GraphSource};
+use snowshelf::coordination::gossip::{
+    HEARTBEAT_NAMES_BYTES, MISSING_NAMES_BYTES, RoundRobinNames,
+};
+use snowshelf::coordination::leases::{KeyHolder, LeaseDecision, RoleObservation, decide_lease};
 use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
+use snowshelf::coordination::shard_capacity::ShardCapacity;
+use snowshelf::coordination::storage_budget::RequestRates;
 use snowshelf::storage::record_cache::{FinishedJob, RecordCache, VersionedRecord};
-use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
+use snowshelf::transport::http::{Parsed, parse_request, parse_response};
 use snowshelf_model::ids::{
     Attempt, FencingToken, JobId, MachineId, ShardId, TaskIndex, Version, WallClockMillis,
 };
@@ -125,11 +129,14 @@
         }
     }
     let length = |_: &snowshelf_model::records::JobSpec| 10_000;
+    let source = GraphSource {
+        jobs: &open,
+        dependencies_of: &|_, r| Some(r.dependencies.iter().collect()),
+        finished_job: &|id| finals.get(id).copied(),
+        duration_ms: &length,
+    };
     DependencyGraph::build(
-        &open,
-        |_, r| Some(r.dependencies.iter().collect()),
-        |id| finals.get(id).copied(),
-        length,
+        &source,
         WallClockMillis(50_000),
         &DependencyGraph::default(),
     )
@@ -162,7 +169,7 @@
     #[test]
     fn parsers_survive_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&bytes);
-        let _ = parse_answer(&bytes, true);
+        let _ = parse_response(&bytes, true);
         let _ = parse_submission(&bytes);
         let _ = serde_json::from_slice::<Heartbeat>(&bytes);
     }
@@ -181,8 +188,12 @@
         }
         whole.extend(std::iter::repeat_n(b'G', extra));
         match parse_request(&whole) {
-            Parsed::Whole(request, used, close) => {
-                prop_assert_eq!(used, size);
+            Parsed::Complete {
+                message: request,
+                consumed,
+                close,
+            } => {
+                prop_assert_eq!(consumed, size);
                 prop_assert_eq!(request.body, body);
                 prop_assert_eq!(request.path, "/api/jobs");
                 prop_assert!(!close);
@@ -344,7 +355,7 @@
                 }
             }
             let doomed = above.iter().any(|x| records[*x].state == JobState::Cancelled);
-            prop_assert_eq!(graph.doomed.contains(&name(n)), doomed);
+            prop_assert_eq!(graph.unsatisfiable.contains(&name(n)), doomed);
             // No open job above is less urgent than this one, by at least its own length.
             if circles || doomed {
                 continue;
@@ -353,13 +364,13 @@
             if let Some(deadline) = r.spec.as_ref().unwrap().deadline_s {
                 let own = 1_000 + (deadline * 1000.0) as u64 - 10_000;
                 // Outside of all pipelines the deadline counts where the aims do.
-                prop_assert!(mine.latest.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
+                prop_assert!(mine.latest_start.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
             }
             for x in dependencies(n).into_iter().filter(|x| !records[*x].is_final()) {
                 let theirs = graph.urgency(&name(x), records[x].spec.as_ref().unwrap());
                 prop_assert!(theirs.priority >= mine.priority);
-                if let Some(latest) = mine.latest {
-                    prop_assert!(theirs.latest.unwrap().0 <= latest.0.saturating_sub(10_000));
+                if let Some(latest) = mine.latest_start {
+                    prop_assert!(theirs.latest_start.unwrap().0 <= latest.0.saturating_sub(10_000));
                 }
             }
         }
@@ -384,10 +395,10 @@
         spec.tasks = tasks;
         spec.gang = bound;
         let free: BTreeMap<ShardId, ShardCapacity> = free.iter().enumerate().map(|(i, f)| (ShardId(i as u32), ShardCapacity { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
-        let shares = split(&id, &spec, 0.0, 3, &free);
+        let shares = partition(&id, &spec, 0.0, 3, &free);
         let mut all = TaskRanges::default();
-        for (_, spans) in &shares {
-            all.merge(spans);
+        for assignment in &shares {
+            all.merge(&assignment.tasks);
         }
         prop_assert_eq!(all, TaskRanges::range(0, tasks, 1));
         prop_assert!(!bound || shares.len() == 1);
@@ -431,28 +442,38 @@
 #[test]
 fn a_part_is_taken_from_nobody_who_may_still_hold_it() {
     let v = Version(9);
+    let other = Some(KeyHolder {
+        is_self: false,
+        version: v,
+    });
+    let own = Some(KeyHolder {
+        is_self: true,
+        version: v,
+    });
+    let decide = |holder, fencing_token, preferred, vacant_ms| {
+        decide_lease(&RoleObservation {
+            holder,
+            fencing_token,
+            preferred,
+            vacant_ms,
+        })
+    };
+    assert_eq!(decide(other, None, true, 99_999), LeaseDecision::Keep);
     assert_eq!(
-        decide_lease(Some((false, v)), None, true, 99_999),
-        LeaseDecision::Keep
-    );
-    assert_eq!(
-        decide_lease(Some((true, v)), Some(FencingToken(9)), true, 0),
+        decide(own, Some(FencingToken(9)), true, 0),
         LeaseDecision::Keep
     );
     // A name from an earlier life, or a claim whose answer was lost: taken again at once.
+    assert_eq!(decide(own, None, false, 0), LeaseDecision::Acquire(v));
     assert_eq!(
-        decide_lease(Some((true, v)), None, false, 0),
-        LeaseDecision::Acquire(v)
-    );
-    assert_eq!(
-        decide_lease(Some((true, v)), Some(FencingToken(4)), true, 0),
+        decide(own, Some(FencingToken(4)), true, 0),
         LeaseDecision::Acquire(v)
     );
     assert_eq!(
-        decide_lease(None, None, true, 0),
+        decide(None, None, true, 0),
         LeaseDecision::Acquire(Version(0))
     );
-    assert_eq!(decide_lease(None, None, false, 10), LeaseDecision::Keep);
+    assert_eq!(decide(None, None, false, 10), LeaseDecision::Keep);
 }
 
 /// Samples of the records that the version before pipelines wrote: read for ever.
@@ -601,16 +622,15 @@
     }
     let ready = |records: &RecordCache| {
         let finished_job = |id: &JobId| records.finished_job(id);
-        let dependencies_of = |id: &JobId, r| records.dependencies_of(id, r);
         let length = |_: &snowshelf_model::records::JobSpec| 10_000;
-        let graph = DependencyGraph::build(
-            &records.jobs,
-            dependencies_of,
-            finished_job,
-            length,
-            WallClockMillis(9),
-            &DependencyGraph::default(),
-        );
+        let source = GraphSource {
+            jobs: &records.jobs,
+            dependencies_of: &|id, r| records.dependencies_of(id, r),
+            finished_job: &finished_job,
+            duration_ms: &length,
+        };
+        let graph =
+            DependencyGraph::build(&source, WallClockMillis(9), &DependencyGraph::default());
         graph.is_ready(&name(1), &records.jobs[&name(1)].value)
     };
     for (n, piece) in pieces.iter().enumerate() {
@@ -657,13 +677,16 @@
         "POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         64 * 1024 + 1
     );
-    assert!(matches!(parse_request(long.as_bytes()), Parsed::Bad(413)));
+    assert!(matches!(
+        parse_request(long.as_bytes()),
+        Parsed::Invalid(413)
+    ));
     assert!(matches!(
         parse_request(b"\0\0 rubbish\r\n\r\n"),
-        Parsed::Bad(400)
+        Parsed::Invalid(400)
     ));
     let twice = b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n";
-    assert!(matches!(parse_request(twice), Parsed::Bad(400)));
+    assert!(matches!(parse_request(twice), Parsed::Invalid(400)));
     let unknown = JobId::new("x");
     assert_eq!(unknown.as_str(), "x");
 }
@@ -681,12 +704,12 @@
     let mut told: BTreeSet<String> = BTreeSet::new();
     for message in 0..6 {
         let shard_id = ShardStatus {
-            recent_heartbeats: heard.next(&names, HEARD_BYTES),
+            recent_heartbeats: heard.next(&names, HEARTBEAT_NAMES_BYTES),
             ..ShardStatus::default()
         };
         told.extend(shard_id.recent_heartbeats.iter().cloned());
         let hint = PeerStatus {
-            missing: missing.next(&names, MISSING_BYTES),
+            missing: missing.next(&names, MISSING_NAMES_BYTES),
             shards: vec![shard_id],
             ..PeerStatus::default()
         };
@@ -702,7 +725,7 @@
     // Few enough are told of at once, each time.
     names.retain(|n| n.as_str() < "n-001000");
     for _ in 0..3 {
-        assert_eq!(heard.next(&names, HEARD_BYTES).len(), names.len());
+        assert_eq!(heard.next(&names, HEARTBEAT_NAMES_BYTES).len(), names.len());
     }
 }
 
@@ -715,13 +738,13 @@
     fn budgets_follow_the_parts_and_never_pass_the_whole(
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
-        use snowshelf::coordination::controller::own_rates;
         let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
-        let of = |node: usize| own_rates(&storage_limits, 5, owners.iter().filter(|o| **o == node).count());
-        let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
+        let rates = |led| RequestRates::of_controller(&storage_limits, 5, led);
+        let of = |node: usize| rates(owners.iter().filter(|o| **o == node).count());
+        let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.requests_per_s, a.1 + b.writes_per_s));
         prop_assert!(requests <= rps && writes <= write_rps, "{requests} of {rps}, {writes} of {write_rps}");
         prop_assert!(requests > 0.9 * rps && writes > 0.9 * write_rps);
-        let (alone, _) = own_rates(&storage_limits, 5, 5);
-        prop_assert!(alone > 2.0 * own_rates(&storage_limits, 5, 1).0);
+        let alone = rates(5).requests_per_s;
+        prop_assert!(alone > 2.0 * rates(1).requests_per_s);
     }
 }
