--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -9,7 +9,7 @@
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority};
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis};
-use snowshelf_model::protocol::user::{self, BadField, Submission};
+use snowshelf_model::protocol::user::{self, InvalidField, Submission};
 use snowshelf_model::records::{JobSpec, RecordFormat, job_key};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -104,7 +104,7 @@
             }
         };
         let job = &submission.job;
-        if let Some(end) = context.records.final_of(job) {
+        if let Some(end) = context.records.finished_job(job) {
             self.respond_final(connection, job, end, JobReadPurpose::Resubmit, context);
             return;
         }
@@ -152,11 +152,11 @@
         &mut self,
         connection: ConnectionId,
         body: &[u8],
-        error: BadField,
+        error: InvalidField,
         context: &mut Context,
     ) {
         tracing::info!(%error, "submission rejected: malformed");
-        match user::named(body) {
+        match user::submitted_job(body) {
             // Guards against forgetting a job that was accepted: only the key-value store knows that it
             // was not.
             Some(job) => {
@@ -179,7 +179,7 @@
         let missing: BTreeSet<JobId> = submission
             .dependencies
             .iter()
-            .filter(|dependency| !is_cached && !context.records.knows_job(dependency))
+            .filter(|dependency| !is_cached && !context.records.contains_job(dependency))
             .cloned()
             .collect();
         if missing.is_empty() {
@@ -187,7 +187,9 @@
             return Ok(());
         }
         if missing.len() > MAX_DEPENDENCY_LOOKUPS
-            || !context.kv.may(context.now(), RequestPriority::Accept, 0)
+            || !context
+                .kv
+                .has_budget(context.now(), RequestPriority::Admission, 0)
         {
             return Err(Unavailable::DependenciesNotCached);
         }
@@ -227,7 +229,7 @@
             || self.admission.len() >= MAX_PENDING_BESIDE_RUN
             || !context
                 .kv
-                .may(context.now(), RequestPriority::Starts, WRITES_PER_JOB)
+                .has_budget(context.now(), RequestPriority::TaskStarts, WRITES_PER_JOB)
         {
             return false;
         }
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -4,7 +4,7 @@
 use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::unavailable::Unavailable;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use crate::storage::record_cache::{Final, Versioned};
+use crate::storage::record_cache::{FinishedJob, VersionedRecord};
 use serde_json::Value;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
@@ -71,11 +71,13 @@
         connection: ConnectionId,
         job: &JobId,
         purpose: JobReadPurpose,
-        record: &Versioned<JobRecord>,
+        record: &VersionedRecord<JobRecord>,
         context: &mut Context,
     ) {
         let cancelled = context.job_value(&context.cancelled(&record.value));
-        let may_write = context.kv.may(context.now(), RequestPriority::Accept, 1);
+        let may_write = context
+            .kv
+            .has_budget(context.now(), RequestPriority::Admission, 1);
         let Some(cancelled) = cancelled.filter(|_| may_write) else {
             let unavailable = Unavailable::RateLimited.into();
             context.effects.respond(connection, unavailable);
@@ -112,12 +114,12 @@
             retries,
         } = self.cancellations.by_users.remove(&id)?;
         match outcome {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 tracing::info!(%job, "job cancelled");
                 context
                     .records
                     .apply(&job_key(&job), Some(&cancelled), revision);
-                let end = Final {
+                let end = FinishedJob {
                     state: JobState::Cancelled,
                     tasks: 0,
                     ended: None,
@@ -152,7 +154,7 @@
         }
         cancellations.last_cascade_at = now;
         cancellations.backoff_until.retain(|_, until| *until > now);
-        let budget = context.kv.room(now, RequestPriority::Accept);
+        let budget = context.kv.write_budget(now, RequestPriority::Admission);
         let max_writes = context.storage_limits.txn_ops.min(budget);
         cancellations.requested_by_runs.retain(|job| {
             let cached = context.records.jobs.get(job);
@@ -178,7 +180,11 @@
             batch.push(CascadeCancellation { job, cancelled });
         }
         let writes = swap.mutations.len();
-        if batch.is_empty() || !context.kv.may(now, RequestPriority::Accept, writes) {
+        if batch.is_empty()
+            || !context
+                .kv
+                .has_budget(now, RequestPriority::Admission, writes)
+        {
             return;
         }
         let id = self.next_request_id();
@@ -198,7 +204,7 @@
         let backoff_until = &mut self.cancellations.backoff_until;
         let retry_at = context.now().plus(CASCADE_BACKOFF_MS);
         match outcome {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for CascadeCancellation { job, cancelled } in &batch {
                     tracing::info!(%job, "job cancelled: dependency or run cancelled");
                     context
@@ -232,7 +238,7 @@
         job: &JobId,
         led_shards: &BTreeSet<ShardId>,
         context: &'a Context,
-    ) -> Option<&'a Versioned<JobRecord>> {
+    ) -> Option<&'a VersionedRecord<JobRecord>> {
         let record = context.records.jobs.get(job)?;
         let from_run = self.requested_by_runs.contains(job) && record.value.run;
         let first_shard = record.value.shards.first();
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -106,7 +106,10 @@
             return;
         }
         let writes = swap.mutations.len();
-        if !context.kv.may(now, RequestPriority::Accept, writes) {
+        if !context
+            .kv
+            .has_budget(now, RequestPriority::Admission, writes)
+        {
             for submission in batch.submissions.into_iter().rev() {
                 self.admission.ready.push_front(submission);
             }
@@ -123,7 +126,7 @@
         let now = context.now();
         // A batch larger than the budget has room for would wait until the bucket is full, while
         // smaller writes keep drawing on it.
-        let budget = context.kv.room(now, RequestPriority::Accept);
+        let budget = context.kv.write_budget(now, RequestPriority::Admission);
         let max_writes = context.storage_limits.txn_ops.min(budget);
         let mut builder = BatchBuilder {
             batch: CommitBatch::default(),
@@ -240,7 +243,7 @@
             return;
         };
         match outcome {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for RecordWrite { key, value } in &writes {
                     context.records.apply(key, Some(value), revision);
                 }
@@ -254,9 +257,9 @@
                     self.retry_after_conflict(submission, is_known, context);
                 }
             }
-            SwapOutcome::NotDone
-            | SwapOutcome::NoLease
-            | SwapOutcome::Refused
+            SwapOutcome::NotApplied
+            | SwapOutcome::LeaseExpired
+            | SwapOutcome::Rejected
             | SwapOutcome::Unknown => {
                 // If it was carried out after all, the repeated submission finds the job.
                 for connection in submissions.into_iter().flat_map(|s| s.connections) {
@@ -272,12 +275,12 @@
         let PendingSubmission { job, spec, .. } = &submission;
         tracing::info!(job = %job, team = %spec.team, class = %spec.class, tasks = spec.tasks,
             dependencies = submission.dependencies.len(), "job accepted");
-        let end = context.records.final_of(job);
+        let end = context.records.finished_job(job);
         let state = end.map_or(JobState::Open, |end| end.state);
         if state == JobState::Cancelled {
-            self.confirmed_cancellations.tell(job, context.now());
+            self.confirmed_cancellations.record(job, context.now());
         }
-        let body = user::brief(job, user::state_word(state, 0));
+        let body = user::job_state_body(job, user::job_state_label(state, 0));
         for connection in submission.connections {
             let created = Response::new(201, body.clone());
             context.effects.respond(connection, created);
@@ -325,7 +328,12 @@
     assignments: &[ShardAssignment],
     context: &Context,
 ) -> JobRecord {
-    let state_of = |dependency: &JobId| context.records.final_of(dependency).map(|end| end.state);
+    let state_of = |dependency: &JobId| {
+        context
+            .records
+            .finished_job(dependency)
+            .map(|end| end.state)
+    };
     let is_cancelled = |dependency: &JobId| {
         state_of(dependency) == Some(JobState::Cancelled)
             || context.dependency_graph.unsatisfiable.contains(dependency)
--- a/src/coordination/api/dependency_chunks.rs
+++ b/src/coordination/api/dependency_chunks.rs
@@ -36,7 +36,7 @@
             }
             let max_writes = context
                 .kv
-                .room(now, RequestPriority::Accept)
+                .write_budget(now, RequestPriority::Admission)
                 .min(context.storage_limits.txn_ops);
             let job = &chunked.submission.job;
             let mut swap = CompareAndSwap::default().compare(job_key(job), Version::default());
@@ -45,7 +45,11 @@
                 swap = swap.mutate(Mutation::put(key, chunk));
             }
             let writes = swap.mutations.len();
-            if max_writes == 0 || !context.kv.may(now, RequestPriority::Accept, writes) {
+            if max_writes == 0
+                || !context
+                    .kv
+                    .has_budget(now, RequestPriority::Admission, writes)
+            {
                 continue;
             }
             chunked.in_flight = writes;
@@ -68,7 +72,7 @@
         outcome: &SwapOutcome,
         context: &mut Context,
     ) {
-        if let (SwapOutcome::Done(_), Some(chunked)) =
+        if let (SwapOutcome::Applied(_), Some(chunked)) =
             (outcome, self.admission.chunked.get_mut(&id))
         {
             chunked.written += std::mem::take(&mut chunked.in_flight);
--- a/src/coordination/api/feasibility.rs
+++ b/src/coordination/api/feasibility.rs
@@ -59,10 +59,10 @@
         gpus: team.gpus_max,
     };
     let least = spec.resources.times(f64::from(concurrent_tasks));
-    if !quota.covers(Grant::of(least)) {
+    if !quota.covers(Grant::from(least)) {
         return Err(RejectionReason::ExceedsQuota);
     }
-    if spec.together && spec.apart && spec.tasks > 1 {
+    if spec.gang && spec.spread && spec.tasks > 1 {
         return Err(RejectionReason::TogetherAndApart);
     }
     Ok(())
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -5,13 +5,13 @@
 use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
 use crate::storage::kv_client::{GetOutcome, RequestPriority};
-use crate::storage::record_cache::{Final, Versioned};
+use crate::storage::record_cache::{FinishedJob, VersionedRecord};
 use serde::Deserialize;
 use snowshelf_model::ids::{ConnectionId, JobId};
 use snowshelf_model::protocol::state::KeyValue;
 use snowshelf_model::protocol::user;
 use snowshelf_model::records::{JobRecord, JobState, job_key};
-use snowshelf_watermark::renewal::known;
+use snowshelf_watermark::renewal::is_covered;
 use std::rc::Rc;
 
 /// Timeout of the read of a job's record, in milliseconds.
@@ -20,7 +20,7 @@
 /// Whether this controller knows the cancellations that others have confirmed, but for the last moments.
 pub(super) fn cancellations_known(context: &Context) -> bool {
     let answering_ms = context.config.settings.answering_ms();
-    known(context.watermark, context.now(), answering_ms)
+    is_covered(context.watermark, context.now(), answering_ms)
 }
 
 impl JobApi {
@@ -32,7 +32,7 @@
         purpose: JobReadPurpose,
         context: &mut Context,
     ) {
-        if let Some(end) = context.records.final_of(job) {
+        if let Some(end) = context.records.finished_job(job) {
             self.respond_final(connection, job, end, purpose, context);
             return;
         }
@@ -59,9 +59,9 @@
             JobReadPurpose::Resubmit
             | JobReadPurpose::Reject(_)
             | JobReadPurpose::Malformed(_)
-            | JobReadPurpose::Cancel => RequestPriority::Accept,
+            | JobReadPurpose::Cancel => RequestPriority::Admission,
         };
-        if !context.kv.may(context.now(), priority, 0) {
+        if !context.kv.has_budget(context.now(), priority, 0) {
             let unavailable = Unavailable::RateLimited.into();
             context.effects.respond(connection, unavailable);
             return;
@@ -104,9 +104,9 @@
         };
         // Guards against a response that was in flight while the job was accepted or ended, and its user
         // answered so here: the record cache goes first where it is newer.
-        let end = context.records.final_of(job).or_else(|| {
+        let end = context.records.finished_job(job).or_else(|| {
             let record = found.as_ref().map(|v| &*v.value);
-            record.filter(|r| r.is_final()).map(Final::of)
+            record.filter(|r| r.is_final()).map(FinishedJob::from)
         });
         if let Some(end) = end {
             self.respond_final(connection, job, end, purpose, context);
@@ -145,11 +145,15 @@
             context.effects.respond(connection, unavailable);
             return;
         }
-        let (done, running) = context.records.counts(job, &record.shards, record.tasks);
-        let state = user::state_word(record.state, running);
+        let counts = context
+            .records
+            .task_counts(job, &record.shards, record.tasks);
+        let state = user::job_state_label(record.state, counts.running);
         let body = match purpose {
-            JobReadPurpose::Poll => user::full(job, state, done, running),
-            _ => user::brief(job, state),
+            JobReadPurpose::Poll => {
+                user::job_status_body(job, state, counts.finished, counts.running)
+            }
+            _ => user::job_state_body(job, state),
         };
         context
             .effects
@@ -161,26 +165,26 @@
         &mut self,
         connection: ConnectionId,
         job: &JobId,
-        end: Final,
+        end: FinishedJob,
         purpose: JobReadPurpose,
         context: &mut Context,
     ) {
         if end.state == JobState::Cancelled {
-            self.confirmed_cancellations.tell(job, context.now());
+            self.confirmed_cancellations.record(job, context.now());
         }
-        let state = user::state_word(end.state, 0);
+        let state = user::job_state_label(end.state, 0);
         let body = match purpose {
             JobReadPurpose::Poll => {
                 let done = match end.state {
                     JobState::Done => end.tasks,
                     _ => 0,
                 };
-                user::full(job, state, done, 0)
+                user::job_status_body(job, state, done, 0)
             }
             JobReadPurpose::Resubmit
             | JobReadPurpose::Reject(_)
             | JobReadPurpose::Malformed(_)
-            | JobReadPurpose::Cancel => user::brief(job, state),
+            | JobReadPurpose::Cancel => user::job_state_body(job, state),
         };
         self.cancellations.forget_retries(connection);
         context
@@ -193,12 +197,12 @@
 fn decode_record(
     item: &KeyValue,
     context: &mut Context,
-) -> Result<Versioned<JobRecord>, Unavailable> {
+) -> Result<VersionedRecord<JobRecord>, Unavailable> {
     let record = JobRecord::deserialize(&item.value).map_err(|_| Unavailable::UnreadableRecord)?;
     context
         .records
         .apply(&item.key, Some(&item.value), item.version);
-    Ok(Versioned {
+    Ok(VersionedRecord {
         version: item.version,
         value: Rc::new(record),
     })
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -25,7 +25,7 @@
 use capacity::CapacityEstimate;
 use commit::Commits;
 use snowshelf_model::ids::{ConnectionId, JobId, MonotonicMillis, ShardId, Team};
-use snowshelf_model::protocol::user::BadField;
+use snowshelf_model::protocol::user::InvalidField;
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use status_polls::StatusPolls;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
     /// A submission that can never run, unless the job was accepted before.
     Reject(RejectionReason),
     /// A submission with a field that is wrong or missing, unless the job was accepted before.
-    Malformed(BadField),
+    Malformed(InvalidField),
     /// A cancellation.
     Cancel,
 }
@@ -94,7 +94,7 @@
     #[must_use]
     pub fn new(now: MonotonicMillis) -> JobApi {
         let mut job_api = JobApi::default();
-        job_api.confirmed_cancellations.begin(now);
+        job_api.confirmed_cancellations.start_recording(now);
         job_api
     }
 
--- a/src/coordination/api/status_polls.rs
+++ b/src/coordination/api/status_polls.rs
@@ -64,7 +64,7 @@
         let now = context.now();
         let max_polls = COMPARISONS_PER_MUTATION * context.storage_limits.txn_ops;
         while let Some(batch) = self.polls.take_batch(max_polls, now) {
-            if !context.kv.may(now, RequestPriority::Reads, 0) {
+            if !context.kv.has_budget(now, RequestPriority::Reads, 0) {
                 for poll in batch {
                     let unavailable = Unavailable::RateLimited.into();
                     context.effects.respond(poll.connection, unavailable);
@@ -95,7 +95,7 @@
     ) {
         let batch = self.polls.in_flight.remove(&id).unwrap_or_default();
         match outcome {
-            SwapOutcome::Done(_) => {
+            SwapOutcome::Applied(_) => {
                 for poll in batch {
                     self.respond_from_cache(&poll, context);
                 }
@@ -111,9 +111,9 @@
                     }
                 }
             }
-            SwapOutcome::NoLease
-            | SwapOutcome::Refused
-            | SwapOutcome::NotDone
+            SwapOutcome::LeaseExpired
+            | SwapOutcome::Rejected
+            | SwapOutcome::NotApplied
             | SwapOutcome::Unknown => {
                 for poll in batch {
                     let unavailable = Unavailable::StoreNotResponding.into();
@@ -127,7 +127,7 @@
     fn respond_from_cache(&mut self, poll: &StatusPoll, context: &mut Context) {
         let StatusPoll { connection, job } = poll;
         let purpose = JobReadPurpose::Poll;
-        if let Some(end) = context.records.final_of(job) {
+        if let Some(end) = context.records.finished_job(job) {
             self.respond_final(*connection, job, end, purpose, context);
         } else if let Some(cached) = context.records.jobs.get(job).cloned() {
             self.respond_open(*connection, job, &cached.value, purpose, context);
--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -45,7 +45,7 @@
     /// Whether the request rate allows one more call now.
     #[must_use]
     pub fn may_call(&mut self, now: MonotonicMillis) -> bool {
-        self.bucket.has(now, 1.0, 0.0)
+        self.bucket.has_tokens(now, 1.0, 0.0)
     }
 
     /// Calls the cloud. Whether the rate allows it has been checked before.
@@ -57,7 +57,7 @@
         path: String,
         body: Vec<u8>,
     ) {
-        self.bucket.take(1.0);
+        self.bucket.consume(1.0);
         let id = effects.call(Target::Cloud, method, path, body, CALL_TIMEOUT_MS);
         self.in_flight.insert(id, request);
     }
@@ -84,7 +84,7 @@
         } = outcome
         {
             tracing::info!("cloud rate limit exceeded");
-            self.bucket.take(1.0);
+            self.bucket.consume(1.0);
         }
         Some(request)
     }
--- a/src/coordination/controller/dependency_tracker.rs
+++ b/src/coordination/controller/dependency_tracker.rs
@@ -51,7 +51,7 @@
         let source = GraphSource {
             jobs: &records.jobs,
             dependencies_of: &|id, record| records.dependencies_of(id, record),
-            final_of: &|id| records.final_of(id),
+            finished_job: &|id| records.finished_job(id),
             duration_ms: &|spec: &JobSpec| {
                 seconds_to_ms(estimate(spec, default_run_s) + spec.pull_gb / slowest_fetch)
             },
@@ -76,7 +76,7 @@
         }
         tracker.last_lookup_at = now;
         for job in tracker.graph.unknown.iter().take(MAX_LOOKUPS) {
-            if env.kv.may(now, RequestPriority::Ends, 0) {
+            if env.kv.has_budget(now, RequestPriority::TaskEnds, 0) {
                 let request = KvRequest::JobLookup(job.clone());
                 let key = job_key(job);
                 env.kv
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -56,7 +56,7 @@
     /// Counts the tasks that are lost, and those that run again, in all shards.
     fn count_disrupted_tasks(&mut self) {
         let now = self.env.now();
-        let watch_lags = now.since(self.list_watch.feed_at) > MAX_WATCH_LAG_MS;
+        let watch_lags = now.since(self.list_watch.last_watch_at) > MAX_WATCH_LAG_MS;
         self.env.drains.counted_at = now;
         let constraints = &mut self.env.drains.constraints;
         constraints.records_fresh = self.env.records.loaded && !watch_lags;
@@ -124,7 +124,7 @@
             .map(|(name, reason)| DrainProgress {
                 drain: name.as_str().to_string(),
                 waits: reason.waits_for.clone(),
-                held: reason.blockers.iter().take(MAX_REASONS).cloned().collect(),
+                blocked_by: reason.blockers.iter().take(MAX_REASONS).cloned().collect(),
             })
             .collect()
     }
@@ -140,13 +140,13 @@
             self.with_shard(ShardId(status.shard_id), |shard, context| {
                 status.empty = shard.emptied(context).iter().map(text).collect();
                 status.empty.truncate(MAX_EMPTY_MACHINES);
-                status.sick = shard.sick().map(text).take(MAX_NAMES).collect();
+                status.failing_machines = shard.sick().map(text).take(MAX_NAMES).collect();
                 let reasons = shard.held_back.iter().take(MAX_REASONS);
-                status.held = reasons.cloned().collect();
+                status.blocked_by = reasons.cloned().collect();
                 let lost = shard.losing(now, context).into_iter();
                 status.lost = lost.map(lost_tasks).collect();
                 let restarted = shard.again(context).into_iter().take(MAX_RESTARTED_JOBS);
-                status.again = restarted
+                status.restarted = restarted
                     .map(|(job, tasks)| RestartedTasks {
                         job: job.as_str().to_string(),
                         tasks,
--- a/src/coordination/controller/environment.rs
+++ b/src/coordination/controller/environment.rs
@@ -91,7 +91,7 @@
 
     /// For how long the key-value store has not served this controller.
     pub(super) fn unserved_ms(&self) -> u64 {
-        let last_served = self.kv.served.unwrap_or(self.started_at);
+        let last_served = self.kv.last_served_at.unwrap_or(self.started_at);
         self.now().since(last_served)
     }
 
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::effects::Response;
 use snowshelf_model::ids::{ConnectionId, Member, MonotonicMillis, ShardId, shard_of};
-use snowshelf_model::protocol::worker::{Heartbeat, redirect};
+use snowshelf_model::protocol::worker::{Heartbeat, redirect_body};
 use snowshelf_watermark::renewal::RenewalRefusal;
 
 /// For so long after its start a controller defers heartbeats for shards that it is about to lead.
@@ -138,7 +138,7 @@
                 && !is_led_here
                 && !self.gossip.is_unreachable_by_workers(now, holder)
         });
-        let body = redirect(leader.map(Member::as_str));
+        let body = redirect_body(leader.map(Member::as_str));
         let response = Response::new(HTTP_MISDIRECTED_REQUEST, body);
         self.env.effects.respond(conn, response);
     }
--- a/src/coordination/controller/job_lookups.rs
+++ b/src/coordination/controller/job_lookups.rs
@@ -39,7 +39,7 @@
         for job in unread {
             if env.job_lookups.in_flight.len() < MAX_IN_FLIGHT
                 && !env.job_lookups.in_flight.contains_key(&job)
-                && env.kv.may(now, RequestPriority::Accept, 0)
+                && env.kv.has_budget(now, RequestPriority::Admission, 0)
             {
                 env.job_lookups.in_flight.insert(job.clone(), now);
                 let key = job_key(&job);
@@ -63,7 +63,7 @@
         }
         if let Some(sent_at) = env.job_lookups.in_flight.remove(&job) {
             match &outcome {
-                GetOutcome::Found(_) => self.list_watch.read_alone(&job, sent_at),
+                GetOutcome::Found(_) => self.list_watch.on_single_read(&job, sent_at),
                 GetOutcome::NotFound(_) => {
                     env.job_lookups.absent.insert(job.clone());
                 }
--- a/src/coordination/controller/machine_types.rs
+++ b/src/coordination/controller/machine_types.rs
@@ -31,7 +31,7 @@
 
     /// Takes the types over from the record cache.
     pub(super) fn refresh(&mut self, records: &RecordCache) {
-        if let Some(types) = &records.types {
+        if let Some(types) = &records.machine_types {
             let types = types.value.iter();
             self.by_name = types.map(|t| (t.label.clone(), t.clone())).collect();
         }
@@ -42,7 +42,7 @@
     /// Stores the machine types for all controllers, if they have changed and this controller leads the cluster.
     pub(super) fn publish_machine_types(&mut self, types: Vec<MachineType>) {
         let env = &mut self.env;
-        let published = env.records.types.as_ref();
+        let published = env.records.machine_types.as_ref();
         let is_published = published.is_some_and(|v| *v.value == types);
         let value = serde_json::to_value(&types).unwrap_or_default();
         if !env.storage_limits.accepts(&value) {
@@ -54,7 +54,9 @@
         }
         if is_published
             || env.machine_types.publishing
-            || !env.kv.may(env.effects.now, RequestPriority::Accept, 1)
+            || !env
+                .kv
+                .has_budget(env.effects.now, RequestPriority::Admission, 1)
         {
             return;
         }
@@ -81,7 +83,7 @@
             return;
         };
         self.env.machine_types.publishing = false;
-        if let SwapOutcome::Done(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = outcome {
             let value = serde_json::to_value(types).unwrap_or_default();
             self.env.records.apply(TYPES_KEY, Some(&value), revision);
             self.on_record_changes(vec![RecordChange::Types]);
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -51,11 +51,12 @@
             state_silent_ms: self.env.unserved_ms(),
             up_ms: now.since(self.env.started_at),
             shards,
-            short_of: teams.into_iter().collect(),
+            quota_limited_teams: teams.into_iter().collect(),
             missing: self.missing_machines(),
-            feed_silent_ms: now.since(self.list_watch.feed_at),
-            deaf: self.reachability.unreachable_by_workers() || self.receives_no_heartbeats(),
-            strangers: self.foreign_heartbeats(),
+            watch_silent_ms: now.since(self.list_watch.last_watch_at),
+            unreachable_by_workers: self.reachability.unreachable_by_workers()
+                || self.receives_no_heartbeats(),
+            foreign_heartbeats: self.foreign_heartbeats(),
             waits: self.drain_progress(),
         }
     }
@@ -77,7 +78,7 @@
                 .cloned()
                 .collect();
             let names = &mut self.peer_status.heartbeat_names;
-            first.heard = names.next(&machines, HEARTBEAT_NAMES_BYTES);
+            first.recent_heartbeats = names.next(&machines, HEARTBEAT_NAMES_BYTES);
         }
         statuses
     }
@@ -128,7 +129,7 @@
                 errors,
             })
             .collect(),
-        kept: reserved
+        reserved: reserved
             .map(|(team, room)| ReservedCpus {
                 team: team.as_str().to_string(),
                 cpus: room.promised,
--- a/src/coordination/controller/readiness.rs
+++ b/src/coordination/controller/readiness.rs
@@ -18,7 +18,7 @@
         let response = if can_decide && is_served {
             self.ready_response()
         } else {
-            let reads = self.list_watch.stage().unwrap_or("nothing");
+            let reads = self.list_watch.stage_label().unwrap_or("nothing");
             let why = format!("not ready, reads {reads}");
             Response::later(503, &why, NOT_READY_RETRY_S)
         };
@@ -30,7 +30,7 @@
         Response::json(
             200,
             &json!({
-                "reads": self.list_watch.stage(),
+                "reads": self.list_watch.stage_label(),
                 "deaf": self.reachability.unreachable_by_workers(),
                 "doors": &self.connections,
                 "parts": shards,
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -23,7 +23,7 @@
     /// Routes the outcome of an HTTP call.
     pub(super) fn on_call_done(&mut self, id: CallId, outcome: &CallOutcome) {
         let now = self.env.now();
-        if let Some((request, response)) = self.env.kv.done(now, id, outcome) {
+        if let Some((request, response)) = self.env.kv.on_outcome(now, id, outcome) {
             self.on_kv_response(request, response);
         } else if self.reachability.on_response(id, outcome) {
             // The probe has no other effect.
@@ -130,7 +130,7 @@
         response: KvResponse,
     ) {
         if let (ShardRequest::ReadQuota { key }, KvResponse::Get(outcome)) = (&request, &response) {
-            self.env.records.apply_outcome(key, outcome);
+            self.env.records.apply_get(key, outcome);
             return;
         }
         let stolen = match &request {
@@ -163,7 +163,7 @@
         let context = &mut self.env.context();
         let changes = self.list_watch.on_response(request, response, context);
         self.on_record_changes(changes);
-        if let Some(at) = self.list_watch.current_as_of {
+        if let Some(at) = self.list_watch.synced_up_to {
             self.env.cancellations.on_records_current(at);
         }
         self.list_watch.tick(&mut self.env.context());
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -52,7 +52,7 @@
     }
 
     fn submit_job(&mut self, conn: ConnectionId, body: &[u8]) {
-        if !self.env.is_served() && user::named(body).is_some() {
+        if !self.env.is_served() && user::submitted_job(body).is_some() {
             let response = Unavailable::StoreDown.into();
             self.env.effects.respond(conn, response);
         } else {
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -39,7 +39,7 @@
     fn tick_storage_limits(&mut self) {
         let env = &mut self.env;
         let state = &env.config.settings.deployment.state;
-        let limits = storage_limits(env.records.format, env.kv.refused, state);
+        let limits = storage_limits(env.records.format, env.kv.write_rejected, state);
         if limits != env.storage_limits {
             tracing::info!(format = ?limits.format, value_bytes = limits.value_bytes, txn_ops = limits.txn_ops,
                 rps = limits.rps, write_rps = limits.write_rps, "storage limits changed");
@@ -131,7 +131,7 @@
             .filter(|shard| {
                 let elsewhere = self.gossip.most_foreign_heartbeats(now, shard.id);
                 let heartbeats = shard.heartbeat_summary();
-                silence::hand_over(heartbeats, elsewhere, now, heartbeat_interval_ms)
+                silence::should_release_shard(heartbeats, elsewhere, now, heartbeat_interval_ms)
             })
             .map(|shard| shard.id)
             .collect();
@@ -195,7 +195,7 @@
         }
         // It must be known which of a run's jobs have ended, or they would be submitted again.
         let can_decide = self.env.records.loaded
-            && !self.list_watch.reads_ended()
+            && !self.list_watch.is_reading_finished_jobs()
             && self.env.machine_types.are_known();
         if !can_decide || self.dag_runs.idle(&self.env.records) {
             return;
@@ -264,6 +264,7 @@
         let heartbeat_interval_ms = self.env.config.settings.report_ms();
         let mut shards = self.shards.values().map(|s| s.heartbeat_summary());
         !self.shards.is_empty()
-            && shards.all(|heartbeats| silence::deaf(heartbeats, now, heartbeat_interval_ms))
+            && shards
+                .all(|heartbeats| silence::is_unreachable(heartbeats, now, heartbeat_interval_ms))
     }
 }
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -8,7 +8,7 @@
 use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage};
 use snowshelf_watermark::CancellationWatermark;
 use snowshelf_watermark::confirmation_round::{ConfirmationRounds, PeerConfirmation};
-use snowshelf_watermark::renewal::{FEED_LATE_MS, known};
+use snowshelf_watermark::renewal::{WATCH_LATE_MS, is_covered};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With less time for renewals than this, a watch that is only slow makes workers end their tasks.
@@ -56,7 +56,7 @@
 
     /// The record cache has every record as of this time.
     pub(super) fn on_records_current(&mut self, at: MonotonicMillis) {
-        self.watermark.read(at);
+        self.watermark.advance_by_watch(at);
         // What peers confirmed before is in the record cache.
         self.peer_confirmed
             .retain(|_, confirmed_at| *confirmed_at >= at);
@@ -64,14 +64,14 @@
 
     /// Whether the watch of records advances the watermark too late.
     fn is_watch_late(&self, now: MonotonicMillis) -> bool {
-        let read_at = self.watermark.feed();
-        read_at.is_none_or(|at| now.since(at) > FEED_LATE_MS)
+        let read_at = self.watermark.watch();
+        read_at.is_none_or(|at| now.since(at) > WATCH_LATE_MS)
     }
 
     /// Logs when workers' leases are no longer renewed, and when they are again.
     fn log_suspension(&mut self, now: MonotonicMillis, answering_ms: u64) {
         let watermark = self.watermark.at();
-        let is_suspended = watermark.is_some_and(|at| !known(Some(at), now, answering_ms));
+        let is_suspended = watermark.is_some_and(|at| !is_covered(Some(at), now, answering_ms));
         if is_suspended == self.renewal_suspended {
             return;
         }
@@ -96,7 +96,7 @@
             complete: confirmation.complete,
             cancelled: cancelled.map(|job| JobId::new(job)).collect(),
         };
-        let completed_round = match self.rounds.take(now, &confirmation) {
+        let completed_round = match self.rounds.on_confirmation(now, &confirmation) {
             Ok(completed_round) => completed_round,
             Err(why) => {
                 tracing::info!(member = %confirmation.from, sequence = confirmation.sequence, ?why,
@@ -111,7 +111,7 @@
             }
         }
         if let Some(asked_at) = completed_round {
-            self.watermark.attest(asked_at);
+            self.watermark.advance_by_confirmation(asked_at);
         }
     }
 }
@@ -154,10 +154,10 @@
         let peers: BTreeSet<Member> = env.config.other_members().cloned().collect();
         if peers.is_empty() {
             // Nobody else confirms cancellations.
-            env.cancellations.watermark.attest(now);
+            env.cancellations.watermark.advance_by_confirmation(now);
             return;
         }
-        let Some(round) = env.cancellations.rounds.ask(now, watermark, peers) else {
+        let Some(round) = env.cancellations.rounds.start_round(now, watermark, peers) else {
             return;
         };
         let request = ConfirmationRequest {
@@ -169,7 +169,7 @@
         for member in env.config.other_members() {
             let message = PeerMessage {
                 request: Some(request.clone()),
-                attestation: None,
+                confirmation: None,
             };
             let effect = Effect::PeerMessage(member.clone(), message);
             env.effects.outputs.push(effect);
@@ -181,7 +181,7 @@
         if let Some(request) = message.request {
             self.confirm_cancellations(&request);
         }
-        if let Some(confirmation) = message.attestation {
+        if let Some(confirmation) = message.confirmation {
             let now = self.env.now();
             self.env.cancellations.on_confirmation(now, confirmation);
         }
@@ -213,7 +213,7 @@
         };
         let message = PeerMessage {
             request: None,
-            attestation: Some(confirmation),
+            confirmation: Some(confirmation),
         };
         let effect = Effect::PeerMessage(peer, message);
         env.effects.outputs.push(effect);
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -3,7 +3,7 @@
 //!
 //! The graph follows from the records of jobs alone, but for when a ready job was first seen to be ready.
 
-use crate::storage::record_cache::{Final, Versioned};
+use crate::storage::record_cache::{FinishedJob, VersionedRecord};
 use snowshelf_model::ids::{JobId, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Priority};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -37,11 +37,11 @@
 /// What the graph is built from.
 pub struct GraphSource<'a, 's> {
     /// The records of jobs that have not ended, and maybe of some that have.
-    pub jobs: &'a BTreeMap<JobId, Versioned<JobRecord>>,
+    pub jobs: &'a BTreeMap<JobId, VersionedRecord<JobRecord>>,
     /// The dependencies of a job; `None` if they are not all known.
     pub dependencies_of: &'s dyn Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
     /// How a job has ended; `None` if it has not, or is not known.
-    pub final_of: &'s dyn Fn(&JobId) -> Option<Final>,
+    pub finished_job: &'s dyn Fn(&JobId) -> Option<FinishedJob>,
     /// How long a job is expected to take, in milliseconds.
     pub duration_ms: &'s dyn Fn(&JobSpec) -> u64,
 }
@@ -170,8 +170,8 @@
     }
 
     /// The end of a dependency that is done; notes one that is cancelled or unknown.
-    fn ended_dependency(&mut self, dependency: &'a JobId) -> Option<Final> {
-        match (self.source.final_of)(dependency) {
+    fn ended_dependency(&mut self, dependency: &'a JobId) -> Option<FinishedJob> {
+        match (self.source.finished_job)(dependency) {
             Some(end) if end.state == JobState::Done => return Some(end),
             Some(_) => self.cancelled.push(dependency),
             None => {
--- a/src/coordination/drains/cordons.rs
+++ b/src/coordination/drains/cordons.rs
@@ -1,6 +1,6 @@
 //! What drains change of placement, scale-out and scale-in, worked out from their records.
 
-use crate::storage::record_cache::Versioned;
+use crate::storage::record_cache::VersionedRecord;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Amount;
 use snowshelf_drain::entry::{Drain, Stage, Then};
@@ -40,7 +40,7 @@
 impl DrainState {
     /// The cordons of all drains.
     #[must_use]
-    pub fn of(drains: &BTreeMap<Name, Versioned<Drain>>) -> DrainState {
+    pub fn of(drains: &BTreeMap<Name, VersionedRecord<Drain>>) -> DrainState {
         let mut state = DrainState::default();
         for (name, v) in drains {
             let drain = &*v.value;
--- a/src/coordination/drains/disruption.rs
+++ b/src/coordination/drains/disruption.rs
@@ -13,9 +13,9 @@
 /// How many tasks have been tried before.
 #[must_use]
 pub fn retried_tasks(ranges: &TaskRanges) -> u32 {
-    let ranges = ranges.spans().iter();
-    let retried = ranges.filter(|range| (2..=MAX_ATTEMPTS).contains(&range.2));
-    retried.map(|range| range.1 - range.0).sum()
+    let ranges = ranges.ranges().iter();
+    let retried = ranges.filter(|range| (2..=MAX_ATTEMPTS).contains(&range.attempt));
+    retried.map(|range| range.end - range.start).sum()
 }
 
 /// The disruption of a team's open jobs.
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -192,7 +192,10 @@
 
     fn write(&mut self, update: DrainUpdate, leader_version: Version, context: &mut Context) {
         // A step is a write in some seconds, and much waits for it.
-        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::Admission, 1)
+        {
             return;
         }
         let DrainUpdate {
@@ -223,7 +226,7 @@
     fn remove_expired(&mut self, leader_version: Version, context: &mut Context) {
         let now = context.now();
         if now.since(self.leader.last_expiry_at) < EXPIRY_INTERVAL_MS
-            || !context.kv.may(now, RequestPriority::Spare, 1)
+            || !context.kv.has_budget(now, RequestPriority::Background, 1)
         {
             return;
         }
@@ -257,7 +260,7 @@
 
 /// A drain that the operators' settings plan and of which there is no record.
 fn planned_drain(leader_ms: u64, context: &Context) -> Option<DrainUpdate> {
-    if !context.records.all_can(&Capability::drains()) {
+    if !context.records.all_support(&Capability::drains()) {
         return None;
     }
     let now = WallClockMillis(context.effects.wall_ms);
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -76,7 +76,7 @@
         request: DrainsRequest,
         context: &mut Context,
     ) {
-        let refusal = if !context.records.all_can(&Capability::drains()) {
+        let refusal = if !context.records.all_support(&Capability::drains()) {
             Some("not every controller takes drains yet")
         } else if !context.records.loaded {
             Some("not able to decide yet")
@@ -106,7 +106,10 @@
                 continue;
             };
             let writes = usize::from(write.changes_record());
-            if !context.kv.may(now, RequestPriority::Accept, writes) {
+            if !context
+                .kv
+                .has_budget(now, RequestPriority::Admission, writes)
+            {
                 self.pending.put_back(vec![pending]);
                 return;
             }
@@ -152,7 +155,7 @@
         };
         let now = context.now();
         match (outcome, request) {
-            (SwapOutcome::Done(revision), request) => {
+            (SwapOutcome::Applied(revision), request) => {
                 if write.changes_record() {
                     tracing::info!(
                         key = write.key,
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -5,7 +5,7 @@
 
 use super::context::{Context, KvRequest};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use crate::storage::record_cache::Versioned;
+use crate::storage::record_cache::VersionedRecord;
 use serde_json::Value;
 use snowshelf_model::ids::{Member, MonotonicMillis, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
@@ -42,8 +42,8 @@
     me: &Member,
     capabilities: &BTreeSet<Capability>,
     members: &[Member],
-    declared: &BTreeMap<Member, Versioned<FormatRecord>>,
-    agreed: Option<&Versioned<FormatRecord>>,
+    declared: &BTreeMap<Member, VersionedRecord<FormatRecord>>,
+    agreed: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<Declaration> {
     own_declaration(me, capabilities, declared.get(me))
         .or_else(|| next_agreement(capabilities, members, declared, agreed))
@@ -53,7 +53,7 @@
 fn own_declaration(
     me: &Member,
     capabilities: &BTreeSet<Capability>,
-    declared: Option<&Versioned<FormatRecord>>,
+    declared: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<Declaration> {
     let record = FormatRecord {
         format: declared.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2)),
@@ -71,8 +71,8 @@
 fn next_agreement(
     capabilities: &BTreeSet<Capability>,
     members: &[Member],
-    declared: &BTreeMap<Member, Versioned<FormatRecord>>,
-    agreed: Option<&Versioned<FormatRecord>>,
+    declared: &BTreeMap<Member, VersionedRecord<FormatRecord>>,
+    agreed: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<Declaration> {
     let declarations: Vec<&FormatRecord> = members
         .iter()
@@ -109,12 +109,12 @@
             &context.config.capabilities,
             &context.config.members,
             &context.records.members,
-            context.records.agreed.as_ref(),
+            context.records.agreed_format.as_ref(),
         );
         let Some(declaration) = next else {
             return;
         };
-        if context.kv.may(now, RequestPriority::Leases, 1) {
+        if context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             self.write(declaration, context);
         }
     }
@@ -145,7 +145,7 @@
     ) {
         self.in_flight = false;
         self.retry_at = context.now().plus(RETRY_MS);
-        if let SwapOutcome::Done(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = outcome {
             context.records.apply(key, Some(value), revision);
             self.retry_at = context.now();
         }
--- a/src/coordination/gossip/mod.rs
+++ b/src/coordination/gossip/mod.rs
@@ -77,10 +77,10 @@
         // A home member whose watch lags would not see the release: another controller would acquire the shard, and
         // release it again, every second.
         let is_available = |status: &PeerStatus| {
-            !status.deaf
+            !status.unreachable_by_workers
                 && status.up_ms >= SETTLED_MS
                 && status.state_silent_ms < UNSERVED_HOME_MS
-                && status.feed_silent_ms < SETTLED_MS
+                && status.watch_silent_ms < SETTLED_MS
         };
         let available: BTreeSet<&Member> = self
             .recent(now)
@@ -97,14 +97,16 @@
     #[must_use]
     pub fn is_unreachable_by_workers(&self, now: MonotonicMillis, member: &Member) -> bool {
         self.recent(now)
-            .any(|(other, status)| other == member && status.deaf)
+            .any(|(other, status)| other == member && status.unreachable_by_workers)
     }
 
     /// The most machines of a shard whose heartbeats any one of the others has received lately.
     #[must_use]
     pub fn most_foreign_heartbeats(&self, now: MonotonicMillis, shard_id: ShardId) -> u32 {
-        let reachable = self.recent(now).filter(|(_, status)| !status.deaf);
-        let counts = reachable.flat_map(|(_, status)| status.strangers.iter());
+        let reachable = self
+            .recent(now)
+            .filter(|(_, status)| !status.unreachable_by_workers);
+        let counts = reachable.flat_map(|(_, status)| status.foreign_heartbeats.iter());
         counts
             .filter(|count| count.shard_id == shard_id.0)
             .map(|count| count.machines)
@@ -116,7 +118,7 @@
     #[must_use]
     pub fn teams_short_of_quota(&self, now: MonotonicMillis) -> BTreeSet<Team> {
         self.recent(now)
-            .flat_map(|(_, status)| status.short_of.iter())
+            .flat_map(|(_, status)| status.quota_limited_teams.iter())
             .map(|team| Team::new(team))
             .collect()
     }
@@ -177,7 +179,7 @@
         self.recent_shards(now)
             .flat_map(|shard| {
                 let shard_id = ShardId(shard.shard_id);
-                let reserved = shard.kept.iter();
+                let reserved = shard.reserved.iter();
                 reserved.map(move |team| ((shard_id, Team::new(&team.team)), team.cpus))
             })
             .collect()
@@ -199,7 +201,7 @@
             .filter_map(|progress| {
                 let reason = WaitReason {
                     waits_for: progress.waits.clone(),
-                    blockers: progress.held.clone(),
+                    blockers: progress.blocked_by.clone(),
                 };
                 Some((Name::parse(&progress.drain)?, reason))
             })
@@ -213,9 +215,14 @@
         for shard in self.recent_shards(now) {
             let empty = shard.empty.iter().map(|name| MachineId::new(name));
             observations.empty.extend(empty);
-            let quarantined = shard.sick.iter().map(|name| MachineId::new(name));
+            let quarantined = shard
+                .failing_machines
+                .iter()
+                .map(|name| MachineId::new(name));
             observations.failing.extend(quarantined);
-            observations.blockers.extend(shard.held.iter().cloned());
+            observations
+                .blockers
+                .extend(shard.blocked_by.iter().cloned());
         }
         observations
     }
@@ -226,7 +233,7 @@
         self.recent_shards(now)
             .flat_map(|shard| {
                 let shard_id = ShardId(shard.shard_id);
-                let restarted = shard.again.iter();
+                let restarted = shard.restarted.iter();
                 restarted.map(move |job| ((shard_id, JobId::new(&job.job)), job.tasks))
             })
             .collect()
@@ -257,7 +264,7 @@
     #[must_use]
     pub fn machines_with_heartbeats(&self, now: MonotonicMillis) -> BTreeSet<String> {
         self.recent_shards(now)
-            .flat_map(|shard| shard.heard.iter().cloned())
+            .flat_map(|shard| shard.recent_heartbeats.iter().cloned())
             .collect()
     }
 }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -21,8 +21,8 @@
         received: MonotonicMillis,
     ) -> Result<LeaseRenewal<(TaskRef, Attempt)>, RenewalRefusal> {
         let source = match self.records.loaded {
-            true => WatermarkSource::Read(self.watermark),
-            false => WatermarkSource::Reading(self.started_at),
+            true => WatermarkSource::AllRecords(self.watermark),
+            false => WatermarkSource::SingleRecords(self.started_at),
         };
         let answering_ms = self.config.settings.answering_ms();
         let alive = tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -47,7 +47,7 @@
         if self.peer_confirmed.contains_key(job) {
             return JobKnowledge::Cancelled;
         }
-        let cached = match self.records.final_of(job) {
+        let cached = match self.records.finished_job(job) {
             Some(end) => Some(end.state),
             None => self.records.jobs.get(job).map(|v| v.value.state),
         };
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -101,7 +101,10 @@
 
     fn acquire(&mut self, role: Role, version: Version, context: &mut Context) {
         let Some(lease) = self.lease else { return };
-        if !context.kv.may(context.now(), RequestPriority::Leases, 1) {
+        if !context
+            .kv
+            .has_budget(context.now(), RequestPriority::LeaseUpkeep, 1)
+        {
             return;
         }
         let swap = CompareAndSwap::default()
@@ -128,7 +131,7 @@
             return None;
         }
         match outcome {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let value = holder_value(self.lease?, context);
                 let key = role_key(role);
                 context.records.apply(&key, Some(&value), revision);
@@ -137,15 +140,15 @@
                 self.fencing_tokens.insert(role, fencing_token);
                 Some(fencing_token)
             }
-            SwapOutcome::NoLease => {
+            SwapOutcome::LeaseExpired => {
                 self.forget_lease();
                 None
             }
             // If an unknown one was carried out, the record cache will name this member, and the role is acquired once
             // more with a fencing token that is known.
             SwapOutcome::Unknown
-            | SwapOutcome::NotDone
-            | SwapOutcome::Refused
+            | SwapOutcome::NotApplied
+            | SwapOutcome::Rejected
             | SwapOutcome::Conflict(_) => {
                 let retry_at = context.now().plus(ACQUISITION_RETRY_MS);
                 self.retry_at.insert(role, retry_at);
@@ -196,7 +199,7 @@
 
     fn release(&mut self, shard_id: ShardId, fencing_token: FencingToken, context: &mut Context) {
         let now = context.now();
-        if !context.kv.may(now, RequestPriority::Leases, 1) {
+        if !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             return;
         }
         self.releasing = Some(shard_id);
@@ -222,7 +225,7 @@
         context: &mut Context,
     ) {
         self.releasing = None;
-        if let SwapOutcome::Done(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = outcome {
             context.records.apply(&shard_key(shard_id), None, revision);
         }
     }
--- a/src/coordination/leases/mod.rs
+++ b/src/coordination/leases/mod.rs
@@ -140,11 +140,11 @@
         context: &mut Context,
     ) -> RoleChange {
         match (request, response) {
-            (LeaseRequest::Grant, KvResponse::Lease(lease)) => {
+            (LeaseRequest::Grant, KvResponse::LeaseGrant(lease)) => {
                 self.on_grant(lease, context);
                 RoleChange::Unchanged
             }
-            (LeaseRequest::Renew { sent_at }, KvResponse::Renewed(renewed)) => {
+            (LeaseRequest::Renew { sent_at }, KvResponse::Renewal(renewed)) => {
                 self.on_renewal(sent_at, renewed, context)
             }
             (LeaseRequest::Acquire(role), KvResponse::Swap(outcome)) => self
--- a/src/coordination/leases/renewal.rs
+++ b/src/coordination/leases/renewal.rs
@@ -3,7 +3,7 @@
 use super::{LeaseRequest, Leases, RoleChange};
 use crate::coordination::config::Config;
 use crate::coordination::context::{Context, KvRequest};
-use crate::storage::kv_client::RequestPriority;
+use crate::storage::kv_client::{RenewalOutcome, RequestPriority};
 use snowshelf_model::ids::{LeaseId, MonotonicMillis};
 
 /// The monotonic clock may run fast or slow by 0.05%; as much again for measuring.
@@ -33,13 +33,13 @@
         let idle = self
             .grant_requested_at
             .is_none_or(|at| now.since(at) > GRANT_TIMEOUT_MS);
-        if !idle || !context.kv.may(now, RequestPriority::Leases, 0) {
+        if !idle || !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0) {
             return;
         }
         self.grant_requested_at = Some(now);
         let ttl_ms = context.config.settings.member_ttl_ms();
         let request = KvRequest::Leases(LeaseRequest::Grant);
-        context.kv.lease(context.effects, request, ttl_ms);
+        context.kv.grant_lease(context.effects, request, ttl_ms);
     }
 
     fn renew(&mut self, lease: LeaseId, context: &mut Context) {
@@ -51,12 +51,12 @@
             self.renewal_sent_at = None;
         }
         let due = self.renewal_sent_at.is_none() && now >= self.next_renewal_at;
-        if !due || !context.kv.may(now, RequestPriority::Leases, 0) {
+        if !due || !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0) {
             return;
         }
         self.renewal_sent_at = Some(now);
         let request = KvRequest::Leases(LeaseRequest::Renew { sent_at: now });
-        context.kv.renew(context.effects, request, lease);
+        context.kv.renew_lease(context.effects, request, lease);
     }
 
     /// The response to a grant; `None`: no lease was granted.
@@ -90,21 +90,23 @@
     pub(super) fn on_renewal(
         &mut self,
         sent_at: MonotonicMillis,
-        renewed: Option<bool>,
+        renewed: RenewalOutcome,
         context: &Context,
     ) -> RoleChange {
         if self.renewal_sent_at == Some(sent_at) {
             self.renewal_sent_at = None;
         }
         match renewed {
-            Some(true) => self.extend_validity(sent_at, context.config),
-            Some(false) => {
+            RenewalOutcome::Renewed => self.extend_validity(sent_at, context.config),
+            RenewalOutcome::LeaseExpired => {
                 tracing::info!("lease expired");
                 self.forget_lease();
                 self.acquiring.clear();
                 return RoleChange::AllLost;
             }
-            None => self.next_renewal_at = context.effects.now.plus(RENEWAL_RETRY_MS),
+            RenewalOutcome::Failed => {
+                self.next_renewal_at = context.effects.now.plus(RENEWAL_RETRY_MS)
+            }
         }
         RoleChange::Unchanged
     }
--- a/src/coordination/reservations/commit.rs
+++ b/src/coordination/reservations/commit.rs
@@ -41,7 +41,7 @@
         self.pending.expire(context);
         if self
             .conflicted_version
-            .is_some_and(|version| version != context.records.calendar)
+            .is_some_and(|version| version != context.records.calendar_version)
         {
             self.conflicted_version = None;
         }
@@ -55,7 +55,10 @@
             return;
         }
         let writes = swap.mutations.len();
-        if !context.kv.may(now, RequestPriority::Accept, writes) {
+        if !context
+            .kv
+            .has_budget(now, RequestPriority::Admission, writes)
+        {
             let pending = requests.into_iter().map(|r| r.pending).collect();
             self.pending.put_back(pending);
             return;
@@ -63,7 +66,7 @@
         self.last_request_id += 1;
         self.in_flight = Some(DecisionBatch {
             id: self.last_request_id,
-            calendar_version: context.records.calendar,
+            calendar_version: context.records.calendar_version,
             requests,
         });
         let request = KvRequest::Reservations(ReservationsRequest::Decide(self.last_request_id));
@@ -83,11 +86,11 @@
     ) -> (CompareAndSwap, Vec<DecidedRequest>) {
         let max_writes = context
             .kv
-            .room(context.now(), RequestPriority::Accept)
+            .write_budget(context.now(), RequestPriority::Admission)
             .min(context.storage_limits.txn_ops);
         let mut calendar = self.calendar.clone();
-        let mut swap =
-            CompareAndSwap::default().compare(CALENDAR_KEY.to_string(), context.records.calendar);
+        let mut swap = CompareAndSwap::default()
+            .compare(CALENDAR_KEY.to_string(), context.records.calendar_version);
         let mut keys = BTreeSet::new();
         let mut requests = Vec::new();
         while let Some(first) = self.pending.front() {
@@ -120,7 +123,7 @@
             return Vec::new();
         };
         match outcome {
-            SwapOutcome::Done(revision) => return respond(batch.requests, revision, context),
+            SwapOutcome::Applied(revision) => return respond(batch.requests, revision, context),
             SwapOutcome::Conflict(keys) => {
                 // The watch brings what was changed; then it is decided again.
                 if keys.iter().any(|key| key == CALENDAR_KEY) {
@@ -130,9 +133,9 @@
                 let pending = batch.requests.into_iter().map(|r| r.pending).collect();
                 self.pending.put_back(pending);
             }
-            SwapOutcome::NoLease
-            | SwapOutcome::Refused
-            | SwapOutcome::NotDone
+            SwapOutcome::LeaseExpired
+            | SwapOutcome::Rejected
+            | SwapOutcome::NotApplied
             | SwapOutcome::Unknown => {
                 for DecidedRequest { pending, .. } in batch.requests {
                     let unavailable = Unavailable::StoreNotResponding.into();
--- a/src/coordination/reservations/expiry.rs
+++ b/src/coordination/reservations/expiry.rs
@@ -31,7 +31,7 @@
         let Some((key, version)) = expired_entry(context) else {
             return;
         };
-        if !context.kv.may(now, RequestPriority::Spare, 1) {
+        if !context.kv.has_budget(now, RequestPriority::Background, 1) {
             return;
         }
         self.expiry.is_removing = true;
@@ -50,7 +50,7 @@
         context: &mut Context,
     ) -> Vec<RecordChange> {
         self.expiry.is_removing = false;
-        let SwapOutcome::Done(revision) = outcome else {
+        let SwapOutcome::Applied(revision) = outcome else {
             return Vec::new();
         };
         tracing::info!(key, "expired calendar entry removed");
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -73,7 +73,7 @@
         request: CalendarRequest,
         context: &mut Context,
     ) {
-        let refusal = if !context.records.all_can(&Capability::calendar()) {
+        let refusal = if !context.records.all_support(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
         } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -99,7 +99,7 @@
                     cpus: spec.resources.cpus,
                     force: closed.forced,
                 };
-                let loses = if spec.checkpoint_s > 0.0 {
+                let loses = if spec.checkpoint_interval_s > 0.0 {
                     0.0
                 } else {
                     spec.resources.cpus
@@ -123,7 +123,9 @@
         }
         // A picture that may be old is not asked what is away; nor is one in which a share is newer than the rest:
         // tasks that another part claimed from it would be nowhere.
-        if !context.drains.records_fresh || context.records.revision < context.records.read_ahead {
+        if !context.drains.records_fresh
+            || context.records.revision < context.records.newest_single_read
+        {
             return;
         }
         let overdue = self.overdue(context);
@@ -195,7 +197,7 @@
             if let Some(why) = short {
                 self.held_back.push(format!("{team}: {why}"));
             }
-            if charged == 0 || !context.kv.may(now, RequestPriority::Ends, 1) {
+            if charged == 0 || !context.kv.has_budget(now, RequestPriority::TaskEnds, 1) {
                 continue;
             }
             self.write_ledger(team, version, ledger, context);
@@ -240,7 +242,7 @@
             over.then(|| (team.clone(), v.version, ledger))
         });
         if let Some((team, version, ledger)) = found
-            && context.kv.may(now, RequestPriority::Spare, 1)
+            && context.kv.has_budget(now, RequestPriority::Background, 1)
         {
             self.charge_at = now.plus(SETTLE_MS);
             self.write_ledger(team, version, ledger, context);
@@ -295,7 +297,7 @@
                     continue;
                 };
                 for item in m.listed.iter().filter(|t| t.task.job == *id) {
-                    let runs = matches!(item.state, TaskState::Running | TaskState::Saving);
+                    let runs = matches!(item.state, TaskState::Running | TaskState::Checkpointing);
                     let tried =
                         item.attempt.0 >= 2 && spans.get(item.task.task) == Some(item.attempt);
                     if runs
@@ -320,7 +322,7 @@
         };
         let key = ledger_key(&charging.team);
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 let value = serde_json::to_value(&charging.ledger).unwrap_or_default();
                 context.records.apply(&key, Some(&value), revision);
             }
@@ -332,8 +334,8 @@
                 // The feed brings what another part has charged.
                 self.charge_at = now.plus(100);
             }
-            SwapOutcome::Refused => self.charge_at = now.plus(REFUSED_MS),
-            SwapOutcome::NotDone | SwapOutcome::NoLease | SwapOutcome::Unknown => {
+            SwapOutcome::Rejected => self.charge_at = now.plus(REFUSED_MS),
+            SwapOutcome::NotApplied | SwapOutcome::LeaseExpired | SwapOutcome::Unknown => {
                 // If it was carried out after all the feed tells.
                 self.charge_at = now.plus(500);
             }
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -11,14 +11,15 @@
     Attempt, ConnectionId, JobId, MachineId, MonotonicMillis, TaskIndex, seconds_to_ms,
 };
 use snowshelf_model::protocol::worker::{
-    Command, ExitReason, Heartbeat, HeartbeatResponse, TaskRef, TaskState, TaskStatus, redirect,
+    Command, ExitReason, Heartbeat, HeartbeatResponse, TaskRef, TaskState, TaskStatus,
+    redirect_body,
 };
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, JobKind, JobSpec};
 use snowshelf_reconciliation::decision_table::{
     DesiredState, HeartbeatEvidence, MachineDisposition, ObservedState, OutcomeSignal,
     ReconcileAction, TaskTraits, TokenState, reconcile,
 };
-use snowshelf_watermark::renewal::{LeaseRenewal, RenewalRefusal, may_begin};
+use snowshelf_watermark::renewal::{LeaseRenewal, RenewalRefusal, may_start};
 use std::collections::BTreeSet;
 
 /// Most commands in one answer: keeps it under the 64 KiB that a worker accepts.
@@ -157,12 +158,12 @@
         machine.listed = report.tasks;
         machine.stale = true;
         let evidence = HeartbeatEvidence {
-            shown: if shown {
+            token: if shown {
                 TokenState::Equal
             } else {
                 TokenState::Behind
             },
-            late: false,
+            superseded: false,
             new_incarnation,
             inherited: shown && std::mem::take(&mut machine.inherited),
         };
@@ -247,8 +248,8 @@
 
     fn nature(spec: Option<&JobSpec>) -> TaskTraits {
         spec.map_or(TaskTraits::default(), |s| TaskTraits {
-            standing: s.kind == JobKind::Service,
-            saves: s.checkpoint_s > 0.0,
+            is_service: s.kind == JobKind::Service,
+            checkpoints: s.checkpoint_interval_s > 0.0,
         })
     }
 
@@ -273,10 +274,10 @@
             let ours = self.jobs.get(job);
             let stored = Self::stored(ours, name, task, attempt);
             let nature = Self::nature(ours.and_then(|j| j.spec()));
-            let reported = ObservedState::Listed(item.state, item.why);
+            let reported = ObservedState::Listed(item.state, item.exit_reason);
             let cell = reconcile(stored, reported, evidence, leaving, nature);
-            if item.why == Some(ExitReason::Stopped)
-                && cell.write == Some(AllocationChangeKind::Requeue)
+            if item.exit_reason == Some(ExitReason::Stopped)
+                && cell.change == Some(AllocationChangeKind::Requeue)
             {
                 stopped.push((job.clone(), task));
             }
@@ -295,16 +296,16 @@
         self.note_images(name, &listed, context);
         for (cell, job, task, attempt) in proofs {
             self.reconciliation.count(cell.finding);
-            let Some(what) = cell.write else { continue };
+            let Some(kind) = cell.change else { continue };
             let machine = name.clone();
             let step = AllocationChange {
                 task,
                 attempt,
                 machine,
-                what,
+                kind,
             };
             self.step(now, &job, step);
-            self.told(name, &job, task, cell.tells, now, context);
+            self.told(name, &job, task, cell.signal, now, context);
         }
         self.track_idle(name, now);
     }
@@ -320,8 +321,8 @@
         context: &Context,
     ) {
         match tells {
-            OutcomeSignal::Nothing => {}
-            OutcomeSignal::Works => {
+            OutcomeSignal::Neutral => {}
+            OutcomeSignal::Success => {
                 if let Some(m) = self.machines.get_mut(name) {
                     m.error_streak.clear();
                 }
@@ -329,7 +330,7 @@
                     j.failures = 0;
                 }
             }
-            OutcomeSignal::Fails => {
+            OutcomeSignal::Failure => {
                 self.blame(name, job, now);
                 if let Some(j) = self.jobs.get_mut(job).filter(|j| j.spec.run) {
                     *j.errors.entry(task).or_default() += 1;
@@ -338,12 +339,12 @@
                     }
                 }
             }
-            OutcomeSignal::Full => {
+            OutcomeSignal::CapacityExceeded => {
                 if let Some(m) = self.machines.get_mut(name) {
                     m.full_until = now.plus(2 * context.config.settings.report_ms());
                 }
             }
-            OutcomeSignal::NoDescription => {
+            OutcomeSignal::DescriptionMissing => {
                 if let Some(j) = self.jobs.get_mut(job) {
                     j.retry_at = now.plus(2_000);
                 }
@@ -365,7 +366,7 @@
                 continue;
             };
             match item.state {
-                TaskState::Running | TaskState::Saving => {
+                TaskState::Running | TaskState::Checkpointing => {
                     let gb = job.spec().map_or(0.0, |s| s.pull_gb);
                     m.images.used(job.image, gb, local_gb);
                 }
@@ -455,12 +456,12 @@
             return Vec::new();
         }
         let report_ms = context.config.settings.report_ms();
-        let begins = may_begin(context.watermark, now);
+        let begins = may_start(context.watermark, now);
         let mut commands = Vec::new();
         let mut order = |machine_leaves, reported, task: TaskRef, attempt| {
             let job = self.jobs.get(&task.job);
             let spec = job.and_then(|j| j.spec());
-            let save_s = spec.map_or(0.0, |s| s.save_s);
+            let save_s = spec.map_or(0.0, |s| s.checkpoint_duration_s);
             let leaving = match machine_leaves {
                 Some(leaving) => leaving,
                 // One door for every cause.
@@ -468,7 +469,7 @@
                     None | Some(Cause::Cancelled | Cause::Notice) => {
                         machine.leaving(now, save_s, report_ms)
                     }
-                    Some(_) => MachineDisposition::Drained,
+                    Some(_) => MachineDisposition::Evicting,
                 },
             };
             let mut stored = Self::stored(job, name, task.task, attempt);
@@ -479,7 +480,7 @@
             let nature = Self::nature(spec);
             let cell = reconcile(stored, reported, HeartbeatEvidence::PLAIN, leaving, nature);
             // Guards against a task that begins long after a cancellation which this owner could not hear of.
-            let order = cell.order.filter(|o| begins || *o != ReconcileAction::Run);
+            let order = cell.action.filter(|o| begins || *o != ReconcileAction::Run);
             commands.extend(order.map(|order| match order {
                 ReconcileAction::Run => Command::Run { task, attempt },
                 ReconcileAction::Reap => Command::Reap { task, attempt },
@@ -495,7 +496,7 @@
             }));
         };
         for item in &machine.listed {
-            let reported = ObservedState::Listed(item.state, item.why);
+            let reported = ObservedState::Listed(item.state, item.exit_reason);
             order(None, reported, item.task.clone(), item.attempt);
         }
         // Whether a task has to make room matters only to one that is there.
@@ -569,5 +570,5 @@
 fn let_go(conn: ConnectionId, context: &mut Context) {
     context
         .effects
-        .respond(conn, Response::new(421, redirect(None)));
+        .respond(conn, Response::new(421, redirect_body(None)));
 }
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -165,7 +165,7 @@
         }
         if !context
             .kv
-            .may(now, RequestPriority::Starts, swap.mutations.len())
+            .has_budget(now, RequestPriority::TaskStarts, swap.mutations.len())
         {
             self.claim_at = now.plus(250);
             return;
@@ -186,7 +186,7 @@
     fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, context: &Context) -> bool {
         let granted = self.granted(&spec.team, context);
         let mut next = used.get(&spec.team).copied().unwrap_or_default();
-        next.add(Grant::of(spec.resources));
+        next.add(Grant::from(spec.resources));
         granted.covers(next)
     }
 
@@ -203,7 +203,7 @@
             false => now.plus(100),
         };
         match result {
-            SwapOutcome::Done(revision) => {
+            SwapOutcome::Applied(revision) => {
                 for change in &swap.mutations {
                     if let Mutation::Put { key, value, .. } = change {
                         context.records.apply(key, Some(value), revision);
@@ -214,9 +214,9 @@
             // The change feed shows what became of it; nothing is commanded before that.
             SwapOutcome::Unknown => self.claim_at = now.plus(3_000),
             SwapOutcome::Conflict(_)
-            | SwapOutcome::NotDone
-            | SwapOutcome::Refused
-            | SwapOutcome::NoLease => {
+            | SwapOutcome::NotApplied
+            | SwapOutcome::Rejected
+            | SwapOutcome::LeaseExpired => {
                 self.claim_at = now.plus(500);
             }
         }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -79,7 +79,7 @@
     /// An error response that says why.
     #[must_use]
     pub fn error(status: u16, why: &str) -> Response {
-        Response::new(status, snowshelf_model::protocol::user::error(why))
+        Response::new(status, snowshelf_model::protocol::user::error_body(why))
     }
 
     /// An error response to a request that cannot be served now, with when to retry.
--- a/tests/cancellation_confirmation.rs
+++ b/tests/cancellation_confirmation.rs
@@ -33,7 +33,7 @@
     };
     PeerMessage {
         request: Some(request),
-        attestation: None,
+        confirmation: None,
     }
 }
 
@@ -50,7 +50,7 @@
     );
     let confirmations = outputs.into_iter().filter_map(|output| match output {
         Effect::PeerMessage(member, message) => {
-            Some((member.as_str().to_string(), message.attestation?))
+            Some((member.as_str().to_string(), message.confirmation?))
         }
         _ => None,
     });
@@ -107,7 +107,7 @@
         };
         let message = PeerMessage {
             request: None,
-            attestation: Some(confirmation),
+            confirmation: Some(confirmation),
         };
         assert_eq!(confirmations(&mut controller, message, 50), []);
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -305,14 +305,15 @@
 fn a_reserve_keeps_room_for_what_matters_more() {
     let mut bucket = TokenBucket::new(10.0);
     let mut polls = 0;
-    while bucket.has(MonotonicMillis(0), 1.0, 0.3) {
-        bucket.take(1.0);
+    while bucket.has_tokens(MonotonicMillis(0), 1.0, 0.3) {
+        bucket.consume(1.0);
         polls += 1;
     }
     assert_eq!(polls, 7);
-    assert!(bucket.has(MonotonicMillis(0), 1.0, 0.0));
+    assert!(bucket.has_tokens(MonotonicMillis(0), 1.0, 0.0));
     assert!(
-        !bucket.has(MonotonicMillis(0), 1.0, 0.3) && bucket.has(MonotonicMillis(100), 1.0, 0.3)
+        !bucket.has_tokens(MonotonicMillis(0), 1.0, 0.3)
+            && bucket.has_tokens(MonotonicMillis(100), 1.0, 0.3)
     );
 }
 
@@ -340,10 +341,10 @@
         ops: snowshelf::operator::OperatorSettings::default(),
         capabilities: Default::default(),
     };
-    let status = |feed_silent_ms| PeerStatus {
+    let status = |watch_silent_ms| PeerStatus {
         member: "b".into(),
         up_ms: 60_000,
-        feed_silent_ms,
+        watch_silent_ms,
         ..PeerStatus::default()
     };
     let mut peers = Gossip::default();
@@ -385,7 +386,7 @@
     use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
     use snowshelf_model::task_ranges::TaskRanges;
     for value_bytes in [16 * 1024, 32 * 1024] {
-        let most = ShardAllocation::most_started(value_bytes);
+        let most = ShardAllocation::max_started(value_bytes);
         assert!(most >= 250);
         let mut share = ShardAllocation {
             waiting: TaskRanges::range(90_000, 90_000 + 2 * most, 10),
@@ -397,7 +398,7 @@
                 task: TaskIndex(90_000 + 2 * i),
                 attempt: Attempt(10),
                 machine: MachineId::new(&format!("n-{:06}", 900_000 + i)),
-                what: AllocationChangeKind::Start,
+                kind: AllocationChangeKind::Start,
             };
             assert!(share.apply(&step));
         }
@@ -412,7 +413,7 @@
 #[test]
 fn a_capability_is_agreed_on_only_when_every_controller_has_declared_it() {
     use snowshelf::coordination::format_migration::next_declaration;
-    use snowshelf::storage::record_cache::Versioned;
+    use snowshelf::storage::record_cache::VersionedRecord;
     use snowshelf_model::ids::{Member, Version};
     use snowshelf_model::records::{Capability, FORMAT_V2, FormatRecord};
     use std::collections::BTreeSet;
@@ -421,7 +422,7 @@
     let can = |names: &[&str]| -> BTreeSet<Capability> {
         names.iter().map(|n| Capability::named(n)).collect()
     };
-    let declaration = |version, format, names: &[&str]| Versioned {
+    let declaration = |version, format, names: &[&str]| VersionedRecord {
         version: Version(version),
         value: Rc::new(FormatRecord {
             format,
