--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -8,7 +8,7 @@
 
 use super::context::{CloudClient, CloudTag, Context};
 use super::placement::patience_s;
-use super::shard::reservations::stay_ms;
+use super::shard::reservations::expected_stay_ms;
 use crate::effects::{CallOutcome, Effects, Method};
 use reserving::{reserved, shut};
 use snowshelf_model::ids::{FencingToken, MachineId, MonotonicMillis, seconds_to_ms};
@@ -364,7 +364,7 @@
                             &context.config.settings.deployment.objectives,
                             waited_s,
                         ),
-                    shut: shut(stay_ms(spec, context), context),
+                    shut: shut(expected_stay_ms(spec, context), context),
                 });
             }
         }
--- a/src/coordination/autoscaler/reserving.rs
+++ b/src/coordination/autoscaler/reserving.rs
@@ -3,7 +3,7 @@
 
 use super::planning::Want;
 use crate::coordination::context::Context;
-use crate::coordination::shard::reservations::rented_ahead_ms;
+use crate::coordination::shard::reservations::provisioning_lead_ms;
 use snowshelf_model::ids::{Team, WallClockMillis, seconds_to_ms};
 
 /// Zones and types for which nothing is rented that is to run for so long once it is up.
@@ -27,7 +27,7 @@
 /// ask for themselves there.
 pub(super) fn reserved(mut demand: Vec<Demand>, context: &Context) -> Vec<Want> {
     let now = WallClockMillis(context.effects.wall_ms);
-    let ahead = rented_ahead_ms(context);
+    let ahead = provisioning_lead_ms(context);
     let mut wants = Vec::new();
     for hold in &context.guard.holds {
         let opens = hold.from.0.saturating_sub(ahead);
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -34,7 +34,7 @@
             let shards: Vec<ShardId> = self.shards.keys().copied().collect();
             for shard_id in shards {
                 self.with_shard(shard_id, |shard, context| {
-                    let again = shard.again(context).into_iter();
+                    let again = shard.restarted_tasks(context).into_iter();
                     context
                         .drains
                         .again
@@ -92,9 +92,9 @@
         let mine: Vec<ShardId> = self.shards.keys().copied().collect();
         for shard_id in &mine {
             self.with_shard(*shard_id, |shard, context| {
-                heard.empty.extend(shard.emptied(context));
-                heard.sick.extend(shard.sick().cloned());
-                heard.held.extend(shard.held_back.iter().cloned());
+                heard.empty.extend(shard.drained_machines(context));
+                heard.sick.extend(shard.quarantined_machines().cloned());
+                heard.held.extend(shard.blocked_evictions().iter().cloned());
             });
         }
         let mut shards = (0..self.config.shard_count).map(ShardId);
@@ -111,18 +111,27 @@
         let text = |m: &MachineId| m.as_str().to_string();
         for hint in shards {
             self.with_shard(ShardId(hint.shard_id), |shard, context| {
-                hint.empty = shard.emptied(context).iter().map(text).collect();
+                hint.empty = shard.drained_machines(context).iter().map(text).collect();
                 hint.empty.truncate(3 * MOST_NAMES);
-                hint.sick = shard.sick().map(text).take(MOST_NAMES).collect();
-                hint.held = shard.held_back.iter().take(MOST_HELD).cloned().collect();
-                let lost = shard.losing(now, context).into_iter();
+                hint.sick = shard
+                    .quarantined_machines()
+                    .map(text)
+                    .take(MOST_NAMES)
+                    .collect();
+                hint.held = shard
+                    .blocked_evictions()
+                    .iter()
+                    .take(MOST_HELD)
+                    .cloned()
+                    .collect();
+                let lost = shard.tasks_at_risk(now, context).into_iter();
                 let lost = lost.map(|(team, amount): (Team, Amount)| LostTasks {
                     team: team.as_str().to_string(),
                     cpus: amount.cpus,
                     tasks: amount.tasks,
                 });
                 hint.lost = lost.collect();
-                let again = shard.again(context).into_iter().take(MOST_AGAIN);
+                let again = shard.restarted_tasks(context).into_iter().take(MOST_AGAIN);
                 hint.again = again
                     .map(|(job, tasks)| RestartedTasks {
                         job: job.as_str().to_string(),
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -264,8 +264,8 @@
             return;
         };
         f(&mut shard, &mut self.context());
-        if shard.deposed {
-            shard.drop_held(&mut self.context());
+        if shard.fenced {
+            shard.redirect_deferred_requests(&mut self.context());
             if self.leases.fencing_token(shard_id) == Some(shard.fencing_token) {
                 tracing::info!(shard = %shard_id, fencing_token = %shard.fencing_token, "shard released");
                 let now = self.effects.now;
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -33,7 +33,7 @@
                 let confirmed = matches!(result, CallOutcome::Response { status: 200, .. });
                 self.with_shard(shard_id, |shard, context| {
                     if shard.fencing_token == fencing_token {
-                        shard.returned(&names, confirmed, context);
+                        shard.on_machines_released(&names, confirmed, context);
                     }
                 });
             }
@@ -141,7 +141,7 @@
             RoleChange::Unchanged => {}
             RoleChange::Acquired(Role::ShardLeader(shard_id), fencing_token) => {
                 if let Some(mut old) = self.shards.remove(&shard_id) {
-                    old.drop_held(&mut self.context());
+                    old.redirect_deferred_requests(&mut self.context());
                 }
                 let shard = Shard::new(shard_id, fencing_token, now);
                 self.shards.insert(shard_id, shard);
@@ -243,11 +243,11 @@
                 let new: Vec<JobId> = context
                     .records
                     .shard_allocations(shard_id)
-                    .filter(|(job, _)| !shard.knows(job))
+                    .filter(|(job, _)| !shard.has_job(job))
                     .map(|(job, _)| job.clone())
                     .collect();
                 for job in new {
-                    shard.refresh(&job, context);
+                    shard.refresh_job(&job, context);
                 }
             });
         }
@@ -282,7 +282,7 @@
         for shard_id in shards {
             self.with_shard(shard_id, |shard, context| {
                 for job in &jobs {
-                    shard.refresh(job, context);
+                    shard.refresh_job(job, context);
                 }
             });
         }
@@ -290,7 +290,7 @@
 
     pub(super) fn drop_all(&mut self) {
         for (_, mut shard) in std::mem::take(&mut self.shards) {
-            shard.drop_held(&mut self.context());
+            shard.redirect_deferred_requests(&mut self.context());
         }
         self.autoscaler = None;
     }
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -254,7 +254,7 @@
         if held && self.serves() {
             let mut refused = None;
             self.with_shard(shard_id, |shard, context| {
-                refused = shard.check_in(conn, report, since, context);
+                refused = shard.on_heartbeat(conn, report, since, context);
             });
             match refused {
                 None => return,
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -70,18 +70,18 @@
         let offered = Rc::new(offered);
         for shard_id in shards {
             self.with_shard(shard_id, |shard, context| {
-                shard.offered = offered.clone();
+                shard.set_foreign_offers(offered.clone());
                 shard.tick(fresh, &short, &missing, context);
                 if !serves {
-                    shard.drop_held(context);
+                    shard.redirect_deferred_requests(context);
                 }
             });
         }
         let mut rooms = self.gossip.rooms(now);
-        rooms.extend(self.shards.values().map(|s| (s.id, s.room())));
+        rooms.extend(self.shards.values().map(|s| (s.id, s.capacity())));
         let mut kept = self.gossip.kept(now);
         for s in self.shards.values() {
-            let leases = s.kept_room.iter();
+            let leases = s.reserved_for_teams().iter();
             kept.extend(leases.map(|(team, k)| ((s.id, team.clone()), k.promised)));
         }
         let away = self.state_silent_ms() >= UNSERVED_MS;
@@ -111,7 +111,11 @@
                 if autoscaler.wants_heard(now) {
                     let mut heard = self.gossip.heard_machines(now);
                     for shard in self.shards.values() {
-                        heard.extend(shard.heard(now, HEARD_MS).map(|m| m.as_str().to_string()));
+                        heard.extend(
+                            shard
+                                .machines_heard_since(now, HEARD_MS)
+                                .map(|m| m.as_str().to_string()),
+                        );
                     }
                     autoscaler.note_heard(now, heard.into_iter());
                 }
@@ -168,7 +172,7 @@
         }
         let pools = Rc::new(pools);
         for shard in self.shards.values_mut() {
-            shard.elsewhere = pools.clone();
+            shard.set_machines_elsewhere(pools.clone());
         }
     }
 
@@ -300,7 +304,7 @@
             .collect();
         for shard_id in gone {
             if let Some(mut shard) = self.shards.remove(&shard_id) {
-                shard.drop_held(&mut self.context());
+                shard.redirect_deferred_requests(&mut self.context());
             }
         }
         if let Some(fencing_token) = self.leases.leads()
@@ -324,12 +328,12 @@
         let mut short_of: BTreeSet<String> = BTreeSet::new();
         let mut shards = Vec::new();
         for shard in self.shards.values() {
-            short_of.extend(shard.short_of.keys().map(|t| t.as_str().to_string()));
+            short_of.extend(shard.teams_short_of_quota().map(|t| t.as_str().to_string()));
             shards.push(ShardStatus {
                 shard_id: shard.id.0,
-                free_cpus: shard.free_cpus,
-                capacity_cpus: shard.room().capacity,
-                waiting_cpus: shard.waiting_cpus,
+                free_cpus: shard.capacity().free,
+                capacity_cpus: shard.capacity().capacity,
+                waiting_cpus: shard.capacity().waiting,
                 pools: if self.guard.holds.is_empty() {
                     Vec::new()
                 } else {
@@ -344,7 +348,7 @@
                     })
                     .collect(),
                 kept: shard
-                    .kept_room
+                    .reserved_for_teams()
                     .iter()
                     .map(|(team, k)| ReservedCpus {
                         team: team.as_str().to_string(),
@@ -360,7 +364,10 @@
         self.hint_drains(&mut shards);
         // All of them in the first part's hint: the leader asks for all parts' together.
         if let Some(first) = shards.first_mut() {
-            let heard = self.shards.values().flat_map(|s| s.heard(now, HEARD_MS));
+            let heard = self
+                .shards
+                .values()
+                .flat_map(|s| s.machines_heard_since(now, HEARD_MS));
             let heard: BTreeSet<MachineId> = heard.cloned().collect();
             first.heard = self.heard_turns.next(&heard, HEARD_BYTES);
         }
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -2,7 +2,7 @@
 //! fills machines with whatever fits and so may never leave enough for a large task.
 
 use super::Shard;
-use super::placement::{CapacityIndex, Pass, Where};
+use super::placement::{CapacityIndex, PlacementPass, PlacementScope};
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
 use snowshelf_fair_share::backfill::{
@@ -10,14 +10,21 @@
 };
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_model::records::{Grant, JobKind, JobSpec, Resources};
+use std::collections::BTreeMap;
 
 /// What is held for a job.
-pub(super) struct Hold {
+pub(super) struct BackfillReservation {
     since: MonotonicMillis,
     machine: MachineId,
 }
 
-impl Hold {
+/// Machines reserved for jobs that have found none for long.
+#[derive(Default)]
+pub(super) struct BackfillReservations {
+    by_job: BTreeMap<JobId, BackfillReservation>,
+}
+
+impl BackfillReservation {
     /// Whether it is in force; it rests for a while afterwards.
     fn holds(&self, now: MonotonicMillis) -> bool {
         now.since(self.since) <= HELD_MS
@@ -31,14 +38,20 @@
 impl Shard {
     /// Places the jobs for which room is held where it is, and keeps that room, of machines and of their teams' grants,
     /// from all others in this pass.
-    pub(super) fn hold(&mut self, turns: &[QueuedJob], pass: &mut Pass, context: &Context) {
+    pub(super) fn reserve_for_backfill(
+        &mut self,
+        queue: &[QueuedJob],
+        pass: &mut PlacementPass,
+        context: &Context,
+    ) {
         let now = context.now();
-        let mut waiting: Vec<(bool, &QueuedJob)> = turns
+        let mut waiting: Vec<(bool, &QueuedJob)> = queue
             .iter()
             .filter(|t| context.effects.wall_ms.saturating_sub(t.since.0) >= WAITED_MS)
             .filter_map(|t| Some((self.has_begun(&t.job, context)?, t)))
             .collect();
-        self.holds
+        self.backfill
+            .by_job
             .retain(|id, hold| waiting.iter().any(|(_, t)| t.job == *id) && !hold.over(now));
         // By the users' priorities, then those of which nothing has ever begun, the oldest of them before the others.
         waiting.sort_by(|(a_begun, a), (b_begun, b)| {
@@ -46,21 +59,27 @@
             (key(*a_begun, a), &a.job).cmp(&(key(*b_begun, b), &b.job))
         });
         let most = most(pass.capacity_index.entries().len());
-        let mut held = self.held(now);
-        for (_, turn) in waiting {
-            match self.holds.get(&turn.job).map(|h| h.holds(now)) {
+        let mut held = self.reservations_in_force(now);
+        for (_, queued) in waiting {
+            match self.backfill.by_job.get(&queued.job).map(|h| h.holds(now)) {
                 Some(true) => {
-                    self.hold_for(turn, pass, context);
+                    self.reserve_for_job(queued, pass, context);
+                }
+                None if held < most => {
+                    held += usize::from(self.reserve_for_job(queued, pass, context))
                 }
-                None if held < most => held += usize::from(self.hold_for(turn, pass, context)),
                 Some(false) | None => {}
             }
         }
     }
 
     /// For how many jobs room is held.
-    fn held(&self, now: MonotonicMillis) -> usize {
-        self.holds.values().filter(|h| h.holds(now)).count()
+    fn reservations_in_force(&self, now: MonotonicMillis) -> usize {
+        self.backfill
+            .by_job
+            .values()
+            .filter(|h| h.holds(now))
+            .count()
     }
 
     /// Whether anything of a job has ended, in any part; none if something of it is on a machine, or if it fails.
@@ -68,10 +87,10 @@
         let job = self
             .jobs
             .get(id)
-            .filter(|j| j.started == 0 && j.failures < 2)?;
-        let shares = job.spec.shards.iter().filter(|p| **p != self.id);
+            .filter(|j| j.started_tasks == 0 && j.consecutive_failures < 2)?;
+        let shares = job.record.shards.iter().filter(|p| **p != self.id);
         let mut shares = shares.filter_map(|p| context.records.allocations.get(&(*p, id.clone())));
-        let mut begun = !job.view.finished.is_empty();
+        let mut begun = !job.desired.finished.is_empty();
         let there = shares.any(|share| {
             begun |= !share.value.finished.is_empty();
             !share.value.started.is_empty()
@@ -80,21 +99,30 @@
     }
 
     /// Holds room for a job, or takes what is held; whether any is.
-    fn hold_for(&mut self, turn: &QueuedJob, pass: &mut Pass, context: &Context) -> bool {
+    fn reserve_for_job(
+        &mut self,
+        queued: &QueuedJob,
+        pass: &mut PlacementPass,
+        context: &Context,
+    ) -> bool {
         let now = context.now();
-        let Some(spec) = self.jobs.get(&turn.job).and_then(|j| j.spec()).cloned() else {
+        let Some(spec) = self.jobs.get(&queued.job).and_then(|j| j.spec()).cloned() else {
             return false;
         };
-        let known = self.holds.remove(&turn.job);
+        let known = self.backfill.by_job.remove(&queued.job);
         let kept = known.as_ref().map(|h| h.machine.clone());
-        let kept = kept.filter(|m| self.may_be_held(m, &spec, pass, context));
-        // Where nothing here could ever run it, another part has to.
-        let Some(machine) = kept.or_else(|| self.choose(&spec, pass, context)) else {
+        let kept = kept.filter(|m| self.is_still_reservable(m, &spec, pass, context));
+        // PlacementScope nothing here could ever run it, another part has to.
+        let Some(machine) = kept.or_else(|| self.nearest_machine(&spec, pass, context)) else {
             return false;
         };
         // Asks for grant, too, if only that is missing.
-        self.place_job(turn, &Where::On(machine.clone()), pass, context);
-        if self.jobs.get(&turn.job).is_some_and(|j| j.started > 0) {
+        self.place_job(queued, &PlacementScope::On(machine.clone()), pass, context);
+        if self
+            .jobs
+            .get(&queued.job)
+            .is_some_and(|j| j.started_tasks > 0)
+        {
             return false;
         }
         let granted = self.granted(&spec.team, context);
@@ -108,34 +136,36 @@
         let free = entries.find(|e| e.what.name == machine).map(|e| e.free);
         let empty = free.is_some_and(|free| spec.resources.fits_in(free));
         // A machine with room is not kept from others while the team's limit does not allow the task.
-        if !(empty && lacks) || self.ungranted(&spec.team, context) >= spec.resources.cpus {
-            pass.held.insert(machine.clone(), turn.job.clone());
+        if !(empty && lacks) || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus {
+            pass.held.insert(machine.clone(), queued.job.clone());
         }
         let since = known.map_or(now, |h| h.since);
         if since == now {
-            tracing::info!(job = %turn.job, shard = %self.id, machine = %machine, lacks, "backfill reservation made");
+            tracing::info!(job = %queued.job, shard = %self.id, machine = %machine, lacks, "backfill reservation made");
         }
-        self.holds.insert(turn.job.clone(), Hold { since, machine });
+        self.backfill
+            .by_job
+            .insert(queued.job.clone(), BackfillReservation { since, machine });
         true
     }
 
     /// Whether room may be held for one more job, on a machine that could run this one.
-    pub(super) fn could_hold(
+    pub(super) fn could_reserve_backfill(
         &self,
         spec: &JobSpec,
         capacity_index: &CapacityIndex,
         context: &Context,
     ) -> bool {
         let mut groups = capacity_index.groups();
-        self.held(context.effects.now) < most(capacity_index.entries().len())
-            && groups.any(|(sort, mut machines)| {
-                self.takes(spec, sort, context)
+        self.reservations_in_force(context.effects.now) < most(capacity_index.entries().len())
+            && groups.any(|(class, mut machines)| {
+                self.is_eligible(spec, class, context)
                     && machines.any(|e| !e.what.faulty && spec.resources.fits_in(e.what.whole))
             })
     }
 
     /// CPUs of a team's limit that no part has.
-    fn ungranted(&self, team: &Team, context: &Context) -> f64 {
+    fn ungranted_cpus(&self, team: &Team, context: &Context) -> f64 {
         let limits = &context.config.settings.deployment.teams;
         let limit = limits.iter().find(|t| t.name == team.as_str());
         let granted = context
@@ -147,11 +177,11 @@
     }
 
     /// Whether a machine that is held may be used and held for this job still.
-    fn may_be_held(
+    fn is_still_reservable(
         &self,
         name: &MachineId,
         spec: &JobSpec,
-        pass: &Pass,
+        pass: &PlacementPass,
         context: &Context,
     ) -> bool {
         let mut entries = pass.capacity_index.entries().iter();
@@ -159,24 +189,30 @@
         entry.is_some_and(|e| {
             !e.what.faulty
                 && !pass.held.contains_key(name)
-                && self.takes(spec, pass.capacity_index.key(e), context)
+                && self.is_eligible(spec, pass.capacity_index.key(e), context)
         })
     }
 
     /// The machine that has room for one of the job's tasks soonest.
-    fn choose(&self, spec: &JobSpec, pass: &Pass, context: &Context) -> Option<MachineId> {
+    fn nearest_machine(
+        &self,
+        spec: &JobSpec,
+        pass: &PlacementPass,
+        context: &Context,
+    ) -> Option<MachineId> {
         let taken = |name: &MachineId| {
-            pass.held.contains_key(name) || self.holds.values().any(|h| h.machine == *name)
+            pass.held.contains_key(name)
+                || self.backfill.by_job.values().any(|h| h.machine == *name)
         };
         let machines: Vec<(&MachineId, BackfillCandidate)> = pass
             .capacity_index
             .groups()
-            .filter(|(sort, _)| sort.kept.is_none() && self.takes(spec, sort, context))
+            .filter(|(class, _)| class.kept.is_none() && self.is_eligible(spec, class, context))
             .flat_map(|(_, machines)| machines)
             .filter(|e| !e.what.faulty && !taken(&e.what.name))
             .map(|e| {
                 let mut in_time = e.what.whole;
-                in_time.sub(self.lasting(&e.what.name));
+                in_time.sub(self.used_by_services(&e.what.name));
                 let free = e.free;
                 (&e.what.name, BackfillCandidate { free, in_time })
             })
@@ -186,11 +222,11 @@
     }
 
     /// What services take of a machine: it does not end by itself.
-    fn lasting(&self, name: &MachineId) -> Resources {
+    fn used_by_services(&self, name: &MachineId) -> Resources {
         let mut room = Resources::default();
-        for (_, job) in self.jobs_on(name) {
+        for (_, job) in self.jobs.on_machine(name) {
             if let Some(spec) = job.spec().filter(|s| s.kind == JobKind::Service) {
-                let tasks = job.view.started.get(name).map_or(0, |s| s.len());
+                let tasks = job.desired.started.get(name).map_or(0, |s| s.len());
                 room.add(spec.resources.times(f64::from(tasks)));
             }
         }
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::job::ShardJob;
-use super::machine::{Drained, Held, Machine};
+use super::machine::{DeferredResponse, Machine, RetirementReason};
 use crate::coordination::context::Context;
 use crate::effects::Response;
 use snowshelf_calendar::calendar::Pool;
@@ -27,7 +27,7 @@
 impl Shard {
     /// Handles a worker's report that came at `received`. The caller has checked that the part is held; gives the
     /// report back while it may not be answered for want of knowledge.
-    pub fn check_in(
+    pub fn on_heartbeat(
         &mut self,
         conn: ConnectionId,
         report: Heartbeat,
@@ -38,11 +38,11 @@
         if report.fencing_token > self.fencing_token {
             tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, seen = %report.fencing_token,
                 machine = %report.machine, "shard leader deposed: worker reports a higher fencing token");
-            self.deposed = true;
-            let_go(conn, context);
+            self.fenced = true;
+            redirect_worker(conn, context);
             return None;
         }
-        if self.gone.contains(&report.machine) {
+        if self.scale_in.released.contains(&report.machine) {
             // Guards against a late report of a machine whose return was confirmed.
             context
                 .effects
@@ -55,55 +55,60 @@
         };
         if !self.ready {
             // Its lease is kept up, and the token told. What it says is taken in with the picture.
-            self.answer(conn, renewal, Vec::new(), context);
-            let newest = self.early.get(&report.machine);
+            self.respond(conn, renewal, Vec::new(), context);
+            let newest = self.early_heartbeats.get(&report.machine);
             if newest.is_none_or(|(_, r)| {
                 (r.incarnation, r.sequence) < (report.incarnation, report.sequence)
             }) {
-                self.early.insert(report.machine.clone(), (now, report));
+                self.early_heartbeats
+                    .insert(report.machine.clone(), (now, report));
             }
             return None;
         }
         let name = report.machine.clone();
-        if !self.take_in(report, now, context) {
+        if !self.record_heartbeat(report, now, context) {
             // Late or repeated: a newer one has settled what this one says.
-            self.answer(conn, renewal, Vec::new(), context);
+            self.respond(conn, renewal, Vec::new(), context);
             return None;
         }
-        if let Some(old) = self.machines.get_mut(&name).and_then(|m| m.held.take()) {
+        if let Some(old) = self
+            .machines
+            .get_mut(&name)
+            .and_then(|m| m.deferred_response.take())
+        {
             // The worker has given that request up.
-            let_go(old.conn, context);
+            redirect_worker(old.connection, context);
         }
         self.place(context);
         let since = now;
         let deadline = now.plus(context.config.ops.hold_ms);
-        let held = Held {
-            conn,
+        let held = DeferredResponse {
+            connection: conn,
             since,
             deadline,
         };
-        if self.worth_waiting(&name, &held, now) {
+        if self.should_defer(&name, &held, now) {
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.held = Some(held);
+                machine.deferred_response = Some(held);
             }
-            self.flush(context);
+            self.flush_changes(context);
         } else {
             let commands = self.commands(&name, now, context);
-            self.answer(conn, renewal, commands, context);
+            self.respond(conn, renewal, commands, context);
         }
         None
     }
 
     /// Takes in the reports that came before the picture was there. Nothing has been started by this
     /// owner since, so they prove what they would have proved then.
-    pub(super) fn take_early(&mut self, context: &mut Context) {
-        for (at, report) in std::mem::take(&mut self.early).into_values() {
-            self.take_in(report, at, context);
+    pub(super) fn process_early_heartbeats(&mut self, context: &mut Context) {
+        for (at, report) in std::mem::take(&mut self.early_heartbeats).into_values() {
+            self.record_heartbeat(report, at, context);
         }
     }
 
     /// Takes in what a report that came at `heard` says; false if a newer one has been.
-    fn take_in(
+    fn record_heartbeat(
         &mut self,
         report: Heartbeat,
         heard: MonotonicMillis,
@@ -123,16 +128,17 @@
             .machines
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(now));
-        if machine.reported
+        if machine.heartbeat_received
             && (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence)
         {
             return false;
         }
-        let new_incarnation = machine.reported && report.incarnation > machine.incarnation;
-        if !machine.reported {
+        let new_incarnation =
+            machine.heartbeat_received && report.incarnation > machine.incarnation;
+        if !machine.heartbeat_received {
             tracing::info!(machine = %name, shard = %self.id, model = %report.model,
                 incarnation = report.incarnation.0, "first heartbeat of machine received");
-            self.dirty = true;
+            self.placement.dirty = true;
         }
         if new_incarnation {
             tracing::info!(machine = %name, incarnation = report.incarnation.0, "new agent incarnation: earlier tasks are lost");
@@ -146,16 +152,16 @@
         machine.spot = report.spot;
         machine.incarnation = report.incarnation;
         machine.sequence = report.sequence;
-        machine.heard = heard;
-        machine.reported = true;
+        machine.last_heartbeat_at = heard;
+        machine.heartbeat_received = true;
         let shown = report.fencing_token == self.fencing_token;
-        if machine.shown != shown {
-            machine.shown = shown;
-            self.dirty = true;
+        if machine.token_acknowledged != shown {
+            machine.token_acknowledged = shown;
+            self.placement.dirty = true;
         }
-        machine.notice_until = report.notice_s.map(|s| heard.plus(seconds_to_ms(s)));
-        machine.listed = report.tasks;
-        machine.stale = true;
+        machine.interruption_at = report.notice_s.map(|s| heard.plus(seconds_to_ms(s)));
+        machine.reported_tasks = report.tasks;
+        machine.usage_dirty = true;
         let evidence = HeartbeatEvidence {
             shown: if shown {
                 TokenState::Equal
@@ -167,27 +173,35 @@
             inherited: shown && std::mem::take(&mut machine.inherited),
         };
         if shown {
-            self.settle(&name, evidence, now, context);
+            self.reconcile_heartbeat(&name, evidence, now, context);
         }
         true
     }
 
     /// Whether an answer should wait: a start is about to be durable, or a pass of placement that
     /// may use this machine is due.
-    fn worth_waiting(&self, name: &MachineId, held: &Held, now: MonotonicMillis) -> bool {
+    fn should_defer(
+        &self,
+        name: &MachineId,
+        held: &DeferredResponse,
+        now: MonotonicMillis,
+    ) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return false;
         };
-        if now >= held.deadline || !machine.shown || machine.returning {
+        if now >= held.deadline || !machine.token_acknowledged || machine.releasing {
             return false;
         }
-        let pass_due = self.dirty && self.placed_at <= held.since && self.matched.any;
-        let open = machine.notice_until.is_none() && machine.draining.is_none() && !machine.closed;
-        self.awaits_start(name) || (pass_due && open)
+        let pass_due = self.placement.dirty
+            && self.placement.last_pass_at <= held.since
+            && self.placement.demand.any;
+        let open =
+            machine.interruption_at.is_none() && machine.retirement.is_none() && !machine.cordoned;
+        self.jobs.awaits_durable_start(name) || (pass_due && open)
     }
 
     /// Answers a report, which renews the worker's lease: what leave was given to halt goes first.
-    fn answer(
+    fn respond(
         &self,
         conn: ConnectionId,
         renewal: LeaseRenewal<(TaskRef, Attempt)>,
@@ -196,7 +210,7 @@
     ) {
         let halts = renewal.into_halts();
         if halts.len() > MAX_COMMANDS {
-            let_go(conn, context);
+            redirect_worker(conn, context);
             return;
         }
         let mut all: Vec<Command> = halts
@@ -219,7 +233,7 @@
     }
 
     /// What the records and the picture say of an attempt on a machine, by the part's share of its job.
-    fn stored(
+    fn desired_state(
         job: Option<&ShardJob>,
         name: &MachineId,
         task: TaskIndex,
@@ -228,7 +242,7 @@
         let Some(j) = job else {
             return DesiredState::NotOurs;
         };
-        let here = j.view.started_on(name, task);
+        let here = j.desired.started_on(name, task);
         let viewed = here == Some(attempt);
         let durable = j.durable.started_on(name, task) == Some(attempt);
         match (viewed, durable, j.cancelled()) {
@@ -238,14 +252,14 @@
             (false, true, false) => DesiredState::Ending,
             (false, true, true) => DesiredState::CancelledEnding,
             (false, false, _) if here.is_some() => DesiredState::OtherAttempt,
-            (false, false, _) if j.view.waiting.get(task).is_some() => DesiredState::Waiting,
-            (false, false, _) if j.view.finished.get(task).is_some() => DesiredState::Finished,
+            (false, false, _) if j.desired.waiting.get(task).is_some() => DesiredState::Waiting,
+            (false, false, _) if j.desired.finished.get(task).is_some() => DesiredState::Finished,
             // On another machine, or in another part's share.
             (false, false, _) => DesiredState::Elsewhere,
         }
     }
 
-    fn nature(spec: Option<&JobSpec>) -> TaskTraits {
+    fn task_traits(spec: Option<&JobSpec>) -> TaskTraits {
         spec.map_or(TaskTraits::default(), |s| TaskTraits {
             standing: s.kind == JobKind::Service,
             saves: s.checkpoint_s > 0.0,
@@ -253,7 +267,7 @@
     }
 
     /// Draws what the newest report proves. The machine has shown this owner's token.
-    fn settle(
+    fn reconcile_heartbeat(
         &mut self,
         name: &MachineId,
         evidence: HeartbeatEvidence,
@@ -263,16 +277,16 @@
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let report_ms = context.config.settings.report_ms();
-        let leaving = machine.leaving(now, 0.0, report_ms);
-        let unbegun = machine.leaving_unbegun(now, report_ms);
-        let listed = machine.listed.clone();
+        let heartbeat_ms = context.config.settings.report_ms();
+        let leaving = machine.disposition(now, 0.0, heartbeat_ms);
+        let unbegun = machine.disposition_of_unstarted(now, heartbeat_ms);
+        let listed = machine.reported_tasks.clone();
         let (mut proofs, mut stopped) = (Vec::new(), Vec::new());
         for item in &listed {
             let (job, task, attempt) = (&item.task.job, item.task.task, item.attempt);
             let ours = self.jobs.get(job);
-            let stored = Self::stored(ours, name, task, attempt);
-            let nature = Self::nature(ours.and_then(|j| j.spec()));
+            let stored = Self::desired_state(ours, name, task, attempt);
+            let nature = Self::task_traits(ours.and_then(|j| j.spec()));
             let reported = ObservedState::Listed(item.state, item.why);
             let cell = reconcile(stored, reported, evidence, leaving, nature);
             if item.why == Some(ExitReason::Stopped)
@@ -282,15 +296,15 @@
             }
             proofs.push((cell, job.clone(), task, attempt));
         }
-        for (job, task, attempt) in self.unlisted(name) {
+        for (job, task, attempt) in self.unreported_tasks(name) {
             let ours = self.jobs.get(&job);
-            let stored = Self::stored(ours, name, task, attempt);
-            let nature = Self::nature(ours.and_then(|j| j.spec()));
+            let stored = Self::desired_state(ours, name, task, attempt);
+            let nature = Self::task_traits(ours.and_then(|j| j.spec()));
             let cell = reconcile(stored, ObservedState::Absent, evidence, unbegun, nature);
             proofs.push((cell, job, task, attempt));
         }
         for (job, task) in stopped {
-            self.count_stop(name, &job, task, context);
+            self.count_eviction(name, &job, task, context);
         }
         self.note_images(name, &listed, context);
         for (cell, job, task, attempt) in proofs {
@@ -303,14 +317,14 @@
                 machine,
                 what,
             };
-            self.step(now, &job, step);
-            self.told(name, &job, task, cell.tells, now, context);
+            self.apply_change(now, &job, step);
+            self.apply_outcome_signal(name, &job, task, cell.tells, now, context);
         }
         self.track_idle(name, now);
     }
 
     /// What a task's end says of its job and its machine.
-    fn told(
+    fn apply_outcome_signal(
         &mut self,
         name: &MachineId,
         job: &JobId,
@@ -323,29 +337,30 @@
             OutcomeSignal::Nothing => {}
             OutcomeSignal::Works => {
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.error_streak.clear();
+                    m.failed_jobs.clear();
                 }
                 if let Some(j) = self.jobs.get_mut(job) {
-                    j.failures = 0;
+                    j.consecutive_failures = 0;
                 }
             }
             OutcomeSignal::Fails => {
-                self.blame(name, job, now);
-                if let Some(j) = self.jobs.get_mut(job).filter(|j| j.spec.run) {
-                    *j.errors.entry(task).or_default() += 1;
-                    if j.spec.pause_ms > 0 {
-                        j.retry_at = j.retry_at.max(now.plus(j.spec.pause_ms));
+                self.record_task_failure(name, job, now);
+                if let Some(j) = self.jobs.get_mut(job).filter(|j| j.record.run) {
+                    *j.task_failures.entry(task).or_default() += 1;
+                    if j.record.pause_ms > 0 {
+                        j.placement_backoff_until =
+                            j.placement_backoff_until.max(now.plus(j.record.pause_ms));
                     }
                 }
             }
             OutcomeSignal::Full => {
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.full_until = now.plus(2 * context.config.settings.report_ms());
+                    m.backoff_until = now.plus(2 * context.config.settings.report_ms());
                 }
             }
             OutcomeSignal::NoDescription => {
                 if let Some(j) = self.jobs.get_mut(job) {
-                    j.retry_at = now.plus(2_000);
+                    j.placement_backoff_until = now.plus(2_000);
                 }
             }
         }
@@ -353,7 +368,7 @@
 
     /// Which images the machine has and which it fetches, by its newest report.
     fn note_images(&mut self, name: &MachineId, listed: &[TaskStatus], context: &Context) {
-        let unlisted = self.unlisted(name);
+        let unlisted = self.unreported_tasks(name);
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -367,26 +382,26 @@
             match item.state {
                 TaskState::Running | TaskState::Saving => {
                     let gb = job.spec().map_or(0.0, |s| s.pull_gb);
-                    m.images.used(job.image, gb, local_gb);
+                    m.images.used(job.image_id, gb, local_gb);
                 }
                 TaskState::Pulling => {
-                    m.images.coming.insert(job.image);
+                    m.images.coming.insert(job.image_id);
                 }
                 TaskState::Exited => {}
             }
         }
         let started = unlisted.iter().filter_map(|(id, _, _)| jobs.get(id));
         let absent: Vec<u32> = started
-            .map(|j| j.image)
+            .map(|j| j.image_id)
             .filter(|image| !m.images.has(*image))
             .collect();
         m.images.coming.extend(absent);
     }
 
     fn track_idle(&mut self, name: &MachineId, now: MonotonicMillis) {
-        let busy = self.holds_tasks(name);
+        let busy = self.jobs.has_tasks_on(name);
         if let Some(m) = self.machines.get_mut(name) {
-            if busy || m.lists_tasks() {
+            if busy || m.reports_live_tasks() {
                 m.idle_since = None;
             } else if m.idle_since.is_none() {
                 m.idle_since = Some(now);
@@ -395,18 +410,18 @@
     }
 
     /// Tasks held by the picture on this machine that its newest report does not list.
-    fn unlisted(&self, name: &MachineId) -> Vec<(JobId, TaskIndex, Attempt)> {
+    fn unreported_tasks(&self, name: &MachineId) -> Vec<(JobId, TaskIndex, Attempt)> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
         let listed = |id: &JobId, task: TaskIndex, attempt: Attempt| {
-            let mut tasks = machine.listed.iter();
+            let mut tasks = machine.reported_tasks.iter();
             tasks.any(|t| t.task.task == task && t.attempt == attempt && t.task.job == *id)
         };
         let mut found = Vec::new();
-        for (id, job) in self.jobs_on(name) {
+        for (id, job) in self.jobs.on_machine(name) {
             for (task, attempt) in job
-                .view
+                .desired
                 .started
                 .get(name)
                 .into_iter()
@@ -422,25 +437,25 @@
 
     /// A task failed. A machine is to blame when different jobs fail on it, or when one fails that
     /// works elsewhere; a job that fails on several machines is held back instead.
-    fn blame(&mut self, name: &MachineId, job: &JobId, now: MonotonicMillis) {
+    fn record_task_failure(&mut self, name: &MachineId, job: &JobId, now: MonotonicMillis) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
-        entry.failures += 1;
+        entry.consecutive_failures += 1;
         entry.failed_on.insert(name.clone());
-        let works = !entry.view.finished.is_empty();
+        let works = !entry.desired.finished.is_empty();
         let spread = entry.failed_on.len();
         if !works && spread >= 2 {
-            let wait = 1_000u64 << entry.failures.min(5);
-            entry.retry_at = now.plus(wait);
+            let wait = 1_000u64 << entry.consecutive_failures.min(5);
+            entry.placement_backoff_until = now.plus(wait);
             tracing::info!(job = %job, machines = spread, wait_ms = wait, "job backing off: tasks fail on several machines");
         }
         if let Some(m) = self.machines.get_mut(name) {
-            m.error_streak.push(job.clone());
-            let distinct: BTreeSet<&JobId> = m.error_streak.iter().collect();
-            let guilty = distinct.len() >= 2 || (works && m.error_streak.len() >= 2);
-            if guilty && m.draining.is_none() {
-                m.draining = Some(Drained::Fault);
+            m.failed_jobs.push(job.clone());
+            let distinct: BTreeSet<&JobId> = m.failed_jobs.iter().collect();
+            let guilty = distinct.len() >= 2 || (works && m.failed_jobs.len() >= 2);
+            if guilty && m.retirement.is_none() {
+                m.retirement = Some(RetirementReason::Fault);
                 tracing::info!(machine = %name, jobs = distinct.len(), "machine quarantined: tasks fail");
             }
         }
@@ -450,11 +465,11 @@
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
-        if !machine.shown {
+        if !machine.token_acknowledged {
             // An earlier owner might still command it: only the token goes out.
             return Vec::new();
         }
-        let report_ms = context.config.settings.report_ms();
+        let heartbeat_ms = context.config.settings.report_ms();
         let begins = may_begin(context.watermark, now);
         let mut commands = Vec::new();
         let mut order = |machine_leaves, reported, task: TaskRef, attempt| {
@@ -464,19 +479,19 @@
             let leaving = match machine_leaves {
                 Some(leaving) => leaving,
                 // One door for every cause.
-                None => match stops(self.grounds(name, &task.job, task.task, context)) {
+                None => match stops(self.eviction_grounds(name, &task.job, task.task, context)) {
                     None | Some(Cause::Cancelled | Cause::Notice) => {
-                        machine.leaving(now, save_s, report_ms)
+                        machine.disposition(now, save_s, heartbeat_ms)
                     }
                     Some(_) => MachineDisposition::Drained,
                 },
             };
-            let mut stored = Self::stored(job, name, task.task, attempt);
+            let mut stored = Self::desired_state(job, name, task.task, attempt);
             // Halted, and not commanded any more, whoever says so. Written it is only once the mirror shows it.
             if context.attested.contains_key(&task.job) {
                 stored = stored.if_cancelled();
             }
-            let nature = Self::nature(spec);
+            let nature = Self::task_traits(spec);
             let cell = reconcile(stored, reported, HeartbeatEvidence::PLAIN, leaving, nature);
             // Guards against a task that begins long after a cancellation which this owner could not hear of.
             let order = cell.order.filter(|o| begins || *o != ReconcileAction::Run);
@@ -494,13 +509,13 @@
                 },
             }));
         };
-        for item in &machine.listed {
+        for item in &machine.reported_tasks {
             let reported = ObservedState::Listed(item.state, item.why);
             order(None, reported, item.task.clone(), item.attempt);
         }
         // Whether a task has to make room matters only to one that is there.
-        let leaving = Some(machine.leaving_unbegun(now, report_ms));
-        for (job, task, attempt) in self.unlisted(name) {
+        let leaving = Some(machine.disposition_of_unstarted(now, heartbeat_ms));
+        for (job, task, attempt) in self.unreported_tasks(name) {
             order(
                 leaving,
                 ObservedState::Absent,
@@ -511,62 +526,46 @@
         commands
     }
 
-    /// Whether the picture has starts on this machine that are not durable yet.
-    pub(super) fn awaits_start(&self, name: &MachineId) -> bool {
-        self.jobs_on(name).any(|(_, j)| {
-            let durable = j.durable.started.get(name);
-            j.view.started.get(name).is_some_and(|v| match durable {
-                Some(d) => d != v && v.iter().any(|(task, a)| d.get(task) != Some(a)),
-                None => true,
-            })
-        })
-    }
-
-    /// Whether the picture has tasks on this machine.
-    pub(super) fn holds_tasks(&self, name: &MachineId) -> bool {
-        self.on.contains_key(name)
-    }
-
     /// Answers the workers whose start is committed or who cannot wait any longer.
-    pub(super) fn answer_held(&mut self, context: &mut Context) {
+    pub(super) fn send_deferred_responses(&mut self, context: &mut Context) {
         let now = context.now();
-        let held: Vec<(MachineId, Held)> = self
+        let held: Vec<(MachineId, DeferredResponse)> = self
             .machines
             .iter()
-            .filter_map(|(n, m)| m.held.map(|h| (n.clone(), h)))
+            .filter_map(|(n, m)| m.deferred_response.map(|h| (n.clone(), h)))
             .collect();
         for (name, held) in held {
-            if self.worth_waiting(&name, &held, now) {
+            if self.should_defer(&name, &held, now) {
                 continue;
             }
             if let Some(m) = self.machines.get_mut(&name) {
-                m.held = None;
+                m.deferred_response = None;
             }
             let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            match context.authorize_renewal(self.id, &machine.listed, held.since) {
+            match context.authorize_renewal(self.id, &machine.reported_tasks, held.since) {
                 Ok(renewal) => {
                     let commands = self.commands(&name, now, context);
-                    self.answer(held.conn, renewal, commands, context);
+                    self.respond(held.connection, renewal, commands, context);
                 }
-                Err(_) => let_go(held.conn, context),
+                Err(_) => redirect_worker(held.connection, context),
             }
         }
     }
 
     /// Lets go of every worker that waits: this owner may not answer any more.
-    pub fn drop_held(&mut self, context: &mut Context) {
+    pub fn redirect_deferred_requests(&mut self, context: &mut Context) {
         for machine in self.machines.values_mut() {
-            if let Some(held) = machine.held.take() {
-                let_go(held.conn, context);
+            if let Some(held) = machine.deferred_response.take() {
+                redirect_worker(held.connection, context);
             }
         }
     }
 }
 
 /// Lets a worker look for an owner elsewhere; its lease is as it was.
-fn let_go(conn: ConnectionId, context: &mut Context) {
+fn redirect_worker(conn: ConnectionId, context: &mut Context) {
     context
         .effects
         .respond(conn, Response::new(421, redirect(None)));
--- /dev/null
+++ b/src/coordination/shard/job_table.rs
@@ -0,0 +1,206 @@
+//! The jobs of which a shard has an allocation, and an index of them by machine.
+
+use super::job::{PendingChange, ShardJob};
+use crate::coordination::context::Context;
+use snowshelf_model::ids::{Attempt, JobId, MachineId, MonotonicMillis, ShardId, TaskIndex};
+use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// A started task of a job on a machine.
+pub(super) type StartedTask = (JobId, TaskIndex, Attempt);
+
+/// The jobs of a shard.
+#[derive(Default)]
+pub(super) struct JobTable {
+    jobs: BTreeMap<JobId, ShardJob>,
+    /// Jobs with started tasks in their desired state, by machine.
+    by_machine: BTreeMap<MachineId, BTreeSet<JobId>>,
+    /// Numbers that stand for the names of images.
+    image_ids: HashMap<String, u32>,
+    last_change_id: u64,
+}
+
+impl JobTable {
+    pub fn len(&self) -> usize {
+        self.jobs.len()
+    }
+
+    pub fn contains_key(&self, job: &JobId) -> bool {
+        self.jobs.contains_key(job)
+    }
+
+    pub fn get(&self, job: &JobId) -> Option<&ShardJob> {
+        self.jobs.get(job)
+    }
+
+    pub fn get_mut(&mut self, job: &JobId) -> Option<&mut ShardJob> {
+        self.jobs.get_mut(job)
+    }
+
+    pub fn values(&self) -> impl Iterator<Item = &ShardJob> + '_ {
+        self.jobs.values()
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
+        self.jobs.iter()
+    }
+
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&JobId, &mut ShardJob)> + '_ {
+        self.jobs.iter_mut()
+    }
+
+    /// Jobs with started tasks on a machine, in their desired state.
+    pub fn on_machine(&self, name: &MachineId) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
+        let jobs = self.by_machine.get(name).into_iter().flatten();
+        jobs.filter_map(|id| Some((id, self.jobs.get(id)?)))
+    }
+
+    /// Whether any task is started on a machine, in the desired state.
+    pub fn has_tasks_on(&self, name: &MachineId) -> bool {
+        self.by_machine.contains_key(name)
+    }
+
+    /// The tasks started on a machine, in the desired state.
+    pub fn tasks_on(&self, name: &MachineId) -> Vec<StartedTask> {
+        let jobs = self.on_machine(name);
+        let tasks = jobs.flat_map(|(id, j)| {
+            let ranges = j.desired.started.get(name).into_iter();
+            ranges
+                .flat_map(|r| r.iter())
+                .map(|(task, attempt)| (id.clone(), task, attempt))
+        });
+        tasks.collect()
+    }
+
+    /// The machines on which tasks are started, in the desired state.
+    pub fn machines_in_use(&self) -> BTreeSet<MachineId> {
+        self.jobs
+            .values()
+            .flat_map(|j| j.desired.started.keys().cloned())
+            .collect()
+    }
+
+    /// Takes the record cache's state of a job over. Returns the machines on which the job has or had started tasks,
+    /// or `None` if nothing changed.
+    pub fn refresh(
+        &mut self,
+        shard_id: ShardId,
+        job: &JobId,
+        context: &Context,
+    ) -> Option<BTreeSet<MachineId>> {
+        let allocation = context.records.allocations.get(&(shard_id, job.clone()));
+        let record = context.records.jobs.get(job);
+        let before: BTreeSet<MachineId> = match (allocation, record) {
+            (Some(allocation), Some(record)) => {
+                let spec = record.value.spec.as_ref();
+                let image_id = spec.map_or(0, |s| self.image_id(&s.image));
+                let known = self.jobs.contains_key(job);
+                let entry = self.jobs.entry(job.clone()).or_insert_with(|| {
+                    let ready = context.dependency_graph.is_ready(job, &record.value);
+                    ShardJob::new(record, allocation, image_id, ready, context.effects.now)
+                });
+                if known
+                    && record.version == entry.record_version
+                    && allocation.version <= entry.allocation_version
+                {
+                    return None;
+                }
+                let before = entry.desired.started.keys().cloned().collect();
+                entry.record = record.value.clone();
+                entry.record_version = record.version;
+                if allocation.version > entry.allocation_version {
+                    entry.allocation_version = allocation.version;
+                    entry.durable = allocation.value.clone();
+                }
+                entry.reapply_pending_changes();
+                before
+            }
+            (None, _) => self.jobs.remove(job)?.desired.started.into_keys().collect(),
+            // The allocation is known and the job's record not yet: its change follows.
+            (Some(_), None) => return None,
+        };
+        Some(self.reindex(job, before))
+    }
+
+    /// The number that stands for an image.
+    fn image_id(&mut self, image: &str) -> u32 {
+        if let Some(id) = self.image_ids.get(image) {
+            return *id;
+        }
+        let id = self.image_ids.len() as u32;
+        self.image_ids.insert(image.to_string(), id);
+        id
+    }
+
+    /// Updates the index after the desired state of a job, which had started tasks on the machines `before`, was
+    /// replaced or removed. Returns all machines concerned.
+    fn reindex(&mut self, job: &JobId, before: BTreeSet<MachineId>) -> BTreeSet<MachineId> {
+        let desired = self.jobs.get(job).map(|j| &j.desired);
+        let after: BTreeSet<MachineId> = desired
+            .into_iter()
+            .flat_map(|d: &ShardAllocation| d.started.keys().cloned())
+            .collect();
+        for name in before.difference(&after) {
+            self.remove_from_index(name, job);
+        }
+        for name in &after {
+            let jobs = self.by_machine.entry(name.clone()).or_default();
+            jobs.insert(job.clone());
+        }
+        before.union(&after).cloned().collect()
+    }
+
+    fn remove_from_index(&mut self, name: &MachineId, job: &JobId) {
+        if let Some(jobs) = self.by_machine.get_mut(name) {
+            jobs.remove(job);
+            if jobs.is_empty() {
+                self.by_machine.remove(name);
+            }
+        }
+    }
+
+    /// Applies a change to a job's desired state and queues it to be written. Returns whether it applies.
+    pub fn apply(&mut self, now: MonotonicMillis, job: &JobId, change: AllocationChange) -> bool {
+        let Some(entry) = self.jobs.get_mut(job) else {
+            return false;
+        };
+        if !entry.desired.apply(&change) {
+            return false;
+        }
+        self.last_change_id += 1;
+        if entry.pending_changes.is_empty() {
+            entry.pending_since = now;
+        }
+        let name = change.machine.clone();
+        let starts = change.what == AllocationChangeKind::Start;
+        entry.pending_changes.push(PendingChange {
+            id: self.last_change_id,
+            applied_at: now,
+            change,
+        });
+        if starts {
+            entry.started_tasks += 1;
+            let jobs = self.by_machine.entry(name).or_default();
+            jobs.insert(job.clone());
+        } else {
+            entry.started_tasks = entry.started_tasks.saturating_sub(1);
+            if !entry.desired.started.contains_key(&name) {
+                self.remove_from_index(&name, job);
+            }
+        }
+        true
+    }
+
+    /// Whether starts on this machine are pending, and not durable yet.
+    pub fn awaits_durable_start(&self, name: &MachineId) -> bool {
+        self.on_machine(name).any(|(_, job)| {
+            let Some(desired) = job.desired.started.get(name) else {
+                return false;
+            };
+            let Some(durable) = job.durable.started.get(name) else {
+                return true;
+            };
+            durable != desired && desired.iter().any(|(task, a)| durable.get(task) != Some(a))
+        })
+    }
+}
--- /dev/null
+++ b/src/coordination/shard/load.rs
@@ -0,0 +1,85 @@
+//! What a shard has and uses of CPUs, for its peers and for the log.
+
+use super::Shard;
+use super::job_table::JobTable;
+use super::machine::Machine;
+use crate::coordination::context::Context;
+use snowshelf_model::ids::{MachineId, MonotonicMillis, ShardId};
+use snowshelf_model::protocol::worker::TaskState;
+use std::collections::BTreeMap;
+
+/// The time between two log events on the load.
+const LOG_INTERVAL_MS: u64 = 10_000;
+
+/// The load of a shard, as of the last placement pass.
+#[derive(Default)]
+pub(super) struct LoadStatistics {
+    /// Free CPUs that are not reserved for a team.
+    pub free_cpus: f64,
+    /// CPUs of all machines.
+    pub capacity_cpus: f64,
+    /// CPUs of waiting tasks.
+    pub waiting_cpus: f64,
+    /// Tasks placed since the last log event: with the image cached, while it was fetched, and without it.
+    pub placements_by_image: [u64; 3],
+    last_logged_at: MonotonicMillis,
+}
+
+impl LoadStatistics {
+    fn log(
+        &self,
+        shard_id: ShardId,
+        machines: &BTreeMap<MachineId, Machine>,
+        jobs: &JobTable,
+        context: &Context,
+    ) {
+        let mut capacity = 0.0;
+        for m in machines.values() {
+            capacity += context.types.get(&m.model).map_or(0.0, |t| t.cpus);
+        }
+        let cpus = cpus_by_state(machines, jobs);
+        let in_state = |state: &str| cpus.get(state).copied().unwrap_or(0.0);
+        tracing::info!(shard = %shard_id, machines = machines.len(), capacity, free = self.free_cpus,
+            running = in_state("running"), pulling = in_state("pulling"), exited = in_state("exited"),
+            cached = self.placements_by_image[0], coming = self.placements_by_image[1],
+            absent = self.placements_by_image[2],
+            waiting = self.waiting_cpus, jobs = jobs.len(), "shard load in CPUs");
+    }
+}
+
+/// CPUs of the tasks that machines report, by the tasks' state.
+fn cpus_by_state(
+    machines: &BTreeMap<MachineId, Machine>,
+    jobs: &JobTable,
+) -> BTreeMap<&'static str, f64> {
+    let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
+    for item in machines.values().flat_map(|m| &m.reported_tasks) {
+        let state = match item.state {
+            TaskState::Pulling => "pulling",
+            TaskState::Running => "running",
+            TaskState::Saving => "saving",
+            TaskState::Exited => "exited",
+        };
+        if let Some(spec) = jobs.get(&item.task.job).and_then(|j| j.spec()) {
+            *cpus.entry(state).or_default() += spec.resources.cpus;
+        }
+    }
+    cpus
+}
+
+impl Shard {
+    /// Logs the load and the counts of reconciliation, if it is time to.
+    pub(super) fn log_load(&mut self, context: &Context) {
+        let now = context.effects.now;
+        if now.since(self.load.last_logged_at) < LOG_INTERVAL_MS {
+            return;
+        }
+        self.load.last_logged_at = now;
+        self.load.log(self.id, &self.machines, &self.jobs, context);
+        let done = &self.reconciliation;
+        tracing::info!(shard = %self.id, agree = done.agree, not_begun = done.not_begun, gone = done.gone,
+            ended = done.ended, stray = done.stray, remnant = done.remnant, stopped = ?self.evictions.counts,
+            "heartbeats reconciled");
+        self.load.placements_by_image = [0; 3];
+    }
+}
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its part's owner pictures it.
+//! What a shard's leader knows of a machine.
 
 use crate::coordination::images::Images;
 use snowshelf_calendar::calendar::Pool;
@@ -9,102 +9,126 @@
 use snowshelf_model::records::Resources;
 use snowshelf_reconciliation::decision_table::MachineDisposition;
 
-/// Why a machine is emptied for good.
+/// Why a machine is to be evicted from and scaled in.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Drained {
-    /// It fails what it starts.
+pub(super) enum RetirementReason {
+    /// It is quarantined: tasks of several jobs fail on it.
     Fault,
-    /// Its pool closes.
+    /// A maintenance window closes its pool.
     Window,
 }
 
-/// An answer to a report that waits.
+/// A heartbeat whose response waits for a start to be durable.
 #[derive(Clone, Copy)]
-pub(super) struct Held {
-    pub conn: ConnectionId,
+pub(super) struct DeferredResponse {
+    pub connection: ConnectionId,
+    /// When the heartbeat was processed.
     pub since: MonotonicMillis,
+    /// When the response is sent at the latest.
     pub deadline: MonotonicMillis,
 }
 
+/// A machine of the shard.
 pub(super) struct Machine {
+    /// The name of its machine type.
     pub model: String,
+    /// The index of its zone in the settings; `usize::MAX` if unknown.
     pub zone: usize,
-    /// Its zone and type, once it has said them.
+    /// Its zone and type, once a heartbeat has named them.
     pub pool: Option<Pool>,
     pub spot: bool,
     pub incarnation: AgentIncarnation,
     pub sequence: HeartbeatSequence,
-    /// Its report shows this owner's token: no earlier owner can command it any more.
-    pub shown: bool,
-    pub heard: MonotonicMillis,
-    /// Whether it ever reported to this owner.
-    pub reported: bool,
-    /// Its started tasks are an earlier owner's, and no report has shown this one's token yet.
+    /// It has acknowledged this leader's fencing token: no earlier leader can command it any more.
+    pub token_acknowledged: bool,
+    pub last_heartbeat_at: MonotonicMillis,
+    /// Whether a heartbeat of it has reached this leader.
+    pub heartbeat_received: bool,
+    /// Its started tasks are an earlier leader's, and it has not acknowledged this one's fencing token yet.
     pub inherited: bool,
-    pub notice_until: Option<MonotonicMillis>,
-    pub listed: Vec<TaskStatus>,
-    pub held: Option<Held>,
+    /// When the cloud takes it away, if it has announced that.
+    pub interruption_at: Option<MonotonicMillis>,
+    /// The tasks that its newest heartbeat lists.
+    pub reported_tasks: Vec<TaskStatus>,
+    /// The newest heartbeat's response, if it is deferred.
+    pub deferred_response: Option<DeferredResponse>,
+    /// Since when nothing runs on it, as far as heartbeats say.
     pub idle_since: Option<MonotonicMillis>,
-    /// By the numbers that the part gives to images.
+    /// By the shard's image numbers.
     pub images: Images,
     /// Jobs whose tasks failed here since a task last completed here.
-    pub error_streak: Vec<JobId>,
-    pub draining: Option<Drained>,
-    /// A drain empties it: nothing starts here, and what is there ends or is stopped within the budgets.
-    pub closed: bool,
-    /// When `closed` last changed.
-    pub opened: MonotonicMillis,
-    pub returning: bool,
-    pub full_until: MonotonicMillis,
-    /// What the picture and the newest report say is taken; kept until `stale`.
+    pub failed_jobs: Vec<JobId>,
+    /// Whether it is being evicted from to be scaled in, and why.
+    pub retirement: Option<RetirementReason>,
+    /// A drain has cordoned it: nothing starts here, and its tasks end or are evicted within the disruption budgets.
+    pub cordoned: bool,
+    /// When `cordoned` last changed.
+    pub cordon_changed_at: MonotonicMillis,
+    /// Its release to the cloud has been decided on.
+    pub releasing: bool,
+    /// It had no room for a task that was started here: nothing is placed on it until then.
+    pub backoff_until: MonotonicMillis,
+    /// Resources of started and of reported tasks; valid unless `usage_dirty`.
     pub used: Resources,
-    /// Jobs of listed tasks that the picture does not hold here, one entry a task.
-    pub strays: Vec<JobId>,
-    /// `used` and `strays` must be worked out anew.
-    pub stale: bool,
+    /// Jobs of reported tasks that are not started here in the desired state, one entry per task.
+    pub orphaned_tasks: Vec<JobId>,
+    /// `used` and `orphaned_tasks` must be recomputed.
+    pub usage_dirty: bool,
 }
 
 impl Machine {
     /// Whether tasks may be placed here.
-    pub fn open(&self, now: MonotonicMillis, fresh_ms: u64) -> bool {
-        self.shown
-            && self.draining.is_none()
-            && !self.closed
-            && !self.returning
-            && self.notice_until.is_none()
-            && self.full_until <= now
-            && now.since(self.heard) <= fresh_ms
+    pub fn accepts_tasks(&self, now: MonotonicMillis, max_silence_ms: u64) -> bool {
+        self.token_acknowledged
+            && self.retirement.is_none()
+            && !self.cordoned
+            && !self.releasing
+            && self.interruption_at.is_none()
+            && self.backoff_until <= now
+            && now.since(self.last_heartbeat_at) <= max_silence_ms
     }
 
-    /// What is to become of it, for a task that needs so long to save.
-    pub fn leaving(&self, now: MonotonicMillis, save_s: f64, report_ms: u64) -> MachineDisposition {
-        if let Some(until) = self.notice_until {
-            let left = until.0.saturating_sub(now.0);
-            let late = left <= seconds_to_ms(save_s) + 2 * report_ms;
+    /// What is to become of it, for a task whose checkpoint takes `checkpoint_s` seconds.
+    pub fn disposition(
+        &self,
+        now: MonotonicMillis,
+        checkpoint_s: f64,
+        heartbeat_ms: u64,
+    ) -> MachineDisposition {
+        if let Some(until) = self.interruption_at {
+            let remaining_ms = until.0.saturating_sub(now.0);
+            let late = remaining_ms <= seconds_to_ms(checkpoint_s) + 2 * heartbeat_ms;
             MachineDisposition::Noticed { late }
-        } else if self.draining.is_some() {
+        } else if self.retirement.is_some() {
             MachineDisposition::Drained
-        } else if self.returning {
+        } else if self.releasing {
             MachineDisposition::Returning
         } else {
             MachineDisposition::Stays
         }
     }
 
-    /// The same for a task that the picture has here and the newest report has not: it has not begun, and
-    /// does not where a drain empties the machine.
-    pub fn leaving_unbegun(&self, now: MonotonicMillis, report_ms: u64) -> MachineDisposition {
-        match self.leaving(now, 0.0, report_ms) {
-            MachineDisposition::Stays if self.closed => MachineDisposition::Drained,
-            leaving => leaving,
+    /// The same for a task that is started here in the desired state and absent from the newest heartbeat: it has not
+    /// begun, and does not on a cordoned machine.
+    pub fn disposition_of_unstarted(
+        &self,
+        now: MonotonicMillis,
+        heartbeat_ms: u64,
+    ) -> MachineDisposition {
+        match self.disposition(now, 0.0, heartbeat_ms) {
+            MachineDisposition::Stays if self.cordoned => MachineDisposition::Drained,
+            disposition => disposition,
         }
     }
 
-    /// Whether its newest report lists a task that has not ended.
-    pub fn lists_tasks(&self) -> bool {
-        self.listed.iter().any(|t| t.state != TaskState::Exited)
+    /// Whether its newest heartbeat lists a task that has not ended.
+    pub fn reports_live_tasks(&self) -> bool {
+        self.reported_tasks
+            .iter()
+            .any(|t| t.state != TaskState::Exited)
     }
 
+    /// A machine of which nothing is known but its name.
     pub fn unknown(now: MonotonicMillis) -> Machine {
         Machine {
             model: String::new(),
@@ -113,24 +137,24 @@
             spot: true,
             incarnation: AgentIncarnation(0),
             sequence: HeartbeatSequence(0),
-            shown: false,
-            heard: now,
-            reported: false,
+            token_acknowledged: false,
+            last_heartbeat_at: now,
+            heartbeat_received: false,
             inherited: false,
-            notice_until: None,
-            listed: Vec::new(),
-            held: None,
+            interruption_at: None,
+            reported_tasks: Vec::new(),
+            deferred_response: None,
             idle_since: None,
             images: Images::default(),
-            error_streak: Vec::new(),
-            draining: None,
-            closed: false,
-            opened: MonotonicMillis(0),
-            returning: false,
-            full_until: MonotonicMillis(0),
+            failed_jobs: Vec::new(),
+            retirement: None,
+            cordoned: false,
+            cordon_changed_at: MonotonicMillis(0),
+            releasing: false,
+            backoff_until: MonotonicMillis(0),
             used: Resources::default(),
-            strays: Vec::new(),
-            stale: true,
+            orphaned_tasks: Vec::new(),
+            usage_dirty: true,
         }
     }
 }
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -1,12 +1,16 @@
-//! The owner of one part: its machines, its shares of jobs, and every start on its machines.
+//! The leader of one shard: its machines, its allocations of jobs, and every start on its machines.
 //!
-//! What it writes is conditional on its token, so a deposed owner's late writes fail. What it
-//! commands has been committed first, and is commanded only inside answers to reports.
+//! [`Shard`] is an actor that routes: requests, responses and ticks go to the modules beside this one, each of which
+//! owns its part of the state. All that a leader writes is conditional on its fencing token, so that the late writes of
+//! a fenced leader fail. A command is sent only after the change it follows from is durable, and only in the response
+//! to a heartbeat.
 
 mod backfill;
 mod eviction;
 mod heartbeats;
 mod job;
+mod job_table;
+mod load;
 mod machine;
 mod persistence;
 mod placement;
@@ -17,32 +21,38 @@
 mod work_stealing;
 
 use super::context::{Context, KvRequest};
-
 use super::gossip::ShardCapacity;
 use crate::storage::kv_client::{KvResponse, unexpected_response};
-use job::{PendingChange, ShardJob};
+use backfill::BackfillReservations;
+use eviction::Evictions;
+use job_table::JobTable;
+use load::LoadStatistics;
 use machine::Machine;
-use persistence::InFlightSwap;
+use persistence::WriteState;
+use placement::PlacementState;
 pub use placement::StealOffer;
+use quota::QuotaGrants;
+use reservations::{CapacityReservations, ReservedCapacity};
+use scale_in::ScaleIn;
 use serde::Serialize;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_drain::door::Cause;
-use snowshelf_fair_share::grants::QuotaShortfall;
-use snowshelf_model::ids::{
-    Attempt, FencingToken, JobId, MachineId, MonotonicMillis, ShardId, TaskIndex, Team,
-};
+use snowshelf_model::ids::{FencingToken, JobId, MachineId, MonotonicMillis, ShardId, Team};
 use snowshelf_model::protocol::state::CompareAndSwap;
-use snowshelf_model::protocol::worker::{Heartbeat, TaskState};
-use snowshelf_model::records::{
-    AllocationChange, AllocationChangeKind, QuotaRecord, ShardAllocation,
-};
+use snowshelf_model::protocol::worker::Heartbeat;
+use snowshelf_model::records::AllocationChange;
 use snowshelf_reconciliation::decision_table::ReconciliationCounts;
 use snowshelf_reconciliation::silence::HeartbeatSummary;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use work_stealing::WorkStealing;
 
-/// How often machines and grants are looked over.
-const TEND_MS: u64 = 200;
+/// The time between two rounds of maintenance of machines and quota grants.
+const MAINTENANCE_INTERVAL_MS: u64 = 200;
+/// A placement pass runs at least this often, whether or not anything changed.
+const MAX_PASS_INTERVAL_MS: u64 = 500;
+/// For so long after the shard was acquired, failed reads are not repeated.
+const RETRY_READS_AFTER_MS: u64 = 1_000;
 
 /// What a shard's leader asks of the key-value store.
 #[derive(Clone, Debug)]
@@ -51,156 +61,100 @@
     WriteAllocations,
     /// Reads an allocation back whose write has no known outcome, or was in conflict.
     ReadAllocation {
+        /// The key to read.
         key: String,
     },
     /// Moves a team's quota grant.
     RegrantQuota,
+    /// Reads a team's quota record back.
     ReadQuota {
+        /// The key to read.
         key: String,
     },
     /// Takes waiting tasks of a job over from another shard.
     Steal {
+        /// The job whose tasks move.
         job: JobId,
+        /// The transaction, whose mutations go into the record cache once it is carried out.
         swap: CompareAndSwap,
     },
     /// Charges evictions to a team's disruption budget.
     ChargeBudget,
 }
 
+/// The leader of a shard.
 pub struct Shard {
+    /// The shard's number.
     pub id: ShardId,
+    /// The fencing token that this leader holds.
     pub fencing_token: FencingToken,
+    /// Whether the state of the shard has been rebuilt from the records; until then only leases are renewed.
     pub ready: bool,
-    pub deposed: bool,
-    pub taken: MonotonicMillis,
-    jobs: BTreeMap<JobId, ShardJob>,
+    /// Whether a later leader is known to hold a higher fencing token: this one must not act any more.
+    pub fenced: bool,
+    /// When the shard was acquired.
+    pub acquired_at: MonotonicMillis,
+    jobs: JobTable,
     machines: BTreeMap<MachineId, Machine>,
-    /// Jobs with started tasks in their view, by machine.
-    on: BTreeMap<MachineId, BTreeSet<JobId>>,
-    /// Numbers for the images of jobs seen.
-    images: HashMap<String, u32>,
-    /// Machines kept for reservations.
-    kept: BTreeMap<MachineId, reservations::MachineReservation>,
-    /// Jobs whose tasks on a machine are stopped for a reservation, as of the last pass.
-    overrun: BTreeMap<MachineId, BTreeSet<JobId>>,
-    /// The other parts' machines by pool, ordinary and spot ones, while something is reserved.
-    pub elsewhere: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>,
-    /// Room kept for teams, as of the last pass.
-    pub kept_room: BTreeMap<Team, reservations::ReservedCapacity>,
-    /// What reports have proved since the part was taken.
+    /// The newest heartbeat of each machine from before the shard was ready, and when it was received.
+    early_heartbeats: BTreeMap<MachineId, (MonotonicMillis, Heartbeat)>,
+    /// What heartbeats have proved since the shard was acquired.
     reconciliation: ReconciliationCounts,
-    /// The newest report of each machine from before the picture was built, and when it came.
-    early: BTreeMap<MachineId, (MonotonicMillis, Heartbeat)>,
-    gone: HashSet<MachineId>,
-    gone_order: VecDeque<MachineId>,
-    next_step: u64,
-    flight: Option<InFlightSwap>,
-    /// Writes in a row that were not carried out.
-    refusals: u32,
-    retry_at: MonotonicMillis,
-    /// So many writes hold one share only, to find the one that the state service refuses.
-    one_by_one: usize,
-    claiming: bool,
-    claim_at: MonotonicMillis,
-    claimed_at: MonotonicMillis,
-    offers_at: MonotonicMillis,
-    quota: HashMap<Team, quota::QuotaState>,
-    quota_flight: Option<(Team, QuotaRecord)>,
-    /// Teams for which placement lacked grant in the last pass.
-    pub short_of: BTreeMap<Team, QuotaShortfall>,
-    /// A charge of a team's budget is underway, and when the next one may be.
-    charging: Option<eviction::Charging>,
-    charge_at: MonotonicMillis,
-    /// What holds stops back, as of the last look.
-    pub held_back: Vec<String>,
-    /// Tasks that were stopped, by what for, since the part was taken.
-    stopped: BTreeMap<Cause, u64>,
-    /// A return is underway.
-    releasing: bool,
-    /// Something changed that placement may use.
-    dirty: bool,
-    placed_at: MonotonicMillis,
-    tended_at: MonotonicMillis,
-    told_at: MonotonicMillis,
-    /// Starts placed since the last line on the load: with the image, while it was fetched, and
-    /// without it.
-    placed: [u64; 3],
-    pub free_cpus: f64,
-    capacity_cpus: f64,
-    pub waiting_cpus: f64,
-    /// What waits here against the machines, as of the last pass.
-    matched: placement::Match,
-    /// What the other parts offer, as far as their owners say.
-    pub offered: Rc<BTreeMap<(ShardId, JobId), StealOffer>>,
-    /// Room held for jobs that find none.
-    holds: BTreeMap<JobId, backfill::Hold>,
+    writes: WriteState,
+    quotas: QuotaGrants,
+    stealing: WorkStealing,
+    backfill: BackfillReservations,
+    reservations: CapacityReservations,
+    evictions: Evictions,
+    scale_in: ScaleIn,
+    placement: PlacementState,
+    load: LoadStatistics,
+    last_maintenance_at: MonotonicMillis,
 }
 
-/// How far a part is served.
+/// The state of a shard, for operators.
 #[derive(Serialize)]
 pub struct ShardProgress {
+    /// The shard's number.
     #[serde(rename = "part")]
     pub shard_id: u32,
-    /// Whether its picture is there, so that more than leases is kept up.
+    /// Whether the shard's state has been rebuilt, so that more than leases is renewed.
     pub served: bool,
-    /// Machines known, by reports or by records, and those that have shown this owner's token.
+    /// Machines known, by heartbeats or by records.
     pub machines: usize,
+    /// Machines that have acknowledged this leader's fencing token.
     #[serde(rename = "shown")]
     pub token_acknowledged: usize,
+    /// What heartbeats have proved since the shard was acquired.
     #[serde(rename = "squared")]
     pub reconciliation: ReconciliationCounts,
-    /// Tasks stopped on purpose, by what for.
+    /// Tasks stopped on purpose, by cause.
     pub stopped: BTreeMap<Cause, u64>,
 }
 
 impl Shard {
+    /// A leader that has just acquired the shard, and knows nothing of it yet.
     pub fn new(shard_id: ShardId, fencing_token: FencingToken, now: MonotonicMillis) -> Shard {
         Shard {
             id: shard_id,
             fencing_token,
             ready: false,
-            deposed: false,
-            taken: now,
-            jobs: BTreeMap::new(),
+            fenced: false,
+            acquired_at: now,
+            jobs: JobTable::default(),
             machines: BTreeMap::new(),
-            on: BTreeMap::new(),
-            images: HashMap::new(),
-            kept: BTreeMap::new(),
-            overrun: BTreeMap::new(),
-            elsewhere: Rc::default(),
-            kept_room: BTreeMap::new(),
+            early_heartbeats: BTreeMap::new(),
             reconciliation: ReconciliationCounts::default(),
-            early: BTreeMap::new(),
-            gone: HashSet::new(),
-            gone_order: VecDeque::new(),
-            next_step: 0,
-            flight: None,
-            refusals: 0,
-            retry_at: MonotonicMillis(0),
-            one_by_one: 0,
-            claiming: false,
-            claim_at: MonotonicMillis(0),
-            claimed_at: MonotonicMillis(0),
-            offers_at: MonotonicMillis(0),
-            quota: HashMap::new(),
-            quota_flight: None,
-            short_of: BTreeMap::new(),
-            charging: None,
-            charge_at: MonotonicMillis(0),
-            held_back: Vec::new(),
-            stopped: BTreeMap::new(),
-            releasing: false,
-            dirty: true,
-            placed_at: MonotonicMillis(0),
-            tended_at: MonotonicMillis(0),
-            told_at: MonotonicMillis(0),
-            placed: [0; 3],
-            free_cpus: 0.0,
-            capacity_cpus: 0.0,
-            waiting_cpus: 0.0,
-            matched: placement::Match::default(),
-            holds: BTreeMap::new(),
-            offered: Rc::default(),
+            writes: WriteState::default(),
+            quotas: QuotaGrants::default(),
+            stealing: WorkStealing::default(),
+            backfill: BackfillReservations::default(),
+            reservations: CapacityReservations::default(),
+            evictions: Evictions::default(),
+            scale_in: ScaleIn::default(),
+            placement: PlacementState::default(),
+            load: LoadStatistics::default(),
+            last_maintenance_at: MonotonicMillis(0),
         }
     }
 
@@ -218,86 +172,119 @@
     ) {
         match (request, response) {
             (ShardRequest::WriteAllocations, KvResponse::Swap(outcome)) => {
-                self.txn_done(outcome, context);
+                self.on_write_outcome(outcome, context);
             }
             (ShardRequest::ReadAllocation { key }, KvResponse::Get(outcome)) => {
-                self.read_done(&key, outcome, context);
+                self.on_allocation_read(&key, outcome, context);
             }
             (ShardRequest::RegrantQuota, KvResponse::Swap(outcome)) => {
-                self.quota_done(outcome, context);
+                self.on_regrant_outcome(outcome, context);
             }
             (ShardRequest::Steal { swap, .. }, KvResponse::Swap(outcome)) => {
-                self.claim_done(&swap, outcome, context);
+                self.on_steal_outcome(&swap, outcome, context);
             }
             (ShardRequest::ChargeBudget, KvResponse::Swap(outcome)) => {
-                self.charge_done(outcome, context);
+                self.on_charge_outcome(outcome, context);
             }
             (request, _) => unexpected_response(&request),
         }
     }
 
-    pub fn room(&self) -> ShardCapacity {
+    /// CPUs of the shard, as of the last placement pass.
+    pub fn capacity(&self) -> ShardCapacity {
         ShardCapacity {
-            free: self.free_cpus,
-            capacity: self.capacity_cpus,
-            waiting: self.waiting_cpus,
+            free: self.load.free_cpus,
+            capacity: self.load.capacity_cpus,
+            waiting: self.load.waiting_cpus,
         }
     }
 
-    pub fn knows(&self, job: &JobId) -> bool {
+    /// Whether the shard has an allocation of this job.
+    pub fn has_job(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Jobs of graphs' runs that fail here, and how often their worst task has.
+    /// Jobs of DAG runs of which tasks fail here, and how often the worst of these has.
     pub fn failing(&self) -> impl Iterator<Item = (&JobId, u32)> + '_ {
-        let failing = self.jobs.iter().filter(|(_, j)| !j.errors.is_empty());
-        failing.filter_map(|(id, j)| Some((id, *j.errors.values().max()?)))
+        let failing = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| !j.task_failures.is_empty());
+        failing.filter_map(|(id, j)| Some((id, *j.task_failures.values().max()?)))
     }
 
-    /// Jobs that others may take.
+    /// Jobs that other shards may steal from.
     pub fn offers(&self) -> &[(JobId, StealOffer)] {
-        &self.matched.offers
+        &self.placement.demand.offers
+    }
+
+    /// Teams for which the last placement pass lacked quota.
+    pub fn teams_short_of_quota(&self) -> impl Iterator<Item = &Team> + '_ {
+        self.quotas.shortfalls.keys()
+    }
+
+    /// Capacity reserved for teams now, as of the last placement pass.
+    pub fn reserved_for_teams(&self) -> &BTreeMap<Team, ReservedCapacity> {
+        &self.reservations.capacity
     }
 
-    /// What is heard of its machines. Those that only the records tell of are missed as of the taking: otherwise a
-    /// controller that no worker reaches, and took the part before it knew, would never miss them.
+    /// Why evictions are blocked, as of the last round.
+    pub fn blocked_evictions(&self) -> &[String] {
+        &self.evictions.blocked
+    }
+
+    /// Sets what the other shards offer to be stolen, as far as their leaders say.
+    pub fn set_foreign_offers(&mut self, offers: Rc<BTreeMap<(ShardId, JobId), StealOffer>>) {
+        self.stealing.foreign_offers = offers;
+    }
+
+    /// Sets how many ordinary and spot machines the other shards have, by pool.
+    pub fn set_machines_elsewhere(&mut self, machines: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>) {
+        self.reservations.machines_elsewhere = machines;
+    }
+
+    /// How many machines are known, and when the last heartbeat came. A machine known from records alone counts as
+    /// heard from when the shard was acquired: otherwise a controller that no worker can reach, and that acquired the
+    /// shard before it knew, would never miss them.
     pub fn heartbeat_summary(&self) -> HeartbeatSummary {
         let machines = self.machines.values();
-        let known = machines.filter(|m| (m.reported || m.inherited) && !m.returning);
-        known.fold(HeartbeatSummary::default(), |h, m| HeartbeatSummary {
-            known: h.known + 1,
-            last: h.last.max(m.heard),
+        let known = machines.filter(|m| (m.heartbeat_received || m.inherited) && !m.releasing);
+        known.fold(HeartbeatSummary::default(), |summary, m| HeartbeatSummary {
+            known: summary.known + 1,
+            last: summary.last.max(m.last_heartbeat_at),
         })
     }
 
-    /// How far the part is served, for operators.
+    /// The state of the shard, for operators.
     pub fn progress(&self) -> ShardProgress {
-        let silent = self.machines.values().filter(|m| !m.shown).count();
+        let machines = self.machines.values();
         ShardProgress {
             shard_id: self.id.0,
             served: self.ready,
             machines: self.machines.len(),
-            token_acknowledged: self.machines.len() - silent,
+            token_acknowledged: machines.filter(|m| m.token_acknowledged).count(),
             reconciliation: self.reconciliation.clone(),
-            stopped: self.stopped.clone(),
+            stopped: self.evictions.counts.clone(),
         }
     }
 
-    /// Machines that reported lately.
-    pub fn heard(
+    /// Machines whose last heartbeat is at most `within_ms` old.
+    pub fn machines_heard_since(
         &self,
         now: MonotonicMillis,
         within_ms: u64,
     ) -> impl Iterator<Item = &MachineId> + '_ {
         self.machines
             .iter()
-            .filter(move |(_, m)| m.reported && now.since(m.heard) <= within_ms)
+            .filter(move |(_, m)| {
+                m.heartbeat_received && now.since(m.last_heartbeat_at) <= within_ms
+            })
             .map(|(name, _)| name)
     }
 
-    /// Builds the picture once everything up to the token has been read: later writes of an
-    /// earlier owner cannot succeed, earlier ones are in the mirror.
-    pub fn activate(&mut self, context: &mut Context) {
+    /// Rebuilds the shard's state once the record cache has everything up to the fencing token: from then on no write
+    /// of an earlier leader can succeed, and those that did are in the cache.
+    fn activate(&mut self, context: &mut Context) {
         if self.ready
             || !context.records.loaded
             || context.records.revision.0 < self.fencing_token.0
@@ -311,261 +298,109 @@
             .map(|(job, _)| job.clone())
             .collect();
         for job in &jobs {
-            self.refresh(job, context);
+            self.refresh_job(job, context);
         }
         let now = context.now();
-        let held: BTreeSet<MachineId> = self
-            .jobs
-            .values()
-            .flat_map(|j| j.view.started.keys().cloned())
-            .collect();
-        for name in held {
+        for name in self.jobs.machines_in_use() {
             self.machines
                 .entry(name)
                 .or_insert_with(|| Machine::unknown(now))
                 .inherited = true;
         }
         tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, jobs = jobs.len(),
-            machines = self.machines.len(), early = self.early.len(),
-            after_ms = now.since(self.taken), "shard failover complete");
-        self.take_early(context);
+            machines = self.machines.len(), early = self.early_heartbeats.len(),
+            after_ms = now.since(self.acquired_at), "shard failover complete");
+        self.process_early_heartbeats(context);
     }
 
-    /// Takes the mirror's state of a job's share in.
-    pub fn refresh(&mut self, job: &JobId, context: &Context) {
+    /// Takes the record cache's state of a job and of the shard's allocation of it over.
+    pub fn refresh_job(&mut self, job: &JobId, context: &Context) {
         if !self.ready {
             return;
         }
-        let alloc = context.records.allocations.get(&(self.id, job.clone()));
-        let record = context.records.jobs.get(job);
-        match (alloc, record) {
-            (Some(alloc), Some(record)) => {
-                let now = context.effects.now;
-                let known = self.jobs.contains_key(job);
-                let image = record
-                    .value
-                    .spec
-                    .as_ref()
-                    .map_or(0, |s| self.number(&s.image));
-                let entry = self.jobs.entry(job.clone()).or_insert_with(|| ShardJob {
-                    spec: record.value.clone(),
-                    job_version: record.version,
-                    durable: alloc.value.clone(),
-                    version: alloc.version,
-                    view: ShardAllocation::default(),
-                    started: 0,
-                    steps: Vec::new(),
-                    since: now,
-                    unsettled: false,
-                    reading: false,
-                    in_flight: false,
-                    ready: context.dependency_graph.is_ready(job, &record.value),
-                    hold_until: MonotonicMillis(0),
-                    image,
-                    failed_on: BTreeSet::new(),
-                    failures: 0,
-                    errors: BTreeMap::new(),
-                    retry_at: MonotonicMillis(0),
-                });
-                if known && record.version == entry.job_version && alloc.version <= entry.version {
-                    // Nothing new.
-                    return;
-                }
-                let before: Vec<MachineId> = entry.view.started.keys().cloned().collect();
-                entry.spec = record.value.clone();
-                entry.job_version = record.version;
-                if alloc.version > entry.version {
-                    entry.version = alloc.version;
-                    entry.durable = alloc.value.clone();
-                }
-                entry.rebase();
-                self.reindex(job, &before);
-                self.dirty = true;
-            }
-            (None, _) => {
-                if let Some(old) = self.jobs.remove(job) {
-                    let before: Vec<MachineId> = old.view.started.into_keys().collect();
-                    self.reindex(job, &before);
-                    self.dirty = true;
-                }
-            }
-            // The share is known and the job not yet: its change follows.
-            (Some(_), None) => {}
+        let Some(machines) = self.jobs.refresh(self.id, job, context) else {
+            return;
+        };
+        for name in &machines {
+            self.mark_usage_dirty(name);
         }
-    }
-
-    /// The number for an image.
-    fn number(&mut self, image: &str) -> u32 {
-        if let Some(number) = self.images.get(image) {
-            return *number;
+        // A job that comes or goes changes what is known of orphaned tasks.
+        let with_orphans = self.machines.values_mut();
+        for m in with_orphans.filter(|m| !m.orphaned_tasks.is_empty()) {
+            m.usage_dirty = true;
         }
-        let number = self.images.len() as u32;
-        self.images.insert(image.to_string(), number);
-        number
+        self.placement.dirty = true;
     }
 
-    /// Brings the sums by machine up to date after a job's view, which had started tasks on the
-    /// machines `before`, was replaced or removed.
-    fn reindex(&mut self, job: &JobId, before: &[MachineId]) {
-        let after = self.jobs.get(job).map(|j| &j.view.started);
-        for name in before {
-            if after.is_none_or(|s| !s.contains_key(name)) {
-                forget(&mut self.on, name, job);
-            }
-            if let Some(m) = self.machines.get_mut(name) {
-                m.stale = true;
-            }
-        }
-        for name in after.into_iter().flat_map(|s| s.keys()) {
-            self.on.entry(name.clone()).or_default().insert(job.clone());
-            if let Some(m) = self.machines.get_mut(name) {
-                m.stale = true;
-            }
-        }
-        // A job that comes or goes changes what is known of tasks outside the picture.
-        for m in self.machines.values_mut().filter(|m| !m.strays.is_empty()) {
-            m.stale = true;
+    fn mark_usage_dirty(&mut self, name: &MachineId) {
+        if let Some(m) = self.machines.get_mut(name) {
+            m.usage_dirty = true;
         }
     }
 
-    /// Jobs with started tasks on a machine, in the picture.
-    fn jobs_on(&self, name: &MachineId) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
-        let jobs = self.on.get(name).into_iter().flatten();
-        jobs.filter_map(|id| Some((id, self.jobs.get(id)?)))
-    }
-
-    /// One line on the part's load, for whoever reads the logs.
-    fn tell(&self, context: &Context) {
-        let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
-        let mut capacity = 0.0;
-        for m in self.machines.values() {
-            capacity += context.types.get(&m.model).map_or(0.0, |t| t.cpus);
-            for item in &m.listed {
-                let room = self
-                    .jobs
-                    .get(&item.task.job)
-                    .and_then(|j| j.spec())
-                    .map(|s| s.resources);
-                let state = match item.state {
-                    TaskState::Pulling => "pulling",
-                    TaskState::Running => "running",
-                    TaskState::Saving => "saving",
-                    TaskState::Exited => "exited",
-                };
-                if let Some(room) = room {
-                    *cpus.entry(state).or_default() += room.cpus;
-                }
-            }
+    /// Applies a change to the desired state of a job; it becomes durable with a later write. Returns whether the
+    /// change applies.
+    fn apply_change(
+        &mut self,
+        now: MonotonicMillis,
+        job: &JobId,
+        change: AllocationChange,
+    ) -> bool {
+        let name = change.machine.clone();
+        if !self.jobs.apply(now, job, change) {
+            return false;
         }
-        let of = |state: &str| cpus.get(state).copied().unwrap_or(0.0);
-        tracing::info!(shard = %self.id, machines = self.machines.len(), capacity, free = self.free_cpus,
-            running = of("running"), pulling = of("pulling"), exited = of("exited"),
-            cached = self.placed[0], coming = self.placed[1], absent = self.placed[2],
-            waiting = self.waiting_cpus, jobs = self.jobs.len(), "shard load in CPUs");
-        let done = &self.reconciliation;
-        tracing::info!(shard = %self.id, agree = done.agree, not_begun = done.not_begun, gone = done.gone,
-            ended = done.ended, stray = done.stray, remnant = done.remnant, stopped = ?self.stopped, "heartbeats reconciled");
+        self.mark_usage_dirty(&name);
+        self.placement.dirty = true;
+        true
     }
 
-    fn step(&mut self, now: MonotonicMillis, job: &JobId, step: AllocationChange) -> bool {
-        let Some(entry) = self.jobs.get_mut(job) else {
-            return false;
-        };
-        if !entry.view.apply(&step) {
-            return false;
-        }
-        let name = &step.machine;
-        match step.what {
-            AllocationChangeKind::Start => {
-                entry.started += 1;
-                self.on.entry(name.clone()).or_default().insert(job.clone());
-            }
-            AllocationChangeKind::Finish | AllocationChangeKind::Requeue => {
-                entry.started = entry.started.saturating_sub(1);
-                if !entry.view.started.contains_key(name) {
-                    forget(&mut self.on, name, job);
-                }
+    fn update_dependencies(&mut self, context: &Context) {
+        let blocked = self.jobs.iter_mut();
+        for (id, job) in blocked.filter(|(_, j)| !j.dependencies_satisfied) {
+            if context.dependency_graph.is_ready(id, &job.record) {
+                tracing::info!(job = %id, shard = %self.id, "dependencies satisfied");
+                job.dependencies_satisfied = true;
+                self.placement.dirty = true;
             }
         }
-        if let Some(m) = self.machines.get_mut(name) {
-            m.stale = true;
-        }
-        self.next_step += 1;
-        if entry.steps.is_empty() {
-            entry.since = now;
-        }
-        entry.steps.push(PendingChange {
-            id: self.next_step,
-            taken: now,
-            step,
-        });
-        self.dirty = true;
-        true
     }
 
-    /// The regular work; `fresh` says whether this owner's lease is known to hold.
+    /// The regular work. `lease_valid` says whether this leader's lease is known to hold, `others_short` names teams
+    /// for which other shards lack quota, `missing` machines that the cloud does not list.
     pub fn tick(
         &mut self,
-        fresh: bool,
+        lease_valid: bool,
         others_short: &BTreeSet<Team>,
         missing: &BTreeSet<MachineId>,
         context: &mut Context,
     ) {
         self.activate(context);
-        if !self.ready || self.deposed {
+        if !self.ready || self.fenced {
             return;
         }
         let now = context.now();
-        if now.since(self.placed_at) > 500 {
-            self.dirty = true;
+        if now.since(self.placement.last_pass_at) > MAX_PASS_INTERVAL_MS {
+            self.placement.dirty = true;
         }
-        for (id, job) in self.jobs.iter_mut().filter(|(_, j)| !j.ready) {
-            if context.dependency_graph.is_ready(id, &job.spec) {
-                tracing::info!(job = %id, shard = %self.id, "dependencies satisfied");
-                job.ready = true;
-                self.dirty = true;
-            }
-        }
-        if fresh {
+        self.update_dependencies(context);
+        if lease_valid {
             self.place(context);
-            self.flush(context);
+            self.flush_changes(context);
         }
-        self.answer_held(context);
-        if !fresh {
+        self.send_deferred_responses(context);
+        if !lease_valid {
             return;
         }
-        self.claim(context);
-        if now.since(self.tended_at) >= TEND_MS {
-            self.tended_at = now;
-            self.tend_quota(others_short, context);
-            self.tend_machines(missing, context);
-        }
-        if now.since(self.told_at) >= 10_000 {
-            self.told_at = now;
-            self.tell(context);
-            self.placed = [0; 3];
+        self.steal(context);
+        if now.since(self.last_maintenance_at) >= MAINTENANCE_INTERVAL_MS {
+            self.last_maintenance_at = now;
+            self.regrant_quota(others_short, context);
+            self.scale_in_machines(missing, context);
         }
-        if now.since(self.taken) > 1_000 {
-            self.read_again(context);
+        self.log_load(context);
+        if now.since(self.acquired_at) > RETRY_READS_AFTER_MS {
+            self.retry_reads(context);
         }
     }
 }
-
-/// Takes a job off the list of those with started tasks on a machine.
-fn forget(on: &mut BTreeMap<MachineId, BTreeSet<JobId>>, name: &MachineId, job: &JobId) {
-    if let Some(jobs) = on.get_mut(name) {
-        jobs.remove(job);
-        if jobs.is_empty() {
-            on.remove(name);
-        }
-    }
-}
-
-fn requeue(machine: &MachineId, task: TaskIndex, attempt: Attempt) -> AllocationChange {
-    AllocationChange {
-        task,
-        attempt,
-        machine: machine.clone(),
-        what: AllocationChangeKind::Requeue,
-    }
-}
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -11,23 +11,25 @@
 use snowshelf_fair_share::grants::QuotaShortfall;
 use snowshelf_machine_index::capacity_index;
 use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
-use snowshelf_model::ids::{JobId, MachineId, Team, WallClockMillis, seconds_to_ms};
+use snowshelf_model::ids::{
+    JobId, MachineId, MonotonicMillis, Team, WallClockMillis, seconds_to_ms,
+};
 use snowshelf_model::protocol::worker::TaskState;
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, Grant, JobSpec, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The least time between two passes: reports that come in between share one.
-const PASS_GAP_MS: u64 = 50;
+const PASS_INTERVAL_MS: u64 = 50;
 
 /// What is offered is looked for this often: it takes a look at each job that waits.
-const OFFERS_GAP_MS: u64 = 1_000;
+const OFFERS_INTERVAL_MS: u64 = 1_000;
 /// So many jobs are offered to the other parts at a time.
-const OFFERS: usize = 20;
+const MAX_OFFERS: usize = 20;
 /// A job that no machine here could run is offered after so long; machines may be on their way.
-const STRANDED_MS: u64 = 10_000;
+const STRANDED_AFTER_MS: u64 = 10_000;
 /// A job of which nothing is on a machine here is offered after so long: half of the time for which the users let a job
 /// wait while there is room for it.
-const OVERDUE_MS: u64 = 45_000;
+const OVERDUE_AFTER_MS: u64 = 45_000;
 
 /// What makes machines equal to every job, but for their room, images and failures.
 pub(super) struct MachineClass {
@@ -38,7 +40,7 @@
     pub kept: Option<MachineReservation>,
 }
 
-/// A sort but for what is kept: model, zone, spot or not.
+/// A class but for what is kept: model, zone, spot or not.
 pub(super) type MachineKind = (String, usize, bool);
 
 impl MachineClass {
@@ -59,7 +61,7 @@
 
 /// What waits in a part and its machines, held against each other.
 #[derive(Default)]
-pub(super) struct Match {
+pub(super) struct DemandMatch {
     /// Tasks wait that some machine here could run, were it empty.
     pub any: bool,
     /// Kinds of machines with room that nothing which waits here could use.
@@ -68,8 +70,28 @@
     pub offers: Vec<(JobId, StealOffer)>,
 }
 
+/// When placement ran and what came of it.
+pub(super) struct PlacementState {
+    /// Something changed that placement may use.
+    pub dirty: bool,
+    pub last_pass_at: MonotonicMillis,
+    offers_updated_at: MonotonicMillis,
+    pub demand: DemandMatch,
+}
+
+impl Default for PlacementState {
+    fn default() -> PlacementState {
+        PlacementState {
+            dirty: true,
+            last_pass_at: MonotonicMillis(0),
+            offers_updated_at: MonotonicMillis(0),
+            demand: DemandMatch::default(),
+        }
+    }
+}
+
 /// A machine that may take tasks, as a pass sees it.
-pub(super) struct Open {
+pub(super) struct IndexedCapacity {
     pub name: MachineId,
     /// What it would have free without any task.
     pub whole: Resources,
@@ -82,10 +104,10 @@
     fetch_gb_per_s: f64,
 }
 
-pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, Open>;
+pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, IndexedCapacity>;
 
 /// What a pass has used of the machines and of the teams' grants so far.
-pub(super) struct Pass {
+pub(super) struct PlacementPass {
     pub capacity_index: CapacityIndex,
     /// Machines held, and for whom.
     pub held: BTreeMap<MachineId, JobId>,
@@ -96,9 +118,9 @@
     unplaceable: UnplaceableShapes,
 }
 
-/// Where a job's tasks may be placed.
+/// PlacementScope a job's tasks may be placed.
 #[derive(Clone, PartialEq)]
-pub(super) enum Where {
+pub(super) enum PlacementScope {
     Anywhere,
     /// Only where its image is or is being fetched.
     WithImage,
@@ -108,27 +130,30 @@
 
 impl Shard {
     /// Works out anew what is taken on machines whose picture or report has changed.
-    pub(super) fn freshen(&mut self) {
-        let (jobs, on) = (&self.jobs, &self.on);
-        for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.stale) {
-            m.stale = false;
+    pub(super) fn refresh_usage(&mut self) {
+        let jobs = &self.jobs;
+        for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.usage_dirty) {
+            m.usage_dirty = false;
             m.used = Resources::default();
-            m.strays.clear();
-            for id in on.get(name).into_iter().flatten() {
-                if let Some(job) = jobs.get(id)
-                    && let Some(spec) = job.spec()
-                    && let Some(spans) = job.view.started.get(name)
+            m.orphaned_tasks.clear();
+            for (_, job) in jobs.on_machine(name) {
+                if let Some(spec) = job.spec()
+                    && let Some(ranges) = job.desired.started.get(name)
                 {
-                    m.used.add(spec.resources.times(f64::from(spans.len())));
+                    m.used.add(spec.resources.times(f64::from(ranges.len())));
                 }
             }
-            for item in m.listed.iter().filter(|t| t.state != TaskState::Exited) {
+            for item in m
+                .reported_tasks
+                .iter()
+                .filter(|t| t.state != TaskState::Exited)
+            {
                 let job = jobs.get(&item.task.job);
-                let held = job.and_then(|j| j.view.started_on(name, item.task.task));
+                let held = job.and_then(|j| j.desired.started_on(name, item.task.task));
                 if held == Some(item.attempt) {
                     continue;
                 }
-                m.strays.push(item.task.job.clone());
+                m.orphaned_tasks.push(item.task.job.clone());
                 match job {
                     Some(job) => m
                         .used
@@ -146,19 +171,23 @@
 
     /// The machines that may take tasks now.
     pub(super) fn capacity_index(&mut self, context: &Context) -> CapacityIndex {
-        self.freshen();
-        let report_ms = context.config.settings.report_ms().max(1);
-        let fresh_ms = 2 * context.config.settings.report_ms() + 1_000;
+        self.refresh_usage();
+        let heartbeat_ms = context.config.settings.report_ms().max(1);
+        let max_silence_ms = 2 * context.config.settings.report_ms() + 1_000;
         let now = context.now();
         let mut capacity_index = CapacityIndex::default();
-        for (name, m) in self.machines.iter().filter(|(_, m)| m.open(now, fresh_ms)) {
+        for (name, m) in self
+            .machines
+            .iter()
+            .filter(|(_, m)| m.accepts_tasks(now, max_silence_ms))
+        {
             let Some(kind) = context.types.get(&m.model) else {
                 continue;
             };
             let whole = kind.room();
             let mut free = whole;
             free.sub(m.used);
-            let kept = self.kept.get(name);
+            let kept = self.reservations.by_machine.get(name);
             let same = |s: &MachineClass| {
                 s.zone == m.zone
                     && s.spot == m.spot
@@ -173,15 +202,15 @@
                 pool: m.pool.clone(),
                 kept: kept.cloned(),
             };
-            let open = Open {
+            let open = IndexedCapacity {
                 name: name.clone(),
                 whole,
-                faulty: !m.error_streak.is_empty(),
-                listed: m.listed.len() as u32,
+                faulty: !m.failed_jobs.is_empty(),
+                listed: m.reported_tasks.len() as u32,
                 images: m.images.clone(),
-                report_in_ms: match m.held {
+                report_in_ms: match m.deferred_response {
                     Some(_) => 0,
-                    None => report_ms.saturating_sub(now.since(m.heard)),
+                    None => heartbeat_ms.saturating_sub(now.since(m.last_heartbeat_at)),
                 },
                 fetch_gb_per_s: kind.fetch_gb_per_s,
             };
@@ -190,8 +219,8 @@
         capacity_index
     }
 
-    /// How many tasks of a job could start in these rooms, of the sorts that count.
-    pub(super) fn fit(
+    /// How many tasks of a job could start in these rooms, of the classes that count.
+    pub(super) fn count_fitting(
         &self,
         spec: &JobSpec,
         capacity_index: &mut CapacityIndex,
@@ -199,31 +228,36 @@
         context: &Context,
     ) -> u32 {
         let allowed =
-            capacity_index.allowed(|sort| counts(sort) && self.takes(spec, sort, context));
+            capacity_index.allowed(|class| counts(class) && self.is_eligible(spec, class, context));
         let fitting = capacity_index.fitting(spec.resources, &allowed);
         let usable = fitting.iter().map(|at| &capacity_index.entries()[*at]);
         let usable = usable.filter(|e| !e.what.faulty);
         usable.fold(0, |n, e| n.saturating_add(spec.resources.count_in(e.free)))
     }
 
-    /// Whether machines of a sort that work may run this job.
-    pub(super) fn takes(&self, spec: &JobSpec, sort: &MachineClass, context: &Context) -> bool {
-        let zone = context.config.settings.deployment.zones.get(sort.zone);
-        sort.allowed_for(spec, zone)
-            && !self.kept_from(spec, sort.pool.as_ref(), sort.kept.as_ref(), context)
+    /// Whether machines of a class that work may run this job.
+    pub(super) fn is_eligible(
+        &self,
+        spec: &JobSpec,
+        class: &MachineClass,
+        context: &Context,
+    ) -> bool {
+        let zone = context.config.settings.deployment.zones.get(class.zone);
+        class.allowed_for(spec, zone)
+            && !self.is_reserved_for_others(spec, class.pool.as_ref(), class.kept.as_ref(), context)
     }
 
     /// A machine that a job may use, as placement sees it.
-    fn seat(
+    fn candidate(
         job: &ShardJob,
         spec: &JobSpec,
         at: usize,
         urgent: bool,
-        pass: &Pass,
+        pass: &PlacementPass,
         context: &Context,
     ) -> MachineCandidate {
         let entry = &pass.capacity_index.entries()[at];
-        let (open, sort) = (&entry.what, pass.capacity_index.key(entry));
+        let (open, class) = (&entry.what, pass.capacity_index.key(entry));
         let cap = if !open.faulty {
             u32::MAX
         } else if job.failed_on.contains(&open.name) {
@@ -232,12 +266,12 @@
             // It failed a task and completed none since: one at a time.
             1u32.saturating_sub(open.listed)
         };
-        let image = open.images.state(job.image);
+        let image = open.images.state(job.image_id);
         MachineCandidate {
             free: entry.free,
-            zone: sort.zone,
+            zone: class.zone,
             cap,
-            spared: spec.spot && !sort.spot,
+            spared: spec.spot && !class.spot,
             image,
             fetches: open.images.coming.len(),
             delay: if urgent {
@@ -251,14 +285,15 @@
     /// One pass of placement over the waiting jobs.
     pub(super) fn place(&mut self, context: &mut Context) {
         let now = context.now();
-        let due = self.dirty && now.since(self.placed_at) >= PASS_GAP_MS;
-        if !due || !self.ready || self.deposed {
+        let due =
+            self.placement.dirty && now.since(self.placement.last_pass_at) >= PASS_INTERVAL_MS;
+        if !due || !self.ready || self.fenced {
             return;
         }
-        self.dirty = false;
-        self.placed_at = now;
-        self.freshen();
-        self.keep(context);
+        self.placement.dirty = false;
+        self.placement.last_pass_at = now;
+        self.refresh_usage();
+        self.reserve_machines(context);
         let capacity_index = self.capacity_index(context);
         let mut load = Load::default();
         for m in self.machines.values() {
@@ -267,8 +302,8 @@
                 load.booked.add(m.used);
             }
         }
-        self.capacity_cpus = load.capacity.cpus;
-        let waiting = || self.jobs.values().filter(|j| j.waits());
+        self.load.capacity_cpus = load.capacity.cpus;
+        let waiting = || self.jobs.values().filter(|j| j.is_waiting());
         let weights = placement::weights(
             waiting().filter_map(|j| j.spec()),
             context.config.ops.default_run_s,
@@ -278,111 +313,119 @@
             .entries()
             .iter()
             .map(|e| e.what.name.as_str().len());
-        let mut pass = Pass {
+        let mut pass = PlacementPass {
             names: names.max().unwrap_or(0),
             held: BTreeMap::new(),
             capacity_index,
             weights,
-            used: self.used(),
+            used: self.used_quota(),
             unplaceable: UnplaceableShapes::default(),
         };
-        self.short_of.clear();
-        let turns = self.turns(now, context);
-        self.hold(&turns, &mut pass, context);
-        for equals in turns.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
+        self.quotas.shortfalls.clear();
+        let queue = self.queue_order(now, context);
+        self.reserve_for_backfill(&queue, &mut pass, context);
+        for equals in queue.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
             // A fetch often takes longer than the task: jobs that can still wait leave room on
             // machines without their image to those that need no fetch there.
-            for turn in equals {
-                let at = if turn.patient {
-                    Where::WithImage
+            for queued in equals {
+                let at = if queued.patient {
+                    PlacementScope::WithImage
                 } else {
-                    Where::Anywhere
+                    PlacementScope::Anywhere
                 };
-                self.place_job(turn, &at, &mut pass, context);
+                self.place_job(queued, &at, &mut pass, context);
             }
-            for turn in equals.iter().filter(|t| t.patient) {
-                self.place_job(turn, &Where::Anywhere, &mut pass, context);
+            for queued in equals.iter().filter(|t| t.patient) {
+                self.place_job(queued, &PlacementScope::Anywhere, &mut pass, context);
             }
         }
-        self.dirty = false;
-        self.find_overrun(context);
+        self.placement.dirty = false;
+        self.find_preemptible(context);
         let capacity_index = pass.capacity_index;
-        self.kept_room = self.kept_room(&capacity_index, context);
+        self.reservations.capacity = self.reserved_capacity(&capacity_index, context);
         let free = capacity_index
             .entries()
             .iter()
             .map(|e| e.free.cpus.max(0.0));
-        self.free_cpus = free.sum::<f64>() - self.kept_room.values().map(|k| k.free).sum::<f64>();
-        let offers_due = now.since(self.offers_at) >= OFFERS_GAP_MS;
-        let offers = std::mem::take(&mut self.matched.offers);
-        self.matched = self.match_up(&capacity_index, offers_due, context);
+        self.load.free_cpus = free.sum::<f64>()
+            - self
+                .reservations
+                .capacity
+                .values()
+                .map(|k| k.free)
+                .sum::<f64>();
+        let offers_due = now.since(self.placement.offers_updated_at) >= OFFERS_INTERVAL_MS;
+        let offers = std::mem::take(&mut self.placement.demand.offers);
+        self.placement.demand = self.match_demand(&capacity_index, offers_due, context);
         match offers_due {
-            true => self.offers_at = now,
-            false => self.matched.offers = offers,
+            true => self.placement.offers_updated_at = now,
+            false => self.placement.demand.offers = offers,
         }
-        let waiting = self.jobs.values().filter(|j| j.waits());
-        self.waiting_cpus = waiting
-            .filter_map(|j| Some(j.spec()?.resources.cpus * f64::from(j.view.waiting.len())))
+        let waiting = self.jobs.values().filter(|j| j.is_waiting());
+        self.load.waiting_cpus = waiting
+            .filter_map(|j| Some(j.spec()?.resources.cpus * f64::from(j.desired.waiting.len())))
             .sum();
     }
 
     /// Which jobs that wait here some machine could run, were it empty, and which machines none of them could use.
     /// Guards against one job that is bound to a zone whose machines are full, and keeps the idle ones of another from
     /// everybody.
-    fn match_up(
+    fn match_demand(
         &self,
         capacity_index: &CapacityIndex,
         offers_due: bool,
         context: &Context,
-    ) -> Match {
-        // Of each sort that works: what a machine has without tasks, and whether any has room.
-        let sorts = capacity_index.groups().filter_map(|(sort, machines)| {
+    ) -> DemandMatch {
+        // Of each class that works: what a machine has without tasks, and whether any has room.
+        let classes = capacity_index.groups().filter_map(|(class, machines)| {
             let mut works = machines.filter(|e| !e.what.faulty).peekable();
             let whole = works.peek()?.what.whole;
-            Some((sort, whole, works.any(|e| e.free.cpus > 0.0)))
+            Some((class, whole, works.any(|e| e.free.cpus > 0.0)))
         });
-        let sorts: Vec<(&MachineClass, Resources, bool)> = sorts.collect();
-        let wants = |spec: &JobSpec, (sort, whole, _): &(&MachineClass, Resources, bool)| {
-            spec.resources.fits_in(*whole) && self.takes(spec, sort, context)
+        let classes: Vec<(&MachineClass, Resources, bool)> = classes.collect();
+        let wants = |spec: &JobSpec, (class, whole, _): &(&MachineClass, Resources, bool)| {
+            spec.resources.fits_in(*whole) && self.is_eligible(spec, class, context)
         };
-        let mut unwanted: Vec<&(&MachineClass, Resources, bool)> = sorts.iter().collect();
+        let mut unwanted: Vec<&(&MachineClass, Resources, bool)> = classes.iter().collect();
         let mut wanted = BTreeSet::new();
         let mut offers: Vec<(WallClockMillis, &JobId, StealOffer)> = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.waits()) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_waiting()) {
             let Some(spec) = job.spec() else { continue };
             if unwanted.is_empty() && !offers_due {
                 break;
             }
-            let stranded = !sorts.iter().any(|sort| wants(spec, sort));
-            let waited_ms = context.waited_ms(id, &job.spec);
+            let stranded = !classes.iter().any(|class| wants(spec, class));
+            let waited_ms = context.waited_ms(id, &job.record);
             let offer = match stranded {
-                true if waited_ms >= STRANDED_MS => Some(StealOffer::Stranded),
-                false if waited_ms >= OVERDUE_MS && job.started == 0 => Some(StealOffer::Overdue),
+                true if waited_ms >= STRANDED_AFTER_MS => Some(StealOffer::Stranded),
+                false if waited_ms >= OVERDUE_AFTER_MS && job.started_tasks == 0 => {
+                    Some(StealOffer::Overdue)
+                }
                 _ => None,
             };
             // What has begun of a bound job keeps the rest here.
-            let movable = !spec.zones_bound() || job.started == 0;
+            let movable = !spec.zones_bound() || job.started_tasks == 0;
             offers.extend(
                 offer
                     .filter(|_| movable)
-                    .map(|o| (job.spec.submitted, id, o)),
+                    .map(|o| (job.record.submitted, id, o)),
             );
             if stranded {
                 continue;
             }
-            unwanted.retain(|sort| {
-                let wants = wants(spec, sort);
+            unwanted.retain(|class| {
+                let wants = wants(spec, class);
                 if wants {
-                    wanted.insert(sort.0.kind());
+                    wanted.insert(class.0.kind());
                 }
                 !wants
             });
         }
         offers.sort_unstable();
-        let offers = offers.into_iter().take(OFFERS);
+        let offers = offers.into_iter().take(MAX_OFFERS);
         let roomy = unwanted.iter().filter(|(_, _, room)| *room);
-        let idle = roomy.map(|(sort, _, _)| sort.kind());
-        Match {
+        let idle = roomy.map(|(class, _, _)| class.kind());
+        DemandMatch {
             idle: idle.filter(|kind| !wanted.contains(kind)).collect(),
             any: !wanted.is_empty(),
             offers: offers.map(|(_, id, offer)| (id.clone(), offer)).collect(),
@@ -392,69 +435,70 @@
     /// Starts as many of a job's waiting tasks as limits and room allow.
     pub(super) fn place_job(
         &mut self,
-        turn: &QueuedJob,
-        at: &Where,
-        pass: &mut Pass,
+        queued: &QueuedJob,
+        at: &PlacementScope,
+        pass: &mut PlacementPass,
         context: &Context,
     ) {
         let now = context.now();
-        let only_with_image = *at == Where::WithImage;
-        let id = &turn.job;
+        let only_with_image = *at == PlacementScope::WithImage;
+        let id = &queued.job;
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         let Some(spec) = job.spec() else {
             return;
         };
-        let mut want = job.view.waiting.len();
-        if job.failures >= 2 && job.view.finished.is_empty() {
+        let mut want = job.desired.waiting.len();
+        if job.consecutive_failures >= 2 && job.desired.finished.is_empty() {
             // Nothing of it has worked yet: try a single task at a time.
-            want = want.min(1u32.saturating_sub(job.started));
+            want = want.min(1u32.saturating_sub(job.started_tasks));
         }
         if want == 0 {
             return;
         }
         let zones = &context.config.settings.deployment.zones;
-        let allowed = pass.capacity_index.allowed(|sort| {
-            self.takes(spec, sort, context) && (!spec.zones_bound() || sort.zone < zones.len())
+        let allowed = pass.capacity_index.allowed(|class| {
+            self.is_eligible(spec, class, context)
+                && (!spec.zones_bound() || class.zone < zones.len())
         });
         if allowed.none() {
             return;
         }
-        let image = only_with_image.then_some(job.image);
+        let image = only_with_image.then_some(job.image_id);
         let shape = Shape::new(spec.resources, allowed.clone(), image);
-        let held = matches!(at, Where::On(_));
+        let held = matches!(at, PlacementScope::On(_));
         if !held && pass.unplaceable.is(&shape) {
             return;
         }
-        want = want.min(
-            context
-                .storage_limits
-                .startable(&job.view, job.started, pass.names),
-        );
+        want = want.min(context.storage_limits.startable(
+            &job.desired,
+            job.started_tasks,
+            pass.names,
+        ));
         if want == 0 {
             return;
         }
         // Only machines with room for a task are looked at.
         let mut open = pass.capacity_index.fitting(spec.resources, &allowed);
-        let mut seats: Vec<MachineCandidate> = Vec::with_capacity(open.len());
+        let mut candidates: Vec<MachineCandidate> = Vec::with_capacity(open.len());
         open.retain(|entry| {
             let name = &pass.capacity_index.entries()[*entry].what.name;
             let ours = match at {
-                Where::On(machine) => machine == name,
+                PlacementScope::On(machine) => machine == name,
                 _ => pass.held.get(name).is_none_or(|whose| whose == id),
             };
             if !ours {
                 return false;
             }
-            let seat = Self::seat(job, spec, *entry, turn.urgent, pass, context);
+            let seat = Self::candidate(job, spec, *entry, queued.urgent, pass, context);
             let usable = seat.cap > 0 && !(only_with_image && seat.image == Image::Absent);
             if usable {
-                seats.push(seat);
+                candidates.push(seat);
             }
             usable
         });
-        if seats.is_empty() {
+        if candidates.is_empty() {
             // It may be barred from machines that are open to others.
             if job.failed_on.is_empty() && !held {
                 pass.unplaceable.note(shape);
@@ -467,13 +511,13 @@
             ..ZoneRule::default()
         };
         if spec.zones_bound() {
-            for (m, spans) in &job.view.started {
+            for (m, ranges) in &job.desired.started {
                 let zone = self.machines.get(m).map(|m| m.zone);
-                zones.hold(zone.filter(|z| *z != usize::MAX), spans.len());
+                zones.hold(zone.filter(|z| *z != usize::MAX), ranges.len());
             }
         }
-        let (room, team, image) = (spec.resources, spec.team.clone(), job.image);
-        let mut chosen = placement::place(room, want, &seats, pass.weights, &mut zones);
+        let (room, team, image) = (spec.resources, spec.team.clone(), job.image_id);
+        let mut chosen = placement::place(room, want, &candidates, pass.weights, &mut zones);
         let granted = self.granted(&team, context);
         let used = pass.used.entry(team.clone()).or_default();
         let headroom = Resources {
@@ -486,10 +530,14 @@
         // on machines would only be moved to and fro.
         let fits: u32 = chosen.iter().map(|(_, n)| n).sum();
         if fits > covered {
-            let lacking = self.short_of.entry(team).or_insert(QuotaShortfall {
-                all: Grant::default(),
-                task: Grant::of(room),
-            });
+            let lacking = self
+                .quotas
+                .shortfalls
+                .entry(team)
+                .or_insert(QuotaShortfall {
+                    all: Grant::default(),
+                    task: Grant::of(room),
+                });
             let more = room.times(f64::from(fits - covered));
             lacking.all.add(Grant::of(more));
             lacking.task.cpus = lacking.task.cpus.min(room.cpus);
@@ -501,11 +549,11 @@
             }
         }
         for (seat, count) in chosen.into_iter().filter(|(_, n)| *n > 0) {
-            self.placed[seats[seat].image as usize] += u64::from(count);
+            self.load.placements_by_image[candidates[seat].image as usize] += u64::from(count);
             let at = open[seat];
             let name = pass.capacity_index.entries()[at].what.name.clone();
             for _ in 0..count {
-                let first = self.jobs.get(id).and_then(|j| j.view.waiting.first());
+                let first = self.jobs.get(id).and_then(|j| j.desired.waiting.first());
                 let Some((task, attempt)) = first else {
                     break;
                 };
@@ -515,7 +563,7 @@
                     machine: name.clone(),
                     what: AllocationChangeKind::Start,
                 };
-                if !self.step(now, id, step) {
+                if !self.apply_change(now, id, step) {
                     break;
                 }
                 pass.capacity_index.take(at, room);
@@ -544,8 +592,8 @@
 
 /// How soon a task could run on a machine, in quarters of the time between two reports: commands
 /// ride on reports, and the image may have to be fetched, sharing the line with others.
-fn delay(spec: &JobSpec, image: Image, open: &Open, context: &Context) -> u32 {
-    let report_ms = context.config.settings.report_ms().max(1);
+fn delay(spec: &JobSpec, image: Image, open: &IndexedCapacity, context: &Context) -> u32 {
+    let heartbeat_ms = context.config.settings.report_ms().max(1);
     let rate = open.fetch_gb_per_s;
     let fetch_ms = if rate > 0.0 {
         seconds_to_ms(spec.pull_gb / rate)
@@ -557,5 +605,5 @@
         Image::Coming => fetch_ms / 2,
         Image::Absent => fetch_ms * (1 + open.images.coming.len() as u64),
     };
-    ((fetch_ms + open.report_in_ms) * 4 / report_ms).min(1_000) as u32
+    ((fetch_ms + open.report_in_ms) * 4 / heartbeat_ms).min(1_000) as u32
 }
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -38,21 +38,23 @@
 
 impl Shard {
     /// The waiting jobs in the order in which they are served.
-    pub(super) fn turns(&self, now: MonotonicMillis, context: &Context) -> Vec<QueuedJob> {
+    pub(super) fn queue_order(&self, now: MonotonicMillis, context: &Context) -> Vec<QueuedJob> {
         let objectives = &context.config.settings.deployment.objectives;
-        let within = within_guarantee(context);
+        let within = jobs_within_quota(context);
         let mut shortage = Shortage::default();
         let waiting: Vec<Waiting> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waits() && j.retry_at <= now && !j.reading)
+            .filter(|(_, j)| {
+                j.is_waiting() && j.placement_backoff_until <= now && !j.read_in_flight
+            })
             .filter_map(|(id, j)| {
                 let spec = j.spec()?;
                 // Aims on starting and finishing count from when the last needed job was done, the
                 // deadline from the submission.
-                let since = context.dependency_graph.since(id, &j.spec);
+                let since = context.dependency_graph.since(id, &j.record);
                 let age_s = context.effects.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
-                let waited_s = context.dependency_graph.waited_s(id, &j.spec);
+                let waited_s = context.dependency_graph.waited_s(id, &j.record);
                 let missed = placement::missed(spec, objectives, age_s, waited_s);
                 let patience_s = placement::patience_s(spec, objectives, waited_s);
                 let estimate_s = placement::estimate(spec, context.config.ops.default_run_s);
@@ -69,7 +71,7 @@
                 })
             })
             .collect();
-        let turn = |w: Waiting| {
+        let queued = |w: Waiting| {
             let urgency = context.dependency_graph.urgency(w.id, w.spec);
             let slack = shortage.slack(&w.spec.class, w.work);
             let due = WallClockMillis(w.since.0 + seconds_to_ms(slack * w.patience_s));
@@ -82,14 +84,14 @@
                 patient: w.missed > 0 || w.age_s < context.config.ops.image_patience * w.patience_s,
             }
         };
-        let mut turns: Vec<QueuedJob> = waiting.into_iter().map(turn).collect();
-        turns.sort_by(|a, b| (a.rank, a.due, &a.job).cmp(&(b.rank, b.due, &b.job)));
-        turns
+        let mut queue: Vec<QueuedJob> = waiting.into_iter().map(queued).collect();
+        queue.sort_by(|a, b| (a.rank, a.due, &a.job).cmp(&(b.rank, b.due, &b.job)));
+        queue
     }
 }
 
 /// The jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
-pub(super) fn within_guarantee(context: &Context) -> HashSet<JobId> {
+pub(super) fn jobs_within_quota(context: &Context) -> HashSet<JobId> {
     let mut open: Vec<(WallClockMillis, &JobId, &JobSpec)> = context
         .records
         .jobs
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -1,22 +1,33 @@
 //! A team's limit, divided into grants by part: asked for, given up, and never overdrawn.
 
-use super::persistence::REFUSED_MS;
+use super::persistence::REFUSED_BACKOFF_MS;
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
-use snowshelf_fair_share::grants::{ShardDemand, regrant_fairly};
+use snowshelf_fair_share::grants::{QuotaShortfall, ShardDemand, regrant_fairly};
 use snowshelf_model::ids::{MonotonicMillis, ShardId, Team, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{Grant, JobState, QuotaRecord, quota_key, shard_key};
-use std::collections::{BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The least time between two moves of a team's grant by one part.
-const QUOTA_GAP_MS: u64 = 1_000;
+const REGRANT_INTERVAL_MS: u64 = 1_000;
 /// In so many steps a part's even share of a team's limit is given.
-const STEPS: f64 = 40.0;
+const STEPS_PER_EVEN_SHARE: f64 = 40.0;
 
+/// The shard's grants of the teams' quotas.
 #[derive(Default)]
-pub(super) struct QuotaState {
+pub(super) struct QuotaGrants {
+    by_team: HashMap<Team, QuotaState>,
+    /// A write underway: the team's record as it would be.
+    in_flight: Option<(Team, QuotaRecord)>,
+    /// What the last placement pass lacked, by team.
+    pub shortfalls: BTreeMap<Team, QuotaShortfall>,
+}
+
+/// What is known of a team's grant beside its record.
+#[derive(Default)]
+struct QuotaState {
     /// Lowered grant that a write may have made durable.
     ceiling: Option<Grant>,
     retry_at: MonotonicMillis,
@@ -24,14 +35,14 @@
 
 impl Shard {
     /// What the teams use here, as far as it is not proven gone.
-    pub(super) fn used(&mut self) -> HashMap<Team, Grant> {
-        self.freshen();
+    pub(super) fn used_quota(&mut self) -> HashMap<Team, Grant> {
+        self.refresh_usage();
         let mut used: HashMap<Team, Grant> = HashMap::new();
-        let started = self.jobs.values().map(|j| (j, j.started));
+        let started = self.jobs.values().map(|j| (j, j.started_tasks));
         // Tasks on machines that no record holds there still use the team's limit.
-        let strays = self.machines.values().flat_map(|m| &m.strays);
-        let strays = strays.filter_map(|id| Some((self.jobs.get(id)?, 1)));
-        for (job, count) in started.chain(strays) {
+        let orphaned = self.machines.values().flat_map(|m| &m.orphaned_tasks);
+        let orphaned = orphaned.filter_map(|id| Some((self.jobs.get(id)?, 1)));
+        for (job, count) in started.chain(orphaned) {
             if count > 0
                 && let Some(spec) = job.spec()
             {
@@ -49,7 +60,7 @@
             .get(team)
             .and_then(|q| q.value.grants.get(&self.id).copied())
             .unwrap_or_default();
-        match self.quota.get(team).and_then(|q| q.ceiling) {
+        match self.quotas.by_team.get(team).and_then(|q| q.ceiling) {
             Some(c) => Grant {
                 cpus: durable.cpus.min(c.cpus),
                 gpus: durable.gpus.min(c.gpus),
@@ -57,15 +68,20 @@
             None => durable,
         }
     }
-    pub(super) fn tend_quota(&mut self, others_short: &BTreeSet<Team>, context: &mut Context) {
+    pub(super) fn regrant_quota(&mut self, others_short: &BTreeSet<Team>, context: &mut Context) {
         let now = context.now();
-        if self.quota_flight.is_some() || !self.ready || self.deposed {
+        if self.quotas.in_flight.is_some() || !self.ready || self.fenced {
             return;
         }
-        let used = self.used();
+        let used = self.used_quota();
         for limits in &context.config.settings.deployment.teams {
             let team = Team::new(&limits.name);
-            if self.quota.get(&team).is_some_and(|q| q.retry_at > now) {
+            if self
+                .quotas
+                .by_team
+                .get(&team)
+                .is_some_and(|q| q.retry_at > now)
+            {
                 continue;
             }
             let limit = Grant {
@@ -78,8 +94,13 @@
                 None => (Version(0), QuotaRecord::default()),
             };
             let durable = record.grants.get(&self.id).copied().unwrap_or_default();
-            let unsettled = self.quota.get(&team).is_some_and(|q| q.ceiling.is_some());
-            let step = |limit: f64| limit / f64::from(context.config.shard_count) / STEPS;
+            let unsettled = self
+                .quotas
+                .by_team
+                .get(&team)
+                .is_some_and(|q| q.ceiling.is_some());
+            let step =
+                |limit: f64| limit / f64::from(context.config.shard_count) / STEPS_PER_EVEN_SHARE;
             let even = others_short.contains(&team).then(|| {
                 let share = demand_share(&team, self.id, context);
                 Grant {
@@ -90,7 +111,7 @@
             let standing = ShardDemand {
                 shard_id: self.id,
                 used,
-                lack: self.short_of.get(&team).copied(),
+                lack: self.quotas.shortfalls.get(&team).copied(),
                 even,
                 // Grants go up and down in steps, a small share of the limit.
                 step: Grant {
@@ -120,7 +141,7 @@
                 .compare(shard_key(self.id), Version(self.fencing_token.0))
                 .compare(key.clone(), version)
                 .mutate(Mutation::put(key, &next));
-            let state = self.quota.entry(team.clone()).or_default();
+            let state = self.quotas.by_team.entry(team.clone()).or_default();
             if lowers {
                 // From here on no more than this is used, whatever becomes of the write.
                 state.ceiling = Some(match state.ceiling {
@@ -136,44 +157,44 @@
                 self.kv_request(ShardRequest::RegrantQuota),
                 &swap,
             );
-            self.quota_flight = Some((team, next));
+            self.quotas.in_flight = Some((team, next));
             return;
         }
     }
 
-    pub fn quota_done(&mut self, result: SwapOutcome, context: &mut Context) {
+    pub fn on_regrant_outcome(&mut self, result: SwapOutcome, context: &mut Context) {
         let now = context.now();
-        let Some((team, value)) = self.quota_flight.take() else {
+        let Some((team, value)) = self.quotas.in_flight.take() else {
             return;
         };
         let key = quota_key(&team);
-        let state = self.quota.entry(team).or_default();
+        let state = self.quotas.by_team.entry(team).or_default();
         match result {
             SwapOutcome::Done(revision) => {
                 state.ceiling = None;
                 // The same grant is not moved again at once: every move is a write.
-                state.retry_at = now.plus(QUOTA_GAP_MS);
+                state.retry_at = now.plus(REGRANT_INTERVAL_MS);
                 let value = serde_json::to_value(value).unwrap_or_default();
                 context.records.apply(&key, Some(&value), revision);
-                self.dirty = true;
+                self.placement.dirty = true;
             }
             SwapOutcome::Conflict(keys) => {
                 if keys.contains(&shard_key(self.id)) {
-                    self.deposed = true;
+                    self.fenced = true;
                     return;
                 }
                 state.retry_at = now.plus(100);
-                let tag = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
-                context.kv.get(context.effects, tag, &key, 1_500);
+                let request = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
+                context.kv.get(context.effects, request, &key, 1_500);
             }
             // The same write would be refused again.
-            SwapOutcome::Refused => state.retry_at = now.plus(REFUSED_MS),
+            SwapOutcome::Refused => state.retry_at = now.plus(REFUSED_BACKOFF_MS),
             SwapOutcome::NotDone | SwapOutcome::NoLease => state.retry_at = now.plus(500),
             SwapOutcome::Unknown => {
                 // A lowered grant stays lowered until a later write settles the key.
                 state.retry_at = now.plus(500);
-                let tag = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
-                context.kv.get(context.effects, tag, &key, 1_500);
+                let request = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
+                context.kv.get(context.effects, request, &key, 1_500);
             }
         }
     }
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -2,9 +2,9 @@
 //! from tasks of other teams that would still be there.
 
 use super::Shard;
-use super::machine::{Drained, Machine};
+use super::machine::{Machine, RetirementReason};
 use super::placement::CapacityIndex;
-use super::queue::within_guarantee;
+use super::queue::jobs_within_quota;
 use crate::coordination::context::Context;
 use crate::coordination::placement::{estimate, slowest_fetch};
 use snowshelf_calendar::amount::Amount;
@@ -15,6 +15,7 @@
 };
 use snowshelf_model::records::{JobKind, JobSpec, Resources};
 use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
 
 /// What a machine is kept for.
 #[derive(Clone, PartialEq)]
@@ -36,7 +37,20 @@
     }
 }
 
-/// CPUs of machines that are kept for a team.
+/// What is set aside for reservations of the calendar.
+#[derive(Default)]
+pub(super) struct CapacityReservations {
+    /// Reserved machines.
+    pub by_machine: BTreeMap<MachineId, MachineReservation>,
+    /// Jobs whose tasks on a machine are preempted for a reservation, as of the last pass.
+    preemptible: BTreeMap<MachineId, BTreeSet<JobId>>,
+    /// The other shards' machines by pool, ordinary and spot ones, while something is reserved.
+    pub machines_elsewhere: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>,
+    /// Capacity reserved for teams now, as of the last pass.
+    pub capacity: BTreeMap<Team, ReservedCapacity>,
+}
+
+/// CPUs of machines that are reserved for a team.
 #[derive(Clone, Copy, Default)]
 pub struct ReservedCapacity {
     pub free: f64,
@@ -45,10 +59,10 @@
 }
 
 /// Longer than a worker takes to hear a command and to say that it was carried out, beside two reports.
-const HEAR_MS: u64 = 1_000;
+const COMMAND_LATENCY_MS: u64 = 1_000;
 
 /// For how long a task is taken to be on its machine if it starts now; none: until it is stopped.
-pub fn stay_ms(spec: &JobSpec, context: &Context) -> Option<u64> {
+pub fn expected_stay_ms(spec: &JobSpec, context: &Context) -> Option<u64> {
     if spec.kind == JobKind::Service {
         return None;
     }
@@ -59,7 +73,7 @@
 
 impl Shard {
     /// Whether the calendar keeps a job from starting on a machine now.
-    pub(super) fn kept_from(
+    pub(super) fn is_reserved_for_others(
         &self,
         spec: &JobSpec,
         pool: Option<&Pool>,
@@ -73,7 +87,7 @@
             return false;
         };
         let now = WallClockMillis(context.effects.wall_ms);
-        let stay = stay_ms(spec, context);
+        let stay = expected_stay_ms(spec, context);
         if context.guard.forbids(pool, stay, now).is_some() {
             return true;
         }
@@ -86,17 +100,22 @@
     }
 
     /// Whether a machine is kept for a reservation that is open, or for which it has been rented.
-    pub(super) fn kept_ready(&self, name: &MachineId, ready_ms: u64, context: &Context) -> bool {
+    pub(super) fn is_reserved_soon(
+        &self,
+        name: &MachineId,
+        ready_ms: u64,
+        context: &Context,
+    ) -> bool {
         let now = context.effects.wall_ms;
-        let kept = self.kept.get(name);
+        let kept = self.reservations.by_machine.get(name);
         kept.is_some_and(|k| now < k.until.0 && now.saturating_add(ready_ms) >= k.from.0)
     }
 
     /// Chooses anew which machines are kept for which reservation: of each, this part keeps its
     /// share. Machines' names decide before a reservation opens, so that the choice lasts; from then on
     /// what is free there, or its team's already.
-    pub(super) fn keep(&mut self, context: &Context) {
-        self.kept.clear();
+    pub(super) fn reserve_machines(&mut self, context: &Context) {
+        self.reservations.by_machine.clear();
         if context.guard.holds.is_empty() {
             return;
         }
@@ -104,12 +123,12 @@
         let longest = self
             .jobs
             .values()
-            .filter(|j| j.waits())
+            .filter(|j| j.is_waiting())
             .filter_map(|j| j.spec())
-            .map(|spec| stay_ms(spec, context).unwrap_or(u64::MAX))
+            .map(|spec| expected_stay_ms(spec, context).unwrap_or(u64::MAX))
             .max();
         // What nobody who waits would run into need not be kept yet, but for machines rented ahead.
-        let ahead = longest.unwrap_or(0).max(rented_ahead_ms(context));
+        let ahead = longest.unwrap_or(0).max(provisioning_lead_ms(context));
         let soon = now
             .0
             .saturating_add(ahead)
@@ -119,7 +138,7 @@
             if hold.until <= now || hold.from.0 > soon {
                 continue;
             }
-            let share = self.share_of(hold, context);
+            let share = self.reserved_amount(hold, context);
             if share.is_zero() {
                 continue;
             }
@@ -127,13 +146,13 @@
             let mut choice: Vec<(Amount, &MachineId)> = self
                 .machines
                 .iter()
-                .filter(|(name, m)| !kept.contains_key(*name) && self.keeps(hold, m))
+                .filter(|(name, m)| !kept.contains_key(*name) && self.may_reserve(hold, m))
                 .filter_map(|(name, m)| {
                     let whole = context.types.get(&m.model)?.room();
                     let mut room = whole;
                     if open {
                         room.sub(m.used);
-                        let theirs = self.used_by(&hold.team, name);
+                        let theirs = self.used_by_team(&hold.team, name);
                         theirs.for_each(|r| room.add(r));
                     }
                     Some((Amount::of(room), name))
@@ -156,14 +175,14 @@
                 kept.insert(name.clone(), keep);
             }
         }
-        self.kept = kept;
+        self.reservations.by_machine = kept;
     }
 
     /// What a team's jobs take of a machine, job by job.
-    fn used_by(&self, team: &Team, name: &MachineId) -> impl Iterator<Item = Resources> {
-        self.jobs_on(name).filter_map(move |(_, j)| {
+    fn used_by_team(&self, team: &Team, name: &MachineId) -> impl Iterator<Item = Resources> {
+        self.jobs.on_machine(name).filter_map(move |(_, j)| {
             let spec = j.spec().filter(|s| s.team == *team)?;
-            let tasks = j.view.started.get(name)?.len();
+            let tasks = j.desired.started.get(name)?.len();
             Some(spec.resources.times(f64::from(tasks)))
         })
     }
@@ -171,7 +190,7 @@
     /// What of a reservation this part keeps: parts take it up one after the other, each as much as it
     /// has, beginning with one that the reservation's name tells, so that small ones are not
     /// splintered and many are spread.
-    fn share_of(&self, hold: &Hold, context: &Context) -> Amount {
+    fn reserved_amount(&self, hold: &Hold, context: &Context) -> Amount {
         let shard_count = context.config.shard_count.max(1);
         let first = shard_of(hold.reservation.as_str(), shard_count).0;
         let Some(kind) = context.types.get(&*hold.pool.model) else {
@@ -184,11 +203,12 @@
                 true => self
                     .machines
                     .values()
-                    .filter(|m| self.keeps(hold, m))
+                    .filter(|m| self.may_reserve(hold, m))
                     .count() as u32,
                 false => {
                     let (ordinary, spot) = self
-                        .elsewhere
+                        .reservations
+                        .machines_elsewhere
                         .get(&(shard_id, hold.pool.clone()))
                         .copied()
                         .unwrap_or_default();
@@ -210,7 +230,7 @@
         for m in self
             .machines
             .values()
-            .filter(|m| m.draining.is_none() && !m.closed && !m.returning)
+            .filter(|m| m.retirement.is_none() && !m.cordoned && !m.releasing)
         {
             if let Some(pool) = &m.pool {
                 let count = pools.entry(pool.clone()).or_default();
@@ -222,7 +242,7 @@
 
     /// What is kept for teams by now: what of it is free, and what is not their own use, which is
     /// theirs as soon as it falls free or is freed.
-    pub(super) fn kept_room(
+    pub(super) fn reserved_capacity(
         &self,
         capacity_index: &CapacityIndex,
         context: &Context,
@@ -232,7 +252,7 @@
             if let Some(k) = &capacity_index.key(room).kept
                 && k.by_now(context)
             {
-                let theirs = self.used_by(&k.team, &room.what.name).map(|r| r.cpus);
+                let theirs = self.used_by_team(&k.team, &room.what.name).map(|r| r.cpus);
                 let entry = kept.entry(k.team.clone()).or_default();
                 entry.free += room.free.cpus.max(0.0);
                 entry.promised += (room.what.whole.cpus - theirs.sum::<f64>()).max(0.0);
@@ -245,23 +265,23 @@
     /// reservation by now, and that may be stopped for jobs of its team which wait here: to give these
     /// their team's guarantee, where theirs is not concerned, or for their priority. As many as the
     /// waiting tasks need, and none where only the team's limit holds these back.
-    pub(super) fn find_overrun(&mut self, context: &Context) {
-        self.overrun.clear();
+    pub(super) fn find_preemptible(&mut self, context: &Context) {
+        self.reservations.preemptible.clear();
         let mut needs: BTreeMap<&Team, (f64, Vec<&JobId>)> = BTreeMap::new();
         let open = |k: &&MachineReservation| {
             k.from.0 <= context.effects.wall_ms && context.effects.wall_ms < k.until.0
         };
-        for kept in self.kept.values().filter(open) {
+        for kept in self.reservations.by_machine.values().filter(open) {
             needs.entry(&kept.team).or_default();
         }
-        needs.retain(|team, _| !self.short_of.contains_key(*team));
+        needs.retain(|team, _| !self.quotas.shortfalls.contains_key(*team));
         if needs.is_empty() {
             return;
         }
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.waits()) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_waiting()) {
             let Some(spec) = job.spec() else { continue };
             if let Some((cpus, jobs)) = needs.get_mut(&spec.team) {
-                *cpus += spec.resources.cpus * f64::from(job.view.waiting.len());
+                *cpus += spec.resources.cpus * f64::from(job.desired.waiting.len());
                 jobs.push(id);
             }
         }
@@ -269,14 +289,14 @@
         if needs.is_empty() {
             return;
         }
-        let within = within_guarantee(context);
+        let within = jobs_within_quota(context);
         let priority = |id: &JobId| self.jobs.get(id)?.spec().map(|s| s.priority);
         let mut overrun: BTreeMap<MachineId, BTreeSet<JobId>> = BTreeMap::new();
-        for (name, kept) in self.kept.iter().filter(|(_, k)| open(k)) {
+        for (name, kept) in self.reservations.by_machine.iter().filter(|(_, k)| open(k)) {
             let Some((cpus, newcomers)) = needs.get_mut(&kept.team) else {
                 continue;
             };
-            for (id, job) in self.jobs_on(name) {
+            for (id, job) in self.jobs.on_machine(name) {
                 let Some(spec) = job.spec().filter(|s| s.team != kept.team) else {
                     continue;
                 };
@@ -285,59 +305,60 @@
                     guarantee || priority(new) > Some(spec.priority)
                 });
                 if yields && *cpus > 0.0 {
-                    let tasks = job.view.started.get(name).map_or(0, |s| s.len());
+                    let tasks = job.desired.started.get(name).map_or(0, |s| s.len());
                     *cpus -= spec.resources.cpus * f64::from(tasks);
                     overrun.entry(name.clone()).or_default().insert(id.clone());
                 }
             }
         }
-        self.overrun = overrun;
+        self.reservations.preemptible = overrun;
     }
 
     /// Whether a task is to be stopped for a reservation.
-    pub(super) fn overruns(&self, name: &MachineId, job: &JobId) -> bool {
-        self.overrun
+    pub(super) fn is_preempted(&self, name: &MachineId, job: &JobId) -> bool {
+        self.reservations
+            .preemptible
             .get(name)
             .is_some_and(|jobs| jobs.contains(job))
     }
 
-    fn keeps(&self, hold: &Hold, m: &Machine) -> bool {
+    fn may_reserve(&self, hold: &Hold, m: &Machine) -> bool {
         m.pool.as_ref() == Some(&hold.pool)
             && (hold.spot || !m.spot)
-            && m.draining.is_none()
-            && !m.closed
-            && !m.returning
-            && m.notice_until.is_none()
+            && m.retirement.is_none()
+            && !m.cordoned
+            && !m.releasing
+            && m.interruption_at.is_none()
     }
 
     /// Empties machines whose pool closes as soon as a task can be stopped in time, saving what it
     /// saves; they are returned once nothing is on them.
-    pub(super) fn empty_closed(&mut self, context: &Context) {
+    pub(super) fn drain_closing_pools(&mut self, context: &Context) {
         if context.guard.closings.is_empty() {
             return;
         }
         let now = WallClockMillis(context.effects.wall_ms);
-        let report_ms = context.config.settings.report_ms();
+        let heartbeat_ms = context.config.settings.report_ms();
         let jobs = &self.jobs;
         for (name, m) in self
             .machines
             .iter_mut()
-            .filter(|(_, m)| m.draining.is_none())
+            .filter(|(_, m)| m.retirement.is_none())
         {
             let Some(pool) = &m.pool else {
                 continue;
             };
             let saves = m
-                .listed
+                .reported_tasks
                 .iter()
                 .filter_map(|t| jobs.get(&t.task.job)?.spec());
             let save_s = saves.map(|s| s.save_s).fold(0.0, f64::max);
-            let ahead = 2 * report_ms + HEAR_MS + seconds_to_ms(save_s);
+            let ahead = 2 * heartbeat_ms + COMMAND_LATENCY_MS + seconds_to_ms(save_s);
             if let Some(closing) = context.guard.empties(pool, now, ahead) {
                 tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
                     "machine cordoned: maintenance window");
-                m.draining = Some(Drained::Window);
-                self.dirty = true;
+                m.retirement = Some(RetirementReason::Window);
+                self.placement.dirty = true;
             }
         }
     }
@@ -345,14 +366,14 @@
 
 /// How long before a reservation opens its machines are rented: what the slowest type takes to be up
 /// and to fetch an image.
-pub fn rented_ahead_ms(context: &Context) -> u64 {
+pub fn provisioning_lead_ms(context: &Context) -> u64 {
     let ready_s = context
         .types
         .values()
         .map(|t| t.ready_s)
         .fold(0.0, f64::max);
-    seconds_to_ms(2.0 * ready_s + FETCH_S)
+    seconds_to_ms(2.0 * ready_s + IMAGE_FETCH_ALLOWANCE_S)
 }
 
 /// Time allowed for an image to be fetched before a reservation opens.
-const FETCH_S: f64 = 30.0;
+const IMAGE_FETCH_ALLOWANCE_S: f64 = 30.0;
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -5,47 +5,61 @@
 use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use snowshelf_fair_share::backfill::WAITED_MS;
-use snowshelf_model::ids::{JobId, ShardId, Team, Version, WallClockMillis};
+use snowshelf_model::ids::{JobId, MonotonicMillis, ShardId, Team, Version, WallClockMillis};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{Grant, JobSpec, JobState, allocation_key, job_key, shard_key};
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
 
 /// A job younger than this is left to the part that holds it.
-const CLAIM_AGE_MS: u64 = 1_500;
+const MIN_STEAL_AGE_MS: u64 = 1_500;
 
 /// The same where room is kept for its team.
-const KEPT_AGE_MS: u64 = 250;
+const MIN_STEAL_AGE_RESERVED_MS: u64 = 250;
 
 /// The least time between two claims of what others offer while tasks wait here: each costs three writes.
-const OFFERED_GAP_MS: u64 = 1_000;
+const STEAL_INTERVAL_MS: u64 = 1_000;
+
+/// The state of taking tasks over from other shards.
+#[derive(Default)]
+pub(super) struct WorkStealing {
+    in_flight: bool,
+    next_attempt_at: MonotonicMillis,
+    last_attempt_at: MonotonicMillis,
+    /// What the other shards offer, as far as their leaders say.
+    pub foreign_offers: Rc<BTreeMap<(ShardId, JobId), StealOffer>>,
+}
 
 impl Shard {
     /// An idle part takes over tasks that wait in another part, in one conditional transaction.
-    pub(super) fn claim(&mut self, context: &mut Context) {
+    pub(super) fn steal(&mut self, context: &mut Context) {
         let now = context.now();
-        if self.claiming || now < self.claim_at {
+        if self.stealing.in_flight || now < self.stealing.next_attempt_at {
             return;
         }
         // Room that is kept for a team is of no use to what waits here.
-        let kept = self.kept_room.values().any(|k| k.free > 0.0);
-        let idle = self.free_cpus > 0.0 && !self.matched.idle.is_empty();
-        if !idle && !kept && self.offered.is_empty() {
+        let kept = self.reservations.capacity.values().any(|k| k.free > 0.0);
+        let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle.is_empty();
+        if !idle && !kept && self.stealing.foreign_offers.is_empty() {
             return;
         }
         let mut capacity_index = self.capacity_index(context);
-        let used = match self.offered.is_empty() {
+        let used = match self.stealing.foreign_offers.is_empty() {
             true => HashMap::new(),
-            false => self.used(),
+            false => self.used_quota(),
         };
-        // The team that machines of a sort are kept for by now.
-        let team_of = |sort: &MachineClass| {
-            let team = sort.kept.as_ref()?.team_now(context)?;
-            self.kept_room.contains_key(team).then(|| team.clone())
+        // The team that machines of a class are kept for by now.
+        let team_of = |class: &MachineClass| {
+            let team = class.kept.as_ref()?.team_now(context)?;
+            self.reservations
+                .capacity
+                .contains_key(team)
+                .then(|| team.clone())
         };
         let mut best: Option<(WallClockMillis, ShardId, JobId, u32)> = None;
         // Looking through all shares costs too much to be done for what is offered alone.
         let all = idle || kept;
-        let offered = self.offered.keys();
+        let offered = self.stealing.foreign_offers.keys();
         let shares: Vec<_> = match all {
             true => context.records.allocations.iter().collect(),
             false => offered
@@ -63,8 +77,12 @@
             let (Some(spec), JobState::Open) = (&record.value.spec, record.value.state) else {
                 continue;
             };
-            let kept_ours = self.kept_room.contains_key(&spec.team);
-            let age_ms = if kept_ours { KEPT_AGE_MS } else { CLAIM_AGE_MS };
+            let kept_ours = self.reservations.capacity.contains_key(&spec.team);
+            let age_ms = if kept_ours {
+                MIN_STEAL_AGE_RESERVED_MS
+            } else {
+                MIN_STEAL_AGE_MS
+            };
             // A job whose zones are bound moves whole, before anything of it is started; a young
             // one may be about to start there.
             if !context.dependency_graph.is_ready(id, &record.value)
@@ -73,7 +91,7 @@
                 || self
                     .jobs
                     .get(id)
-                    .is_some_and(|j| j.in_flight || !j.steps.is_empty())
+                    .is_some_and(|j| j.write_in_flight || !j.pending_changes.is_empty())
             {
                 continue;
             }
@@ -81,20 +99,20 @@
             if !older {
                 continue;
             }
-            let offer = self.offered.get(key).copied();
+            let offer = self.stealing.foreign_offers.get(key).copied();
             // Taken though others wait here, but not to wait here for the team's grant.
             let offered = offer.is_some() && self.has_grant(spec, &used, context);
-            let counts = |sort: &MachineClass| match team_of(sort) {
+            let counts = |class: &MachineClass| match team_of(class) {
                 Some(team) => kept_ours && team == spec.team,
-                None => offered || (idle && self.matched.idle.contains(&sort.kind())),
+                None => offered || (idle && self.placement.demand.idle.contains(&class.kind())),
             };
-            let mut fit = self.fit(spec, &mut capacity_index, counts, context);
+            let mut fit = self.count_fitting(spec, &mut capacity_index, counts, context);
             if fit == 0
                 && offer == Some(StealOffer::Stranded)
                 && context.waited_ms(id, &record.value) >= WAITED_MS
             {
                 // What has room at once is for smaller tasks: room is held for it here.
-                fit = u32::from(self.could_hold(spec, &capacity_index, context));
+                fit = u32::from(self.could_reserve_backfill(spec, &capacity_index, context));
             }
             if fit > 0 {
                 let waiting = alloc.value.waiting.len();
@@ -107,7 +125,7 @@
             }
         }
         let Some((_, from, id, count)) = best else {
-            self.claim_at = now.plus(if all { 250 } else { OFFERED_GAP_MS });
+            self.stealing.next_attempt_at = now.plus(if all { 250 } else { STEAL_INTERVAL_MS });
             return;
         };
         let (Some(theirs), Some(record)) = (
@@ -158,7 +176,7 @@
         for (key, value) in writes {
             let Some(value) = value.filter(|_| fits) else {
                 // One of the records would be too large: not before some of its tasks have ended.
-                self.claim_at = now.plus(1_000);
+                self.stealing.next_attempt_at = now.plus(1_000);
                 return;
             };
             swap = swap.mutate(Mutation::put(key, &value));
@@ -167,12 +185,12 @@
             .kv
             .may(now, RequestPriority::Starts, swap.mutations.len())
         {
-            self.claim_at = now.plus(250);
+            self.stealing.next_attempt_at = now.plus(250);
             return;
         }
         tracing::info!(job = %id, from = %from, shard = %self.id, tasks = count, "waiting tasks stolen from shard");
-        self.claiming = true;
-        self.claimed_at = now;
+        self.stealing.in_flight = true;
+        self.stealing.last_attempt_at = now;
         context.kv.compare_and_swap(
             context.effects,
             self.kv_request(ShardRequest::Steal {
@@ -190,16 +208,16 @@
         granted.covers(next)
     }
 
-    pub fn claim_done(
+    pub fn on_steal_outcome(
         &mut self,
         swap: &CompareAndSwap,
         result: SwapOutcome,
         context: &mut Context,
     ) {
         let now = context.now();
-        self.claiming = false;
-        self.claim_at = match self.matched.any {
-            true => now.max(self.claimed_at.plus(OFFERED_GAP_MS)),
+        self.stealing.in_flight = false;
+        self.stealing.next_attempt_at = match self.placement.demand.any {
+            true => now.max(self.stealing.last_attempt_at.plus(STEAL_INTERVAL_MS)),
             false => now.plus(100),
         };
         match result {
@@ -212,12 +230,12 @@
                 // Every share of the job changed hands in the mirror; the caller tells all shards.
             }
             // The change feed shows what became of it; nothing is commanded before that.
-            SwapOutcome::Unknown => self.claim_at = now.plus(3_000),
+            SwapOutcome::Unknown => self.stealing.next_attempt_at = now.plus(3_000),
             SwapOutcome::Conflict(_)
             | SwapOutcome::NotDone
             | SwapOutcome::Refused
             | SwapOutcome::NoLease => {
-                self.claim_at = now.plus(500);
+                self.stealing.next_attempt_at = now.plus(500);
             }
         }
     }
