--- /dev/null
+++ b/src/coordination/shard/commands.rs
@@ -0,0 +1,148 @@
+//! The commands that the response to a heartbeat carries.
+
+use super::Shard;
+use super::heartbeats::redirect_worker;
+use super::machine::Machine;
+use super::reconciling::{AttemptOnMachine, desired_state, task_traits};
+use crate::coordination::context::Context;
+use crate::effects::Response;
+use snowshelf_drain::door::{Cause, stops};
+use snowshelf_model::ids::{Attempt, ConnectionId, MachineId};
+use snowshelf_model::protocol::worker::{Command, HeartbeatResponse, TaskRef};
+use snowshelf_reconciliation::decision_table::{
+    HeartbeatEvidence, MachineDisposition, ObservedState, ReconcileAction, reconcile,
+};
+use snowshelf_watermark::renewal::{LeaseRenewal, may_begin};
+
+/// Most commands in one response: keeps it under the 64 KiB that a worker accepts.
+const MAX_COMMANDS: usize = 400;
+
+impl Shard {
+    /// Responds to a heartbeat, which renews the worker's lease. The halts that the renewal depends on go first.
+    pub(super) fn respond(
+        &self,
+        connection: ConnectionId,
+        renewal: LeaseRenewal<(TaskRef, Attempt)>,
+        commands: Vec<Command>,
+        context: &mut Context,
+    ) {
+        let halts = renewal.into_halts();
+        if halts.len() > MAX_COMMANDS {
+            redirect_worker(connection, context);
+            return;
+        }
+        let mut all: Vec<Command> = halts
+            .into_iter()
+            .map(|(task, attempt)| Command::Halt {
+                task,
+                attempt,
+                grace_s: 0.0,
+            })
+            .collect();
+        let others: Vec<Command> = commands.into_iter().filter(|c| !all.contains(c)).collect();
+        all.extend(others);
+        all.truncate(MAX_COMMANDS);
+        let response = HeartbeatResponse {
+            fencing_token: self.fencing_token,
+            commands: all,
+        };
+        let body = serde_json::to_vec(&response).unwrap_or_default();
+        context
+            .effects
+            .respond(connection, Response::new(200, body));
+    }
+
+    /// The commands for a machine, by its newest heartbeat and the desired state.
+    pub(super) fn commands(&self, name: &MachineId, context: &Context) -> Vec<Command> {
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
+        if !machine.token_acknowledged {
+            // An earlier leader might still command it: only the fencing token goes out.
+            return Vec::new();
+        }
+        let mut commands = Vec::new();
+        for item in &machine.reported_tasks {
+            let attempt = AttemptOnMachine::new(name, &item.task, item.attempt);
+            let observed = ObservedState::Listed(item.state, item.why);
+            let disposition = self.disposition_of_reported(machine, attempt, context);
+            commands.extend(self.command(attempt, observed, disposition, context));
+        }
+        // Eviction matters only to a task that is there.
+        let heartbeat_ms = context.config.settings.report_ms();
+        let disposition = machine.disposition_of_unstarted(context.now(), heartbeat_ms);
+        for (job, task, attempt) in self.unreported_tasks(name) {
+            let task = TaskRef { job, task };
+            let attempt = AttemptOnMachine::new(name, &task, attempt);
+            commands.extend(self.command(attempt, ObservedState::Absent, disposition, context));
+        }
+        commands
+    }
+
+    fn disposition_of_reported(
+        &self,
+        machine: &Machine,
+        attempt: AttemptOnMachine<'_>,
+        context: &Context,
+    ) -> MachineDisposition {
+        let task = attempt.task;
+        let grounds = self.eviction_grounds(attempt.machine, &task.job, task.task, context);
+        match stops(grounds) {
+            None | Some(Cause::Cancelled | Cause::Notice) => {
+                let heartbeat_ms = context.config.settings.report_ms();
+                machine.disposition(context.now(), self.grace_s(task), heartbeat_ms)
+            }
+            Some(_) => MachineDisposition::Drained,
+        }
+    }
+
+    /// How long a task may take to save a checkpoint when it is stopped, in seconds.
+    fn grace_s(&self, task: &TaskRef) -> f64 {
+        let spec = self.jobs.get(&task.job).and_then(|j| j.spec());
+        spec.map_or(0.0, |s| s.save_s)
+    }
+
+    fn command(
+        &self,
+        attempt: AttemptOnMachine<'_>,
+        observed: ObservedState,
+        disposition: MachineDisposition,
+        context: &Context,
+    ) -> Option<Command> {
+        let job = self.jobs.get(&attempt.task.job);
+        let mut desired = desired_state(job, attempt);
+        // Another controller has confirmed the cancellation: the task is halted at once, though the cancellation is
+        // written only once the record cache shows it.
+        if context.attested.contains_key(&attempt.task.job) {
+            desired = desired.if_cancelled();
+        }
+        let traits = task_traits(job.and_then(|j| j.spec()));
+        let evidence = HeartbeatEvidence::PLAIN;
+        let action = reconcile(desired, observed, evidence, disposition, traits).order?;
+        // Guards against a task that begins long after a cancellation which this leader could not learn of.
+        if action == ReconcileAction::Run && !may_begin(context.watermark, context.now()) {
+            return None;
+        }
+        let (task, attempt_number) = (attempt.task.clone(), attempt.attempt);
+        Some(match action {
+            ReconcileAction::Run => Command::Run {
+                task,
+                attempt: attempt_number,
+            },
+            ReconcileAction::Reap => Command::Reap {
+                task,
+                attempt: attempt_number,
+            },
+            ReconcileAction::Kill => Command::Halt {
+                task,
+                attempt: attempt_number,
+                grace_s: 0.0,
+            },
+            ReconcileAction::Stop => Command::Halt {
+                grace_s: self.grace_s(&task),
+                task,
+                attempt: attempt_number,
+            },
+        })
+    }
+}
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -28,11 +28,14 @@
     pub deadline: MonotonicMillis,
 }
 
+/// The index of a zone that the settings do not name.
+pub(super) const UNKNOWN_ZONE: usize = usize::MAX;
+
 /// A machine of the shard.
 pub(super) struct Machine {
     /// The name of its machine type.
     pub model: String,
-    /// The index of its zone in the settings; `usize::MAX` if unknown.
+    /// The index of its zone in the settings; [`UNKNOWN_ZONE`] if unknown.
     pub zone: usize,
     /// Its zone and type, once a heartbeat has named them.
     pub pool: Option<Pool>,
@@ -88,16 +91,16 @@
             && now.since(self.last_heartbeat_at) <= max_silence_ms
     }
 
-    /// What is to become of it, for a task whose checkpoint takes `checkpoint_s` seconds.
+    /// What is to become of it, for a task that may take `grace_s` seconds to save a checkpoint.
     pub fn disposition(
         &self,
         now: MonotonicMillis,
-        checkpoint_s: f64,
+        grace_s: f64,
         heartbeat_ms: u64,
     ) -> MachineDisposition {
         if let Some(until) = self.interruption_at {
             let remaining_ms = until.0.saturating_sub(now.0);
-            let late = remaining_ms <= seconds_to_ms(checkpoint_s) + 2 * heartbeat_ms;
+            let late = remaining_ms <= seconds_to_ms(grace_s) + 2 * heartbeat_ms;
             MachineDisposition::Noticed { late }
         } else if self.retirement.is_some() {
             MachineDisposition::Drained
@@ -132,7 +135,7 @@
     pub fn unknown(now: MonotonicMillis) -> Machine {
         Machine {
             model: String::new(),
-            zone: usize::MAX,
+            zone: UNKNOWN_ZONE,
             pool: None,
             spot: true,
             incarnation: AgentIncarnation(0),
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -6,6 +6,7 @@
 //! to a heartbeat.
 
 mod backfill;
+mod commands;
 mod eviction;
 mod heartbeats;
 mod job;
@@ -16,6 +17,7 @@
 mod placement;
 mod queue;
 mod quota;
+mod reconciling;
 pub mod reservations;
 mod scale_in;
 mod work_stealing;
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -2,6 +2,7 @@
 
 use super::Shard;
 use super::job::ShardJob;
+use super::machine::UNKNOWN_ZONE;
 use super::queue::QueuedJob;
 use super::reservations::MachineReservation;
 use crate::coordination::context::Context;
@@ -513,7 +514,7 @@
         if spec.zones_bound() {
             for (m, ranges) in &job.desired.started {
                 let zone = self.machines.get(m).map(|m| m.zone);
-                zones.hold(zone.filter(|z| *z != usize::MAX), ranges.len());
+                zones.hold(zone.filter(|z| *z != UNKNOWN_ZONE), ranges.len());
             }
         }
         let (room, team, image) = (spec.resources, spec.team.clone(), job.image_id);
--- /dev/null
+++ b/src/coordination/shard/reconciling.rs
@@ -0,0 +1,288 @@
+//! What a heartbeat proves of tasks, and what follows for their jobs and their machine.
+
+use super::Shard;
+use super::job::ShardJob;
+use super::job_table::StartedTask;
+use super::machine::RetirementReason;
+use crate::coordination::context::Context;
+use snowshelf_model::ids::{Attempt, JobId, MachineId, MonotonicMillis, TaskIndex};
+use snowshelf_model::protocol::worker::{ExitReason, TaskRef, TaskState, TaskStatus};
+use snowshelf_model::records::{AllocationChange, AllocationChangeKind, JobKind, JobSpec};
+use snowshelf_reconciliation::decision_table::{
+    DesiredState, HeartbeatEvidence, ObservedState, OutcomeSignal, Reconciliation, TaskTraits,
+    reconcile,
+};
+use std::collections::BTreeSet;
+
+/// How long a job backs off after its first failures on several machines; doubles with each further failure.
+const FAILURE_BACKOFF_MS: u64 = 1_000;
+/// The backoff doubles at most so many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+/// How long a job backs off after a worker had no description of it.
+const NO_DESCRIPTION_BACKOFF_MS: u64 = 2_000;
+
+/// An attempt of a task on a machine.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptOnMachine<'a> {
+    pub machine: &'a MachineId,
+    pub task: &'a TaskRef,
+    pub attempt: Attempt,
+}
+
+impl<'a> AttemptOnMachine<'a> {
+    pub fn new(machine: &'a MachineId, task: &'a TaskRef, attempt: Attempt) -> Self {
+        AttemptOnMachine {
+            machine,
+            task,
+            attempt,
+        }
+    }
+}
+
+/// The desired state of an attempt, by the shard's allocation of its job.
+pub(super) fn desired_state(job: Option<&ShardJob>, at: AttemptOnMachine<'_>) -> DesiredState {
+    let Some(job) = job else {
+        return DesiredState::NotOurs;
+    };
+    let task = at.task.task;
+    let started = job.desired.started_on(at.machine, task);
+    let desired = started == Some(at.attempt);
+    let durable = job.durable.started_on(at.machine, task) == Some(at.attempt);
+    match (desired, durable, job.cancelled()) {
+        (true, false, _) => DesiredState::Starting,
+        (true, true, false) => DesiredState::Here,
+        (true, true, true) => DesiredState::Cancelled,
+        (false, true, false) => DesiredState::Ending,
+        (false, true, true) => DesiredState::CancelledEnding,
+        (false, false, _) if started.is_some() => DesiredState::OtherAttempt,
+        (false, false, _) if job.desired.waiting.get(task).is_some() => DesiredState::Waiting,
+        (false, false, _) if job.desired.finished.get(task).is_some() => DesiredState::Finished,
+        // On another machine, or in another shard's allocation.
+        (false, false, _) => DesiredState::Elsewhere,
+    }
+}
+
+pub(super) fn task_traits(spec: Option<&JobSpec>) -> TaskTraits {
+    spec.map_or(TaskTraits::default(), |s| TaskTraits {
+        standing: s.kind == JobKind::Service,
+        saves: s.checkpoint_s > 0.0,
+    })
+}
+
+/// What a heartbeat proves of one attempt.
+struct Proof {
+    task: TaskRef,
+    attempt: Attempt,
+    outcome: Reconciliation,
+    /// Whether the task was stopped on purpose.
+    evicted: bool,
+}
+
+impl Shard {
+    /// Reconciles the newest heartbeat of a machine, which has acknowledged the fencing token, with the desired state.
+    pub(super) fn reconcile_heartbeat(
+        &mut self,
+        name: &MachineId,
+        evidence: HeartbeatEvidence,
+        context: &Context,
+    ) {
+        let now = context.now();
+        let proofs = self.proofs(name, evidence, context);
+        for proof in proofs.iter().filter(|p| p.evicted) {
+            self.count_eviction(name, &proof.task.job, proof.task.task, context);
+        }
+        self.update_images(name, context);
+        for proof in proofs {
+            self.reconciliation.count(proof.outcome.finding);
+            let Some(what) = proof.outcome.write else {
+                continue;
+            };
+            let change = AllocationChange {
+                task: proof.task.task,
+                attempt: proof.attempt,
+                machine: name.clone(),
+                what,
+            };
+            self.apply_change(now, &proof.task.job, change);
+            self.apply_outcome_signal(name, &proof.task, proof.outcome.tells, context);
+        }
+        self.track_idle(name, now);
+    }
+
+    fn proofs(
+        &self,
+        name: &MachineId,
+        evidence: HeartbeatEvidence,
+        context: &Context,
+    ) -> Vec<Proof> {
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
+        let (now, heartbeat_ms) = (context.now(), context.config.settings.report_ms());
+        let prove = |task: &TaskRef, attempt: Attempt, observed, disposition| {
+            let job = self.jobs.get(&task.job);
+            let desired = desired_state(job, AttemptOnMachine::new(name, task, attempt));
+            let traits = task_traits(job.and_then(|j| j.spec()));
+            reconcile(desired, observed, evidence, disposition, traits)
+        };
+        let mut proofs = Vec::new();
+        let disposition = machine.disposition(now, 0.0, heartbeat_ms);
+        for item in &machine.reported_tasks {
+            let observed = ObservedState::Listed(item.state, item.why);
+            let outcome = prove(&item.task, item.attempt, observed, disposition);
+            let requeued = outcome.write == Some(AllocationChangeKind::Requeue);
+            proofs.push(Proof {
+                task: item.task.clone(),
+                attempt: item.attempt,
+                evicted: requeued && item.why == Some(ExitReason::Stopped),
+                outcome,
+            });
+        }
+        let disposition = machine.disposition_of_unstarted(now, heartbeat_ms);
+        for (job, task, attempt) in self.unreported_tasks(name) {
+            let task = TaskRef { job, task };
+            let outcome = prove(&task, attempt, ObservedState::Absent, disposition);
+            proofs.push(Proof {
+                task,
+                attempt,
+                outcome,
+                evicted: false,
+            });
+        }
+        proofs
+    }
+
+    /// Takes what the end of a task says of its job and its machine over.
+    fn apply_outcome_signal(
+        &mut self,
+        name: &MachineId,
+        task: &TaskRef,
+        signal: OutcomeSignal,
+        context: &Context,
+    ) {
+        let now = context.now();
+        match signal {
+            OutcomeSignal::Nothing => {}
+            OutcomeSignal::Works => {
+                if let Some(m) = self.machines.get_mut(name) {
+                    m.failed_jobs.clear();
+                }
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    job.consecutive_failures = 0;
+                }
+            }
+            OutcomeSignal::Fails => {
+                self.record_failure_on_machine(name, &task.job, now);
+                self.record_failure_of_run(&task.job, task.task, now);
+            }
+            OutcomeSignal::Full => {
+                if let Some(m) = self.machines.get_mut(name) {
+                    m.backoff_until = now.plus(2 * context.config.settings.report_ms());
+                }
+            }
+            OutcomeSignal::NoDescription => {
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    job.placement_backoff_until = now.plus(NO_DESCRIPTION_BACKOFF_MS);
+                }
+            }
+        }
+    }
+
+    /// Counts a failed task. Its machine is quarantined when different jobs fail on it, or when one fails that works
+    /// elsewhere; a job that fails on several machines backs off instead.
+    fn record_failure_on_machine(&mut self, name: &MachineId, id: &JobId, now: MonotonicMillis) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.consecutive_failures += 1;
+        job.failed_on.insert(name.clone());
+        let works_elsewhere = !job.desired.finished.is_empty();
+        let machines = job.failed_on.len();
+        if !works_elsewhere && machines >= 2 {
+            let doublings = job.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+            let wait_ms = FAILURE_BACKOFF_MS << doublings;
+            job.placement_backoff_until = now.plus(wait_ms);
+            tracing::info!(job = %id, machines, wait_ms, "job backing off: tasks fail on several machines");
+        }
+        let Some(m) = self.machines.get_mut(name) else {
+            return;
+        };
+        m.failed_jobs.push(id.clone());
+        let distinct = m.failed_jobs.iter().collect::<BTreeSet<_>>().len();
+        let faulty = distinct >= 2 || (works_elsewhere && m.failed_jobs.len() >= 2);
+        if faulty && m.retirement.is_none() {
+            m.retirement = Some(RetirementReason::Fault);
+            tracing::info!(machine = %name, jobs = distinct, "machine quarantined: tasks fail");
+        }
+    }
+
+    /// Counts a failed task of a DAG run, whose definition may ask for a pause before the next attempt.
+    fn record_failure_of_run(&mut self, id: &JobId, task: TaskIndex, now: MonotonicMillis) {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.run) else {
+            return;
+        };
+        *job.task_failures.entry(task).or_default() += 1;
+        if job.record.pause_ms > 0 {
+            let resume_at = now.plus(job.record.pause_ms);
+            job.placement_backoff_until = job.placement_backoff_until.max(resume_at);
+        }
+    }
+
+    /// Updates which images a machine has and which it fetches, by its newest heartbeat.
+    fn update_images(&mut self, name: &MachineId, context: &Context) {
+        let unreported = self.unreported_tasks(name);
+        let Some(m) = self.machines.get_mut(name) else {
+            return;
+        };
+        let local_gb = context.types.get(&m.model).map_or(f64::MAX, |t| t.local_gb);
+        m.images.coming.clear();
+        for item in &m.reported_tasks {
+            let Some(job) = self.jobs.get(&item.task.job) else {
+                continue;
+            };
+            match item.state {
+                TaskState::Running | TaskState::Saving => {
+                    let gb = job.spec().map_or(0.0, |s| s.pull_gb);
+                    m.images.used(job.image_id, gb, local_gb);
+                }
+                TaskState::Pulling => {
+                    m.images.coming.insert(job.image_id);
+                }
+                TaskState::Exited => {}
+            }
+        }
+        let starting = unreported.iter().filter_map(|(id, _, _)| self.jobs.get(id));
+        let absent: Vec<u32> = starting
+            .map(|j| j.image_id)
+            .filter(|image| !m.images.has(*image))
+            .collect();
+        m.images.coming.extend(absent);
+    }
+
+    fn track_idle(&mut self, name: &MachineId, now: MonotonicMillis) {
+        let busy = self.jobs.has_tasks_on(name);
+        if let Some(m) = self.machines.get_mut(name) {
+            if busy || m.reports_live_tasks() {
+                m.idle_since = None;
+            } else if m.idle_since.is_none() {
+                m.idle_since = Some(now);
+            }
+        }
+    }
+
+    /// Tasks that are started on a machine in the desired state and absent from its newest heartbeat.
+    pub(super) fn unreported_tasks(&self, name: &MachineId) -> Vec<StartedTask> {
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
+        let is_reported = |(job, task, attempt): &StartedTask| {
+            let mut reported = machine.reported_tasks.iter();
+            reported.any(|t: &TaskStatus| {
+                t.task.task == *task && t.attempt == *attempt && t.task.job == *job
+            })
+        };
+        let mut tasks = self.jobs.tasks_on(name);
+        tasks.retain(|task| !is_reported(task));
+        tasks
+    }
+}
