--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -2,7 +2,8 @@
 //! fills machines with whatever fits and so may never leave enough for a large task.
 
 use super::Shard;
-use super::placement::{CapacityIndex, PlacementPass, PlacementScope};
+use super::capacity::CapacityIndex;
+use super::placement::{PlacementPass, PlacementScope};
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
 use snowshelf_fair_share::backfill::{
@@ -137,7 +138,7 @@
         let empty = free.is_some_and(|free| spec.resources.fits_in(free));
         // A machine with room is not kept from others while the team's limit does not allow the task.
         if !(empty && lacks) || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus {
-            pass.held.insert(machine.clone(), queued.job.clone());
+            pass.backfill.insert(machine.clone(), queued.job.clone());
         }
         let since = known.map_or(now, |h| h.since);
         if since == now {
@@ -160,7 +161,7 @@
         self.reservations_in_force(context.effects.now) < most(capacity_index.entries().len())
             && groups.any(|(class, mut machines)| {
                 self.is_eligible(spec, class, context)
-                    && machines.any(|e| !e.what.faulty && spec.resources.fits_in(e.what.whole))
+                    && machines.any(|e| !e.what.faulty && spec.resources.fits_in(e.what.total))
             })
     }
 
@@ -188,7 +189,7 @@
         let entry = entries.find(|e| e.what.name == *name);
         entry.is_some_and(|e| {
             !e.what.faulty
-                && !pass.held.contains_key(name)
+                && !pass.backfill.contains_key(name)
                 && self.is_eligible(spec, pass.capacity_index.key(e), context)
         })
     }
@@ -201,17 +202,19 @@
         context: &Context,
     ) -> Option<MachineId> {
         let taken = |name: &MachineId| {
-            pass.held.contains_key(name)
+            pass.backfill.contains_key(name)
                 || self.backfill.by_job.values().any(|h| h.machine == *name)
         };
         let machines: Vec<(&MachineId, BackfillCandidate)> = pass
             .capacity_index
             .groups()
-            .filter(|(class, _)| class.kept.is_none() && self.is_eligible(spec, class, context))
+            .filter(|(class, _)| {
+                class.reservation.is_none() && self.is_eligible(spec, class, context)
+            })
             .flat_map(|(_, machines)| machines)
             .filter(|e| !e.what.faulty && !taken(&e.what.name))
             .map(|e| {
-                let mut in_time = e.what.whole;
+                let mut in_time = e.what.total;
                 in_time.sub(self.used_by_services(&e.what.name));
                 let free = e.free;
                 (&e.what.name, BackfillCandidate { free, in_time })
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -6,7 +6,9 @@
 //! to a heartbeat.
 
 mod backfill;
+mod capacity;
 mod commands;
+mod demand;
 mod eviction;
 mod heartbeats;
 mod job;
@@ -17,6 +19,7 @@
 mod placement;
 mod queue;
 mod quota;
+mod read_back;
 mod reconciling;
 pub mod reservations;
 mod scale_in;
@@ -26,13 +29,13 @@
 use super::gossip::ShardCapacity;
 use crate::storage::kv_client::{KvResponse, unexpected_response};
 use backfill::BackfillReservations;
+pub use demand::StealOffer;
 use eviction::Evictions;
 use job_table::JobTable;
 use load::LoadStatistics;
 use machine::Machine;
 use persistence::WriteState;
 use placement::PlacementState;
-pub use placement::StealOffer;
 use quota::QuotaGrants;
 use reservations::{CapacityReservations, ReservedCapacity};
 use scale_in::ScaleIn;
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -1,29 +1,42 @@
-//! How an owner's steps become durable: batched transactions, and reading back what is unsure.
+//! How changes of allocations become durable: batched transactions, and what follows from their outcome.
 
-use super::job::WritePriority;
+use super::job::{ShardJob, WritePriority};
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
-use crate::storage::kv_client::{GetOutcome, RequestPriority, SwapOutcome};
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use serde_json::Value;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version, WallClockMillis};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{allocation_key, job_key, shard_key};
 use std::cmp::Reverse;
 
-/// How long starts gather before they are written, so that several share a transaction.
+/// How long starts are batched before they are written, so that several share a transaction.
 const STARTS_BATCH_MS: u64 = 60;
-/// How long ends of tasks gather: nobody waits for them until the share's last one, and a start of
-/// the same share takes them along.
+/// How long ends of tasks are batched: nobody waits for them until the allocation's last one, and a start of the same
+/// allocation takes them along.
 const ENDS_BATCH_MS: u64 = 2_000;
-/// After so long they are written even if that keeps starts waiting.
+/// After so long ends are written even if that keeps starts waiting.
 const ENDS_DEADLINE_MS: u64 = 15_000;
-/// Bytes of a transaction's body that may be used.
+/// Most bytes of a transaction's body.
 const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
+/// Bytes reserved for what a transaction holds beside its changes.
+const TRANSACTION_OVERHEAD_BYTES: usize = 200;
+/// Bytes reserved for what a transaction holds of each changed allocation beside its value.
+const CHANGE_OVERHEAD_BYTES: usize = 400;
+/// How long a record is left alone of which a write without others was refused.
+pub(super) const REFUSED_BACKOFF_MS: u64 = 5_000;
+/// The time to the next attempt while the request budget is exhausted.
+const BUDGET_RETRY_MS: u64 = 50;
+/// The time to the next attempt after a write that was not carried out; doubles with each further one.
+const FAILURE_RETRY_MS: u64 = 150;
+/// The time to the next attempt doubles at most so many times.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
 /// The writes of a shard's allocations.
 #[derive(Default)]
 pub(super) struct WriteState {
-    in_flight: Option<InFlightSwap>,
+    /// The transaction underway, allocation by allocation.
+    in_flight: Option<Vec<AllocationWrite>>,
     /// Writes in a row that were not carried out.
     consecutive_failures: u32,
     /// Nothing is written before then.
@@ -32,177 +45,206 @@
     isolated_writes_left: usize,
 }
 
-/// A transaction underway.
-struct InFlightSwap {
-    jobs: Vec<AllocationWrite>,
-}
-
-/// A share's changes underway.
+/// A write of one allocation.
 struct AllocationWrite {
     job: JobId,
-    /// The last step that it holds.
-    last: u64,
-    /// The share's new value; `None`: it is over.
-    share: Option<Value>,
+    /// The newest change that it holds.
+    last_change_id: u64,
+    /// The allocation's new value; `None` if it is deleted.
+    allocation: Option<Value>,
     /// The job's new value, if it changes.
     record: Option<Value>,
 }
 
-/// For so long a record is left alone whose write alone was refused as it is.
-pub(super) const REFUSED_BACKOFF_MS: u64 = 5_000;
+/// An allocation that is due to be written; the least goes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueWrite {
+    priority: WritePriority,
+    start_wait_ms: Reverse<u64>,
+    pending_since: MonotonicMillis,
+    job: JobId,
+}
+
+impl DueWrite {
+    /// The priority that a transaction has which begins with this write.
+    fn request_priority(&self, now: MonotonicMillis) -> RequestPriority {
+        match self.priority {
+            WritePriority::Settle => RequestPriority::Ends,
+            WritePriority::Starts => RequestPriority::Starts,
+            WritePriority::Ends if now.since(self.pending_since) > ENDS_DEADLINE_MS => {
+                RequestPriority::Starts
+            }
+            WritePriority::Ends => RequestPriority::Spare,
+        }
+    }
+}
+
+/// A transaction being put together.
+struct Batch {
+    swap: CompareAndSwap,
+    writes: Vec<AllocationWrite>,
+    bytes: usize,
+}
+
+impl Batch {
+    /// Adds the write of an allocation. Returns `false` if there is no space left for it.
+    fn add(&mut self, key: String, job: &ShardJob, write: AllocationWrite) -> bool {
+        let mutation = match &write.allocation {
+            None => Mutation::Delete { key: key.clone() },
+            Some(value) => Mutation::put(key.clone(), value),
+        };
+        let size = CHANGE_OVERHEAD_BYTES + serde_json::to_vec(&mutation).map_or(0, |v| v.len());
+        if self.bytes + size > MAX_TRANSACTION_BYTES && !self.writes.is_empty() {
+            return false;
+        }
+        self.bytes += size;
+        let mut swap = std::mem::take(&mut self.swap)
+            .compare(key, job.allocation_version)
+            .mutate(mutation);
+        let job_key = job_key(&write.job);
+        if let Some(value) = &write.record {
+            swap = swap
+                .compare(job_key.clone(), job.record_version)
+                .mutate(Mutation::put(job_key, value));
+        } else if job.has_pending_start() {
+            // A cancellation changes the job's key, so it wins over a start underway.
+            swap = swap.compare(job_key, job.record_version);
+        }
+        self.swap = swap;
+        self.writes.push(write);
+        true
+    }
+}
 
 impl Shard {
-    /// Writes gathered steps in one transaction, as many as the budget has room for.
+    /// Writes pending changes in one transaction, as many as the request budget allows.
     pub(super) fn flush_changes(&mut self, context: &mut Context) {
         let now = context.now();
         if self.writes.in_flight.is_some() || self.fenced || now < self.writes.retry_at {
             return;
         }
-        let mut ready: Vec<(WritePriority, Reverse<u64>, MonotonicMillis, JobId)> = self
+        let due = self.due_writes(now);
+        let Some(first) = due.first() else {
+            return;
+        };
+        let priority = first.request_priority(now);
+        // A transaction beyond the budget would wait until the token bucket is full, and keep everything after it
+        // waiting.
+        let max_ops = context.storage_limits.txn_ops;
+        let max_ops = context.kv.room(now, priority).min(max_ops);
+        let batch = self.batch(&due, max_ops, context);
+        let ops = batch.swap.mutations.len();
+        if batch.writes.is_empty() || !context.kv.may(now, priority, ops) {
+            self.writes.retry_at = now.plus(BUDGET_RETRY_MS);
+            return;
+        }
+        for write in &batch.writes {
+            if let Some(job) = self.jobs.get_mut(&write.job) {
+                job.write_in_flight = true;
+            }
+        }
+        let request = self.kv_request(ShardRequest::WriteAllocations);
+        context
+            .kv
+            .compare_and_swap(context.effects, request, &batch.swap);
+        self.writes.in_flight = Some(batch.writes);
+    }
+
+    /// The allocations whose changes have been batched for long enough, in the order of writing.
+    fn due_writes(&self, now: MonotonicMillis) -> Vec<DueWrite> {
+        let ready = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.write_backoff_until <= now)
-            .filter_map(|(id, j)| {
-                Some((
-                    j.write_priority()?,
-                    Reverse(j.start_wait_ms(now)),
-                    j.pending_since,
-                    id.clone(),
-                ))
+            .filter(|(_, j)| j.write_backoff_until <= now);
+        let pending = ready.filter_map(|(id, job)| {
+            Some(DueWrite {
+                priority: job.write_priority()?,
+                start_wait_ms: Reverse(job.start_wait_ms(now)),
+                pending_since: job.pending_since,
+                job: id.clone(),
             })
-            .filter(|(press, _, since, _)| {
-                let gather = match press {
+        });
+        let mut due: Vec<DueWrite> = pending
+            .filter(|write| {
+                let batch_ms = match write.priority {
                     WritePriority::Ends => ENDS_BATCH_MS,
                     WritePriority::Settle | WritePriority::Starts => STARTS_BATCH_MS,
                 };
-                now.since(*since) >= gather
+                now.since(write.pending_since) >= batch_ms
             })
             .collect();
-        if ready.is_empty() {
-            return;
-        }
-        ready.sort();
-        let class = match ready[0].0 {
-            WritePriority::Settle => RequestPriority::Ends,
-            WritePriority::Starts => RequestPriority::Starts,
-            WritePriority::Ends if now.since(ready[0].2) > ENDS_DEADLINE_MS => {
-                RequestPriority::Starts
-            }
-            WritePriority::Ends => RequestPriority::Spare,
+        due.sort();
+        due
+    }
+
+    /// Puts a transaction of at most `max_ops` operations together.
+    fn batch(&mut self, due: &[DueWrite], max_ops: usize, context: &Context) -> Batch {
+        let fencing = Version(self.fencing_token.0);
+        let mut batch = Batch {
+            swap: CompareAndSwap::default().compare(shard_key(self.id), fencing),
+            writes: Vec::new(),
+            bytes: TRANSACTION_OVERHEAD_BYTES,
         };
-        // More than the budget has room for would wait until the bucket is full, and keep
-        // everything else waiting after it.
-        let max_ops = context.storage_limits.txn_ops;
-        let most = context.kv.room(now, class).min(max_ops);
-        let mut swap =
-            CompareAndSwap::default().compare(shard_key(self.id), Version(self.fencing_token.0));
-        let mut jobs = Vec::new();
-        let mut bytes = 200;
-        for (_, _, _, id) in ready {
-            let Some(job) = self.jobs.get(&id) else {
+        for DueWrite { job: id, .. } in due {
+            let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let over = job.is_over_here();
-            let ops = if over { 2 } else { 1 };
-            if swap.mutations.len() + ops > most {
+            let ops = if job.is_over_here() { 2 } else { 1 };
+            if batch.swap.mutations.len() + ops > max_ops {
                 break;
             }
-            let last = job.pending_changes.last().map_or(0, |s| s.id);
-            let key = allocation_key(self.id, &id);
-            let starts = job.has_pending_start();
-            // What is too large now is written once enough of its tasks have ended: until then their
-            // machines repeat the ends, and nothing more of it is started.
-            let (share, record) = if over {
-                let wall = WallClockMillis(context.effects.wall_ms);
-                let next = job
-                    .record
-                    .without_shard(self.id, wall, context.storage_limits.format);
-                (None, context.job_value(&next))
-            } else {
-                (context.storage_limits.encode_allocation(&job.desired), None)
-            };
-            if share.is_none() && record.is_none() {
+            let Some(write) = self.allocation_write(id, job, context) else {
                 continue;
-            }
-            let change = match &share {
-                None => Mutation::Delete { key: key.clone() },
-                Some(value) => Mutation::put(key.clone(), value),
             };
-            let size = 400 + serde_json::to_vec(&change).map_or(0, |v| v.len());
-            if bytes + size > MAX_TRANSACTION_BYTES && !jobs.is_empty() {
+            if !batch.add(allocation_key(self.id, id), job, write) {
                 break;
             }
-            bytes += size;
-            swap = swap.compare(key, job.allocation_version).mutate(change);
-            if let Some(value) = &record {
-                swap = swap
-                    .compare(job_key(&id), job.record_version)
-                    .mutate(Mutation::put(job_key(&id), value));
-            } else if starts {
-                // A cancellation changes the job's key, so it wins over a start underway.
-                swap = swap.compare(job_key(&id), job.record_version);
-            }
-            jobs.push(AllocationWrite {
-                job: id,
-                last,
-                share,
-                record,
-            });
             if self.writes.isolated_writes_left > 0 {
                 self.writes.isolated_writes_left -= 1;
                 break;
             }
         }
-        if jobs.is_empty() || !context.kv.may(now, class, swap.mutations.len()) {
-            self.writes.retry_at = now.plus(50);
-            return;
-        }
-        for writing in &jobs {
-            if let Some(job) = self.jobs.get_mut(&writing.job) {
-                job.write_in_flight = true;
-            }
-        }
-        context.kv.compare_and_swap(
-            context.effects,
-            self.kv_request(ShardRequest::WriteAllocations),
-            &swap,
-        );
-        self.writes.in_flight = Some(InFlightSwap { jobs });
+        batch
     }
 
-    pub fn on_write_outcome(&mut self, result: SwapOutcome, context: &mut Context) {
+    /// The write of an allocation; `None` if it is too large. Then it is written once enough of its tasks have ended:
+    /// until then their machines repeat the ends, and nothing more of it is started.
+    fn allocation_write(
+        &self,
+        id: &JobId,
+        job: &ShardJob,
+        context: &Context,
+    ) -> Option<AllocationWrite> {
+        let (allocation, record) = if job.is_over_here() {
+            let wall = WallClockMillis(context.effects.wall_ms);
+            let format = context.storage_limits.format;
+            let record = job.record.without_shard(self.id, wall, format);
+            (None, Some(context.job_value(&record)?))
+        } else {
+            let limits = context.storage_limits;
+            (Some(limits.encode_allocation(&job.desired)?), None)
+        };
+        Some(AllocationWrite {
+            job: id.clone(),
+            last_change_id: job.pending_changes.last().map_or(0, |p| p.id),
+            allocation,
+            record,
+        })
+    }
+
+    /// Takes the outcome of a transaction over.
+    pub(super) fn on_write_outcome(&mut self, outcome: SwapOutcome, context: &mut Context) {
         let now = context.now();
-        let Some(flight) = self.writes.in_flight.take() else {
+        let Some(writes) = self.writes.in_flight.take() else {
             return;
         };
-        for writing in &flight.jobs {
-            if let Some(job) = self.jobs.get_mut(&writing.job) {
+        for write in &writes {
+            if let Some(job) = self.jobs.get_mut(&write.job) {
                 job.write_in_flight = false;
             }
         }
-        match result {
-            SwapOutcome::Done(revision) => {
-                self.writes.consecutive_failures = 0;
-                for writing in flight.jobs {
-                    let id = writing.job;
-                    if let Some(job) = self.jobs.get_mut(&id) {
-                        job.outcome_unknown = false;
-                        job.pending_changes.retain(|s| s.id > writing.last);
-                        job.pending_since = now;
-                    }
-                    let key = allocation_key(self.id, &id);
-                    context
-                        .records
-                        .apply(&key, writing.share.as_ref(), revision);
-                    if let Some(value) = &writing.record {
-                        tracing::info!(job = %id, shard = %self.id, state = %value["state"],
-                            "shard allocation closed");
-                        context.records.apply(&job_key(&id), Some(value), revision);
-                    }
-                    self.refresh_job(&id, context);
-                }
-                self.placement.dirty = true;
-            }
+        match outcome {
+            SwapOutcome::Done(revision) => self.on_written(writes, revision, context),
             SwapOutcome::Conflict(keys) => {
                 tracing::info!(shard = %self.id, keys = ?keys, "write conflict");
                 if keys.contains(&shard_key(self.id)) {
@@ -215,104 +257,70 @@
                 }
             }
             SwapOutcome::NotDone | SwapOutcome::NoLease => {
-                self.writes.retry_at = context
-                    .effects
-                    .retry_at(150, self.writes.consecutive_failures.min(3));
+                let doublings = self.writes.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
+                self.writes.retry_at = context.effects.retry_at(FAILURE_RETRY_MS, doublings);
                 self.writes.consecutive_failures += 1;
             }
-            SwapOutcome::Refused => {
-                // Guards against the same write again and again, and all others of the part after it.
-                self.writes.retry_at = now.plus(150);
-                match &flight.jobs[..] {
-                    [only] => {
-                        tracing::info!(job = %only.job, shard = %self.id, "allocation write rejected");
-                        if let Some(job) = self.jobs.get_mut(&only.job) {
-                            job.write_backoff_until = now.plus(REFUSED_BACKOFF_MS);
-                        }
-                    }
-                    several => self.writes.isolated_writes_left = 2 * several.len(),
-                }
-            }
-            SwapOutcome::Unknown => {
-                tracing::info!(shard = %self.id, jobs = flight.jobs.len(), "write outcome unknown: reading back");
-                for writing in flight.jobs {
-                    let id = writing.job;
-                    if let Some(job) = self.jobs.get_mut(&id) {
-                        job.outcome_unknown = true;
-                    }
-                    if writing.record.is_some() {
-                        self.read_back(&job_key(&id), context);
-                    }
-                    self.read_back(&allocation_key(self.id, &id), context);
-                }
-            }
+            SwapOutcome::Refused => self.on_write_refused(&writes, now),
+            SwapOutcome::Unknown => self.on_write_unknown(writes, context),
         }
         self.send_deferred_responses(context);
         self.flush_changes(context);
     }
 
-    pub(super) fn job_of_key(&self, key: &str) -> Option<JobId> {
-        if let Some(job) = key.strip_prefix("job/") {
-            return Some(JobId::new(job));
+    fn on_written(
+        &mut self,
+        writes: Vec<AllocationWrite>,
+        revision: Version,
+        context: &mut Context,
+    ) {
+        let now = context.now();
+        self.writes.consecutive_failures = 0;
+        for write in writes {
+            let id = write.job;
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.outcome_unknown = false;
+                job.pending_changes.retain(|p| p.id > write.last_change_id);
+                job.pending_since = now;
+            }
+            let key = allocation_key(self.id, &id);
+            let allocation = write.allocation.as_ref();
+            context.records.apply(&key, allocation, revision);
+            if let Some(value) = &write.record {
+                tracing::info!(job = %id, shard = %self.id, state = %value["state"],
+                    "shard allocation closed");
+                context.records.apply(&job_key(&id), Some(value), revision);
+            }
+            self.refresh_job(&id, context);
         }
-        let rest = key.strip_prefix(&format!("alloc/{}/", self.id))?;
-        Some(JobId::new(rest))
+        self.placement.dirty = true;
     }
 
-    pub(super) fn read_back(&mut self, key: &str, context: &mut Context) {
-        if let Some(job) = self.job_of_key(key)
-            && let Some(job) = self.jobs.get_mut(&job)
-        {
-            job.read_in_flight = true;
+    /// Guards against the same refused write again and again, and against all others of the shard waiting behind it.
+    fn on_write_refused(&mut self, writes: &[AllocationWrite], now: MonotonicMillis) {
+        self.writes.retry_at = now.plus(FAILURE_RETRY_MS);
+        match writes {
+            [only] => {
+                tracing::info!(job = %only.job, shard = %self.id, "allocation write rejected");
+                if let Some(job) = self.jobs.get_mut(&only.job) {
+                    job.write_backoff_until = now.plus(REFUSED_BACKOFF_MS);
+                }
+            }
+            several => self.writes.isolated_writes_left = 2 * several.len(),
         }
-        // Reading what an unanswered write did comes before any new one.
-        let request = self.kv_request(ShardRequest::ReadAllocation {
-            key: key.to_string(),
-        });
-        context.kv.get(context.effects, request, key, 1_500);
     }
 
-    pub fn on_allocation_read(&mut self, key: &str, result: GetOutcome, context: &mut Context) {
-        match result {
-            GetOutcome::Found(item) => {
-                context.records.read_ahead = context.records.read_ahead.max(item.version);
-                context.records.apply(key, Some(&item.value), item.version);
-            }
-            GetOutcome::NotFound(revision) => {
-                context.records.read_ahead = context.records.read_ahead.max(revision);
-                context.records.apply(key, None, revision);
-            }
-            GetOutcome::Failed => {
-                // Asked again by the tick.
-                return;
-            }
-        }
-        if let Some(id) = self.job_of_key(key) {
+    fn on_write_unknown(&mut self, writes: Vec<AllocationWrite>, context: &mut Context) {
+        tracing::info!(shard = %self.id, jobs = writes.len(), "write outcome unknown: reading back");
+        for write in writes {
+            let id = write.job;
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.read_in_flight = false;
+                job.outcome_unknown = true;
             }
-            self.refresh_job(&id, context);
-        }
-    }
-
-    /// Asks again, a few times a second, for what could not be read back.
-    pub(super) fn retry_reads(&mut self, context: &mut Context) {
-        let now = context.now();
-        if now.0 % 500 >= 60 {
-            return;
-        }
-        let again: Vec<JobId> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| j.read_in_flight)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in again.into_iter().take(8) {
-            if context.kv.may(now, RequestPriority::Ends, 0) {
-                let key = allocation_key(self.id, &id);
-                let request = self.kv_request(ShardRequest::ReadAllocation { key: key.clone() });
-                context.kv.get(context.effects, request, &key, 1_500);
+            if write.record.is_some() {
+                self.read_back(&job_key(&id), context);
             }
+            self.read_back(&allocation_key(self.id, &id), context);
         }
     }
 }
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -1,82 +1,34 @@
-//! Passes of placement over the part's waiting jobs and open machines.
+//! Placement passes over the shard's waiting jobs and open machines.
 
 use super::Shard;
+use super::capacity::{CapacityIndex, candidate};
+use super::demand::DemandMatch;
 use super::job::ShardJob;
 use super::machine::UNKNOWN_ZONE;
 use super::queue::QueuedJob;
-use super::reservations::MachineReservation;
 use crate::coordination::context::Context;
-use crate::coordination::images::Images;
 use crate::coordination::placement::{self, Image, Load, MachineCandidate, ZoneRule};
-use snowshelf_calendar::calendar::Pool;
 use snowshelf_fair_share::grants::QuotaShortfall;
-use snowshelf_machine_index::capacity_index;
+use snowshelf_machine_index::capacity_index::AllowedClasses;
 use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
-use snowshelf_model::ids::{
-    JobId, MachineId, MonotonicMillis, Team, WallClockMillis, seconds_to_ms,
-};
-use snowshelf_model::protocol::worker::TaskState;
+use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, Grant, JobSpec, Resources};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 
-/// The least time between two passes: reports that come in between share one.
+/// The least time between two passes: heartbeats that come in between share one.
 const PASS_INTERVAL_MS: u64 = 50;
-
-/// What is offered is looked for this often: it takes a look at each job that waits.
-const OFFERS_INTERVAL_MS: u64 = 1_000;
-/// So many jobs are offered to the other parts at a time.
-const MAX_OFFERS: usize = 20;
-/// A job that no machine here could run is offered after so long; machines may be on their way.
-const STRANDED_AFTER_MS: u64 = 10_000;
-/// A job of which nothing is on a machine here is offered after so long: half of the time for which the users let a job
-/// wait while there is room for it.
-const OVERDUE_AFTER_MS: u64 = 45_000;
-
-/// What makes machines equal to every job, but for their room, images and failures.
-pub(super) struct MachineClass {
-    pub model: String,
-    pub zone: usize,
-    pub spot: bool,
-    pub pool: Option<Pool>,
-    pub kept: Option<MachineReservation>,
-}
-
-/// A class but for what is kept: model, zone, spot or not.
-pub(super) type MachineKind = (String, usize, bool);
-
-impl MachineClass {
-    pub fn kind(&self) -> MachineKind {
-        (self.model.clone(), self.zone, self.spot)
-    }
-}
-
-/// Why a job is offered to other parts, which take it where it fits at once though others wait there: what is free
-/// after a pass is free because it fits none of them.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum StealOffer {
-    /// No machine of its part could run it.
-    Stranded,
-    /// Nothing of it is on a machine.
-    Overdue,
-}
-
-/// What waits in a part and its machines, held against each other.
-#[derive(Default)]
-pub(super) struct DemandMatch {
-    /// Tasks wait that some machine here could run, were it empty.
-    pub any: bool,
-    /// Kinds of machines with room that nothing which waits here could use.
-    pub idle: BTreeSet<MachineKind>,
-    /// Jobs that others may take, those that came first.
-    pub offers: Vec<(JobId, StealOffer)>,
-}
+/// After so many failures in a row with nothing completed, a job's tasks are tried one at a time.
+const FAILURES_BEFORE_SINGLE_TASKS: u32 = 2;
+/// Stands for memory that no quota limits.
+const UNLIMITED: f64 = f64::MAX / 4.0;
 
 /// When placement ran and what came of it.
 pub(super) struct PlacementState {
     /// Something changed that placement may use.
     pub dirty: bool,
     pub last_pass_at: MonotonicMillis,
-    offers_updated_at: MonotonicMillis,
+    pub offers_updated_at: MonotonicMillis,
+    /// What waits matched with the machines, as of the last pass.
     pub demand: DemandMatch,
 }
 
@@ -91,199 +43,114 @@
     }
 }
 
-/// A machine that may take tasks, as a pass sees it.
-pub(super) struct IndexedCapacity {
-    pub name: MachineId,
-    /// What it would have free without any task.
-    pub whole: Resources,
-    /// It has failed a task and completed none since.
-    pub faulty: bool,
-    listed: u32,
-    images: Images,
-    /// When its next report comes, from now.
-    report_in_ms: u64,
-    fetch_gb_per_s: f64,
-}
-
-pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, IndexedCapacity>;
-
 /// What a pass has used of the machines and of the teams' grants so far.
 pub(super) struct PlacementPass {
     pub capacity_index: CapacityIndex,
-    /// Machines held, and for whom.
-    pub held: BTreeMap<MachineId, JobId>,
-    /// The longest name of a machine.
-    names: usize,
+    /// Machines reserved for backfill, and for which job.
+    pub backfill: BTreeMap<MachineId, JobId>,
+    /// The length of the longest machine name.
+    max_name_len: usize,
     weights: Resources,
     pub used: HashMap<Team, Grant>,
     unplaceable: UnplaceableShapes,
 }
 
-/// PlacementScope a job's tasks may be placed.
+/// Where a job's tasks may be placed.
 #[derive(Clone, PartialEq)]
 pub(super) enum PlacementScope {
+    /// On any machine that is not reserved for others.
     Anywhere,
     /// Only where its image is or is being fetched.
     WithImage,
-    /// On the machine that is held for it.
+    /// On the machine that is reserved for it.
     On(MachineId),
 }
 
-impl Shard {
-    /// Works out anew what is taken on machines whose picture or report has changed.
-    pub(super) fn refresh_usage(&mut self) {
-        let jobs = &self.jobs;
-        for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.usage_dirty) {
-            m.usage_dirty = false;
-            m.used = Resources::default();
-            m.orphaned_tasks.clear();
-            for (_, job) in jobs.on_machine(name) {
-                if let Some(spec) = job.spec()
-                    && let Some(ranges) = job.desired.started.get(name)
-                {
-                    m.used.add(spec.resources.times(f64::from(ranges.len())));
-                }
-            }
-            for item in m
-                .reported_tasks
-                .iter()
-                .filter(|t| t.state != TaskState::Exited)
-            {
-                let job = jobs.get(&item.task.job);
-                let held = job.and_then(|j| j.desired.started_on(name, item.task.task));
-                if held == Some(item.attempt) {
-                    continue;
-                }
-                m.orphaned_tasks.push(item.task.job.clone());
-                match job {
-                    Some(job) => m
-                        .used
-                        .add(job.spec().map(|s| s.resources).unwrap_or_default()),
-                    // A stray of unknown size: nothing is placed until it is gone.
-                    None => m.used.add(Resources {
-                        cpus: 1e9,
-                        gpus: 0.0,
-                        mem: 1e9,
-                    }),
-                }
-            }
-        }
+/// A job to be placed.
+#[derive(Clone, Copy)]
+pub(super) struct PlacementRequest<'a> {
+    pub queued: &'a QueuedJob,
+    pub scope: &'a PlacementScope,
+    pub job: &'a ShardJob,
+    pub spec: &'a JobSpec,
+}
+
+impl PlacementRequest<'_> {
+    fn only_with_image(&self) -> bool {
+        *self.scope == PlacementScope::WithImage
     }
 
-    /// The machines that may take tasks now.
-    pub(super) fn capacity_index(&mut self, context: &Context) -> CapacityIndex {
-        self.refresh_usage();
-        let heartbeat_ms = context.config.settings.report_ms().max(1);
-        let max_silence_ms = 2 * context.config.settings.report_ms() + 1_000;
-        let now = context.now();
-        let mut capacity_index = CapacityIndex::default();
-        for (name, m) in self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.accepts_tasks(now, max_silence_ms))
+    fn on_reserved_machine(&self) -> bool {
+        matches!(self.scope, PlacementScope::On(_))
+    }
+
+    /// How many tasks may be started at once.
+    fn wanted_tasks(&self) -> u32 {
+        let waiting = self.job.desired.waiting.len();
+        if self.job.consecutive_failures >= FAILURES_BEFORE_SINGLE_TASKS
+            && self.job.desired.finished.is_empty()
         {
-            let Some(kind) = context.types.get(&m.model) else {
-                continue;
-            };
-            let whole = kind.room();
-            let mut free = whole;
-            free.sub(m.used);
-            let kept = self.reservations.by_machine.get(name);
-            let same = |s: &MachineClass| {
-                s.zone == m.zone
-                    && s.spot == m.spot
-                    && s.model == m.model
-                    && s.pool == m.pool
-                    && s.kept.as_ref() == kept
-            };
-            let key = || MachineClass {
-                model: m.model.clone(),
-                zone: m.zone,
-                spot: m.spot,
-                pool: m.pool.clone(),
-                kept: kept.cloned(),
-            };
-            let open = IndexedCapacity {
-                name: name.clone(),
-                whole,
-                faulty: !m.failed_jobs.is_empty(),
-                listed: m.reported_tasks.len() as u32,
-                images: m.images.clone(),
-                report_in_ms: match m.deferred_response {
-                    Some(_) => 0,
-                    None => heartbeat_ms.saturating_sub(now.since(m.last_heartbeat_at)),
-                },
-                fetch_gb_per_s: kind.fetch_gb_per_s,
-            };
-            capacity_index.push(same, key, free, open);
+            waiting.min(1u32.saturating_sub(self.job.started_tasks))
+        } else {
+            waiting
         }
-        capacity_index
     }
 
-    /// How many tasks of a job could start in these rooms, of the classes that count.
-    pub(super) fn count_fitting(
-        &self,
-        spec: &JobSpec,
-        capacity_index: &mut CapacityIndex,
-        counts: impl Fn(&MachineClass) -> bool,
-        context: &Context,
-    ) -> u32 {
-        let allowed =
-            capacity_index.allowed(|class| counts(class) && self.is_eligible(spec, class, context));
-        let fitting = capacity_index.fitting(spec.resources, &allowed);
-        let usable = fitting.iter().map(|at| &capacity_index.entries()[*at]);
-        let usable = usable.filter(|e| !e.what.faulty);
-        usable.fold(0, |n, e| n.saturating_add(spec.resources.count_in(e.free)))
+    /// Whether a machine may be used, as far as backfill reservations go.
+    fn may_use(&self, name: &MachineId, pass: &PlacementPass) -> bool {
+        match self.scope {
+            PlacementScope::On(machine) => machine == name,
+            PlacementScope::Anywhere | PlacementScope::WithImage => {
+                let reserved_for = pass.backfill.get(name);
+                reserved_for.is_none_or(|job| *job == self.queued.job)
+            }
+        }
     }
 
-    /// Whether machines of a class that work may run this job.
-    pub(super) fn is_eligible(
+    /// The machines with free resources for a task that may take one now: their places in the index, and what
+    /// placement weighs of them.
+    fn candidates(
         &self,
-        spec: &JobSpec,
-        class: &MachineClass,
+        allowed: &AllowedClasses,
+        pass: &mut PlacementPass,
         context: &Context,
-    ) -> bool {
-        let zone = context.config.settings.deployment.zones.get(class.zone);
-        class.allowed_for(spec, zone)
-            && !self.is_reserved_for_others(spec, class.pool.as_ref(), class.kept.as_ref(), context)
+    ) -> (Vec<usize>, Vec<MachineCandidate>) {
+        let mut fitting = pass.capacity_index.fitting(self.spec.resources, allowed);
+        let mut candidates = Vec::with_capacity(fitting.len());
+        fitting.retain(|at| {
+            if !self.may_use(&pass.capacity_index.entries()[*at].what.name, pass) {
+                return false;
+            }
+            let candidate = candidate(*self, *at, pass, context);
+            let without_image = self.only_with_image() && candidate.image == Image::Absent;
+            let usable = candidate.cap > 0 && !without_image;
+            if usable {
+                candidates.push(candidate);
+            }
+            usable
+        });
+        (fitting, candidates)
     }
+}
 
-    /// A machine that a job may use, as placement sees it.
-    fn candidate(
-        job: &ShardJob,
-        spec: &JobSpec,
-        at: usize,
-        urgent: bool,
-        pass: &PlacementPass,
-        context: &Context,
-    ) -> MachineCandidate {
-        let entry = &pass.capacity_index.entries()[at];
-        let (open, class) = (&entry.what, pass.capacity_index.key(entry));
-        let cap = if !open.faulty {
-            u32::MAX
-        } else if job.failed_on.contains(&open.name) {
-            0
-        } else {
-            // It failed a task and completed none since: one at a time.
-            1u32.saturating_sub(open.listed)
-        };
-        let image = open.images.state(job.image_id);
-        MachineCandidate {
-            free: entry.free,
-            zone: class.zone,
-            cap,
-            spared: spec.spot && !class.spot,
-            image,
-            fetches: open.images.coming.len(),
-            delay: if urgent {
-                delay(spec, image, open, context)
-            } else {
-                0
-            },
-        }
-    }
+/// The machines chosen for tasks of a job.
+struct Selection {
+    /// What one task needs.
+    resources: Resources,
+    team: Team,
+    image_id: u32,
+    machines: Vec<SelectedMachine>,
+}
+
+struct SelectedMachine {
+    /// Its place in the capacity index.
+    at: usize,
+    image: Image,
+    tasks: u32,
+}
 
-    /// One pass of placement over the waiting jobs.
+impl Shard {
+    /// One placement pass over the waiting jobs, if it is due.
     pub(super) fn place(&mut self, context: &mut Context) {
         let now = context.now();
         let due =
@@ -291,320 +158,243 @@
         if !due || !self.ready || self.fenced {
             return;
         }
-        self.placement.dirty = false;
         self.placement.last_pass_at = now;
         self.refresh_usage();
         self.reserve_machines(context);
+        let mut pass = self.begin_pass(context);
+        self.quotas.shortfalls.clear();
+        let queue = self.queue_order(now, context);
+        self.reserve_for_backfill(&queue, &mut pass, context);
+        for equals in queue.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
+            self.place_equals(equals, &mut pass, context);
+        }
+        self.placement.dirty = false;
+        self.find_preemptible(context);
+        self.reservations.capacity = self.reserved_capacity(&pass.capacity_index, context);
+        self.update_load(&pass.capacity_index);
+        self.update_demand(&pass.capacity_index, context);
+    }
+
+    fn begin_pass(&mut self, context: &Context) -> PlacementPass {
         let capacity_index = self.capacity_index(context);
         let mut load = Load::default();
         for m in self.machines.values() {
-            if let Some(kind) = context.types.get(&m.model) {
-                load.capacity.add(kind.room());
+            if let Some(machine_type) = context.types.get(&m.model) {
+                load.capacity.add(machine_type.room());
                 load.booked.add(m.used);
             }
         }
         self.load.capacity_cpus = load.capacity.cpus;
-        let waiting = || self.jobs.values().filter(|j| j.is_waiting());
-        let weights = placement::weights(
-            waiting().filter_map(|j| j.spec()),
-            context.config.ops.default_run_s,
-            load,
-        );
-        let names = capacity_index
-            .entries()
-            .iter()
-            .map(|e| e.what.name.as_str().len());
-        let mut pass = PlacementPass {
-            names: names.max().unwrap_or(0),
-            held: BTreeMap::new(),
+        let waiting = self.jobs.values().filter(|j| j.is_waiting());
+        let specs = waiting.filter_map(|j| j.spec());
+        let weights = placement::weights(specs, context.config.ops.default_run_s, load);
+        let machines = capacity_index.entries().iter();
+        let name_lens = machines.map(|e| e.what.name.as_str().len());
+        PlacementPass {
+            max_name_len: name_lens.max().unwrap_or(0),
+            backfill: BTreeMap::new(),
             capacity_index,
             weights,
             used: self.used_quota(),
             unplaceable: UnplaceableShapes::default(),
-        };
-        self.quotas.shortfalls.clear();
-        let queue = self.queue_order(now, context);
-        self.reserve_for_backfill(&queue, &mut pass, context);
-        for equals in queue.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
-            // A fetch often takes longer than the task: jobs that can still wait leave room on
-            // machines without their image to those that need no fetch there.
-            for queued in equals {
-                let at = if queued.patient {
-                    PlacementScope::WithImage
-                } else {
-                    PlacementScope::Anywhere
-                };
-                self.place_job(queued, &at, &mut pass, context);
-            }
-            for queued in equals.iter().filter(|t| t.patient) {
-                self.place_job(queued, &PlacementScope::Anywhere, &mut pass, context);
-            }
         }
-        self.placement.dirty = false;
-        self.find_preemptible(context);
-        let capacity_index = pass.capacity_index;
-        self.reservations.capacity = self.reserved_capacity(&capacity_index, context);
-        let free = capacity_index
-            .entries()
-            .iter()
-            .map(|e| e.free.cpus.max(0.0));
-        self.load.free_cpus = free.sum::<f64>()
-            - self
-                .reservations
-                .capacity
-                .values()
-                .map(|k| k.free)
-                .sum::<f64>();
-        let offers_due = now.since(self.placement.offers_updated_at) >= OFFERS_INTERVAL_MS;
-        let offers = std::mem::take(&mut self.placement.demand.offers);
-        self.placement.demand = self.match_demand(&capacity_index, offers_due, context);
-        match offers_due {
-            true => self.placement.offers_updated_at = now,
-            false => self.placement.demand.offers = offers,
-        }
-        let waiting = self.jobs.values().filter(|j| j.is_waiting());
-        self.load.waiting_cpus = waiting
-            .filter_map(|j| Some(j.spec()?.resources.cpus * f64::from(j.desired.waiting.len())))
-            .sum();
     }
 
-    /// Which jobs that wait here some machine could run, were it empty, and which machines none of them could use.
-    /// Guards against one job that is bound to a zone whose machines are full, and keeps the idle ones of another from
-    /// everybody.
-    fn match_demand(
-        &self,
-        capacity_index: &CapacityIndex,
-        offers_due: bool,
-        context: &Context,
-    ) -> DemandMatch {
-        // Of each class that works: what a machine has without tasks, and whether any has room.
-        let classes = capacity_index.groups().filter_map(|(class, machines)| {
-            let mut works = machines.filter(|e| !e.what.faulty).peekable();
-            let whole = works.peek()?.what.whole;
-            Some((class, whole, works.any(|e| e.free.cpus > 0.0)))
-        });
-        let classes: Vec<(&MachineClass, Resources, bool)> = classes.collect();
-        let wants = |spec: &JobSpec, (class, whole, _): &(&MachineClass, Resources, bool)| {
-            spec.resources.fits_in(*whole) && self.is_eligible(spec, class, context)
-        };
-        let mut unwanted: Vec<&(&MachineClass, Resources, bool)> = classes.iter().collect();
-        let mut wanted = BTreeSet::new();
-        let mut offers: Vec<(WallClockMillis, &JobId, StealOffer)> = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_waiting()) {
-            let Some(spec) = job.spec() else { continue };
-            if unwanted.is_empty() && !offers_due {
-                break;
-            }
-            let stranded = !classes.iter().any(|class| wants(spec, class));
-            let waited_ms = context.waited_ms(id, &job.record);
-            let offer = match stranded {
-                true if waited_ms >= STRANDED_AFTER_MS => Some(StealOffer::Stranded),
-                false if waited_ms >= OVERDUE_AFTER_MS && job.started_tasks == 0 => {
-                    Some(StealOffer::Overdue)
-                }
-                _ => None,
+    /// Places jobs of the same rank. Fetching an image often takes longer than the task: jobs that can still wait
+    /// leave machines without their image to those that need no fetch there, and come again afterwards.
+    fn place_equals(&mut self, equals: &[QueuedJob], pass: &mut PlacementPass, context: &Context) {
+        for queued in equals {
+            let scope = if queued.patient {
+                PlacementScope::WithImage
+            } else {
+                PlacementScope::Anywhere
             };
-            // What has begun of a bound job keeps the rest here.
-            let movable = !spec.zones_bound() || job.started_tasks == 0;
-            offers.extend(
-                offer
-                    .filter(|_| movable)
-                    .map(|o| (job.record.submitted, id, o)),
-            );
-            if stranded {
-                continue;
-            }
-            unwanted.retain(|class| {
-                let wants = wants(spec, class);
-                if wants {
-                    wanted.insert(class.0.kind());
-                }
-                !wants
-            });
+            self.place_job(queued, &scope, pass, context);
         }
-        offers.sort_unstable();
-        let offers = offers.into_iter().take(MAX_OFFERS);
-        let roomy = unwanted.iter().filter(|(_, _, room)| *room);
-        let idle = roomy.map(|(class, _, _)| class.kind());
-        DemandMatch {
-            idle: idle.filter(|kind| !wanted.contains(kind)).collect(),
-            any: !wanted.is_empty(),
-            offers: offers.map(|(_, id, offer)| (id.clone(), offer)).collect(),
+        for queued in equals.iter().filter(|q| q.patient) {
+            self.place_job(queued, &PlacementScope::Anywhere, pass, context);
         }
     }
 
-    /// Starts as many of a job's waiting tasks as limits and room allow.
+    fn update_load(&mut self, index: &CapacityIndex) {
+        let free = index.entries().iter().map(|e| e.free.cpus.max(0.0));
+        let reserved = self.reservations.capacity.values().map(|r| r.free);
+        self.load.free_cpus = free.sum::<f64>() - reserved.sum::<f64>();
+        let waiting = self.jobs.values().filter(|j| j.is_waiting());
+        let cpus = waiting
+            .filter_map(|j| Some(j.spec()?.resources.cpus * f64::from(j.desired.waiting.len())));
+        self.load.waiting_cpus = cpus.sum();
+    }
+
+    /// Starts as many of a job's waiting tasks as quota and machines allow.
     pub(super) fn place_job(
         &mut self,
         queued: &QueuedJob,
-        at: &PlacementScope,
+        scope: &PlacementScope,
         pass: &mut PlacementPass,
         context: &Context,
     ) {
-        let now = context.now();
-        let only_with_image = *at == PlacementScope::WithImage;
-        let id = &queued.job;
-        let Some(job) = self.jobs.get(id) else {
-            return;
-        };
-        let Some(spec) = job.spec() else {
-            return;
-        };
-        let mut want = job.desired.waiting.len();
-        if job.consecutive_failures >= 2 && job.desired.finished.is_empty() {
-            // Nothing of it has worked yet: try a single task at a time.
-            want = want.min(1u32.saturating_sub(job.started_tasks));
+        if let Some(mut selection) = self.select_machines(queued, scope, pass, context) {
+            self.limit_to_grant(&mut selection, pass, context);
+            self.start_tasks(&queued.job, selection, pass, context);
         }
-        if want == 0 {
-            return;
+    }
+
+    /// Chooses machines for a job's waiting tasks; `None` if no machine may take any.
+    fn select_machines(
+        &self,
+        queued: &QueuedJob,
+        scope: &PlacementScope,
+        pass: &mut PlacementPass,
+        context: &Context,
+    ) -> Option<Selection> {
+        let job = self.jobs.get(&queued.job)?;
+        let spec = job.spec()?;
+        let request = PlacementRequest {
+            queued,
+            scope,
+            job,
+            spec,
+        };
+        let wanted = request.wanted_tasks();
+        if wanted == 0 {
+            return None;
         }
-        let zones = &context.config.settings.deployment.zones;
+        let zone_count = context.config.settings.deployment.zones.len();
         let allowed = pass.capacity_index.allowed(|class| {
             self.is_eligible(spec, class, context)
-                && (!spec.zones_bound() || class.zone < zones.len())
+                && (!spec.zones_bound() || class.zone < zone_count)
         });
         if allowed.none() {
-            return;
+            return None;
         }
-        let image = only_with_image.then_some(job.image_id);
+        let image = request.only_with_image().then_some(job.image_id);
         let shape = Shape::new(spec.resources, allowed.clone(), image);
-        let held = matches!(at, PlacementScope::On(_));
-        if !held && pass.unplaceable.is(&shape) {
-            return;
+        if !request.on_reserved_machine() && pass.unplaceable.is(&shape) {
+            return None;
         }
-        want = want.min(context.storage_limits.startable(
-            &job.desired,
-            job.started_tasks,
-            pass.names,
-        ));
-        if want == 0 {
-            return;
+        let limits = context.storage_limits;
+        let startable = limits.startable(&job.desired, job.started_tasks, pass.max_name_len);
+        let wanted = wanted.min(startable);
+        if wanted == 0 {
+            return None;
         }
-        // Only machines with room for a task are looked at.
-        let mut open = pass.capacity_index.fitting(spec.resources, &allowed);
-        let mut candidates: Vec<MachineCandidate> = Vec::with_capacity(open.len());
-        open.retain(|entry| {
-            let name = &pass.capacity_index.entries()[*entry].what.name;
-            let ours = match at {
-                PlacementScope::On(machine) => machine == name,
-                _ => pass.held.get(name).is_none_or(|whose| whose == id),
-            };
-            if !ours {
-                return false;
-            }
-            let seat = Self::candidate(job, spec, *entry, queued.urgent, pass, context);
-            let usable = seat.cap > 0 && !(only_with_image && seat.image == Image::Absent);
-            if usable {
-                candidates.push(seat);
-            }
-            usable
-        });
+        let (entries, candidates) = request.candidates(&allowed, pass, context);
         if candidates.is_empty() {
-            // It may be barred from machines that are open to others.
-            if job.failed_on.is_empty() && !held {
+            // The job may be barred from machines that are open to others.
+            if job.failed_on.is_empty() && !request.on_reserved_machine() {
                 pass.unplaceable.note(shape);
             }
-            return;
+            return None;
         }
+        let mut zones = self.zone_rule(job, spec);
+        let weights = pass.weights;
+        let chosen = placement::place(spec.resources, wanted, &candidates, weights, &mut zones);
+        let machines = chosen.into_iter().map(|(i, tasks)| SelectedMachine {
+            at: entries[i],
+            image: candidates[i].image,
+            tasks,
+        });
+        Some(Selection {
+            resources: spec.resources,
+            team: spec.team.clone(),
+            image_id: job.image_id,
+            machines: machines.collect(),
+        })
+    }
+
+    /// The rule for the zones of a job's tasks, with those that are on machines already.
+    fn zone_rule(&self, job: &ShardJob, spec: &JobSpec) -> ZoneRule {
         let mut zones = ZoneRule {
             together: spec.together,
             most: spec.apart.then(|| spec.tasks.div_ceil(2)),
             ..ZoneRule::default()
         };
         if spec.zones_bound() {
-            for (m, ranges) in &job.desired.started {
-                let zone = self.machines.get(m).map(|m| m.zone);
+            for (name, ranges) in &job.desired.started {
+                let zone = self.machines.get(name).map(|m| m.zone);
                 zones.hold(zone.filter(|z| *z != UNKNOWN_ZONE), ranges.len());
             }
         }
-        let (room, team, image) = (spec.resources, spec.team.clone(), job.image_id);
-        let mut chosen = placement::place(room, want, &candidates, pass.weights, &mut zones);
-        let granted = self.granted(&team, context);
-        let used = pass.used.entry(team.clone()).or_default();
+        zones
+    }
+
+    /// Cuts a selection down to what the team's grant covers. What would fit beyond that is asked for; a grant without
+    /// free machines would only be moved to and fro.
+    fn limit_to_grant(
+        &mut self,
+        selection: &mut Selection,
+        pass: &PlacementPass,
+        context: &Context,
+    ) {
+        let task = selection.resources;
+        let granted = self.granted(&selection.team, context);
+        let used = pass.used.get(&selection.team).copied().unwrap_or_default();
         let headroom = Resources {
             cpus: granted.cpus - used.cpus,
             gpus: granted.gpus - used.gpus,
-            mem: f64::MAX / 4.0,
+            mem: UNLIMITED,
         };
-        let covered = Resources { mem: 0.0, ..room }.count_in(headroom);
-        // What would fit but is not covered by the grant is asked for; a grant without room
-        // on machines would only be moved to and fro.
-        let fits: u32 = chosen.iter().map(|(_, n)| n).sum();
-        if fits > covered {
-            let lacking = self
-                .quotas
-                .shortfalls
-                .entry(team)
-                .or_insert(QuotaShortfall {
-                    all: Grant::default(),
-                    task: Grant::of(room),
-                });
-            let more = room.times(f64::from(fits - covered));
-            lacking.all.add(Grant::of(more));
-            lacking.task.cpus = lacking.task.cpus.min(room.cpus);
-            lacking.task.gpus = lacking.task.gpus.min(room.gpus);
-            let mut left = covered;
-            for (_, n) in &mut chosen {
-                *n = (*n).min(left);
-                left -= *n;
-            }
+        let covered = Resources { mem: 0.0, ..task }.count_in(headroom);
+        let selected: u32 = selection.machines.iter().map(|m| m.tasks).sum();
+        if selected <= covered {
+            return;
+        }
+        let shortfalls = self.quotas.shortfalls.entry(selection.team.clone());
+        let shortfall = shortfalls.or_insert(QuotaShortfall {
+            all: Grant::default(),
+            task: Grant::of(task),
+        });
+        let missing = task.times(f64::from(selected - covered));
+        shortfall.all.add(Grant::of(missing));
+        shortfall.task.cpus = shortfall.task.cpus.min(task.cpus);
+        shortfall.task.gpus = shortfall.task.gpus.min(task.gpus);
+        let mut remaining = covered;
+        for machine in &mut selection.machines {
+            machine.tasks = machine.tasks.min(remaining);
+            remaining -= machine.tasks;
         }
-        for (seat, count) in chosen.into_iter().filter(|(_, n)| *n > 0) {
-            self.load.placements_by_image[candidates[seat].image as usize] += u64::from(count);
-            let at = open[seat];
-            let name = pass.capacity_index.entries()[at].what.name.clone();
-            for _ in 0..count {
-                let first = self.jobs.get(id).and_then(|j| j.desired.waiting.first());
-                let Some((task, attempt)) = first else {
+    }
+
+    fn start_tasks(
+        &mut self,
+        id: &JobId,
+        selection: Selection,
+        pass: &mut PlacementPass,
+        context: &Context,
+    ) {
+        let now = context.now();
+        let used = pass.used.entry(selection.team).or_default();
+        for machine in selection.machines.into_iter().filter(|m| m.tasks > 0) {
+            self.load.placements_by_image[machine.image as usize] += u64::from(machine.tasks);
+            let name = pass.capacity_index.entries()[machine.at].what.name.clone();
+            for _ in 0..machine.tasks {
+                let job = self.jobs.get(id);
+                let Some((task, attempt)) = job.and_then(|j| j.desired.waiting.first()) else {
                     break;
                 };
-                let step = AllocationChange {
+                let start = AllocationChange {
                     task,
                     attempt,
                     machine: name.clone(),
                     what: AllocationChangeKind::Start,
                 };
-                if !self.apply_change(now, id, step) {
+                if !self.apply_change(now, id, start) {
                     break;
                 }
-                pass.capacity_index.take(at, room);
-                used.add(Grant::of(room));
+                pass.capacity_index.take(machine.at, selection.resources);
+                used.add(Grant::of(selection.resources));
             }
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.idle_since = None;
-                if !m.images.has(image) {
-                    m.images.coming.insert(image);
-                    pass.capacity_index.entry(at).images.coming.insert(image);
-                    pass.unplaceable.comes(image);
-                }
+            let Some(m) = self.machines.get_mut(&name) else {
+                continue;
+            };
+            m.idle_since = None;
+            if !m.images.has(selection.image_id) {
+                m.images.coming.insert(selection.image_id);
+                let indexed = pass.capacity_index.entry(machine.at);
+                indexed.images.coming.insert(selection.image_id);
+                pass.unplaceable.comes(selection.image_id);
             }
         }
     }
 }
-
-impl MachineClass {
-    /// Whether the job may run on this type, in this zone and on this kind of machine.
-    fn allowed_for(&self, spec: &JobSpec, zone: Option<&String>) -> bool {
-        (!self.spot || spec.spot)
-            && spec.types.as_ref().is_none_or(|t| t.contains(&self.model))
-            && spec.zone.as_ref().is_none_or(|z| zone == Some(z))
-    }
-}
-
-/// How soon a task could run on a machine, in quarters of the time between two reports: commands
-/// ride on reports, and the image may have to be fetched, sharing the line with others.
-fn delay(spec: &JobSpec, image: Image, open: &IndexedCapacity, context: &Context) -> u32 {
-    let heartbeat_ms = context.config.settings.report_ms().max(1);
-    let rate = open.fetch_gb_per_s;
-    let fetch_ms = if rate > 0.0 {
-        seconds_to_ms(spec.pull_gb / rate)
-    } else {
-        0
-    };
-    let fetch_ms = match image {
-        Image::Cached => 0,
-        Image::Coming => fetch_ms / 2,
-        Image::Absent => fetch_ms * (1 + open.images.coming.len() as u64),
-    };
-    ((fetch_ms + open.report_in_ms) * 4 / heartbeat_ms).min(1_000) as u32
-}
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -2,8 +2,8 @@
 //! from tasks of other teams that would still be there.
 
 use super::Shard;
+use super::capacity::CapacityIndex;
 use super::machine::{Machine, RetirementReason};
-use super::placement::CapacityIndex;
 use super::queue::jobs_within_quota;
 use crate::coordination::context::Context;
 use crate::coordination::placement::{estimate, slowest_fetch};
@@ -32,7 +32,7 @@
     }
 
     /// The team that it is kept for by now.
-    pub fn team_now(&self, context: &Context) -> Option<&Team> {
+    pub fn current_team(&self, context: &Context) -> Option<&Team> {
         self.by_now(context).then_some(&self.team)
     }
 }
@@ -249,13 +249,13 @@
     ) -> BTreeMap<Team, ReservedCapacity> {
         let mut kept: BTreeMap<Team, ReservedCapacity> = BTreeMap::new();
         for room in capacity_index.entries() {
-            if let Some(k) = &capacity_index.key(room).kept
+            if let Some(k) = &capacity_index.key(room).reservation
                 && k.by_now(context)
             {
                 let theirs = self.used_by_team(&k.team, &room.what.name).map(|r| r.cpus);
                 let entry = kept.entry(k.team.clone()).or_default();
                 entry.free += room.free.cpus.max(0.0);
-                entry.promised += (room.what.whole.cpus - theirs.sum::<f64>()).max(0.0);
+                entry.promised += (room.what.total.cpus - theirs.sum::<f64>()).max(0.0);
             }
         }
         kept
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -1,24 +1,38 @@
-//! A part with idle machines takes over tasks that wait in another one.
+//! Work stealing: a shard with idle machines takes over tasks that wait in another one.
 
-use super::placement::MachineClass;
+use super::capacity::{CapacityIndex, MachineClass};
 use super::{Shard, ShardRequest, StealOffer};
 use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::Versioned;
 use snowshelf_fair_share::backfill::WAITED_MS;
-use snowshelf_model::ids::{JobId, MonotonicMillis, ShardId, Team, Version, WallClockMillis};
+use snowshelf_model::ids::{JobId, MonotonicMillis, ShardId, Team, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
-use snowshelf_model::records::{Grant, JobSpec, JobState, allocation_key, job_key, shard_key};
+use snowshelf_model::records::{
+    Grant, JobRecord, JobSpec, JobState, ShardAllocation, allocation_key, job_key, shard_key,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// A job younger than this is left to the part that holds it.
+/// A job younger than this is left to the shard that has it.
 const MIN_STEAL_AGE_MS: u64 = 1_500;
-
-/// The same where room is kept for its team.
+/// The same where capacity is reserved for its team.
 const MIN_STEAL_AGE_RESERVED_MS: u64 = 250;
-
-/// The least time between two claims of what others offer while tasks wait here: each costs three writes.
+/// The least time between two attempts to steal what others offer while tasks wait here: each costs three writes.
 const STEAL_INTERVAL_MS: u64 = 1_000;
+/// The time to the next attempt after one that found nothing, or no request budget.
+const RETRY_MS: u64 = 250;
+/// The time to the next attempt when one of the records would be too large: not before some of its tasks have ended.
+const TOO_LARGE_RETRY_MS: u64 = 1_000;
+/// The time to the next attempt after one that succeeded, while nothing waits here.
+const NEXT_MS: u64 = 100;
+/// The time to the next attempt after one that failed.
+const FAILURE_RETRY_MS: u64 = 500;
+/// The time to the next attempt after one without a known outcome, which the watch tells meanwhile.
+const UNKNOWN_RETRY_MS: u64 = 3_000;
+
+/// A shard's allocation of a job, as in the record cache.
+type AllocationId = (ShardId, JobId);
 
 /// The state of taking tasks over from other shards.
 #[derive(Default)]
@@ -27,180 +41,264 @@
     next_attempt_at: MonotonicMillis,
     last_attempt_at: MonotonicMillis,
     /// What the other shards offer, as far as their leaders say.
-    pub foreign_offers: Rc<BTreeMap<(ShardId, JobId), StealOffer>>,
+    pub foreign_offers: Rc<BTreeMap<AllocationId, StealOffer>>,
+}
+
+/// What a shard has for tasks of other shards.
+struct SpareCapacity {
+    index: CapacityIndex,
+    /// Machines are idle which nothing that waits here could use.
+    idle: bool,
+    /// Reserved capacity is free; it is of no use to what waits here.
+    reserved: bool,
+    used_quota: HashMap<Team, Grant>,
+}
+
+impl SpareCapacity {
+    /// Whether all jobs are considered. That costs too much to be done for what is offered alone.
+    fn considers_all(&self) -> bool {
+        self.idle || self.reserved
+    }
+}
+
+/// Waiting tasks of another shard that this one could run.
+struct StealCandidate<'a> {
+    from: ShardId,
+    job: &'a JobId,
+    allocation: &'a Versioned<ShardAllocation>,
+    record: &'a Versioned<JobRecord>,
+    spec: &'a JobSpec,
 }
 
 impl Shard {
-    /// An idle part takes over tasks that wait in another part, in one conditional transaction.
+    /// Takes over tasks that wait in another shard, in one compare-and-swap, if this one could run them.
     pub(super) fn steal(&mut self, context: &mut Context) {
         let now = context.now();
         if self.stealing.in_flight || now < self.stealing.next_attempt_at {
             return;
         }
-        // Room that is kept for a team is of no use to what waits here.
-        let kept = self.reservations.capacity.values().any(|k| k.free > 0.0);
-        let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle.is_empty();
-        if !idle && !kept && self.stealing.foreign_offers.is_empty() {
+        let Some(mut spare) = self.spare_capacity(context) else {
             return;
-        }
-        let mut capacity_index = self.capacity_index(context);
-        let used = match self.stealing.foreign_offers.is_empty() {
-            true => HashMap::new(),
-            false => self.used_quota(),
         };
-        // The team that machines of a class are kept for by now.
-        let team_of = |class: &MachineClass| {
-            let team = class.kept.as_ref()?.team_now(context)?;
-            self.reservations
-                .capacity
-                .contains_key(team)
-                .then(|| team.clone())
+        let Some((candidate, tasks)) = self.find_stealable(&mut spare, context) else {
+            let wait_ms = if spare.considers_all() {
+                RETRY_MS
+            } else {
+                STEAL_INTERVAL_MS
+            };
+            self.stealing.next_attempt_at = now.plus(wait_ms);
+            return;
         };
-        let mut best: Option<(WallClockMillis, ShardId, JobId, u32)> = None;
-        // Looking through all shares costs too much to be done for what is offered alone.
-        let all = idle || kept;
-        let offered = self.stealing.foreign_offers.keys();
-        let shares: Vec<_> = match all {
-            true => context.records.allocations.iter().collect(),
-            false => offered
-                .filter_map(|key| context.records.allocations.get_key_value(key))
-                .collect(),
+        let (job, from) = (candidate.job.clone(), candidate.from);
+        let Some(swap) = self.steal_swap(&candidate, tasks, context) else {
+            self.stealing.next_attempt_at = now.plus(TOO_LARGE_RETRY_MS);
+            return;
         };
-        for (key, alloc) in shares {
-            let (shard_id, id) = key;
-            if *shard_id == self.id || alloc.value.waiting.is_empty() {
-                continue;
-            }
-            let Some(record) = context.records.jobs.get(id) else {
-                continue;
-            };
-            let (Some(spec), JobState::Open) = (&record.value.spec, record.value.state) else {
+        let ops = swap.mutations.len();
+        if !context.kv.may(now, RequestPriority::Starts, ops) {
+            self.stealing.next_attempt_at = now.plus(RETRY_MS);
+            return;
+        }
+        tracing::info!(job = %job, from = %from, shard = %self.id, tasks, "waiting tasks stolen from shard");
+        self.stealing.in_flight = true;
+        self.stealing.last_attempt_at = now;
+        let request = self.kv_request(ShardRequest::Steal {
+            job,
+            swap: swap.clone(),
+        });
+        context.kv.compare_and_swap(context.effects, request, &swap);
+    }
+
+    /// What this shard could run tasks of others with; `None` if nothing is to be stolen.
+    fn spare_capacity(&mut self, context: &Context) -> Option<SpareCapacity> {
+        let mut reserved = self.reservations.capacity.values();
+        let reserved = reserved.any(|capacity| capacity.free > 0.0);
+        let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle.is_empty();
+        let offered = !self.stealing.foreign_offers.is_empty();
+        if !idle && !reserved && !offered {
+            return None;
+        }
+        let index = self.capacity_index(context);
+        let used_quota = if offered {
+            self.used_quota()
+        } else {
+            HashMap::new()
+        };
+        Some(SpareCapacity {
+            index,
+            idle,
+            reserved,
+            used_quota,
+        })
+    }
+
+    /// The job that was submitted first of those that this shard could run tasks of, and how many tasks.
+    fn find_stealable<'a>(
+        &self,
+        spare: &mut SpareCapacity,
+        context: &'a Context,
+    ) -> Option<(StealCandidate<'a>, u32)> {
+        let allocations = &context.records.allocations;
+        let considered: Vec<_> = if spare.considers_all() {
+            allocations.iter().collect()
+        } else {
+            let offered = self.stealing.foreign_offers.keys();
+            offered
+                .filter_map(|id| allocations.get_key_value(id))
+                .collect()
+        };
+        let mut best: Option<(StealCandidate, u32)> = None;
+        for (id, allocation) in considered {
+            let Some(candidate) = self.steal_candidate(id, allocation, context) else {
                 continue;
             };
-            let kept_ours = self.reservations.capacity.contains_key(&spec.team);
-            let age_ms = if kept_ours {
-                MIN_STEAL_AGE_RESERVED_MS
-            } else {
-                MIN_STEAL_AGE_MS
-            };
-            // A job whose zones are bound moves whole, before anything of it is started; a young
-            // one may be about to start there.
-            if !context.dependency_graph.is_ready(id, &record.value)
-                || (spec.zones_bound() && !alloc.value.started.is_empty())
-                || context.effects.wall_ms < record.value.submitted.0 + age_ms
-                || self
-                    .jobs
-                    .get(id)
-                    .is_some_and(|j| j.write_in_flight || !j.pending_changes.is_empty())
+            let submitted = candidate.record.value.submitted;
+            if best
+                .as_ref()
+                .is_some_and(|(best, _)| submitted >= best.record.value.submitted)
             {
                 continue;
             }
-            let older = best.as_ref().is_none_or(|b| record.value.submitted < b.0);
-            if !older {
-                continue;
-            }
-            let offer = self.stealing.foreign_offers.get(key).copied();
-            // Taken though others wait here, but not to wait here for the team's grant.
-            let offered = offer.is_some() && self.has_grant(spec, &used, context);
-            let counts = |class: &MachineClass| match team_of(class) {
-                Some(team) => kept_ours && team == spec.team,
-                None => offered || (idle && self.placement.demand.idle.contains(&class.kind())),
-            };
-            let mut fit = self.count_fitting(spec, &mut capacity_index, counts, context);
-            if fit == 0
-                && offer == Some(StealOffer::Stranded)
-                && context.waited_ms(id, &record.value) >= WAITED_MS
-            {
-                // What has room at once is for smaller tasks: room is held for it here.
-                fit = u32::from(self.could_reserve_backfill(spec, &capacity_index, context));
-            }
-            if fit > 0 {
-                let waiting = alloc.value.waiting.len();
-                let count = if spec.zones_bound() {
-                    waiting
-                } else {
-                    fit.min(waiting)
-                };
-                best = Some((record.value.submitted, *shard_id, id.clone(), count));
+            let tasks = self.stealable_tasks(&candidate, spare, context);
+            if tasks > 0 {
+                best = Some((candidate, tasks));
             }
         }
-        let Some((_, from, id, count)) = best else {
-            self.stealing.next_attempt_at = now.plus(if all { 250 } else { STEAL_INTERVAL_MS });
-            return;
+        best
+    }
+
+    /// The waiting tasks of an allocation, if they may be stolen.
+    fn steal_candidate<'a>(
+        &self,
+        (from, job): &'a AllocationId,
+        allocation: &'a Versioned<ShardAllocation>,
+        context: &'a Context,
+    ) -> Option<StealCandidate<'a>> {
+        if *from == self.id || allocation.value.waiting.is_empty() {
+            return None;
+        }
+        let record = context.records.jobs.get(job)?;
+        let spec = record.value.spec.as_ref()?;
+        if record.value.state != JobState::Open
+            || !context.dependency_graph.is_ready(job, &record.value)
+        {
+            return None;
+        }
+        // A job whose zones are bound moves whole, before anything of it is started.
+        if spec.zones_bound() && !allocation.value.started.is_empty() {
+            return None;
+        }
+        // A young one may be about to start there.
+        let min_age_ms = if self.reservations.capacity.contains_key(&spec.team) {
+            MIN_STEAL_AGE_RESERVED_MS
+        } else {
+            MIN_STEAL_AGE_MS
         };
-        let (Some(theirs), Some(record)) = (
-            context
-                .records
-                .allocations
-                .get(&(from, id.clone()))
-                .cloned(),
-            context.records.jobs.get(&id).cloned(),
-        ) else {
-            return;
+        if context.effects.wall_ms < record.value.submitted.0 + min_age_ms {
+            return None;
+        }
+        let ours = self.jobs.get(job);
+        if ours.is_some_and(|j| j.write_in_flight || !j.pending_changes.is_empty()) {
+            return None;
+        }
+        Some(StealCandidate {
+            from: *from,
+            job,
+            allocation,
+            record,
+            spec,
+        })
+    }
+
+    /// How many of a candidate's tasks this shard should take over.
+    fn stealable_tasks(
+        &self,
+        candidate: &StealCandidate<'_>,
+        spare: &mut SpareCapacity,
+        context: &Context,
+    ) -> u32 {
+        let spec = candidate.spec;
+        let id = (candidate.from, candidate.job.clone());
+        let offer = self.stealing.foreign_offers.get(&id).copied();
+        // Taken though others wait here, but not to wait here for the team's quota.
+        let offered = offer.is_some() && self.has_grant(spec, &spare.used_quota, context);
+        let idle = spare.idle;
+        let counts = |class: &MachineClass| match self.team_reserved_for(class, context) {
+            Some(team) => *team == spec.team,
+            None => offered || (idle && self.placement.demand.idle.contains(&class.kind())),
         };
-        let mine = context
-            .records
-            .allocations
-            .get(&(self.id, id.clone()))
-            .cloned();
-        let mut left = (*theirs.value).clone();
-        let taken = left.waiting.split_last(count);
-        let mut next = mine
-            .as_ref()
-            .map(|m| (*m.value).clone())
-            .unwrap_or_default();
-        next.waiting.merge(&taken);
-        let (theirs_key, mine_key) = (allocation_key(from, &id), allocation_key(self.id, &id));
+        let mut fitting = self.count_fitting(spec, &mut spare.index, counts, context);
+        if fitting == 0
+            && offer == Some(StealOffer::Stranded)
+            && context.waited_ms(candidate.job, &candidate.record.value) >= WAITED_MS
+        {
+            // The machines with room now are for smaller tasks: one is reserved for it here.
+            fitting = u32::from(self.could_reserve_backfill(spec, &spare.index, context));
+        }
+        let waiting = candidate.allocation.value.waiting.len();
+        if fitting > 0 && spec.zones_bound() {
+            waiting
+        } else {
+            fitting.min(waiting)
+        }
+    }
+
+    /// The team that machines of a class are reserved for now.
+    fn team_reserved_for<'a>(
+        &self,
+        class: &'a MachineClass,
+        context: &Context,
+    ) -> Option<&'a Team> {
+        let team = class.reservation.as_ref()?.current_team(context)?;
+        self.reservations
+            .capacity
+            .contains_key(team)
+            .then_some(team)
+    }
+
+    /// The compare-and-swap that takes tasks over; `None` if one of the records would be too large.
+    fn steal_swap(
+        &self,
+        candidate: &StealCandidate<'_>,
+        tasks: u32,
+        context: &Context,
+    ) -> Option<CompareAndSwap> {
+        let (job, record) = (candidate.job, candidate.record);
+        let ours = context.records.allocations.get(&(self.id, job.clone()));
+        let mut remaining = (*candidate.allocation.value).clone();
+        let stolen = remaining.waiting.split_last(tasks);
+        let mut next = ours.map(|a| (*a.value).clone()).unwrap_or_default();
+        next.waiting.merge(&stolen);
+        let their_key = allocation_key(candidate.from, job);
+        let our_key = allocation_key(self.id, job);
+        let our_version = ours.map(|a| a.version).unwrap_or_default();
         let mut swap = CompareAndSwap::default()
             .compare(shard_key(self.id), Version(self.fencing_token.0))
-            .compare(theirs_key.clone(), theirs.version)
-            .compare(
-                mine_key.clone(),
-                mine.map(|m| m.version).unwrap_or_default(),
-            )
-            .compare(job_key(&id), record.version);
+            .compare(their_key.clone(), candidate.allocation.version)
+            .compare(our_key.clone(), our_version)
+            .compare(job_key(job), record.version);
+        let limits = context.storage_limits;
         let mut writes = vec![
-            (theirs_key, context.storage_limits.encode_allocation(&left)),
-            (mine_key, context.storage_limits.encode_allocation(&next)),
+            (their_key, limits.encode_allocation(&remaining)),
+            (our_key, limits.encode_allocation(&next)),
         ];
         if !record.value.shards.contains(&self.id) {
-            let mut job = (*record.value).clone();
-            job.shards.push(self.id);
-            writes.push((job_key(&id), context.job_value(&job)));
+            let mut record = (*record.value).clone();
+            record.shards.push(self.id);
+            writes.push((job_key(job), context.job_value(&record)));
         }
-        let fits = writes.len() <= context.storage_limits.txn_ops
-            && context
-                .storage_limits
-                .startable(&next, next.started_count(), 0)
-                > 0;
-        for (key, value) in writes {
-            let Some(value) = value.filter(|_| fits) else {
-                // One of the records would be too large: not before some of its tasks have ended.
-                self.stealing.next_attempt_at = now.plus(1_000);
-                return;
-            };
-            swap = swap.mutate(Mutation::put(key, &value));
+        let fits =
+            writes.len() <= limits.txn_ops && limits.startable(&next, next.started_count(), 0) > 0;
+        if !fits {
+            return None;
         }
-        if !context
-            .kv
-            .may(now, RequestPriority::Starts, swap.mutations.len())
-        {
-            self.stealing.next_attempt_at = now.plus(250);
-            return;
+        for (key, value) in writes {
+            swap = swap.mutate(Mutation::put(key, &value?));
         }
-        tracing::info!(job = %id, from = %from, shard = %self.id, tasks = count, "waiting tasks stolen from shard");
-        self.stealing.in_flight = true;
-        self.stealing.last_attempt_at = now;
-        context.kv.compare_and_swap(
-            context.effects,
-            self.kv_request(ShardRequest::Steal {
-                job: id,
-                swap: swap.clone(),
-            }),
-            &swap,
-        );
+        Some(swap)
     }
-    /// Whether the part's grant has room for a task of this job.
+
+    /// Whether the shard's quota grant covers one more task of this job.
     fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, context: &Context) -> bool {
         let granted = self.granted(&spec.team, context);
         let mut next = used.get(&spec.team).copied().unwrap_or_default();
@@ -208,34 +306,38 @@
         granted.covers(next)
     }
 
-    pub fn on_steal_outcome(
+    /// Takes the outcome of stealing over. The caller refreshes the job in every shard, since all of its allocations
+    /// may have changed in the record cache.
+    pub(super) fn on_steal_outcome(
         &mut self,
         swap: &CompareAndSwap,
-        result: SwapOutcome,
+        outcome: SwapOutcome,
         context: &mut Context,
     ) {
         let now = context.now();
         self.stealing.in_flight = false;
-        self.stealing.next_attempt_at = match self.placement.demand.any {
-            true => now.max(self.stealing.last_attempt_at.plus(STEAL_INTERVAL_MS)),
-            false => now.plus(100),
-        };
-        match result {
+        match outcome {
             SwapOutcome::Done(revision) => {
-                for change in &swap.mutations {
-                    if let Mutation::Put { key, value, .. } = change {
+                self.stealing.next_attempt_at = if self.placement.demand.any {
+                    now.max(self.stealing.last_attempt_at.plus(STEAL_INTERVAL_MS))
+                } else {
+                    now.plus(NEXT_MS)
+                };
+                for mutation in &swap.mutations {
+                    if let Mutation::Put { key, value, .. } = mutation {
                         context.records.apply(key, Some(value), revision);
                     }
                 }
-                // Every share of the job changed hands in the mirror; the caller tells all shards.
             }
-            // The change feed shows what became of it; nothing is commanded before that.
-            SwapOutcome::Unknown => self.stealing.next_attempt_at = now.plus(3_000),
+            // The watch shows what became of it; nothing is commanded before that.
+            SwapOutcome::Unknown => {
+                self.stealing.next_attempt_at = now.plus(UNKNOWN_RETRY_MS);
+            }
             SwapOutcome::Conflict(_)
             | SwapOutcome::NotDone
             | SwapOutcome::Refused
             | SwapOutcome::NoLease => {
-                self.stealing.next_attempt_at = now.plus(500);
+                self.stealing.next_attempt_at = now.plus(FAILURE_RETRY_MS);
             }
         }
     }
