--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -1,5 +1,5 @@
-//! Room held for jobs that have waited for long with nothing on any machine: an exception to the order of jobs, which
-//! fills machines with whatever fits and so may never leave enough for a large task.
+//! Backfill reservations: machines reserved for jobs that have waited for long with nothing on any machine. An exception
+//! to the order of the queue, which fills machines with whatever fits and so may never leave enough for a large task.
 
 use super::Shard;
 use super::capacity::CapacityIndex;
@@ -13,31 +13,53 @@
 use snowshelf_model::records::{Grant, JobKind, JobSpec, Resources};
 use std::collections::BTreeMap;
 
-/// What is held for a job.
-pub(super) struct BackfillReservation {
+/// A job with so many failures in a row gets no reservation.
+const MAX_FAILURES: u32 = 2;
+
+/// A machine reserved for a job.
+struct BackfillReservation {
     since: MonotonicMillis,
     machine: MachineId,
 }
 
+impl BackfillReservation {
+    /// Whether it is in force; afterwards nothing is reserved for the job for a while.
+    fn is_in_force(&self, now: MonotonicMillis) -> bool {
+        now.since(self.since) <= HELD_MS
+    }
+
+    /// Whether another one may be made for the job.
+    fn is_over(&self, now: MonotonicMillis) -> bool {
+        now.since(self.since) > HELD_MS + REST_MS
+    }
+}
+
 /// Machines reserved for jobs that have found none for long.
 #[derive(Default)]
 pub(super) struct BackfillReservations {
     by_job: BTreeMap<JobId, BackfillReservation>,
 }
 
-impl BackfillReservation {
-    /// Whether it is in force; it rests for a while afterwards.
-    fn holds(&self, now: MonotonicMillis) -> bool {
-        now.since(self.since) <= HELD_MS
+impl BackfillReservations {
+    /// The number of reservations in force.
+    fn count_in_force(&self, now: MonotonicMillis) -> usize {
+        let reservations = self.by_job.values();
+        reservations.filter(|r| r.is_in_force(now)).count()
     }
 
-    fn over(&self, now: MonotonicMillis) -> bool {
-        now.since(self.since) > HELD_MS + REST_MS
+    fn uses(&self, name: &MachineId) -> bool {
+        self.by_job.values().any(|r| r.machine == *name)
     }
 }
 
+/// A job that has waited for long, and whether anything of it has ever ended.
+struct LongWaiting<'a> {
+    has_begun: bool,
+    queued: &'a QueuedJob,
+}
+
 impl Shard {
-    /// Places the jobs for which room is held where it is, and keeps that room, of machines and of their teams' grants,
+    /// Places the jobs that have a reserved machine there, and keeps these machines, and the teams' grants for them,
     /// from all others in this pass.
     pub(super) fn reserve_for_backfill(
         &mut self,
@@ -46,60 +68,64 @@
         context: &Context,
     ) {
         let now = context.now();
-        let mut waiting: Vec<(bool, &QueuedJob)> = queue
-            .iter()
-            .filter(|t| context.effects.wall_ms.saturating_sub(t.since.0) >= WAITED_MS)
-            .filter_map(|t| Some((self.has_begun(&t.job, context)?, t)))
-            .collect();
-        self.backfill
-            .by_job
-            .retain(|id, hold| waiting.iter().any(|(_, t)| t.job == *id) && !hold.over(now));
-        // By the users' priorities, then those of which nothing has ever begun, the oldest of them before the others.
-        waiting.sort_by(|(a_begun, a), (b_begun, b)| {
-            let key = |begun, t: &QueuedJob| (t.rank.1, begun, t.since);
-            (key(*a_begun, a), &a.job).cmp(&(key(*b_begun, b), &b.job))
+        let waiting = self.long_waiting(queue, context);
+        self.backfill.by_job.retain(|id, reservation| {
+            waiting.iter().any(|w| w.queued.job == *id) && !reservation.is_over(now)
         });
         let most = most(pass.capacity_index.entries().len());
-        let mut held = self.reservations_in_force(now);
-        for (_, queued) in waiting {
-            match self.backfill.by_job.get(&queued.job).map(|h| h.holds(now)) {
+        let mut in_force = self.backfill.count_in_force(now);
+        for LongWaiting { queued, .. } in waiting {
+            let reservation = self.backfill.by_job.get(&queued.job);
+            match reservation.map(|r| r.is_in_force(now)) {
                 Some(true) => {
                     self.reserve_for_job(queued, pass, context);
                 }
-                None if held < most => {
-                    held += usize::from(self.reserve_for_job(queued, pass, context))
+                None if in_force < most => {
+                    in_force += usize::from(self.reserve_for_job(queued, pass, context));
                 }
                 Some(false) | None => {}
             }
         }
     }
 
-    /// For how many jobs room is held.
-    fn reservations_in_force(&self, now: MonotonicMillis) -> usize {
-        self.backfill
-            .by_job
-            .values()
-            .filter(|h| h.holds(now))
-            .count()
+    /// The jobs that have waited for long: by the users' priorities, then those of which nothing has ever begun, the
+    /// oldest of them before the others.
+    fn long_waiting<'a>(&self, queue: &'a [QueuedJob], context: &Context) -> Vec<LongWaiting<'a>> {
+        let wall_ms = context.effects.wall_ms;
+        let mut waiting: Vec<LongWaiting> = queue
+            .iter()
+            .filter(|q| wall_ms.saturating_sub(q.since.0) >= WAITED_MS)
+            .filter_map(|queued| {
+                Some(LongWaiting {
+                    has_begun: self.has_begun(&queued.job, context)?,
+                    queued,
+                })
+            })
+            .collect();
+        waiting.sort_by(|a, b| {
+            let rank = |w: &LongWaiting| (w.queued.rank.1, w.has_begun, w.queued.since);
+            (rank(a), &a.queued.job).cmp(&(rank(b), &b.queued.job))
+        });
+        waiting
     }
 
-    /// Whether anything of a job has ended, in any part; none if something of it is on a machine, or if it fails.
+    /// Whether anything of a job has ended, in any shard; `None` if something of it is on a machine, or if it fails.
     fn has_begun(&self, id: &JobId, context: &Context) -> Option<bool> {
-        let job = self
-            .jobs
-            .get(id)
-            .filter(|j| j.started_tasks == 0 && j.consecutive_failures < 2)?;
-        let shares = job.record.shards.iter().filter(|p| **p != self.id);
-        let mut shares = shares.filter_map(|p| context.records.allocations.get(&(*p, id.clone())));
+        let job = self.jobs.get(id);
+        let job = job.filter(|j| j.started_tasks == 0 && j.consecutive_failures < MAX_FAILURES)?;
+        let others = job.record.shards.iter().filter(|s| **s != self.id);
+        let mut allocations =
+            others.filter_map(|s| context.records.allocations.get(&(*s, id.clone())));
         let mut begun = !job.desired.finished.is_empty();
-        let there = shares.any(|share| {
-            begun |= !share.value.finished.is_empty();
-            !share.value.started.is_empty()
+        let on_machine = allocations.any(|allocation| {
+            begun |= !allocation.value.finished.is_empty();
+            !allocation.value.started.is_empty()
         });
-        (!there).then_some(begun)
+        (!on_machine).then_some(begun)
     }
 
-    /// Holds room for a job, or takes what is held; whether any is.
+    /// Reserves a machine for a job, or places the job on the one that is reserved for it. Returns whether a machine is
+    /// reserved afterwards.
     fn reserve_for_job(
         &mut self,
         queued: &QueuedJob,
@@ -110,74 +136,76 @@
         let Some(spec) = self.jobs.get(&queued.job).and_then(|j| j.spec()).cloned() else {
             return false;
         };
-        let known = self.backfill.by_job.remove(&queued.job);
-        let kept = known.as_ref().map(|h| h.machine.clone());
-        let kept = kept.filter(|m| self.is_still_reservable(m, &spec, pass, context));
-        // PlacementScope nothing here could ever run it, another part has to.
-        let Some(machine) = kept.or_else(|| self.nearest_machine(&spec, pass, context)) else {
+        let previous = self.backfill.by_job.remove(&queued.job);
+        let machine = previous.as_ref().map(|r| r.machine.clone());
+        let machine = machine.filter(|m| self.is_still_reservable(m, &spec, pass, context));
+        // Where nothing here could ever run it, another shard has to.
+        let Some(machine) = machine.or_else(|| self.nearest_machine(&spec, pass, context)) else {
             return false;
         };
-        // Asks for grant, too, if only that is missing.
+        // Asks for quota, too, if only that is missing.
         self.place_job(queued, &PlacementScope::On(machine.clone()), pass, context);
-        if self
-            .jobs
-            .get(&queued.job)
-            .is_some_and(|j| j.started_tasks > 0)
-        {
+        let job = self.jobs.get(&queued.job);
+        if job.is_some_and(|j| j.started_tasks > 0) {
             return false;
         }
-        let granted = self.granted(&spec.team, context);
-        let used = pass.used.entry(spec.team.clone()).or_default();
-        let lacks = granted.cpus - used.cpus < spec.resources.cpus;
-        if granted.cpus >= spec.resources.cpus {
-            // What ends of its team leaves grant to it.
-            used.add(Grant::of(spec.resources));
-        }
+        let lacks_grant = self.set_grant_aside(&spec, pass, context);
         let mut entries = pass.capacity_index.entries().iter();
         let free = entries.find(|e| e.what.name == machine).map(|e| e.free);
-        let empty = free.is_some_and(|free| spec.resources.fits_in(free));
-        // A machine with room is not kept from others while the team's limit does not allow the task.
-        if !(empty && lacks) || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus {
+        let fits_now = free.is_some_and(|free| spec.resources.fits_in(free));
+        // A machine with free resources is not kept from others while the team's quota does not allow the task.
+        if !(fits_now && lacks_grant)
+            || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus
+        {
             pass.backfill.insert(machine.clone(), queued.job.clone());
         }
-        let since = known.map_or(now, |h| h.since);
+        let since = previous.map_or(now, |r| r.since);
         if since == now {
-            tracing::info!(job = %queued.job, shard = %self.id, machine = %machine, lacks, "backfill reservation made");
+            tracing::info!(job = %queued.job, shard = %self.id, machine = %machine, lacks_grant, "backfill reservation made");
         }
-        self.backfill
-            .by_job
-            .insert(queued.job.clone(), BackfillReservation { since, machine });
+        let reservation = BackfillReservation { since, machine };
+        self.backfill.by_job.insert(queued.job.clone(), reservation);
         true
     }
 
-    /// Whether room may be held for one more job, on a machine that could run this one.
+    /// Sets grant for one task aside in this pass: what ends of its team leaves grant to it. Returns whether the team's
+    /// grant does not cover the task now.
+    fn set_grant_aside(&self, spec: &JobSpec, pass: &mut PlacementPass, context: &Context) -> bool {
+        let granted = self.granted(&spec.team, context);
+        let used = pass.used.entry(spec.team.clone()).or_default();
+        let lacks_grant = granted.cpus - used.cpus < spec.resources.cpus;
+        if granted.cpus >= spec.resources.cpus {
+            used.add(Grant::of(spec.resources));
+        }
+        lacks_grant
+    }
+
+    /// Whether one more machine may be reserved, of those that could run this job.
     pub(super) fn could_reserve_backfill(
         &self,
         spec: &JobSpec,
-        capacity_index: &CapacityIndex,
+        index: &CapacityIndex,
         context: &Context,
     ) -> bool {
-        let mut groups = capacity_index.groups();
-        self.reservations_in_force(context.effects.now) < most(capacity_index.entries().len())
-            && groups.any(|(class, mut machines)| {
+        let mut classes = index.groups();
+        let most = most(index.entries().len());
+        self.backfill.count_in_force(context.now()) < most
+            && classes.any(|(class, mut machines)| {
                 self.is_eligible(spec, class, context)
                     && machines.any(|e| !e.what.faulty && spec.resources.fits_in(e.what.total))
             })
     }
 
-    /// CPUs of a team's limit that no part has.
+    /// CPUs of a team's quota that no shard has been granted.
     fn ungranted_cpus(&self, team: &Team, context: &Context) -> f64 {
         let limits = &context.config.settings.deployment.teams;
         let limit = limits.iter().find(|t| t.name == team.as_str());
-        let granted = context
-            .records
-            .quotas
-            .get(team)
-            .map_or(0.0, |q| q.value.granted().cpus);
+        let quota = context.records.quotas.get(team);
+        let granted = quota.map_or(0.0, |q| q.value.granted().cpus);
         limit.map_or(0.0, |l| l.cpus_max - granted)
     }
 
-    /// Whether a machine that is held may be used and held for this job still.
+    /// Whether a reserved machine may still be used and reserved for this job.
     fn is_still_reservable(
         &self,
         name: &MachineId,
@@ -201,10 +229,8 @@
         pass: &PlacementPass,
         context: &Context,
     ) -> Option<MachineId> {
-        let taken = |name: &MachineId| {
-            pass.backfill.contains_key(name)
-                || self.backfill.by_job.values().any(|h| h.machine == *name)
-        };
+        let is_reserved =
+            |name: &MachineId| pass.backfill.contains_key(name) || self.backfill.uses(name);
         let machines: Vec<(&MachineId, BackfillCandidate)> = pass
             .capacity_index
             .groups()
@@ -212,7 +238,7 @@
                 class.reservation.is_none() && self.is_eligible(spec, class, context)
             })
             .flat_map(|(_, machines)| machines)
-            .filter(|e| !e.what.faulty && !taken(&e.what.name))
+            .filter(|e| !e.what.faulty && !is_reserved(&e.what.name))
             .map(|e| {
                 let mut in_time = e.what.total;
                 in_time.sub(self.used_by_services(&e.what.name));
@@ -224,15 +250,15 @@
         Some(machines[at].0.clone())
     }
 
-    /// What services take of a machine: it does not end by itself.
+    /// What services use of a machine: it does not become free by itself.
     fn used_by_services(&self, name: &MachineId) -> Resources {
-        let mut room = Resources::default();
+        let mut used = Resources::default();
         for (_, job) in self.jobs.on_machine(name) {
             if let Some(spec) = job.spec().filter(|s| s.kind == JobKind::Service) {
-                let tasks = job.desired.started.get(name).map_or(0, |s| s.len());
-                room.add(spec.resources.times(f64::from(tasks)));
+                let tasks = job.desired.started.get(name).map_or(0, |r| r.len());
+                used.add(spec.resources.times(f64::from(tasks)));
             }
         }
-        room
+        used
     }
 }
--- /dev/null
+++ b/src/coordination/shard/disruption.rs
@@ -0,0 +1,331 @@
+//! Charging evictions to the teams' disruption budgets, before any task is stopped for them.
+
+use super::machine::Machine;
+use super::persistence::REFUSED_BACKOFF_MS;
+use super::reservations::expected_stay_ms;
+use super::{Shard, ShardRequest};
+use crate::coordination::context::Context;
+use crate::coordination::drains::facts::{TeamWork, with_picture};
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::ledger_key;
+use snowshelf_drain::budget::{Amount, Ask, Charge, Ledger, Short};
+use snowshelf_model::ids::{
+    MachineId, MonotonicMillis, TaskIndex, Team, Version, WallClockMillis, shard_of,
+};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{JobKind, JobSpec, shard_key};
+use std::collections::BTreeMap;
+
+/// The least time between two writes that only settle charges.
+const SETTLE_INTERVAL_MS: u64 = 1_000;
+/// The time to the next charge after a conflict: the watch brings what another shard has charged.
+const CONFLICT_RETRY_MS: u64 = 100;
+/// The time to the next charge after a failed write; if it was carried out after all, the watch tells.
+const FAILURE_RETRY_MS: u64 = 500;
+
+/// A charge underway: whose, and the record as it would be.
+pub(super) struct ChargeInFlight {
+    team: Team,
+    ledger: Ledger,
+}
+
+/// Tasks of a job on a machine that are to be evicted; in the order of `forced` machines first, then of what is lost.
+struct EvictionCandidate {
+    /// Whether the drain's deadline has not passed yet.
+    unforced: bool,
+    /// CPUs whose work since the start would be lost.
+    lost_cpus: f64,
+    request: Ask,
+}
+
+/// What the budget of a team allows in a round.
+struct ChargeRound {
+    ledger: Ledger,
+    charged: usize,
+    shortfall: Option<Short>,
+}
+
+/// How long a job's tasks are waited for on a cordoned machine: as long as they should take, if that is not too long. A
+/// service would not end by itself.
+fn drain_patience_ms(spec: &JobSpec, patience_ms: u64, context: &Context) -> u64 {
+    match (spec.kind, expected_stay_ms(spec, context)) {
+        (JobKind::Service, _) | (_, None) => 0,
+        (JobKind::Batch, Some(stay)) => stay.min(patience_ms),
+    }
+}
+
+impl Shard {
+    /// Charges the budget of one team with what is to be evicted next, as far as it allows.
+    pub(super) fn charge_budgets(&mut self, context: &mut Context) {
+        let now = context.now();
+        if !self.may_charge(context) {
+            return;
+        }
+        let candidates = self.eviction_candidates(context);
+        if candidates.is_empty() {
+            self.settle_finished_charges(context);
+            return;
+        }
+        self.update_restarted_tasks(context);
+        let at_risk = self.tasks_at_risk(now, context);
+        for (team, requests) in candidates {
+            let ours = at_risk.get(&team).copied().unwrap_or_default();
+            let version = context.records.ledgers.get(&team).map(|v| v.version);
+            let round = self.charge_team(&team, &requests, ours, context);
+            if let Some(reason) = round.shortfall {
+                self.evictions.blocked.push(format!("{team}: {reason}"));
+            }
+            if round.charged == 0 || !context.kv.may(now, RequestPriority::Ends, 1) {
+                continue;
+            }
+            let version = version.unwrap_or(Version(0));
+            self.write_ledger(team, version, round.ledger, context);
+            return;
+        }
+    }
+
+    /// Whether a charge may be decided on. Records that may be old do not say what is disrupted; nor do they if an
+    /// allocation is newer than the rest: tasks that another shard stole from it would be nowhere.
+    fn may_charge(&self, context: &Context) -> bool {
+        self.evictions.charge_in_flight.is_none()
+            && context.now() >= self.evictions.next_charge_at
+            && self.ready
+            && !self.fenced
+            && context.drains.fresh
+            && context.records.revision >= context.records.read_ahead
+    }
+
+    /// Sets which of this shard's tasks run again to what is known now.
+    fn update_restarted_tasks(&self, context: &mut Context) {
+        let restarted = self.restarted_tasks(context).into_iter();
+        let restarted = restarted.map(|(job, tasks)| ((self.id, job), tasks));
+        let all = &mut context.drains.again;
+        all.retain(|(shard_id, _), _| *shard_id != self.id);
+        all.extend(restarted);
+    }
+
+    /// Tasks that are to be evicted by now, by team: those that lose least first.
+    fn eviction_candidates(&self, context: &Context) -> BTreeMap<Team, Vec<Ask>> {
+        let mut found: BTreeMap<Team, Vec<EvictionCandidate>> = BTreeMap::new();
+        for name in context.drains.closed.keys() {
+            if shard_of(name.as_str(), context.config.shard_count) != self.id {
+                continue;
+            }
+            let machine = self.machines.get(name);
+            if let Some(m) = machine.filter(|m| self.is_evictable(name, m)) {
+                for (team, candidate) in self.candidates_on(name, m, context) {
+                    found.entry(team).or_default().push(candidate);
+                }
+            }
+        }
+        let sorted = found.into_iter().map(|(team, mut candidates)| {
+            candidates.sort_by(|a, b| {
+                let forced_first = a.unforced.cmp(&b.unforced);
+                forced_first.then(a.lost_cpus.total_cmp(&b.lost_cpus))
+            });
+            (team, candidates.into_iter().map(|c| c.request).collect())
+        });
+        sorted.collect()
+    }
+
+    /// Whether just what is charged can be stopped on a machine: it obeys this leader, and nothing is about to start.
+    fn is_evictable(&self, name: &MachineId, m: &Machine) -> bool {
+        m.token_acknowledged
+            && !m.releasing
+            && m.interruption_at.is_none()
+            && !self.jobs.awaits_durable_start(name)
+    }
+
+    fn candidates_on(
+        &self,
+        name: &MachineId,
+        m: &Machine,
+        context: &Context,
+    ) -> Vec<(Team, EvictionCandidate)> {
+        let Some(drained) = context.drains.closed.get(name) else {
+            return Vec::new();
+        };
+        // Since this leader cordoned it: after a failover the wait begins anew, within the same bound.
+        let waited_ms = context.now().since(m.cordon_changed_at);
+        let candidates = self.jobs.on_machine(name).filter_map(|(id, job)| {
+            let spec = job.spec().filter(|_| !job.cancelled())?;
+            let tasks: Vec<TaskIndex> = job
+                .durable
+                .started
+                .get(name)
+                .map_or(Vec::new(), |ranges| ranges.iter().map(|(t, _)| t).collect());
+            let due = waited_ms >= drain_patience_ms(spec, drained.patience_ms, context);
+            if tasks.is_empty() || job.write_in_flight || !(drained.forced || due) {
+                return None;
+            }
+            let lost_cpus_per_task = if spec.checkpoint_s > 0.0 {
+                0.0
+            } else {
+                spec.resources.cpus
+            };
+            let candidate = EvictionCandidate {
+                unforced: !drained.forced,
+                lost_cpus: lost_cpus_per_task * tasks.len() as f64,
+                request: Ask {
+                    machine: name.clone(),
+                    job: id.clone(),
+                    there: tasks,
+                    version: job.allocation_version,
+                    cpus: spec.resources.cpus,
+                    force: drained.forced,
+                },
+            };
+            Some((spec.team.clone(), candidate))
+        });
+        candidates.collect()
+    }
+
+    /// Works out what a team's budget allows of these evictions, with `at_risk` of this shard's tasks lost already.
+    fn charge_team(
+        &self,
+        team: &Team,
+        requests: &[Ask],
+        at_risk: Amount,
+        context: &Context,
+    ) -> ChargeRound {
+        let wall = WallClockMillis(context.effects.wall_ms);
+        let skew_ms = context.config.settings.skew_ms();
+        let default = context.config.ops.drains.budget;
+        let stored = context.records.ledgers.get(team);
+        let mut ledger = stored.map_or(Ledger::default(), |v| (*v.value).clone());
+        with_picture(context, |records| {
+            let void = |c: &Charge| self.is_void(c, context.now(), context);
+            ledger.settle(&default, void, records, wall, skew_ms)
+        });
+        let mut work = TeamWork::of(team, context);
+        let elsewhere = context.drains.lost.get(team).copied().unwrap_or_default();
+        for lost in [at_risk, elsewhere] {
+            work.away.cpus += lost.cpus;
+            work.away.tasks = work.away.tasks.saturating_add(lost.tasks);
+        }
+        let (mut charged, mut shortfall) = (0, None);
+        for request in requests {
+            if is_charged_already(&ledger, request) {
+                continue;
+            }
+            let facts = work.facts(&request.job);
+            let next = with_picture(context, |records| {
+                ledger.charge(&default, request, &facts, records, wall, skew_ms)
+            });
+            match next {
+                Ok(next) => {
+                    log_breach(team, request, next.breach, ledger.breach);
+                    let value = serde_json::to_value(&next).unwrap_or_default();
+                    if !context.storage_limits.accepts(&value) {
+                        shortfall = Some(Short::Full);
+                        break;
+                    }
+                    ledger = next;
+                    charged += 1;
+                }
+                Err(reason) => shortfall = Some(reason),
+            }
+        }
+        ChargeRound {
+            ledger,
+            charged,
+            shortfall,
+        }
+    }
+
+    fn write_ledger(
+        &mut self,
+        team: Team,
+        version: Version,
+        ledger: Ledger,
+        context: &mut Context,
+    ) {
+        let key = ledger_key(&team);
+        let swap = CompareAndSwap::default()
+            .compare(shard_key(self.id), Version(self.fencing_token.0))
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &ledger));
+        let request = self.kv_request(ShardRequest::ChargeBudget);
+        context.kv.compare_and_swap(context.effects, request, &swap);
+        self.evictions.charge_in_flight = Some(ChargeInFlight { team, ledger });
+    }
+
+    /// Settles this shard's charges that are over, so that they count from now on as what was evicted, with writes
+    /// that nobody else needs: until then they count as if they were still to come.
+    fn settle_finished_charges(&mut self, context: &mut Context) {
+        let now = context.now();
+        let wall = WallClockMillis(context.effects.wall_ms);
+        let skew_ms = context.config.settings.skew_ms();
+        let default = context.config.ops.drains.budget;
+        let is_ours =
+            |c: &Charge| shard_of(c.machine.as_str(), context.config.shard_count) == self.id;
+        let found = context.records.ledgers.iter().find_map(|(team, v)| {
+            let mut ledger = (*v.value).clone();
+            let changed = with_picture(context, |records| {
+                let is_over =
+                    |c: &Charge| is_ours(c) && (!records.open(c) || self.is_void(c, now, context));
+                ledger.settle(&default, is_over, records, wall, skew_ms)
+            });
+            changed.then(|| (team.clone(), v.version, ledger))
+        });
+        if let Some((team, version, ledger)) = found
+            && context.kv.may(now, RequestPriority::Spare, 1)
+        {
+            self.evictions.next_charge_at = now.plus(SETTLE_INTERVAL_MS);
+            self.write_ledger(team, version, ledger, context);
+        }
+    }
+
+    /// Whether nothing can be evicted under a charge any more: its machine is this shard's, serves again, and has
+    /// learned so long ago. What was on a machine that is gone stays disrupted until the records say otherwise.
+    fn is_void(&self, charge: &Charge, now: MonotonicMillis, context: &Context) -> bool {
+        let name = &charge.machine;
+        let lease_ms = context.config.settings.lease_ms();
+        let machine = self.machines.get(name);
+        shard_of(name.as_str(), context.config.shard_count) == self.id
+            && now.since(self.acquired_at) > lease_ms
+            && !context.drains.closed.contains_key(name)
+            && machine.is_some_and(|m| !m.cordoned && now.since(m.cordon_changed_at) > lease_ms)
+    }
+
+    /// Takes the outcome of a charge over.
+    pub(super) fn on_charge_outcome(&mut self, outcome: SwapOutcome, context: &mut Context) {
+        let now = context.now();
+        let Some(charge) = self.evictions.charge_in_flight.take() else {
+            return;
+        };
+        match outcome {
+            SwapOutcome::Done(revision) => {
+                let key = ledger_key(&charge.team);
+                let value = serde_json::to_value(&charge.ledger).unwrap_or_default();
+                context.records.apply(&key, Some(&value), revision);
+            }
+            SwapOutcome::Conflict(keys) => {
+                if keys.contains(&shard_key(self.id)) {
+                    self.fenced = true;
+                    return;
+                }
+                self.evictions.next_charge_at = now.plus(CONFLICT_RETRY_MS);
+            }
+            SwapOutcome::Refused => {
+                self.evictions.next_charge_at = now.plus(REFUSED_BACKOFF_MS);
+            }
+            SwapOutcome::NotDone | SwapOutcome::NoLease | SwapOutcome::Unknown => {
+                self.evictions.next_charge_at = now.plus(FAILURE_RETRY_MS);
+            }
+        }
+    }
+}
+
+/// Whether tasks of a request are charged, and being evicted.
+fn is_charged_already(ledger: &Ledger, request: &Ask) -> bool {
+    let charge = ledger.charge_for(&request.machine, &request.job);
+    charge.is_some_and(|c| request.there.iter().any(|t| *t >= c.from))
+}
+
+fn log_breach(team: &Team, request: &Ask, next_cpus: f64, cpus: f64) {
+    if next_cpus > cpus {
+        tracing::error!(team = %team, machine = %request.machine, job = %request.job,
+            cpus = next_cpus - cpus, "eviction exceeds the disruption budget: drain deadline passed");
+    }
+}
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -9,6 +9,7 @@
 mod capacity;
 mod commands;
 mod demand;
+mod disruption;
 mod eviction;
 mod heartbeats;
 mod job;
