--- /dev/null
+++ b/src/coordination/shard/preemption.rs
@@ -0,0 +1,119 @@
+//! What is stopped for the calendar: tasks that have overrun their estimates on reserved machines, and all tasks of pools
+//! that a maintenance window closes.
+
+use super::Shard;
+use super::machine::RetirementReason;
+use super::queue::jobs_within_quota;
+use crate::coordination::context::Context;
+use snowshelf_model::ids::{JobId, MachineId, Team, WallClockMillis, seconds_to_ms};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Longer than a worker takes to receive a command and to confirm that it was carried out, beside two heartbeat
+/// intervals.
+const COMMAND_LATENCY_MS: u64 = 1_000;
+
+/// What waits for the capacity reserved for a team.
+#[derive(Default)]
+struct ReservedDemand<'a> {
+    /// CPUs of waiting tasks for which nothing is preempted yet.
+    cpus: f64,
+    jobs: Vec<&'a JobId>,
+}
+
+impl Shard {
+    /// Finds the tasks of other teams that have overrun their estimates on machines reserved now, and that may be
+    /// preempted for jobs of the reservation's team which wait here: to give these their team's quota, where theirs is
+    /// not concerned, or for their priority. As many as the waiting tasks need, and none where only the team's quota
+    /// keeps these waiting.
+    pub(super) fn find_preemptible(&mut self, context: &Context) {
+        self.reservations.preemptible.clear();
+        let mut demand = self.reserved_demand(context);
+        if demand.is_empty() {
+            return;
+        }
+        let within_quota = jobs_within_quota(context);
+        let priority = |id: &JobId| self.jobs.get(id)?.spec().map(|s| s.priority);
+        let mut preemptible: BTreeMap<MachineId, BTreeSet<JobId>> = BTreeMap::new();
+        let reserved = self.reservations.by_machine.iter();
+        for (name, reservation) in reserved.filter(|(_, r)| r.is_open(context)) {
+            let Some(demand) = demand.get_mut(&reservation.team) else {
+                continue;
+            };
+            for (id, job) in self.jobs.on_machine(name) {
+                let spec = job.spec().filter(|s| s.team != reservation.team);
+                let Some(spec) = spec.filter(|_| demand.cpus > 0.0) else {
+                    continue;
+                };
+                let yields = demand.jobs.iter().any(|waiting| {
+                    let for_quota = within_quota.contains(*waiting) && !within_quota.contains(id);
+                    for_quota || priority(waiting) > Some(spec.priority)
+                });
+                if yields {
+                    let tasks = job.desired.started.get(name).map_or(0, |r| r.len());
+                    demand.cpus -= spec.resources.cpus * f64::from(tasks);
+                    preemptible
+                        .entry(name.clone())
+                        .or_default()
+                        .insert(id.clone());
+                }
+            }
+        }
+        self.reservations.preemptible = preemptible;
+    }
+
+    /// What waits here, by team, of teams that have machines reserved now and do not lack quota.
+    fn reserved_demand(&self, context: &Context) -> BTreeMap<&Team, ReservedDemand<'_>> {
+        let mut demand: BTreeMap<&Team, ReservedDemand> = BTreeMap::new();
+        let reserved = self.reservations.by_machine.values();
+        for reservation in reserved.filter(|r| r.is_open(context)) {
+            if !self.quotas.shortfalls.contains_key(&reservation.team) {
+                demand.entry(&reservation.team).or_default();
+            }
+        }
+        if demand.is_empty() {
+            return demand;
+        }
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_waiting()) {
+            let Some(spec) = job.spec() else { continue };
+            if let Some(demand) = demand.get_mut(&spec.team) {
+                demand.cpus += spec.resources.cpus * f64::from(job.desired.waiting.len());
+                demand.jobs.push(id);
+            }
+        }
+        demand.retain(|_, demand| demand.cpus > 0.0);
+        demand
+    }
+
+    /// Whether a job's tasks on a machine are preempted for a reservation.
+    pub(super) fn is_preempted(&self, name: &MachineId, job: &JobId) -> bool {
+        let jobs = self.reservations.preemptible.get(name);
+        jobs.is_some_and(|jobs| jobs.contains(job))
+    }
+
+    /// Begins to evict from machines whose pool closes as soon as a task, with its checkpoint, can just be stopped in
+    /// time. They are released once nothing is on them.
+    pub(super) fn drain_closing_pools(&mut self, context: &Context) {
+        if context.guard.closings.is_empty() {
+            return;
+        }
+        let now = WallClockMillis(context.effects.wall_ms);
+        let heartbeat_ms = context.config.settings.report_ms();
+        let jobs = &self.jobs;
+        let machines = self.machines.iter_mut();
+        for (name, m) in machines.filter(|(_, m)| m.retirement.is_none()) {
+            let Some(pool) = &m.pool else {
+                continue;
+            };
+            let reported = m.reported_tasks.iter();
+            let specs = reported.filter_map(|t| jobs.get(&t.task.job)?.spec());
+            let grace_s = specs.map(|s| s.save_s).fold(0.0, f64::max);
+            let lead_ms = 2 * heartbeat_ms + COMMAND_LATENCY_MS + seconds_to_ms(grace_s);
+            if let Some(closing) = context.guard.empties(pool, now, lead_ms) {
+                tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
+                    "machine cordoned: maintenance window");
+                m.retirement = Some(RetirementReason::Window);
+                self.placement.dirty = true;
+            }
+        }
+    }
+}
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -1,6 +1,7 @@
-//! Machines that are given back: idle, silent, noticed or faulty ones.
+//! Scale-in: machines that are idle, silent, interrupted, drained or faulty are released to the cloud.
 
 use super::Shard;
+use super::machine::Machine;
 use super::reservations::provisioning_lead_ms;
 use crate::coordination::context::{CloudTag, Context};
 use crate::effects::Response;
@@ -10,9 +11,12 @@
 use snowshelf_reconciliation::silence::{ZoneSilence, frozen_ms, overdue_ms, patience_ms};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// Names of returned machines that are remembered, to know late reports by.
+/// The number of released machines that are remembered.
 const MAX_REMEMBERED_MACHINES: usize = 4_000;
 
+/// Most machines released by one request.
+const MAX_RELEASES: usize = 100;
+
 /// The state of releasing machines to the cloud.
 #[derive(Default)]
 pub(super) struct ScaleIn {
@@ -47,7 +51,32 @@
     }
 }
 
+/// What one round of scale-in is decided by, beside the machines themselves.
+struct ScaleInRound<'a> {
+    /// Machines that the cloud does not list.
+    missing: &'a BTreeSet<MachineId>,
+    zones: BTreeMap<usize, ZoneSilence>,
+    /// How long before a reservation begins its machines are kept.
+    lead_ms: u64,
+}
+
+/// Why a machine is to be released, if it is.
+struct ScaleInDecision {
+    silent_ms: u64,
+    overdue: bool,
+    frozen: bool,
+    spent: bool,
+    idle: bool,
+}
+
+impl ScaleInDecision {
+    fn releases(&self) -> bool {
+        self.overdue || self.frozen || self.spent || self.idle
+    }
+}
+
 impl Shard {
+    /// Updates cordons and releases the machines that are not needed, or presumed gone.
     pub(super) fn scale_in_machines(
         &mut self,
         missing: &BTreeSet<MachineId>,
@@ -55,80 +84,105 @@
     ) {
         self.drain_closing_pools(context);
         self.update_cordons(context);
-        let now = context.now();
-        let ahead_ms = provisioning_lead_ms(context);
-        let lease_ms = context.config.settings.lease_ms();
-        let heartbeat_ms = context.config.settings.report_ms();
-        let idle_ms = seconds_to_ms(context.config.ops.idle_release_s);
-        let waiting = self.placement.demand.any;
-        let mut back: Vec<MachineId> = Vec::new();
-        let zones = self.zone_silence(context);
+        let round = ScaleInRound {
+            missing,
+            zones: self.zone_silence(context),
+            lead_ms: provisioning_lead_ms(context),
+        };
+        let mut releases: Vec<MachineId> = Vec::new();
         let names: Vec<MachineId> = self.machines.keys().cloned().collect();
         for name in names {
-            let holds = self.jobs.has_tasks_on(&name);
-            let frozen = self.may_be_frozen(&name, context);
-            let busy = holds || self.is_reserved_soon(&name, ahead_ms, context);
-            // What a drain keeps empty is not handed back, and what it returns goes when it is empty.
-            let then = context.drains.closed.get(&name).map(|c| c.then);
-            let Some(m) = self.machines.get_mut(&name) else {
-                continue;
-            };
-            if m.releasing {
-                back.push(name);
-                continue;
-            }
-            let silent = now.since(m.last_heartbeat_at);
-            let noticed = m.interruption_at.is_some_and(|u| u < now);
-            // Silence alone is no proof, nor is a missing name; both together make it likely enough
-            // to return the machine, and only the confirmed return frees its tasks.
-            let limit = if noticed || missing.contains(&name) {
-                2 * heartbeat_ms
-            } else {
-                let cut = zones.get(&m.zone).is_some_and(|z| z.cut());
-                let ready_s = context.types.get(&m.model).map_or(0.0, |t| t.ready_s);
-                patience_ms(lease_ms + 2 * heartbeat_ms, cut, seconds_to_ms(ready_s))
-            };
-            let listed = m.reports_live_tasks();
-            let emptied = m.cordoned && m.token_acknowledged && !holds && !listed;
-            let spent = (m.retirement.is_some() && !busy && !listed)
-                || (emptied && then.is_some_and(|t| t != Then::Keep));
-            let idle = !busy
-                && then.is_none()
-                && !listed
-                && !waiting
-                && m.idle_since.is_some_and(|since| now.since(since) > idle_ms);
-            let frozen = frozen && silent > overdue_ms(heartbeat_ms);
-            if silent > limit || frozen || spent || idle {
-                tracing::info!(machine = %name, shard = %self.id, silent_ms = silent, frozen, spent, idle,
-                    "machine scaled in");
-                m.releasing = true;
-                back.push(name);
+            if self.decide_release(&name, &round, context) {
+                releases.push(name);
             }
         }
-        if !back.is_empty() && !self.scale_in.request_in_flight && context.cloud.may(now) {
-            back.truncate(100);
-            self.scale_in.request_in_flight = true;
-            context.cloud.release(
-                context.effects,
-                CloudTag::ShardScaleIn(self.id, self.fencing_token, back.clone()),
-                &back,
-            );
+        self.request_release(releases, context);
+    }
+
+    /// Whether a machine is to be released. Once decided on, that stays so.
+    fn decide_release(
+        &mut self,
+        name: &MachineId,
+        round: &ScaleInRound<'_>,
+        context: &Context,
+    ) -> bool {
+        let Some(m) = self.machines.get(name) else {
+            return false;
+        };
+        if m.releasing {
+            return true;
+        }
+        let decision = self.scale_in_decision(name, m, round, context);
+        if !decision.releases() {
+            return false;
         }
+        tracing::info!(machine = %name, shard = %self.id, silent_ms = decision.silent_ms, frozen = decision.frozen,
+            spent = decision.spent, idle = decision.idle, "machine scaled in");
+        if let Some(m) = self.machines.get_mut(name) {
+            m.releasing = true;
+        }
+        true
+    }
+
+    fn scale_in_decision(
+        &self,
+        name: &MachineId,
+        m: &Machine,
+        round: &ScaleInRound<'_>,
+        context: &Context,
+    ) -> ScaleInDecision {
+        let now = context.now();
+        let heartbeat_ms = context.config.settings.report_ms();
+        let idle_ms = seconds_to_ms(context.config.ops.idle_release_s);
+        // A machine that a drain keeps empty is not released; one that it releases goes when it is empty.
+        let after_drain = context.drains.closed.get(name).map(|c| c.then);
+        let has_tasks = self.jobs.has_tasks_on(name);
+        let reports_tasks = m.reports_live_tasks();
+        let busy = has_tasks || self.is_reserved_soon(name, round.lead_ms, context);
+        let drained = m.cordoned && m.token_acknowledged && !has_tasks && !reports_tasks;
+        let silent_ms = now.since(m.last_heartbeat_at);
+        let idle_for_long = m.idle_since.is_some_and(|since| now.since(since) > idle_ms);
+        ScaleInDecision {
+            silent_ms,
+            overdue: silent_ms > silence_limit_ms(name, m, round, context),
+            frozen: self.may_be_frozen(name, context) && silent_ms > overdue_ms(heartbeat_ms),
+            spent: (m.retirement.is_some() && !busy && !reports_tasks)
+                || (drained && after_drain.is_some_and(|then| then != Then::Keep)),
+            idle: !busy
+                && after_drain.is_none()
+                && !reports_tasks
+                && !self.placement.demand.any
+                && idle_for_long,
+        }
+    }
+
+    fn request_release(&mut self, mut releases: Vec<MachineId>, context: &mut Context) {
+        if releases.is_empty()
+            || self.scale_in.request_in_flight
+            || !context.cloud.may(context.now())
+        {
+            return;
+        }
+        releases.truncate(MAX_RELEASES);
+        self.scale_in.request_in_flight = true;
+        let tag = CloudTag::ShardScaleIn(self.id, self.fencing_token, releases.clone());
+        context.cloud.release(context.effects, tag, &releases);
     }
 
-    /// Whether a machine has, by the records, tasks that were cancelled so long ago that it must be returned unless it
-    /// is heard. Guards against one that hangs for longer than cancelled tasks may stay, while owners change: each
-    /// begins anew to count its silence, the cancellation's record does not.
+    /// Whether a machine has, by the records, tasks that were cancelled so long ago that it must be released unless its
+    /// heartbeats come. Guards against one that hangs for longer than cancelled tasks may stay, while leaders change:
+    /// each begins anew to count its silence, the cancellation's record does not.
     fn may_be_frozen(&self, name: &MachineId, context: &Context) -> bool {
-        let before = frozen_ms(context.config.settings.cancel_ms());
-        let cancelled = self.jobs.on_machine(name).filter(|(_, j)| j.cancelled());
-        let mut at = cancelled.filter_map(|(_, j)| j.record.ended);
-        at.any(|at| context.effects.wall_ms.saturating_sub(at.0) > before)
+        let limit_ms = frozen_ms(context.config.settings.cancel_ms());
+        let jobs = self.jobs.on_machine(name);
+        let cancelled = jobs.filter(|(_, j)| j.cancelled());
+        let mut cancelled_at = cancelled.filter_map(|(_, j)| j.record.ended);
+        cancelled_at.any(|at| context.effects.wall_ms.saturating_sub(at.0) > limit_ms)
     }
 
     /// How many of the machines of each zone are silent.
     fn zone_silence(&self, context: &Context) -> BTreeMap<usize, ZoneSilence> {
-        let now = context.effects.now;
+        let now = context.now();
         let silent_ms = 2 * context.config.settings.report_ms();
         let mut zones: BTreeMap<usize, ZoneSilence> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.heartbeat_received) {
@@ -139,7 +193,8 @@
         zones
     }
 
-    /// The cloud confirmed that these machines, and all that was on them, are gone.
+    /// Takes the outcome of a release over: if the cloud has confirmed it, the machines and all that was on them are
+    /// gone, and their tasks are queued again.
     pub fn on_machines_released(
         &mut self,
         machines: &[MachineId],
@@ -152,13 +207,10 @@
         }
         let now = context.now();
         for name in machines {
-            if let Some(m) = self.machines.remove(name)
-                && let Some(held) = m.deferred_response
-            {
-                context.effects.respond(
-                    held.connection,
-                    Response::later(503, "this machine was returned", 5),
-                );
+            let machine = self.machines.remove(name);
+            if let Some(deferred) = machine.and_then(|m| m.deferred_response) {
+                let response = Response::later(503, "this machine was returned", 5);
+                context.effects.respond(deferred.connection, response);
             }
             self.scale_in.released.insert(name);
             for (job, task, attempt) in self.jobs.tasks_on(name) {
@@ -173,3 +225,24 @@
         }
     }
 }
+
+/// For how long a machine may be silent. Silence alone is no proof that it is gone, nor is a name that the cloud does
+/// not list; both together make it likely enough to release the machine, and only the confirmed release frees its
+/// tasks.
+fn silence_limit_ms(
+    name: &MachineId,
+    m: &Machine,
+    round: &ScaleInRound<'_>,
+    context: &Context,
+) -> u64 {
+    let settings = &context.config.settings;
+    let heartbeat_ms = settings.report_ms();
+    let interrupted = m.interruption_at.is_some_and(|at| at < context.now());
+    if interrupted || round.missing.contains(name) {
+        return 2 * heartbeat_ms;
+    }
+    let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.cut());
+    let ready_s = context.types.get(&m.model).map_or(0.0, |t| t.ready_s);
+    let lease_ms = settings.lease_ms() + 2 * heartbeat_ms;
+    patience_ms(lease_ms, cut_off, seconds_to_ms(ready_s))
+}
