--- a/crates/fair-share/tests/backfill.rs
+++ b/crates/fair-share/tests/backfill.rs
@@ -1,10 +1,12 @@
-//! Which machine is held for a task that finds no room.
+//! Which machine is reserved for a task that finds none.
 
 use proptest::prelude::*;
-use snowshelf_fair_share::backfill::{BackfillCandidate, covered, most, nearest};
+use snowshelf_fair_share::backfill::{
+    BackfillCandidate, covered_fraction, max_reservations, nearest,
+};
 use snowshelf_model::records::Resources;
 
-fn room(most: f64) -> impl Strategy<Value = Resources> {
+fn resources(most: f64) -> impl Strategy<Value = Resources> {
     (0.0..most, 0.0..most).prop_map(|(cpus, mem)| Resources {
         cpus,
         gpus: 0.0,
@@ -13,36 +15,39 @@
 }
 
 fn machine() -> impl Strategy<Value = BackfillCandidate> {
-    (room(16.0), room(16.0)).prop_map(|(free, more)| {
-        let mut in_time = free;
-        in_time.add(more);
-        BackfillCandidate { free, in_time }
+    (resources(16.0), resources(16.0)).prop_map(|(free, more)| {
+        let mut eventually_free = free;
+        eventually_free.add(more);
+        BackfillCandidate {
+            free,
+            eventually_free,
+        }
     })
 }
 
 proptest! {
-    /// Guards against a machine that is held though the task never fits there, and against one that has further to go
+    /// Guards against a machine that is reserved though the task never fits there, and against one that has further to go
     /// than another.
     #[test]
-    fn the_nearest_machine_that_ever_fits_is_held(
-        task in room(20.0), machines in prop::collection::vec(machine(), 0..20),
+    fn the_nearest_machine_that_ever_fits_is_reserved(
+        task in resources(20.0), machines in prop::collection::vec(machine(), 0..20),
     ) {
-        let fits: Vec<usize> = (0..machines.len()).filter(|at| task.fits_in(machines[*at].in_time)).collect();
-        let Some(held) = nearest(task, machines.iter().copied()) else {
+        let fits: Vec<usize> = (0..machines.len()).filter(|at| task.fits_in(machines[*at].eventually_free)).collect();
+        let Some(reserved) = nearest(task, machines.iter().copied()) else {
             prop_assert!(fits.is_empty());
             return Ok(());
         };
-        prop_assert!(fits.contains(&held));
+        prop_assert!(fits.contains(&reserved));
         for at in fits {
-            prop_assert!(covered(task, machines[at].free) <= covered(task, machines[held].free));
+            prop_assert!(covered_fraction(task, machines[at].free) <= covered_fraction(task, machines[reserved].free));
         }
-        prop_assert_eq!(covered(task, machines[held].free) >= 1.0, task.fits_in(machines[held].free));
+        prop_assert_eq!(covered_fraction(task, machines[reserved].free) >= 1.0, task.fits_in(machines[reserved].free));
     }
 
-    /// Guards against a part that holds most of its machines, and against one that holds none.
+    /// Guards against a shard that reserves most of its machines, and against one that reserves none.
     #[test]
-    fn few_machines_are_held(machines in 1..2_000usize) {
-        prop_assert!(most(machines) >= 1 && most(machines) <= 1 + machines / 20);
-        prop_assert_eq!(most(0), 0);
+    fn few_machines_are_reserved(machines in 1..2_000usize) {
+        prop_assert!(max_reservations(machines) >= 1 && max_reservations(machines) <= 1 + machines / 20);
+        prop_assert_eq!(max_reservations(0), 0);
     }
 }
--- a/crates/fair-share/tests/grants.rs
+++ b/crates/fair-share/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Parts that share a team's limit.
+//! Shards that share a team's quota.
 
 use proptest::prelude::*;
 use snowshelf_fair_share::grants::{QuotaShortfall, ShardDemand, regrant_fairly};
@@ -10,50 +10,50 @@
 }
 
 proptest! {
-    /// Guards against parts that each hold less than a task's worth of a limit and so start nothing, all together:
+    /// Guards against shards that each hold less than a task's worth of a limit and so start nothing, all together:
     /// however it was divided before, once each has moved twice one of them can start a task if there is enough.
     #[test]
-    fn some_part_can_start_a_task(
+    fn some_shard_can_start_a_task(
         busy in 0..20u32,
-        parts in prop::collection::vec((1..6u32, 1..60u32, 0..30u32), 2..6),
+        shards in prop::collection::vec((1..6u32, 1..60u32, 0..30u32), 2..6),
         over in 0..8u32,
-        turns in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
+        moves in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
-        let largest = parts.iter().map(|p| p.0).max().unwrap_or(1);
+        let largest = shards.iter().map(|p| p.0).max().unwrap_or(1);
         let limit = f64::from(busy + largest + over);
-        let demand: u32 = parts.iter().map(|p| p.1).sum::<u32>() + 10 * busy;
-        // One part is full and lacks nothing; the others have divided the rest somehow.
+        let demand: u32 = shards.iter().map(|p| p.1).sum::<u32>() + 10 * busy;
+        // One shard is full and lacks nothing; the others have divided the rest somehow.
         let mut record = QuotaRecord::default();
         record.grants.insert(ShardId(0), cpus(f64::from(busy)));
-        let mut left = limit - f64::from(busy);
-        for (n, (_, _, eighths)) in parts.iter().enumerate() {
-            let has = (f64::from(*eighths) / 8.0).min(left);
-            left -= has;
-            record.grants.insert(ShardId(n as u32 + 1), cpus(has));
+        let mut remaining = limit - f64::from(busy);
+        for (n, (_, _, eighths)) in shards.iter().enumerate() {
+            let granted = (f64::from(*eighths) / 8.0).min(remaining);
+            remaining -= granted;
+            record.grants.insert(ShardId(n as u32 + 1), cpus(granted));
         }
-        let standing = |n: usize| {
-            let (task, demanded, _) = parts[n];
+        let demand_of = |n: usize| {
+            let (task, demanded, _) = shards[n];
             ShardDemand {
                 shard_id: ShardId(n as u32 + 1),
                 used: Grant::default(),
-                lack: Some(QuotaShortfall {
-                    all: cpus(f64::from(demanded.max(task))),
-                    task: cpus(f64::from(task)),
+                shortfall: Some(QuotaShortfall {
+                    total: cpus(f64::from(demanded.max(task))),
+                    smallest_task: cpus(f64::from(task)),
                 }),
-                even: Some(cpus(limit * f64::from(demanded) / f64::from(demand))),
+                fair_share: Some(cpus(limit * f64::from(demanded) / f64::from(demand))),
                 step: cpus(limit / 40.0),
                 limit: cpus(limit),
             }
         };
-        let order = turns.iter().map(|t| t.index(parts.len()));
-        for n in order.chain(0..parts.len()).chain(0..parts.len()) {
-            record = regrant_fairly(&record, &standing(n));
+        let order = moves.iter().map(|t| t.index(shards.len()));
+        for n in order.chain(0..shards.len()).chain(0..shards.len()) {
+            record = regrant_fairly(&record, &demand_of(n));
             prop_assert!(record.granted().cpus <= limit + 1e-6);
             prop_assert_eq!(record.grants[&ShardId(0)], cpus(f64::from(busy)));
         }
         let starts = |(n, p): (usize, &(u32, u32, u32))| {
             record.grants[&ShardId(n as u32 + 1)].cpus + 1e-6 >= f64::from(p.0)
         };
-        prop_assert!(parts.iter().enumerate().any(starts), "{record:?}");
+        prop_assert!(shards.iter().enumerate().any(starts), "{record:?}");
     }
 }
--- a/crates/fair-share/tests/shortage.rs
+++ b/crates/fair-share/tests/shortage.rs
@@ -1,4 +1,4 @@
-//! Properties of the order under shortage, and what it is for, on a plain machine.
+//! Properties of the order under shortage, and what it is for, on a single machine.
 
 use proptest::prelude::*;
 use snowshelf_fair_share::shortage::Shortage;
@@ -8,17 +8,17 @@
 }
 
 proptest! {
-    /// Whatever waits: nobody is asked to start before it came or later than its aims; a smaller job never
+    /// Whatever waits: nobody is asked to start before it came or later than its objectives; a smaller job never
     /// after a larger one of its class and age; nothing changes while nobody is late.
     #[test]
-    fn slack_is_a_share_and_grows_with_the_work(
+    fn slack_is_a_fraction_and_grows_with_the_work(
         jobs in prop::collection::vec(job(), 1..40), small in 0.0..10_000.0f64, more in 0.0..10_000.0f64,
     ) {
         let mut shortage = Shortage::default();
         let mut calm = Shortage::default();
         for (late, work) in &jobs {
-            shortage.note("c", *late, *work);
-            calm.note("c", false, *work);
+            shortage.add_job("c", *late, *work);
+            calm.add_job("c", false, *work);
         }
         let (a, b) = (shortage.slack("c", small), shortage.slack("c", small + more));
         prop_assert!((0.0..=1.0).contains(&a) && (0.0..=1.0).contains(&b));
@@ -48,7 +48,7 @@
             }
             let mut shortage = Shortage::default();
             for (at, work) in &waiting {
-                shortage.note("c", now - at > 30, f64::from(*work));
+                shortage.add_job("c", now - at > 30, f64::from(*work));
             }
             let due = |(at, work): (u32, u32)| {
                 let slack = if with {
--- a/crates/machine-index/src/capacity_index.rs
+++ b/crates/machine-index/src/capacity_index.rs
@@ -1,37 +1,41 @@
-//! Rooms in groups: whatever is equal to every job (type, zone, kind, what it is kept for) is asked about
-//! once for all its machines, and a group in which nothing fits is passed over without a look at any.
+//! Machines by class: whatever is equal to every job (type, zone, kind, what it is reserved for) is asked about once for
+//! all its machines, and a class in which nothing fits is passed over without a look at any.
 
 use snowshelf_model::records::Resources;
 
 /// A machine and what of it is free.
 #[derive(Debug)]
 pub struct IndexedMachine<T> {
+    /// The resources that are free.
     pub free: Resources,
-    group: usize,
-    pub what: T,
+    class: usize,
+    /// What else is known of the machine.
+    pub machine: T,
 }
 
 #[derive(Debug)]
-struct Group<K> {
+struct Class<K> {
     key: K,
     members: Vec<usize>,
-    /// At least what any member has free of each kind.
-    most: Resources,
+    /// An upper bound of what any member has free, by resource.
+    max_free: Resources,
 }
 
-/// Machines with room, in the order in which they came; `K` is what makes them equal to a job.
+/// Machines with free resources, in the order in which they were added; `K` is what makes them equal to a job.
 #[derive(Debug)]
 pub struct CapacityIndex<K, T> {
     entries: Vec<IndexedMachine<T>>,
-    groups: Vec<Group<K>>,
+    classes: Vec<Class<K>>,
 }
 
-/// Which groups a job may use, by their numbers.
+/// Which classes a job may use, by their numbers.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct AllowedClasses(Vec<bool>);
 
 impl AllowedClasses {
-    pub fn none(&self) -> bool {
+    /// Whether the job may use none.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
         !self.0.contains(&true)
     }
 }
@@ -42,100 +46,109 @@
     mem: f64::MIN,
 };
 
-fn raise(most: &mut Resources, free: Resources) {
-    most.cpus = most.cpus.max(free.cpus);
-    most.gpus = most.gpus.max(free.gpus);
-    most.mem = most.mem.max(free.mem);
+fn raise(bound: &mut Resources, free: Resources) {
+    bound.cpus = bound.cpus.max(free.cpus);
+    bound.gpus = bound.gpus.max(free.gpus);
+    bound.mem = bound.mem.max(free.mem);
 }
 
 impl<K, T> Default for CapacityIndex<K, T> {
     fn default() -> Self {
         CapacityIndex {
             entries: Vec::new(),
-            groups: Vec::new(),
+            classes: Vec::new(),
         }
     }
 }
 
 impl<K, T> CapacityIndex<K, T> {
-    /// Adds a machine to the group that is the `same`, or to a new one.
+    /// Adds a machine to the class that `is_same` accepts, or to a new one with the key that `new_key` makes.
     pub fn push(
         &mut self,
-        same: impl Fn(&K) -> bool,
-        key: impl FnOnce() -> K,
+        is_same: impl Fn(&K) -> bool,
+        new_key: impl FnOnce() -> K,
         free: Resources,
-        what: T,
+        machine: T,
     ) {
-        let found = self.groups.iter().position(|g| same(&g.key));
-        let group = found.unwrap_or_else(|| {
-            self.groups.push(Group {
-                key: key(),
+        let found = self.classes.iter().position(|c| is_same(&c.key));
+        let class = found.unwrap_or_else(|| {
+            self.classes.push(Class {
+                key: new_key(),
                 members: Vec::new(),
-                most: NOTHING,
+                max_free: NOTHING,
             });
-            self.groups.len() - 1
+            self.classes.len() - 1
+        });
+        self.classes[class].members.push(self.entries.len());
+        raise(&mut self.classes[class].max_free, free);
+        self.entries.push(IndexedMachine {
+            free,
+            class,
+            machine,
         });
-        self.groups[group].members.push(self.entries.len());
-        raise(&mut self.groups[group].most, free);
-        self.entries.push(IndexedMachine { free, group, what });
     }
 
+    /// The machines in the order in which they were added.
+    #[must_use]
     pub fn entries(&self) -> &[IndexedMachine<T>] {
         &self.entries
     }
 
-    pub fn entry(&mut self, at: usize) -> &mut T {
-        &mut self.entries[at].what
+    /// What else is known of the machine at a place of [`entries`](Self::entries).
+    pub fn machine_mut(&mut self, at: usize) -> &mut T {
+        &mut self.entries[at].machine
     }
 
-    /// What makes a machine equal to others.
-    pub fn key(&self, entry: &IndexedMachine<T>) -> &K {
-        &self.groups[entry.group].key
+    /// What makes a machine equal to the others of its class.
+    #[must_use]
+    pub fn class(&self, entry: &IndexedMachine<T>) -> &K {
+        &self.classes[entry.class].key
     }
 
-    /// The groups that a job may use, each asked about once.
-    pub fn allowed(&self, may: impl FnMut(&K) -> bool) -> AllowedClasses {
-        AllowedClasses(self.groups.iter().map(|g| &g.key).map(may).collect())
+    /// The classes that a job may use, each asked about once.
+    pub fn allowed(&self, is_allowed: impl FnMut(&K) -> bool) -> AllowedClasses {
+        let keys = self.classes.iter().map(|c| &c.key);
+        AllowedClasses(keys.map(is_allowed).collect())
     }
 
-    /// The machines of these groups on which such a task fits, in the order in which they came.
+    /// The machines of these classes on which a task fits, by their places in [`entries`](Self::entries), in that order.
     pub fn fitting(&mut self, task: Resources, allowed: &AllowedClasses) -> Vec<usize> {
         let mut found = Vec::new();
-        for (group, allowed) in self.groups.iter_mut().zip(&allowed.0) {
-            if !allowed || !task.fits_in(group.most) {
+        for (class, allowed) in self.classes.iter_mut().zip(&allowed.0) {
+            if !allowed || !task.fits_in(class.max_free) {
                 continue;
             }
-            // The bound is made exact by the way: room only shrinks, so that it stays one.
-            let mut most = NOTHING;
-            for at in &group.members {
+            // The bound is made exact on the way: free resources only shrink, so that it stays one.
+            let mut max_free = NOTHING;
+            for at in &class.members {
                 let free = self.entries[*at].free;
-                raise(&mut most, free);
+                raise(&mut max_free, free);
                 if task.fits_in(free) {
                     found.push(*at);
                 }
             }
-            group.most = most;
+            class.max_free = max_free;
         }
         found.sort_unstable();
         found
     }
 
-    /// Each group with its machines.
-    pub fn groups(&self) -> impl Iterator<Item = (&K, impl Iterator<Item = &IndexedMachine<T>>)> {
+    /// Each class with its machines.
+    pub fn classes(&self) -> impl Iterator<Item = (&K, impl Iterator<Item = &IndexedMachine<T>>)> {
         let entries = &self.entries;
-        let groups = self.groups.iter();
-        groups.map(move |g| (&g.key, g.members.iter().map(move |at| &entries[*at])))
+        let classes = self.classes.iter();
+        classes.map(move |c| (&c.key, c.members.iter().map(move |at| &entries[*at])))
     }
 
-    /// How many machines there are in each group that a job may use.
-    pub fn sizes(&self, allowed: &AllowedClasses) -> impl Iterator<Item = (&K, usize)> {
-        let groups = self.groups.iter().zip(&allowed.0);
-        let groups = groups.filter(|(_, allowed)| **allowed);
-        groups.map(|(g, _)| (&g.key, g.members.len()))
+    /// How many machines there are in each class that a job may use.
+    pub fn class_sizes(&self, allowed: &AllowedClasses) -> impl Iterator<Item = (&K, usize)> {
+        let classes = self.classes.iter().zip(&allowed.0);
+        let classes = classes.filter(|(_, allowed)| **allowed);
+        classes.map(|(c, _)| (&c.key, c.members.len()))
     }
 
-    /// Takes room for tasks.
-    pub fn take(&mut self, at: usize, task: Resources) {
+    /// Takes resources of the machine at a place of [`entries`](Self::entries) for a task.
+    pub fn allocate(&mut self, at: usize, task: Resources) {
         self.entries[at].free.sub(task);
     }
 }
--- a/src/coordination/autoscaler/planning.rs
+++ b/src/coordination/autoscaler/planning.rs
@@ -104,12 +104,12 @@
                     .resources
                     .count_in(capacity_index.entries()[at].free)
                     .min(left);
-                capacity_index.take(at, want.resources.times(f64::from(n)));
+                capacity_index.allocate(at, want.resources.times(f64::from(n)));
                 left -= n;
             }
         }
         let cpus = |pool: &Pool| types.get(&pool.model).map_or(0.0, |t| t.cpus);
-        let sizes = capacity_index.sizes(&allowed);
+        let sizes = capacity_index.class_sizes(&allowed);
         let mut reach: f64 = sizes.map(|(pool, n)| n as f64 * cpus(pool)).sum();
         let cheapest = types
             .values()
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -7,7 +7,7 @@
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
 use snowshelf_fair_share::backfill::{
-    BackfillCandidate, HELD_MS, REST_MS, WAITED_MS, most, nearest,
+    BackfillCandidate, COOLDOWN_MS, MIN_WAIT_MS, RESERVATION_MS, max_reservations, nearest,
 };
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_model::records::{Grant, JobKind, JobSpec, Resources};
@@ -25,12 +25,12 @@
 impl BackfillReservation {
     /// Whether it is in force; afterwards nothing is reserved for the job for a while.
     fn is_in_force(&self, now: MonotonicMillis) -> bool {
-        now.since(self.since) <= HELD_MS
+        now.since(self.since) <= RESERVATION_MS
     }
 
     /// Whether another one may be made for the job.
     fn is_over(&self, now: MonotonicMillis) -> bool {
-        now.since(self.since) > HELD_MS + REST_MS
+        now.since(self.since) > RESERVATION_MS + COOLDOWN_MS
     }
 }
 
@@ -72,7 +72,7 @@
         self.backfill.by_job.retain(|id, reservation| {
             waiting.iter().any(|w| w.queued.job == *id) && !reservation.is_over(now)
         });
-        let most = most(pass.capacity_index.entries().len());
+        let most = max_reservations(pass.capacity_index.entries().len());
         let mut in_force = self.backfill.count_in_force(now);
         for LongWaiting { queued, .. } in waiting {
             let reservation = self.backfill.by_job.get(&queued.job);
@@ -94,7 +94,7 @@
         let wall_ms = context.effects.wall_ms;
         let mut waiting: Vec<LongWaiting> = queue
             .iter()
-            .filter(|q| wall_ms.saturating_sub(q.since.0) >= WAITED_MS)
+            .filter(|q| wall_ms.saturating_sub(q.since.0) >= MIN_WAIT_MS)
             .filter_map(|queued| {
                 Some(LongWaiting {
                     has_begun: self.has_begun(&queued.job, context)?,
@@ -151,7 +151,7 @@
         }
         let lacks_grant = self.set_grant_aside(&spec, pass, context);
         let mut entries = pass.capacity_index.entries().iter();
-        let free = entries.find(|e| e.what.name == machine).map(|e| e.free);
+        let free = entries.find(|e| e.machine.name == machine).map(|e| e.free);
         let fits_now = free.is_some_and(|free| spec.resources.fits_in(free));
         // A machine with free resources is not kept from others while the team's quota does not allow the task.
         if !(fits_now && lacks_grant)
@@ -187,12 +187,13 @@
         index: &CapacityIndex,
         context: &Context,
     ) -> bool {
-        let mut classes = index.groups();
-        let most = most(index.entries().len());
+        let mut classes = index.classes();
+        let most = max_reservations(index.entries().len());
         self.backfill.count_in_force(context.now()) < most
             && classes.any(|(class, mut machines)| {
                 self.is_eligible(spec, class, context)
-                    && machines.any(|e| !e.what.faulty && spec.resources.fits_in(e.what.total))
+                    && machines
+                        .any(|e| !e.machine.faulty && spec.resources.fits_in(e.machine.total))
             })
     }
 
@@ -214,11 +215,11 @@
         context: &Context,
     ) -> bool {
         let mut entries = pass.capacity_index.entries().iter();
-        let entry = entries.find(|e| e.what.name == *name);
+        let entry = entries.find(|e| e.machine.name == *name);
         entry.is_some_and(|e| {
-            !e.what.faulty
+            !e.machine.faulty
                 && !pass.backfill.contains_key(name)
-                && self.is_eligible(spec, pass.capacity_index.key(e), context)
+                && self.is_eligible(spec, pass.capacity_index.class(e), context)
         })
     }
 
@@ -233,17 +234,23 @@
             |name: &MachineId| pass.backfill.contains_key(name) || self.backfill.uses(name);
         let machines: Vec<(&MachineId, BackfillCandidate)> = pass
             .capacity_index
-            .groups()
+            .classes()
             .filter(|(class, _)| {
                 class.reservation.is_none() && self.is_eligible(spec, class, context)
             })
             .flat_map(|(_, machines)| machines)
-            .filter(|e| !e.what.faulty && !is_reserved(&e.what.name))
+            .filter(|e| !e.machine.faulty && !is_reserved(&e.machine.name))
             .map(|e| {
-                let mut in_time = e.what.total;
-                in_time.sub(self.used_by_services(&e.what.name));
+                let mut eventually_free = e.machine.total;
+                eventually_free.sub(self.used_by_services(&e.machine.name));
                 let free = e.free;
-                (&e.what.name, BackfillCandidate { free, in_time })
+                (
+                    &e.machine.name,
+                    BackfillCandidate {
+                        free,
+                        eventually_free,
+                    },
+                )
             })
             .collect();
         let at = nearest(spec.resources, machines.iter().map(|(_, m)| *m))?;
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -155,7 +155,7 @@
             index.allowed(|class| counts(class) && self.is_eligible(spec, class, context));
         let fitting = index.fitting(spec.resources, &allowed);
         let usable = fitting.iter().map(|at| &index.entries()[*at]);
-        let usable = usable.filter(|e| !e.what.faulty);
+        let usable = usable.filter(|e| !e.machine.faulty);
         usable.fold(0, |n, e| n.saturating_add(spec.resources.count_in(e.free)))
     }
 
@@ -182,7 +182,7 @@
 ) -> MachineCandidate {
     let PlacementRequest { job, spec, .. } = request;
     let entry = &pass.capacity_index.entries()[at];
-    let (machine, class) = (&entry.what, pass.capacity_index.key(entry));
+    let (machine, class) = (&entry.machine, pass.capacity_index.class(entry));
     let cap = if !machine.faulty {
         u32::MAX
     } else if job.failed_on.contains(&machine.name) {
--- a/src/coordination/shard/demand.rs
+++ b/src/coordination/shard/demand.rs
@@ -116,9 +116,9 @@
 }
 
 fn class_capacities(index: &CapacityIndex) -> Vec<ClassCapacity<'_>> {
-    let classes = index.groups().filter_map(|(class, machines)| {
-        let mut working = machines.filter(|e| !e.what.faulty).peekable();
-        let total = working.peek()?.what.total;
+    let classes = index.classes().filter_map(|(class, machines)| {
+        let mut working = machines.filter(|e| !e.machine.faulty).peekable();
+        let total = working.peek()?.machine.total;
         Some(ClassCapacity {
             class,
             total,
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -118,7 +118,7 @@
         let mut fitting = pass.capacity_index.fitting(self.spec.resources, allowed);
         let mut candidates = Vec::with_capacity(fitting.len());
         fitting.retain(|at| {
-            if !self.may_use(&pass.capacity_index.entries()[*at].what.name, pass) {
+            if !self.may_use(&pass.capacity_index.entries()[*at].machine.name, pass) {
                 return false;
             }
             let candidate = candidate(*self, *at, pass, context);
@@ -189,7 +189,7 @@
         let specs = waiting.filter_map(|j| j.spec());
         let weights = placement::weights(specs, context.config.ops.default_run_s, load);
         let machines = capacity_index.entries().iter();
-        let name_lens = machines.map(|e| e.what.name.as_str().len());
+        let name_lens = machines.map(|e| e.machine.name.as_str().len());
         PlacementPass {
             max_name_len: name_lens.max().unwrap_or(0),
             backfill: BTreeMap::new(),
@@ -265,12 +265,12 @@
             self.is_eligible(spec, class, context)
                 && (!spec.zones_bound() || class.zone < zone_count)
         });
-        if allowed.none() {
+        if allowed.is_empty() {
             return None;
         }
         let image = request.only_with_image().then_some(job.image_id);
         let shape = Shape::new(spec.resources, allowed.clone(), image);
-        if !request.on_reserved_machine() && pass.unplaceable.is(&shape) {
+        if !request.on_reserved_machine() && pass.unplaceable.contains(&shape) {
             return None;
         }
         let limits = context.storage_limits;
@@ -283,7 +283,7 @@
         if candidates.is_empty() {
             // The job may be barred from machines that are open to others.
             if job.failed_on.is_empty() && !request.on_reserved_machine() {
-                pass.unplaceable.note(shape);
+                pass.unplaceable.insert(shape);
             }
             return None;
         }
@@ -342,13 +342,13 @@
         }
         let shortfalls = self.quotas.shortfalls.entry(selection.team.clone());
         let shortfall = shortfalls.or_insert(QuotaShortfall {
-            all: Grant::default(),
-            task: Grant::of(task),
+            total: Grant::default(),
+            smallest_task: Grant::of(task),
         });
         let missing = task.times(f64::from(selected - covered));
-        shortfall.all.add(Grant::of(missing));
-        shortfall.task.cpus = shortfall.task.cpus.min(task.cpus);
-        shortfall.task.gpus = shortfall.task.gpus.min(task.gpus);
+        shortfall.total.add(Grant::of(missing));
+        shortfall.smallest_task.cpus = shortfall.smallest_task.cpus.min(task.cpus);
+        shortfall.smallest_task.gpus = shortfall.smallest_task.gpus.min(task.gpus);
         let mut remaining = covered;
         for machine in &mut selection.machines {
             machine.tasks = machine.tasks.min(remaining);
@@ -367,7 +367,10 @@
         let used = pass.used.entry(selection.team).or_default();
         for machine in selection.machines.into_iter().filter(|m| m.tasks > 0) {
             self.load.placements_by_image[machine.image as usize] += u64::from(machine.tasks);
-            let name = pass.capacity_index.entries()[machine.at].what.name.clone();
+            let name = pass.capacity_index.entries()[machine.at]
+                .machine
+                .name
+                .clone();
             for _ in 0..machine.tasks {
                 let job = self.jobs.get(id);
                 let Some((task, attempt)) = job.and_then(|j| j.desired.waiting.first()) else {
@@ -382,7 +385,8 @@
                 if !self.apply_change(now, id, start) {
                     break;
                 }
-                pass.capacity_index.take(machine.at, selection.resources);
+                pass.capacity_index
+                    .allocate(machine.at, selection.resources);
                 used.add(Grant::of(selection.resources));
             }
             let Some(m) = self.machines.get_mut(&name) else {
@@ -391,9 +395,9 @@
             m.idle_since = None;
             if !m.images.has(selection.image_id) {
                 m.images.coming.insert(selection.image_id);
-                let indexed = pass.capacity_index.entry(machine.at);
+                let indexed = pass.capacity_index.machine_mut(machine.at);
                 indexed.images.coming.insert(selection.image_id);
-                pass.unplaceable.comes(selection.image_id);
+                pass.unplaceable.image_fetched(selection.image_id);
             }
         }
     }
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -97,7 +97,7 @@
             .filter_map(|(id, j)| Some(WaitingJob::new(id, &j.record, j.spec()?, context)))
             .collect();
         for job in &waiting {
-            shortage.note(&job.spec.class, job.missed_objectives > 0, job.work);
+            shortage.add_job(&job.spec.class, job.missed_objectives > 0, job.work);
         }
         let mut queue: Vec<QueuedJob> = waiting
             .into_iter()
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -124,7 +124,7 @@
         };
         let step =
             |limit: f64| limit / f64::from(context.config.shard_count) / STEPS_PER_EVEN_SHARE;
-        let even = contended.then(|| {
+        let fair_share = contended.then(|| {
             let share = demand_share(team, self.id, context);
             Grant {
                 cpus: limit.cpus * share,
@@ -134,8 +134,8 @@
         ShardDemand {
             shard_id: self.id,
             used,
-            lack: self.quotas.shortfalls.get(team).copied(),
-            even,
+            shortfall: self.quotas.shortfalls.get(team).copied(),
+            fair_share,
             step: Grant {
                 cpus: step(limit.cpus),
                 gpus: step(limit.gpus),
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -266,15 +266,15 @@
     ) -> BTreeMap<Team, ReservedCapacity> {
         let mut capacity: BTreeMap<Team, ReservedCapacity> = BTreeMap::new();
         for machine in index.entries() {
-            let reservation = index.key(machine).reservation.as_ref();
+            let reservation = index.class(machine).reservation.as_ref();
             let Some(team) = reservation.and_then(|r| r.current_team(context)) else {
                 continue;
             };
-            let theirs = self.used_by_team(team, &machine.what.name);
+            let theirs = self.used_by_team(team, &machine.machine.name);
             let theirs = theirs.map(|used| used.cpus);
             let reserved = capacity.entry(team.clone()).or_default();
             reserved.free += machine.free.cpus.max(0.0);
-            reserved.promised += (machine.what.total.cpus - theirs.sum::<f64>()).max(0.0);
+            reserved.promised += (machine.machine.total.cpus - theirs.sum::<f64>()).max(0.0);
         }
         capacity
     }
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -5,7 +5,7 @@
 use crate::coordination::context::Context;
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::Versioned;
-use snowshelf_fair_share::backfill::WAITED_MS;
+use snowshelf_fair_share::backfill::MIN_WAIT_MS;
 use snowshelf_model::ids::{JobId, MonotonicMillis, ShardId, Team, Version};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{
@@ -230,7 +230,7 @@
         let mut fitting = self.count_fitting(spec, &mut spare.index, counts, context);
         if fitting == 0
             && offer == Some(StealOffer::Stranded)
-            && context.waited_ms(candidate.job, &candidate.record.value) >= WAITED_MS
+            && context.waited_ms(candidate.job, &candidate.record.value) >= MIN_WAIT_MS
         {
             // The machines with room now are for smaller tasks: one is reserved for it here.
             fitting = u32::from(self.could_reserve_backfill(spec, &spare.index, context));
