--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,17 +1,25 @@
-//! The ordinary path of placement: the Weighted heuristic (section 3, equation 1 of the paper).
+//! Bin packing of tasks onto machines: the Weighted heuristic (section 3, equation 1 of the paper).
 //!
 //! Machines are taken in non-decreasing `R_i = sum_k w_k * imp_ik`; `imp` is what stays free after
 //! fitting as many of the job's tasks as go, and
-//! `w_k = (estimate-weighted mean request of queued jobs * booked / capacity) / capacity`.
+//! `w_k = (estimate-weighted mean request of queued jobs * allocated / capacity) / capacity`.
 
 use crate::settings::Objective;
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::{JobSpec, Resources};
+use std::collections::BTreeMap;
 
-/// What the weights are worked out from.
+/// The patience of a job whose deadline is near or past, at the least.
+const MIN_DEADLINE_PATIENCE_S: f64 = 1.0;
+/// The patience of a job without objectives and deadline, at the least.
+const MIN_PATIENCE_S: f64 = 30.0;
+
+/// What the weights of resources are computed from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    pub booked: Resources,
+    /// Resources in use on all machines.
+    pub allocated: Resources,
+    /// Resources of all machines.
     pub capacity: Resources,
 }
 
@@ -30,9 +38,14 @@
     rates.fold(f64::INFINITY, f64::min)
 }
 
-/// How many aims a job that starts at this age cannot meet any more, having waited for others before.
-pub fn missed(spec: &JobSpec, objectives: &[Objective], age_s: f64, waited_s: f64) -> usize {
-    let aims = objectives
+/// How many objectives a job that starts at this age cannot meet any more, having waited for its dependencies before.
+pub fn missed_objectives(
+    spec: &JobSpec,
+    objectives: &[Objective],
+    age_s: f64,
+    waited_s: f64,
+) -> usize {
+    let limits = objectives
         .iter()
         .filter(|o| o.class.as_deref() == Some(spec.class.as_str()))
         .filter_map(|o| match o.kind.as_str() {
@@ -42,184 +55,228 @@
         });
     // A deadline is the job's own, and its estimate often wrong: not past before it is past.
     let deadline = spec.deadline_s.map(|d| d - waited_s);
-    aims.chain(deadline).filter(|w| age_s > *w).count()
+    limits.chain(deadline).filter(|w| age_s > *w).count()
 }
 
-/// How long the tasks of a job may wait for room, by the aims for its class and its deadline, having
-/// waited for other jobs before.
+/// How long the tasks of a job may wait for machines, in seconds, by the objectives for its class and its deadline,
+/// having waited for its dependencies before.
 pub fn patience_s(spec: &JobSpec, objectives: &[Objective], waited_s: f64) -> f64 {
-    let aims = objectives
+    let limits = objectives
         .iter()
         .filter(|o| o.kind == "wait" && o.class.as_deref() == Some(spec.class.as_str()))
         .filter_map(|o| o.within_s);
     let deadline = spec
         .deadline_s
-        .map(|d| (d - waited_s - spec.estimate_s).max(1.0));
-    let least = aims.chain(deadline).fold(f64::INFINITY, f64::min);
+        .map(|d| (d - waited_s - spec.estimate_s).max(MIN_DEADLINE_PATIENCE_S));
+    let least = limits.chain(deadline).fold(f64::INFINITY, f64::min);
     if least.is_finite() {
         least
     } else {
-        spec.estimate_s.max(30.0)
+        spec.estimate_s.max(MIN_PATIENCE_S)
     }
 }
 
-/// The criticality of each resource.
-pub fn weights<'a>(
+/// The weight of each resource: how critical it is.
+pub fn resource_weights<'a>(
     queued: impl Iterator<Item = &'a JobSpec>,
     default_s: f64,
     load: Load,
 ) -> Resources {
     let mut sum = Resources::default();
-    let mut total = 0.0;
+    let mut total_s = 0.0;
     for spec in queued {
-        let est = estimate(spec, default_s);
-        sum.add(spec.resources.times(est));
-        total += est;
+        let estimate_s = estimate(spec, default_s);
+        sum.add(spec.resources.times(estimate_s));
+        total_s += estimate_s;
     }
-    if total <= 0.0 {
+    if total_s <= 0.0 {
         return Resources::default();
     }
-    let weight = |sum: f64, booked: f64, capacity: f64| {
+    let weight = |sum: f64, allocated: f64, capacity: f64| {
         if capacity > 0.0 {
-            sum / total * (booked / capacity) / capacity
+            sum / total_s * (allocated / capacity) / capacity
         } else {
             0.0
         }
     };
     Resources {
-        cpus: weight(sum.cpus, load.booked.cpus, load.capacity.cpus),
-        gpus: weight(sum.gpus, load.booked.gpus, load.capacity.gpus),
-        mem: weight(sum.mem, load.booked.mem, load.capacity.mem),
+        cpus: weight(sum.cpus, load.allocated.cpus, load.capacity.cpus),
+        gpus: weight(sum.gpus, load.allocated.gpus, load.capacity.gpus),
+        mem: weight(sum.mem, load.allocated.mem, load.capacity.mem),
     }
 }
 
 /// How near a machine is to having a job's image, best first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Image {
+pub enum ImageState {
+    /// The machine has it.
     Cached,
-    /// Being fetched for another task: one fetch serves both.
-    Coming,
+    /// It is being fetched for another task: one fetch serves both.
+    Fetching,
+    /// It would have to be fetched.
     Absent,
 }
 
 /// A machine as placement sees it.
 #[derive(Clone, Debug)]
 pub struct MachineCandidate {
+    /// The resources that are free.
     pub free: Resources,
+    /// The index of its zone.
     pub zone: usize,
-    /// Others need this kind of machine and this job does not.
-    pub spared: bool,
-    /// Most tasks that may be put here now.
-    pub cap: u32,
-    /// What it would cost to have the image here.
-    pub image: Image,
-    /// Images being fetched here, which share one line.
-    pub fetches: usize,
+    /// Whether other jobs need this kind of machine and this one does not.
+    pub scarce: bool,
+    /// Most tasks that may be placed here now.
+    pub max_tasks: u32,
+    /// How near it is to having the job's image.
+    pub image: ImageState,
+    /// Images being fetched here, which share bandwidth.
+    pub active_fetches: usize,
     /// For a job that cannot wait: when a task could run here, in steps too small to matter.
-    pub delay: u32,
+    pub start_delay: u32,
 }
 
-pub fn rank(weights: Resources, free: Resources, task: Resources, want: u32) -> f64 {
-    let fit = task.count_in(free).min(want);
+/// The rank of a machine: what stays free of it once as many of `wanted` tasks are placed as fit, weighted.
+fn rank(weights: Resources, free: Resources, task: Resources, wanted: u32) -> f64 {
+    let fitting = task.count_in(free).min(wanted);
     let mut rest = free;
-    rest.sub(task.times(f64::from(fit)));
+    rest.sub(task.times(f64::from(fitting)));
     weights.cpus * rest.cpus + weights.gpus * rest.gpus + weights.mem * rest.mem
 }
 
-/// The zones' rule for a job's tasks: what is on machines now, by zone.
+/// The rule for the zones of a job's tasks, and where they are now.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneRule {
+    /// Whether all tasks must be in one zone.
     pub together: bool,
-    /// Most tasks that one zone may hold.
-    pub most: Option<u32>,
-    /// Tasks possibly on machines, by zone.
-    pub held: std::collections::BTreeMap<usize, u32>,
+    /// Most tasks that one zone may have.
+    pub max_per_zone: Option<u32>,
+    /// Tasks that may be on machines, by zone.
+    pub tasks_by_zone: BTreeMap<usize, u32>,
 }
 
-/// The zone of machines whose zone is not known.
-const SOMEWHERE: usize = usize::MAX;
+/// Stands for the zone of machines whose zone is not known.
+const UNKNOWN_ZONE: usize = usize::MAX;
 
 impl ZoneRule {
-    /// Counts tasks that may be on machines of a zone; `None`: of a zone not known yet, as after a
-    /// takeover, so that they may be in any.
-    pub fn hold(&mut self, zone: Option<usize>, tasks: u32) {
-        if let (None, Some(most)) = (zone, &mut self.most) {
-            *most = most.saturating_sub(tasks);
+    /// Counts tasks that may be on machines of a zone; `None`: of a zone not known yet, as after a failover, so that
+    /// they may be in any.
+    pub fn add_tasks(&mut self, zone: Option<usize>, tasks: u32) {
+        if let (None, Some(max_per_zone)) = (zone, &mut self.max_per_zone) {
+            *max_per_zone = max_per_zone.saturating_sub(tasks);
         } else {
-            *self.held.entry(zone.unwrap_or(SOMEWHERE)).or_default() += tasks;
+            let zone = zone.unwrap_or(UNKNOWN_ZONE);
+            *self.tasks_by_zone.entry(zone).or_default() += tasks;
         }
     }
 
-    fn room(&self, zone: usize) -> u32 {
-        let here = self.held.get(&zone).copied().unwrap_or(0);
-        let elsewhere = self.held.iter().any(|(z, n)| *z != zone && *n > 0);
+    /// How many more tasks a zone may have.
+    fn remaining(&self, zone: usize) -> u32 {
+        let here = self.tasks_by_zone.get(&zone).copied().unwrap_or(0);
+        let elsewhere = self.tasks_by_zone.iter().any(|(z, n)| *z != zone && *n > 0);
         if self.together && elsewhere {
             return 0;
         }
-        self.most.map_or(u32::MAX, |most| most.saturating_sub(here))
+        self.max_per_zone
+            .map_or(u32::MAX, |most| most.saturating_sub(here))
     }
 }
 
-/// Chooses seats for up to `want` tasks: pairs of seat and count, in the order of rank.
-/// Two exceptions to that order: machines that jobs with fewer choices need go last (as the paper's
-/// Balanced heuristic does with critical resources), and machines that have the image, or are
-/// fetching it, go first, since a fetch often takes longer than the task; where it must be fetched,
-/// those with fewer other fetches. Between equals the one that takes more goes first.
-pub fn place(
+/// A candidate with what it is ordered by.
+struct RankedCandidate {
+    /// Scarce; delay of the start; state of the image; fetches to wait for: the least goes first.
+    class: (bool, u32, ImageState, usize),
+    rank: f64,
+    fitting: u32,
+    index: usize,
+}
+
+/// The candidates on which a task fits, in the order in which they are taken.
+fn ranked_candidates(
     task: Resources,
-    want: u32,
-    seats: &[MachineCandidate],
+    wanted: u32,
+    candidates: &[MachineCandidate],
     weights: Resources,
-    zones: &mut ZoneRule,
-) -> Vec<(usize, u32)> {
-    let mut order: Vec<_> = seats
+) -> Vec<RankedCandidate> {
+    let fitting = candidates
         .iter()
         .enumerate()
-        .filter(|(_, seat)| seat.cap > 0 && task.fits_in(seat.free))
-        .map(|(i, seat)| {
-            let fit = task.count_in(seat.free).min(want);
-            let rank = rank(weights, seat.free, task, want);
-            let fetches = match seat.image {
-                Image::Cached => 0,
-                Image::Coming | Image::Absent => seat.fetches,
+        .filter(|(_, c)| c.max_tasks > 0 && task.fits_in(c.free));
+    let mut ranked: Vec<RankedCandidate> = fitting
+        .map(|(index, c)| {
+            let fetches = match c.image {
+                ImageState::Cached => 0,
+                ImageState::Fetching | ImageState::Absent => c.active_fetches,
             };
-            let first = (seat.spared, seat.delay, seat.image, fetches);
-            (first, rank, std::cmp::Reverse(fit), i)
+            RankedCandidate {
+                class: (c.scarce, c.start_delay, c.image, fetches),
+                rank: rank(weights, c.free, task, wanted),
+                fitting: task.count_in(c.free).min(wanted),
+                index,
+            }
         })
         .collect();
-    order.sort_by(|a, b| {
-        a.0.cmp(&b.0)
-            .then(a.1.total_cmp(&b.1))
-            .then(a.2.cmp(&b.2))
-            .then(a.3.cmp(&b.3))
+    ranked.sort_by(|a, b| {
+        a.class
+            .cmp(&b.class)
+            .then(a.rank.total_cmp(&b.rank))
+            .then(b.fitting.cmp(&a.fitting))
+            .then(a.index.cmp(&b.index))
     });
-    if zones.together && zones.held.values().all(|n| *n == 0) {
-        // The first task fixes the zone: choose the one that takes the most of the job.
-        let mut by_zone = std::collections::BTreeMap::<usize, u64>::new();
-        for (_, _, _, i) in &order {
-            let n = task.count_in(seats[*i].free).min(seats[*i].cap);
-            *by_zone.entry(seats[*i].zone).or_default() += u64::from(n);
-        }
-        if let Some(best) = by_zone.iter().max_by_key(|(_, n)| **n).map(|(z, _)| *z) {
-            order.retain(|(_, _, _, i)| seats[*i].zone == best);
+    ranked
+}
+
+/// The zone that takes the most tasks of a job.
+fn largest_zone(
+    task: Resources,
+    ranked: &[RankedCandidate],
+    candidates: &[MachineCandidate],
+) -> Option<usize> {
+    let mut by_zone = BTreeMap::<usize, u64>::new();
+    for candidate in ranked.iter().map(|r| &candidates[r.index]) {
+        let tasks = task.count_in(candidate.free).min(candidate.max_tasks);
+        *by_zone.entry(candidate.zone).or_default() += u64::from(tasks);
+    }
+    let largest = by_zone.iter().max_by_key(|(_, tasks)| **tasks);
+    largest.map(|(zone, _)| *zone)
+}
+
+/// Chooses machines for up to `wanted` tasks: pairs of a candidate's index and a number of tasks, in the order of rank.
+///
+/// Two exceptions to that order: machines that jobs with fewer choices need go last (as the paper's Balanced heuristic
+/// does with critical resources), and machines that have the image, or are fetching it, go first, since a fetch often
+/// takes longer than the task; where it must be fetched, those with fewer other fetches. Between equals the one that
+/// takes more goes first.
+pub fn choose_machines(
+    task: Resources,
+    wanted: u32,
+    candidates: &[MachineCandidate],
+    weights: Resources,
+    zones: &mut ZoneRule,
+) -> Vec<(usize, u32)> {
+    let mut ranked = ranked_candidates(task, wanted, candidates, weights);
+    if zones.together && zones.tasks_by_zone.values().all(|n| *n == 0) {
+        // The first task fixes the zone.
+        if let Some(zone) = largest_zone(task, &ranked, candidates) {
+            ranked.retain(|r| candidates[r.index].zone == zone);
         }
     }
-    let mut left = want;
+    let mut remaining = wanted;
     let mut chosen = Vec::new();
-    for (_, _, _, i) in order {
-        if left == 0 {
+    for RankedCandidate { index, .. } in ranked {
+        if remaining == 0 {
             break;
         }
-        let seat = &seats[i];
-        let n = task
-            .count_in(seat.free)
-            .min(seat.cap)
-            .min(left)
-            .min(zones.room(seat.zone));
-        if n > 0 {
-            *zones.held.entry(seat.zone).or_default() += n;
-            chosen.push((i, n));
-            left -= n;
+        let candidate = &candidates[index];
+        let tasks = task
+            .count_in(candidate.free)
+            .min(candidate.max_tasks)
+            .min(remaining)
+            .min(zones.remaining(candidate.zone));
+        if tasks > 0 {
+            zones.add_tasks(Some(candidate.zone), tasks);
+            chosen.push((index, tasks));
+            remaining -= tasks;
         }
     }
     chosen
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -5,7 +5,7 @@
 use super::reservations::MachineReservation;
 use crate::coordination::context::Context;
 use crate::coordination::images::Images;
-use crate::coordination::placement::{Image, MachineCandidate};
+use crate::coordination::placement::{ImageState, MachineCandidate};
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_machine_index::capacity_index;
 use snowshelf_model::ids::{MachineId, seconds_to_ms};
@@ -38,6 +38,7 @@
 pub(super) type MachineKind = (String, usize, bool);
 
 impl MachineClass {
+    /// The class but for what it is reserved for.
     pub fn kind(&self) -> MachineKind {
         (self.model.clone(), self.zone, self.spot)
     }
@@ -183,7 +184,7 @@
     let PlacementRequest { job, spec, .. } = request;
     let entry = &pass.capacity_index.entries()[at];
     let (machine, class) = (&entry.machine, pass.capacity_index.class(entry));
-    let cap = if !machine.faulty {
+    let max_tasks = if !machine.faulty {
         u32::MAX
     } else if job.failed_on.contains(&machine.name) {
         0
@@ -195,11 +196,11 @@
     MachineCandidate {
         free: entry.free,
         zone: class.zone,
-        cap,
-        spared: spec.spot && !class.spot,
+        max_tasks,
+        scarce: spec.spot && !class.spot,
         image,
-        fetches: machine.images.coming.len(),
-        delay: if request.queued.urgent {
+        active_fetches: machine.images.coming.len(),
+        start_delay: if request.queued.urgent {
             start_delay(spec, image, machine, context)
         } else {
             0
@@ -209,7 +210,7 @@
 
 /// How soon a task could run on a machine, in quarters of the heartbeat interval: commands are part of the response to
 /// a heartbeat, and the image may have to be fetched, sharing bandwidth with other fetches.
-fn start_delay(spec: &JobSpec, image: Image, machine: &OpenMachine, context: &Context) -> u32 {
+fn start_delay(spec: &JobSpec, image: ImageState, machine: &OpenMachine, context: &Context) -> u32 {
     let heartbeat_ms = context.config.settings.report_ms().max(1);
     let rate = machine.fetch_gb_per_s;
     let fetch_ms = if rate > 0.0 {
@@ -218,9 +219,9 @@
         0
     };
     let fetch_ms = match image {
-        Image::Cached => 0,
-        Image::Coming => fetch_ms / 2,
-        Image::Absent => fetch_ms * (1 + machine.images.coming.len() as u64),
+        ImageState::Cached => 0,
+        ImageState::Fetching => fetch_ms / 2,
+        ImageState::Absent => fetch_ms * (1 + machine.images.coming.len() as u64),
     };
     let steps = (fetch_ms + machine.next_heartbeat_ms) * DELAY_STEPS_PER_HEARTBEAT / heartbeat_ms;
     steps.min(MAX_DELAY_STEPS) as u32
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -100,10 +100,12 @@
         }
     }
 
+    /// The job's specification; `None` once the record has been reduced to its end.
     pub fn spec(&self) -> Option<&JobSpec> {
         self.record.spec.as_ref()
     }
 
+    /// Whether the job has been cancelled.
     pub fn cancelled(&self) -> bool {
         self.record.state == JobState::Cancelled
     }
--- a/src/coordination/shard/job_table.rs
+++ b/src/coordination/shard/job_table.rs
@@ -21,30 +21,37 @@
 }
 
 impl JobTable {
+    /// The number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether the shard has an allocation of this job.
     pub fn contains_key(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
+    /// The allocation of a job.
     pub fn get(&self, job: &JobId) -> Option<&ShardJob> {
         self.jobs.get(job)
     }
 
+    /// The allocation of a job, to be changed.
     pub fn get_mut(&mut self, job: &JobId) -> Option<&mut ShardJob> {
         self.jobs.get_mut(job)
     }
 
+    /// All allocations, in the order of their jobs' ids.
     pub fn values(&self) -> impl Iterator<Item = &ShardJob> + '_ {
         self.jobs.values()
     }
 
+    /// All jobs with their allocations, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
         self.jobs.iter()
     }
 
+    /// The same, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&JobId, &mut ShardJob)> + '_ {
         self.jobs.iter_mut()
     }
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -7,7 +7,7 @@
 use super::machine::UNKNOWN_ZONE;
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
-use crate::coordination::placement::{self, Image, Load, MachineCandidate, ZoneRule};
+use crate::coordination::placement::{self, ImageState, Load, MachineCandidate, ZoneRule};
 use snowshelf_fair_share::grants::QuotaShortfall;
 use snowshelf_machine_index::capacity_index::AllowedClasses;
 use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
@@ -122,8 +122,8 @@
                 return false;
             }
             let candidate = candidate(*self, *at, pass, context);
-            let without_image = self.only_with_image() && candidate.image == Image::Absent;
-            let usable = candidate.cap > 0 && !without_image;
+            let without_image = self.only_with_image() && candidate.image == ImageState::Absent;
+            let usable = candidate.max_tasks > 0 && !without_image;
             if usable {
                 candidates.push(candidate);
             }
@@ -145,7 +145,7 @@
 struct SelectedMachine {
     /// Its place in the capacity index.
     at: usize,
-    image: Image,
+    image: ImageState,
     tasks: u32,
 }
 
@@ -181,13 +181,13 @@
         for m in self.machines.values() {
             if let Some(machine_type) = context.types.get(&m.model) {
                 load.capacity.add(machine_type.room());
-                load.booked.add(m.used);
+                load.allocated.add(m.used);
             }
         }
         self.load.capacity_cpus = load.capacity.cpus;
         let waiting = self.jobs.values().filter(|j| j.is_waiting());
         let specs = waiting.filter_map(|j| j.spec());
-        let weights = placement::weights(specs, context.config.ops.default_run_s, load);
+        let weights = placement::resource_weights(specs, context.config.ops.default_run_s, load);
         let machines = capacity_index.entries().iter();
         let name_lens = machines.map(|e| e.machine.name.as_str().len());
         PlacementPass {
@@ -260,11 +260,7 @@
         if wanted == 0 {
             return None;
         }
-        let zone_count = context.config.settings.deployment.zones.len();
-        let allowed = pass.capacity_index.allowed(|class| {
-            self.is_eligible(spec, class, context)
-                && (!spec.zones_bound() || class.zone < zone_count)
-        });
+        let allowed = self.allowed_classes(spec, pass, context);
         if allowed.is_empty() {
             return None;
         }
@@ -289,7 +285,8 @@
         }
         let mut zones = self.zone_rule(job, spec);
         let weights = pass.weights;
-        let chosen = placement::place(spec.resources, wanted, &candidates, weights, &mut zones);
+        let chosen =
+            placement::choose_machines(spec.resources, wanted, &candidates, weights, &mut zones);
         let machines = chosen.into_iter().map(|(i, tasks)| SelectedMachine {
             at: entries[i],
             image: candidates[i].image,
@@ -303,17 +300,31 @@
         })
     }
 
+    /// The classes whose machines a job may use. Where zones matter, they must be known.
+    fn allowed_classes(
+        &self,
+        spec: &JobSpec,
+        pass: &PlacementPass,
+        context: &Context,
+    ) -> AllowedClasses {
+        let zone_count = context.config.settings.deployment.zones.len();
+        pass.capacity_index.allowed(|class| {
+            self.is_eligible(spec, class, context)
+                && (!spec.zones_bound() || class.zone < zone_count)
+        })
+    }
+
     /// The rule for the zones of a job's tasks, with those that are on machines already.
     fn zone_rule(&self, job: &ShardJob, spec: &JobSpec) -> ZoneRule {
         let mut zones = ZoneRule {
             together: spec.together,
-            most: spec.apart.then(|| spec.tasks.div_ceil(2)),
+            max_per_zone: spec.apart.then(|| spec.tasks.div_ceil(2)),
             ..ZoneRule::default()
         };
         if spec.zones_bound() {
             for (name, ranges) in &job.desired.started {
                 let zone = self.machines.get(name).map(|m| m.zone);
-                zones.hold(zone.filter(|z| *z != UNKNOWN_ZONE), ranges.len());
+                zones.add_tasks(zone.filter(|z| *z != UNKNOWN_ZONE), ranges.len());
             }
         }
         zones
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -53,7 +53,7 @@
             spec,
             since,
             age_s,
-            missed_objectives: placement::missed(spec, objectives, age_s, waited_s),
+            missed_objectives: placement::missed_objectives(spec, objectives, age_s, waited_s),
             patience_s: placement::patience_s(spec, objectives, waited_s),
             work: f64::from(spec.tasks) * spec.resources.cpus * estimate_s,
         }
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -30,6 +30,7 @@
 }
 
 impl<'a> AttemptOnMachine<'a> {
+    /// An attempt of `task` on `machine`.
     pub fn new(machine: &'a MachineId, task: &'a TaskRef, attempt: Attempt) -> Self {
         AttemptOnMachine {
             machine,
@@ -62,6 +63,7 @@
     }
 }
 
+/// What reconciliation needs to know of a task, by its job's specification.
 pub(super) fn task_traits(spec: Option<&JobSpec>) -> TaskTraits {
     spec.map_or(TaskTraits::default(), |s| TaskTraits {
         standing: s.kind == JobKind::Service,
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -33,6 +33,7 @@
 }
 
 impl ReleasedMachines {
+    /// Whether a machine is one of these.
     pub fn contains(&self, name: &MachineId) -> bool {
         self.names.contains(name)
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,7 +4,8 @@
 use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
 use snowshelf::coordination::gossip::ShardCapacity;
 use snowshelf::coordination::placement::{
-    Image, Load, MachineCandidate, ZoneRule, missed, place, weights,
+    ImageState, Load, MachineCandidate, ZoneRule, choose_machines, missed_objectives,
+    resource_weights,
 };
 use snowshelf::settings::Objective;
 use snowshelf::storage::kv_client::TokenBucket;
@@ -115,11 +116,11 @@
         share: Some(0.9),
     };
     let aims = [aim("wait", 40.0), aim("wait", 80.0), aim("finished", 100.0)];
-    let at = |age| missed(&spec(None), &aims, age, 0.0);
+    let at = |age| missed_objectives(&spec(None), &aims, age, 0.0);
     // The estimate is 10 s, so that the last chance to be finished in time is at 90 s.
     assert_eq!([at(39.0), at(41.0), at(81.0), at(91.0)], [0, 1, 2, 3]);
-    assert_eq!(missed(&spec(Some(300.0)), &[], 299.0, 0.0), 0);
-    assert_eq!(missed(&spec(Some(300.0)), &[], 301.0, 0.0), 1);
+    assert_eq!(missed_objectives(&spec(Some(300.0)), &[], 299.0, 0.0), 0);
+    assert_eq!(missed_objectives(&spec(Some(300.0)), &[], 301.0, 0.0), 1);
 }
 
 fn rooms(list: [(f64, f64, f64); 3]) -> BTreeMap<ShardId, ShardCapacity> {
@@ -194,7 +195,7 @@
 #[test]
 fn weights_follow_the_paper() {
     let load = Load {
-        booked: Resources {
+        allocated: Resources {
             cpus: 8.0,
             gpus: 0.0,
             mem: 10.0,
@@ -206,32 +207,32 @@
         },
     };
     let s = spec(None);
-    let w = weights([&s].into_iter(), 60.0, load);
+    let w = resource_weights([&s].into_iter(), 60.0, load);
     assert!((w.cpus - 2.0 * 0.5 / 16.0).abs() < 1e-12);
     assert!((w.mem - 4.0 * 0.1 / 100.0).abs() < 1e-12);
     assert_eq!(w.gpus, 0.0);
 }
 
 #[test]
-fn seats_go_by_price_then_image_then_rank() {
-    let seat = |cpus: f64, spared: bool, image: Image| MachineCandidate {
+fn candidates_go_by_price_then_image_then_rank() {
+    let candidate = |cpus: f64, scarce: bool, image: ImageState| MachineCandidate {
         free: Resources {
             cpus,
             gpus: 0.0,
             mem: 64.0,
         },
         zone: 0,
-        spared,
-        cap: 99,
+        scarce,
+        max_tasks: 99,
         image,
-        fetches: 0,
-        delay: 0,
+        active_fetches: 0,
+        start_delay: 0,
     };
-    let seats = [
-        seat(2.0, true, Image::Cached),
-        seat(8.0, false, Image::Absent),
-        seat(8.0, false, Image::Cached),
-        seat(4.0, false, Image::Cached),
+    let candidates = [
+        candidate(2.0, true, ImageState::Cached),
+        candidate(8.0, false, ImageState::Absent),
+        candidate(8.0, false, ImageState::Cached),
+        candidate(4.0, false, ImageState::Cached),
     ];
     let w = Resources {
         cpus: 1.0,
@@ -243,10 +244,10 @@
         gpus: 0.0,
         mem: 1.0,
     };
-    let chosen = place(task, 2, &seats, w, &mut ZoneRule::default());
-    // The seat that is filled exactly comes first.
+    let chosen = choose_machines(task, 2, &candidates, w, &mut ZoneRule::default());
+    // The candidate that is filled exactly comes first.
     assert_eq!(chosen, vec![(3, 2)]);
-    let order: Vec<usize> = place(task, 99, &seats, w, &mut ZoneRule::default())
+    let order: Vec<usize> = choose_machines(task, 99, &candidates, w, &mut ZoneRule::default())
         .iter()
         .map(|c| c.0)
         .collect();
@@ -254,46 +255,46 @@
     assert_eq!(order[2], 1);
 }
 
-/// Guards against more than half of a job in one zone after a takeover: machines that had not
-/// reported yet counted as a zone of their own.
+/// Guards against more than half of a job in one zone after a failover: machines of which
+/// no heartbeat had come yet counted as a zone of their own.
 #[test]
 fn tasks_in_an_unknown_zone_may_be_in_any() {
-    let seat = MachineCandidate {
+    let candidate = MachineCandidate {
         free: pool_room(),
         zone: 0,
-        cap: 99,
-        spared: false,
-        image: Image::Cached,
-        fetches: 0,
-        delay: 0,
+        max_tasks: 99,
+        scarce: false,
+        image: ImageState::Cached,
+        active_fetches: 0,
+        start_delay: 0,
     };
     let task = want(1, true).resources;
     let placed = |mut zones: ZoneRule| {
-        let chosen = place(
+        let chosen = choose_machines(
             task,
             9,
-            std::slice::from_ref(&seat),
+            std::slice::from_ref(&candidate),
             pool_room(),
             &mut zones,
         );
         chosen.iter().map(|(_, n)| n).sum::<u32>()
     };
     let apart = || ZoneRule {
-        most: Some(3),
+        max_per_zone: Some(3),
         ..ZoneRule::default()
     };
     assert_eq!(placed(apart()), 3);
     let mut unknown = apart();
-    unknown.hold(None, 2);
+    unknown.add_tasks(None, 2);
     assert_eq!(placed(unknown), 1);
     let mut elsewhere = apart();
-    elsewhere.hold(Some(1), 2);
+    elsewhere.add_tasks(Some(1), 2);
     assert_eq!(placed(elsewhere), 3);
     let mut together = ZoneRule {
         together: true,
         ..ZoneRule::default()
     };
-    together.hold(None, 1);
+    together.add_tasks(None, 1);
     assert_eq!(placed(together), 0);
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,7 +6,7 @@
 use snowshelf::coordination::dependencies::DependencyGraph;
 use snowshelf::coordination::gossip::{HEARD_BYTES, MISSING_BYTES, RoundRobinNames, ShardCapacity};
 use snowshelf::coordination::leases::{LeaseDecision, decide_lease};
-use snowshelf::coordination::placement::{Image, MachineCandidate, ZoneRule, place};
+use snowshelf::coordination::placement::{ImageState, MachineCandidate, ZoneRule, choose_machines};
 use snowshelf::storage::record_cache::{Final, RecordCache, Versioned};
 use snowshelf::transport::http::{Parsed, parse_answer, parse_request};
 use snowshelf_model::ids::{
@@ -394,22 +394,22 @@
     }
 
     #[test]
-    fn placement_keeps_to_room_and_zones(
-        seats in proptest::collection::vec((0.0..20.0f64, 0..3usize, 0..9u32, any::<bool>()), 0..12),
+    fn placement_keeps_to_resources_and_zones(
+        candidates in proptest::collection::vec((0.0..20.0f64, 0..3usize, 0..9u32, any::<bool>()), 0..12),
         want in 1..40u32, together: bool, most in proptest::option::of(1..20u32),
     ) {
         let task = Resources { cpus: 2.0, gpus: 0.0, mem: 0.0 };
-        let seats: Vec<MachineCandidate> = seats.into_iter().map(|(cpus, zone, cap, has_image)| MachineCandidate {
-            free: Resources { cpus, gpus: 0.0, mem: 1.0 }, zone, cap, spared: false,
-            image: if has_image { Image::Cached } else { Image::Absent }, fetches: 0, delay: 0,
+        let candidates: Vec<MachineCandidate> = candidates.into_iter().map(|(cpus, zone, max_tasks, has_image)| MachineCandidate {
+            free: Resources { cpus, gpus: 0.0, mem: 1.0 }, zone, max_tasks, scarce: false,
+            image: if has_image { ImageState::Cached } else { ImageState::Absent }, active_fetches: 0, start_delay: 0,
         }).collect();
-        let mut zones = ZoneRule { together, most, ..ZoneRule::default() };
-        let chosen = place(task, want, &seats, Resources { cpus: 1.0, gpus: 0.0, mem: 0.0 }, &mut zones);
+        let mut zones = ZoneRule { together, max_per_zone: most, ..ZoneRule::default() };
+        let chosen = choose_machines(task, want, &candidates, Resources { cpus: 1.0, gpus: 0.0, mem: 0.0 }, &mut zones);
         let mut by_zone: BTreeMap<usize, u32> = BTreeMap::new();
         for (i, n) in &chosen {
-            prop_assert!(task.times(f64::from(*n)).cpus <= seats[*i].free.cpus + 1e-6);
-            prop_assert!(*n <= seats[*i].cap);
-            *by_zone.entry(seats[*i].zone).or_default() += n;
+            prop_assert!(task.times(f64::from(*n)).cpus <= candidates[*i].free.cpus + 1e-6);
+            prop_assert!(*n <= candidates[*i].max_tasks);
+            *by_zone.entry(candidates[*i].zone).or_default() += n;
         }
         prop_assert!(chosen.iter().map(|(_, n)| n).sum::<u32>() <= want);
         prop_assert!(!together || by_zone.len() <= 1);
