--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -155,8 +155,8 @@
     pub tasks_by_zone: BTreeMap<usize, u32>,
 }
 
-/// Stands for the zone of machines whose zone is not known.
-const UNKNOWN_ZONE: usize = usize::MAX;
+/// Stands for the index of a zone that is not known, or not named by the settings.
+pub(crate) const UNKNOWN_ZONE: usize = usize::MAX;
 
 impl ZoneRule {
     /// Counts tasks that may be on machines of a zone; `None`: of a zone not known yet, as after a failover, so that
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -3,7 +3,8 @@
 
 use super::Shard;
 use super::capacity::CapacityIndex;
-use super::placement::{PlacementPass, PlacementScope};
+use super::placement::PlacementPass;
+use super::placement_request::PlacementScope;
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
 use snowshelf_fair_share::backfill::{
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -1,7 +1,8 @@
 //! The machines of a shard as placement sees them: what they have free, and which jobs they may run.
 
 use super::Shard;
-use super::placement::{PlacementPass, PlacementRequest};
+use super::placement::PlacementPass;
+use super::placement_request::PlacementRequest;
 use super::reservations::MachineReservation;
 use crate::coordination::context::Context;
 use crate::coordination::images::Images;
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -1,8 +1,9 @@
 //! Heartbeats of workers: which of them are accepted, what they change, and when they are responded to.
 
 use super::Shard;
-use super::machine::{DeferredResponse, Machine, UNKNOWN_ZONE};
+use super::machine::{DeferredResponse, Machine};
 use crate::coordination::context::Context;
+use crate::coordination::placement::UNKNOWN_ZONE;
 use crate::effects::Response;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_model::ids::{ConnectionId, MachineId, MonotonicMillis, seconds_to_ms};
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -1,6 +1,7 @@
 //! What a shard's leader knows of a machine.
 
 use crate::coordination::images::Images;
+use crate::coordination::placement::UNKNOWN_ZONE;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_model::ids::{
     AgentIncarnation, ConnectionId, HeartbeatSequence, JobId, MonotonicMillis, seconds_to_ms,
@@ -28,9 +29,6 @@
     pub deadline: MonotonicMillis,
 }
 
-/// The index of a zone that the settings do not name.
-pub(super) const UNKNOWN_ZONE: usize = usize::MAX;
-
 /// A machine of the shard.
 pub(super) struct Machine {
     /// The name of its machine type.
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -18,6 +18,7 @@
 mod machine;
 mod persistence;
 mod placement;
+mod placement_request;
 mod preemption;
 mod queue;
 mod quota;
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -1,13 +1,13 @@
 //! Placement passes over the shard's waiting jobs and open machines.
 
 use super::Shard;
-use super::capacity::{CapacityIndex, candidate};
+use super::capacity::CapacityIndex;
 use super::demand::DemandMatch;
 use super::job::ShardJob;
-use super::machine::UNKNOWN_ZONE;
+use super::placement_request::{PlacementRequest, PlacementScope};
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
-use crate::coordination::placement::{self, ImageState, Load, MachineCandidate, ZoneRule};
+use crate::coordination::placement::{self, ImageState, Load, UNKNOWN_ZONE, ZoneRule};
 use snowshelf_fair_share::grants::QuotaShortfall;
 use snowshelf_machine_index::capacity_index::AllowedClasses;
 use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
@@ -17,10 +17,8 @@
 
 /// The least time between two passes: heartbeats that come in between share one.
 const PASS_INTERVAL_MS: u64 = 50;
-/// After so many failures in a row with nothing completed, a job's tasks are tried one at a time.
-const FAILURES_BEFORE_SINGLE_TASKS: u32 = 2;
-/// Stands for memory that no quota limits.
-const UNLIMITED: f64 = f64::MAX / 4.0;
+/// Stands for memory, which no quota limits.
+pub(super) const UNLIMITED: f64 = f64::MAX / 4.0;
 
 /// When placement ran and what came of it.
 pub(super) struct PlacementState {
@@ -55,84 +53,6 @@
     unplaceable: UnplaceableShapes,
 }
 
-/// Where a job's tasks may be placed.
-#[derive(Clone, PartialEq)]
-pub(super) enum PlacementScope {
-    /// On any machine that is not reserved for others.
-    Anywhere,
-    /// Only where its image is or is being fetched.
-    WithImage,
-    /// On the machine that is reserved for it.
-    On(MachineId),
-}
-
-/// A job to be placed.
-#[derive(Clone, Copy)]
-pub(super) struct PlacementRequest<'a> {
-    pub queued: &'a QueuedJob,
-    pub scope: &'a PlacementScope,
-    pub job: &'a ShardJob,
-    pub spec: &'a JobSpec,
-}
-
-impl PlacementRequest<'_> {
-    fn only_with_image(&self) -> bool {
-        *self.scope == PlacementScope::WithImage
-    }
-
-    fn on_reserved_machine(&self) -> bool {
-        matches!(self.scope, PlacementScope::On(_))
-    }
-
-    /// How many tasks may be started at once.
-    fn wanted_tasks(&self) -> u32 {
-        let waiting = self.job.desired.waiting.len();
-        if self.job.consecutive_failures >= FAILURES_BEFORE_SINGLE_TASKS
-            && self.job.desired.finished.is_empty()
-        {
-            waiting.min(1u32.saturating_sub(self.job.started_tasks))
-        } else {
-            waiting
-        }
-    }
-
-    /// Whether a machine may be used, as far as backfill reservations go.
-    fn may_use(&self, name: &MachineId, pass: &PlacementPass) -> bool {
-        match self.scope {
-            PlacementScope::On(machine) => machine == name,
-            PlacementScope::Anywhere | PlacementScope::WithImage => {
-                let reserved_for = pass.backfill.get(name);
-                reserved_for.is_none_or(|job| *job == self.queued.job)
-            }
-        }
-    }
-
-    /// The machines with free resources for a task that may take one now: their places in the index, and what
-    /// placement weighs of them.
-    fn candidates(
-        &self,
-        allowed: &AllowedClasses,
-        pass: &mut PlacementPass,
-        context: &Context,
-    ) -> (Vec<usize>, Vec<MachineCandidate>) {
-        let mut fitting = pass.capacity_index.fitting(self.spec.resources, allowed);
-        let mut candidates = Vec::with_capacity(fitting.len());
-        fitting.retain(|at| {
-            if !self.may_use(&pass.capacity_index.entries()[*at].machine.name, pass) {
-                return false;
-            }
-            let candidate = candidate(*self, *at, pass, context);
-            let without_image = self.only_with_image() && candidate.image == ImageState::Absent;
-            let usable = candidate.max_tasks > 0 && !without_image;
-            if usable {
-                candidates.push(candidate);
-            }
-            usable
-        });
-        (fitting, candidates)
-    }
-}
-
 /// The machines chosen for tasks of a job.
 struct Selection {
     /// What one task needs.
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -1,6 +1,7 @@
 //! The order in which a shard's waiting jobs are served.
 
 use super::Shard;
+use super::placement::UNLIMITED;
 use crate::coordination::context::Context;
 use crate::coordination::placement;
 use snowshelf_fair_share::shortage::Shortage;
@@ -9,9 +10,6 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// Stands for memory that no quota limits.
-const UNLIMITED: f64 = f64::MAX / 4.0;
-
 /// A waiting job in the queue.
 pub(super) struct QueuedJob {
     /// Outside of its team's quota; priority; objectives missed: the least goes first.
