--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -9,7 +9,7 @@
 use super::cloud_client::{CloudClient, CloudRequest};
 use super::context::Context;
 use super::placement::patience_s;
-use super::shard::reservations::stay_ms;
+use super::shard::reservations::expected_stay_ms;
 use crate::effects::{CallOutcome, Effects, Method};
 use reserving::{reserved, shut};
 use snowshelf_model::ids::{FencingToken, MachineId, MonotonicMillis, seconds_to_ms};
@@ -370,7 +370,7 @@
                             &context.config.settings.deployment.objectives,
                             waited_s,
                         ),
-                    shut: shut(stay_ms(spec, context), context),
+                    shut: shut(expected_stay_ms(spec, context), context),
                 });
             }
         }
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -64,7 +64,7 @@
         constraints.restarted_tasks = self.gossip.restarted_tasks(now);
         self.for_each_shard(|shard, context| {
             let shard_id = shard.id;
-            let restarted = shard.again(context).into_iter();
+            let restarted = shard.restarted_tasks(context).into_iter();
             let restarted = restarted.map(|(job, tasks)| ((shard_id, job), tasks));
             context.drains.restarted_tasks.extend(restarted);
         });
@@ -103,11 +103,13 @@
         let mut led: BTreeSet<ShardId> = self.gossip.led_shards(now);
         led.extend(self.shards.keys());
         self.for_each_shard(|shard, context| {
-            observations.empty.extend(shard.emptied(context));
-            observations.failing.extend(shard.sick().cloned());
+            observations.empty.extend(shard.drained_machines(context));
+            observations
+                .failing
+                .extend(shard.quarantined_machines().cloned());
             observations
                 .blockers
-                .extend(shard.held_back.iter().cloned());
+                .extend(shard.blocked_evictions().iter().cloned());
         });
         let mut shards = (0..self.env.config.shard_count).map(ShardId);
         observations.complete = shards.all(|shard_id| led.contains(&shard_id));
@@ -138,14 +140,21 @@
         let text = |machine: &MachineId| machine.as_str().to_string();
         for status in statuses {
             self.with_shard(ShardId(status.shard_id), |shard, context| {
-                status.empty = shard.emptied(context).iter().map(text).collect();
+                status.empty = shard.drained_machines(context).iter().map(text).collect();
                 status.empty.truncate(MAX_EMPTY_MACHINES);
-                status.failing_machines = shard.sick().map(text).take(MAX_NAMES).collect();
-                let reasons = shard.held_back.iter().take(MAX_REASONS);
+                status.failing_machines = shard
+                    .quarantined_machines()
+                    .map(text)
+                    .take(MAX_NAMES)
+                    .collect();
+                let reasons = shard.blocked_evictions().iter().take(MAX_REASONS);
                 status.blocked_by = reasons.cloned().collect();
-                let lost = shard.losing(now, context).into_iter();
+                let lost = shard.tasks_at_risk(now, context).into_iter();
                 status.lost = lost.map(lost_tasks).collect();
-                let restarted = shard.again(context).into_iter().take(MAX_RESTARTED_JOBS);
+                let restarted = shard
+                    .restarted_tasks(context)
+                    .into_iter()
+                    .take(MAX_RESTARTED_JOBS);
                 status.restarted = restarted
                     .map(|(job, tasks)| RestartedTasks {
                         job: job.as_str().to_string(),
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -99,7 +99,7 @@
         } = received;
         let mut refused = None;
         self.with_shard(shard_id, |shard, context| {
-            refused = shard.check_in(conn, heartbeat, received_at, context);
+            refused = shard.on_heartbeat(conn, heartbeat, received_at, context);
         });
         let (refusal, heartbeat) = refused?;
         let received = ReceivedHeartbeat {
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -136,7 +136,7 @@
             return;
         };
         f(shard, &mut self.env.context());
-        if !shard.deposed {
+        if !shard.fenced {
             return;
         }
         let fencing_token = shard.fencing_token;
@@ -159,7 +159,7 @@
     /// Stops leading a shard, and redirects the workers that wait for its responses.
     fn drop_shard(&mut self, shard_id: ShardId) {
         if let Some(mut shard) = self.shards.remove(&shard_id) {
-            shard.drop_held(&mut self.env.context());
+            shard.redirect_deferred_requests(&mut self.env.context());
         }
     }
 }
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -43,7 +43,7 @@
     fn status(&mut self) -> PeerStatus {
         let now = self.env.now();
         let shards = self.shards.values();
-        let teams = shards.flat_map(|shard| shard.short_of.keys());
+        let teams = shards.flat_map(|shard| shard.teams_short_of_quota());
         let teams: BTreeSet<String> = teams.map(|team| team.as_str().to_string()).collect();
         let shards = self.shard_statuses();
         PeerStatus {
@@ -74,7 +74,7 @@
             let now = self.env.now();
             let machines = self.shards.values();
             let machines: BTreeSet<MachineId> = machines
-                .flat_map(|shard| shard.heard(now, RECENT_HEARTBEAT_MS))
+                .flat_map(|shard| shard.machines_heard_since(now, RECENT_HEARTBEAT_MS))
                 .cloned()
                 .collect();
             let names = &mut self.peer_status.heartbeat_names;
@@ -113,12 +113,12 @@
 /// A shard's status, but for its machines and what concerns drains.
 fn shard_status(shard: &Shard, is_reserved: bool) -> ShardStatus {
     let failing = shard.failing().take(MAX_FAILING_JOBS);
-    let reserved = shard.kept_room.iter();
+    let reserved = shard.reserved_for_teams().iter();
     ShardStatus {
         shard_id: shard.id.0,
-        free_cpus: shard.free_cpus,
-        capacity_cpus: shard.room().capacity,
-        waiting_cpus: shard.waiting_cpus,
+        free_cpus: shard.capacity().free,
+        capacity_cpus: shard.capacity().capacity,
+        waiting_cpus: shard.capacity().waiting,
         pools: match is_reserved {
             true => pool_sizes(shard),
             false => Vec::new(),
--- a/src/coordination/controller/record_changes.rs
+++ b/src/coordination/controller/record_changes.rs
@@ -26,7 +26,7 @@
         }
         self.for_each_shard(|shard, context| {
             for job in &jobs {
-                shard.refresh(job, context);
+                shard.refresh_job(job, context);
             }
         });
     }
@@ -37,11 +37,11 @@
             let new: Vec<JobId> = context
                 .records
                 .shard_allocations(shard.id)
-                .filter(|(job, _)| !shard.knows(job))
+                .filter(|(job, _)| !shard.has_job(job))
                 .map(|(job, _)| job.clone())
                 .collect();
             for job in new {
-                shard.refresh(&job, context);
+                shard.refresh_job(&job, context);
             }
         });
     }
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -43,7 +43,7 @@
             let confirmed = matches!(outcome, CallOutcome::Response { status: 200, .. });
             self.with_shard(shard_id, |shard, context| {
                 if shard.fencing_token == fencing_token {
-                    shard.returned(&machines, confirmed, context);
+                    shard.on_machines_released(&machines, confirmed, context);
                 }
             });
         }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -161,7 +161,7 @@
         }
         let sizes = Rc::new(sizes);
         for shard in self.shards.values_mut() {
-            shard.elsewhere = sizes.clone();
+            shard.set_machines_elsewhere(sizes.clone());
         }
     }
 
@@ -180,10 +180,10 @@
         }
         let offers = Rc::new(offers);
         self.for_each_shard(|shard, context| {
-            shard.offered = offers.clone();
+            shard.set_foreign_offers(offers.clone());
             shard.tick(lease_valid, &short_of_quota, &missing, context);
             if !may_respond {
-                shard.drop_held(context);
+                shard.redirect_deferred_requests(context);
             }
         });
     }
@@ -215,10 +215,14 @@
     fn tick_job_api(&mut self) {
         let now = self.env.now();
         let mut capacities = self.gossip.shard_capacities(now);
-        capacities.extend(self.shards.values().map(|shard| (shard.id, shard.room())));
+        capacities.extend(
+            self.shards
+                .values()
+                .map(|shard| (shard.id, shard.capacity())),
+        );
         let mut reserved = self.gossip.reserved_cpus(now);
         for shard in self.shards.values() {
-            let own = shard.kept_room.iter();
+            let own = shard.reserved_for_teams().iter();
             reserved.extend(own.map(|(team, room)| ((shard.id, team.clone()), room.promised)));
         }
         self.job_api.set_capacity(capacities, reserved);
@@ -250,7 +254,7 @@
         if autoscaler.wants_heard(now) {
             let mut machines = self.gossip.machines_with_heartbeats(now);
             for shard in self.shards.values() {
-                let own = shard.heard(now, RECENT_HEARTBEAT_MS);
+                let own = shard.machines_heard_since(now, RECENT_HEARTBEAT_MS);
                 machines.extend(own.map(|machine| machine.as_str().to_string()));
             }
             autoscaler.note_heard(now, machines.into_iter());
