--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -5,10 +5,9 @@
 use crate::coordination::context::KvRequest;
 use crate::coordination::dag_runs;
 use crate::coordination::drains;
-use crate::coordination::drains::DrainsRequest;
 use crate::coordination::query;
 use crate::coordination::request_error::RequestError;
-use crate::coordination::reservations::{self, CalendarRequest};
+use crate::coordination::reservations;
 use crate::coordination::shard::ShardProgress;
 use crate::coordination::unavailable::Unavailable;
 use crate::effects::{Request, Response};
@@ -32,7 +31,6 @@
 /// So many jobs are read by themselves at once, which leaves the reading its room; and how long each may take.
 const LISTED_UNDERWAY: usize = 8;
 const LISTED_MS: u64 = 1_500;
-const WRONG_METHOD: &str = "this path does not take that method";
 
 impl Controller {
     pub(super) fn request(&mut self, conn: ConnectionId, request: Request) {
@@ -56,7 +54,11 @@
                     && let Some(parsed) =
                         reservations::parse_request(method, &request.path, &request.body)
                 {
-                    self.calendar_request(conn, parsed);
+                    self.handle_parsed(conn, parsed, |controller, request| {
+                        controller.with_reservations(|reservations, context| {
+                            reservations.handle(conn, request, context);
+                        });
+                    });
                     return;
                 }
                 if self.config.ops.drains.enabled
@@ -67,13 +69,21 @@
                         WallClockMillis(self.effects.wall_ms),
                     )
                 {
-                    self.drains_request(conn, parsed);
+                    self.handle_parsed(conn, parsed, |controller, request| {
+                        controller
+                            .with_drains(|drains, context| drains.handle(conn, request, context));
+                    });
                     return;
                 }
                 if self.config.ops.graphs.enabled
-                    && let Some(read) = dag_runs::read(method, &request.path, &request.body)
+                    && let Some(parsed) =
+                        dag_runs::parse_request(method, &request.path, &request.body)
                 {
-                    self.graphs(conn, read);
+                    self.handle_parsed(conn, parsed, |controller, request| {
+                        controller.with_dag_runs(|dag_runs, context| {
+                            dag_runs.handle(conn, request, context);
+                        });
+                    });
                     return;
                 }
                 let Some(rest) = path.strip_prefix("/api/jobs/") else {
@@ -103,31 +113,17 @@
         }
     }
 
-    /// A request on reservations or maintenance windows.
-    fn calendar_request(
+    /// Answers a request that could not be parsed; else has it handled, if the key-value store serves.
+    fn handle_parsed<R>(
         &mut self,
         conn: ConnectionId,
-        request: Result<CalendarRequest, RequestError>,
+        parsed: Result<R, RequestError>,
+        handle: impl FnOnce(&mut Controller, R),
     ) {
-        let response = match request {
-            Ok(_) if self.state_silent_ms() >= UNSERVED_MS => Unavailable::StoreDown.into(),
-            Ok(request) => {
-                self.with_reservations(|reservations, context| {
-                    reservations.handle(conn, request, context);
-                });
-                return;
-            }
-            Err(error) => error.into(),
-        };
-        self.effects.respond(conn, response);
-    }
-
-    /// A request on drains or disruption budgets.
-    fn drains_request(&mut self, conn: ConnectionId, request: Result<DrainsRequest, RequestError>) {
-        let response = match request {
+        let response = match parsed {
             Ok(_) if self.state_silent_ms() >= UNSERVED_MS => Unavailable::StoreDown.into(),
             Ok(request) => {
-                self.with_drains(|drains, context| drains.handle(conn, request, context));
+                handle(self, request);
                 return;
             }
             Err(error) => error.into(),
@@ -135,26 +131,8 @@
         self.effects.respond(conn, response);
     }
 
-    /// A request to graphs' runs.
-    fn graphs(&mut self, conn: ConnectionId, read: dag_runs::Read) {
-        let response = match read {
-            dag_runs::Read::Ask(_) if self.state_silent_ms() >= UNSERVED_MS => {
-                Response::later(503, "the state service is away", 2)
-            }
-            dag_runs::Read::Ask(ask) => {
-                self.with_dag_runs(|dag_runs, context| dag_runs.take(conn, ask, context));
-                return;
-            }
-            dag_runs::Read::Malformed(why) => Response::error(400, &why),
-            dag_runs::Read::NoSuchPath => Response::error(404, "no such path"),
-            dag_runs::Read::WrongMethod => Response::error(405, WRONG_METHOD),
-        };
-        self.effects.respond(conn, response);
-    }
-
     fn wrong_method(&mut self, conn: ConnectionId) {
-        self.effects
-            .respond(conn, Response::error(405, WRONG_METHOD));
+        self.effects.respond(conn, RequestError::WrongMethod.into());
     }
 
     fn ready(&mut self, conn: ConnectionId) {
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -174,7 +174,7 @@
     fn tick_runs(&mut self) {
         // Which of a run's jobs have ended must be known, or they would be submitted again.
         let known = self.records.loaded && !self.list_watch.reads_ended();
-        if !known || self.types.is_empty() || self.dag_runs.idle(&self.records) {
+        if !known || self.types.is_empty() || self.dag_runs.is_idle(&self.records) {
             return;
         }
         let mut errors = self.gossip.failing(self.effects.now);
@@ -186,7 +186,7 @@
         let leases = std::mem::take(&mut self.leases);
         dag_runs.tick(&leases, &errors, &mut job_api, &mut self.context());
         if self.autoscaler.is_some() {
-            dag_runs.tidy(&mut self.context());
+            dag_runs.remove_ended(&mut self.context());
         }
         self.leases = leases;
         self.job_api = job_api;
--- /dev/null
+++ b/src/coordination/dag_runs/open_run.rs
@@ -0,0 +1,213 @@
+//! A run as this controller has expanded it, and what it has observed of its jobs.
+
+use crate::coordination::context::Context;
+use snowshelf_dag::packing;
+use snowshelf_dag::plan::{Plan, expand, job_id};
+use snowshelf_dag::run::{Asked, Decision, Seen, decide};
+use snowshelf_model::ids::{JobId, MonotonicMillis};
+use snowshelf_model::protocol::user::Submission;
+use snowshelf_model::records::{JobState, RunId, RunRecord};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Why the definition of a run cannot be expanded.
+#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
+pub(super) enum ExpansionError {
+    /// Its chunks cannot be unpacked.
+    #[error("{0}")]
+    Unpack(String),
+    /// The definition has problems, one after the other.
+    #[error("{0}")]
+    Problems(String),
+}
+
+/// The definition of a run, once all its chunks are cached.
+pub(super) fn unpack_run(
+    id: &RunId,
+    record: &RunRecord,
+    context: &Context,
+) -> Option<Result<Asked, ExpansionError>> {
+    let definition = packing::unpack_pieces(record.pieces, |chunk| {
+        let key = (id.clone(), record.hash.clone(), chunk);
+        context.records.plans.get(&key).map(|text| text.as_str())
+    })?;
+    Some(definition.map_err(ExpansionError::Unpack))
+}
+
+/// A run's plan and the observed state of its jobs, by their index in the plan.
+pub(super) struct OpenRun {
+    /// The jobs, and what each depends on.
+    pub(super) plan: Plan,
+    max_active_tasks: Option<usize>,
+    /// What was last observed of each job; ends stay, whatever the record cache drops.
+    observed: Vec<Seen>,
+    /// Ids of each job in earlier runs that have not been looked up yet.
+    earlier_jobs: Vec<Vec<JobId>>,
+    /// Whether a job succeeded in an earlier run; known once all those have been looked up.
+    inherited: Vec<bool>,
+    /// Since when a job with a timeout has run.
+    running_since: BTreeMap<usize, MonotonicMillis>,
+    /// When its jobs were last observed.
+    pub(super) observed_at: MonotonicMillis,
+    /// When it was last advanced. Guards against a run that makes no progress because it is polled all the
+    /// time.
+    pub(super) advanced_at: MonotonicMillis,
+    /// As of which change of jobs it was last advanced.
+    pub(super) advanced_change: u64,
+}
+
+impl OpenRun {
+    /// Expands a run, once all its chunks are cached.
+    ///
+    /// # Errors
+    /// Why it cannot be expanded.
+    pub(super) fn expand(
+        id: &RunId,
+        record: &RunRecord,
+        context: &Context,
+    ) -> Option<Result<OpenRun, ExpansionError>> {
+        let definition = unpack_run(id, record, context)?;
+        Some(definition.and_then(|definition| OpenRun::new(id, &definition)))
+    }
+
+    fn new(id: &RunId, definition: &Asked) -> Result<OpenRun, ExpansionError> {
+        let facts = definition.facts();
+        let plan =
+            expand(&definition.graph, &definition.mapping, &facts, "run").map_err(|problems| {
+                let problems: Vec<String> = problems.iter().map(ToString::to_string).collect();
+                ExpansionError::Problems(problems.join("; "))
+            })?;
+        let earlier_jobs = plan.jobs.iter().map(|job| {
+            let runs = definition.after.iter();
+            runs.map(|run| job_id(&id.graph, run, &job.step, job.copy))
+                .collect()
+        });
+        Ok(OpenRun {
+            earlier_jobs: earlier_jobs.collect(),
+            inherited: vec![false; plan.jobs.len()],
+            observed: vec![Seen::Not; plan.jobs.len()],
+            max_active_tasks: definition.graph.max_active_tasks.map(|n| n as usize),
+            plan,
+            running_since: BTreeMap::new(),
+            observed_at: MonotonicMillis(0),
+            advanced_at: MonotonicMillis(0),
+            advanced_change: 0,
+        })
+    }
+
+    /// Looks up what became of jobs in earlier runs. Returns ids of some that must be read first, if any;
+    /// no more jobs are looked up after `max_reads` of them.
+    pub(super) fn inherit(&mut self, max_reads: usize, context: &Context) -> Vec<JobId> {
+        let mut unknown = Vec::new();
+        for (i, ids) in self.earlier_jobs.iter_mut().enumerate() {
+            ids.retain(|id| match context.records.final_of(id) {
+                Some(end) => {
+                    self.inherited[i] |= end.run && end.state == JobState::Done;
+                    false
+                }
+                // Open, or not known here.
+                None => !self.inherited[i],
+            });
+            if self.inherited[i] {
+                ids.clear();
+                self.observed[i] = Seen::Done;
+            } else if unknown.len() < max_reads {
+                unknown.extend(ids.first().cloned());
+            }
+        }
+        unknown
+    }
+
+    /// Notes that a job was never submitted in an earlier run.
+    pub(super) fn exclude_earlier_job(&mut self, id: &JobId) {
+        for ids in &mut self.earlier_jobs {
+            ids.retain(|other| other != id);
+        }
+    }
+
+    /// Whether all earlier runs have been looked up.
+    pub(super) fn has_inherited(&self) -> bool {
+        self.earlier_jobs.iter().all(Vec::is_empty)
+    }
+
+    /// A job as it is submitted: without the dependencies that an earlier run has met.
+    pub(super) fn submission(&self, index: usize) -> Submission {
+        let job = &self.plan.jobs[index];
+        let mut submission = job.submission.clone();
+        let is_met = |id: &JobId| {
+            let mut upstream = job.after.iter();
+            upstream.any(|u| self.inherited[*u] && self.plan.jobs[*u].submission.job == *id)
+        };
+        submission.dependencies.retain(|id| !is_met(id));
+        submission
+    }
+
+    /// Observes all jobs anew, and decides what to submit, at most `max_submissions`, and what to cancel.
+    pub(super) fn decide(
+        &mut self,
+        record: &RunRecord,
+        max_submissions: usize,
+        context: &Context,
+    ) -> Decision {
+        self.observed_at = context.effects.now;
+        for (observed, job) in self.observed.iter_mut().zip(&self.plan.jobs) {
+            if matches!(*observed, Seen::Done | Seen::Aborted | Seen::Foreign) {
+                continue;
+            }
+            let id = &job.submission.job;
+            let state = match (context.records.final_of(id), context.records.jobs.get(id)) {
+                (Some(end), _) => Some((end.state, end.run)),
+                (None, Some(v)) => Some((v.value.state, v.value.run)),
+                (None, None) => None,
+            };
+            *observed = match state {
+                None => *observed,
+                Some((_, false)) => Seen::Foreign,
+                Some((JobState::Open, true)) => Seen::Open,
+                Some((JobState::Done, true)) => Seen::Done,
+                Some((JobState::Cancelled, true)) => Seen::Aborted,
+            };
+        }
+        let failed: BTreeSet<usize> = record.failed.iter().map(|(t, _)| t.0 as usize).collect();
+        decide(
+            &self.plan,
+            &self.observed,
+            &failed,
+            record.cancel,
+            self.max_active_tasks,
+            max_submissions,
+        )
+    }
+
+    /// Open jobs that have failed for good: too often, or for too long. `errors` is how often the worst
+    /// task of a job has failed.
+    pub(super) fn failed_jobs(
+        &mut self,
+        errors: &BTreeMap<JobId, u32>,
+        context: &Context,
+    ) -> Vec<u32> {
+        let mut failed = Vec::new();
+        for (i, job) in self.plan.jobs.iter().enumerate() {
+            if self.observed[i] != Seen::Open {
+                self.running_since.remove(&i);
+                continue;
+            }
+            let id = &job.submission.job;
+            let retries_exhausted = errors.get(id).is_some_and(|n| *n > job.retries);
+            let timed_out = job.timeout_s.is_some_and(|timeout_s| {
+                let record = context.records.jobs.get(id).map(|v| &v.value);
+                let counts = record.map(|r| context.records.counts(id, &r.shards, r.tasks));
+                if counts.is_none_or(|(_, running)| running == 0) {
+                    self.running_since.remove(&i);
+                    return false;
+                }
+                let now = context.effects.now;
+                let since = *self.running_since.entry(i).or_insert(now);
+                now.since(since) as f64 > timeout_s * 1000.0
+            });
+            if retries_exhausted || timed_out {
+                failed.push(i as u32);
+            }
+        }
+        failed
+    }
+}
--- /dev/null
+++ b/src/coordination/dag_runs/requests.rs
@@ -0,0 +1,167 @@
+//! Requests on DAGs and their runs, parsed from method, path and body.
+
+use crate::coordination::query::{param, split};
+use crate::coordination::request_error::RequestError;
+use serde_json::Value;
+use snowshelf_dag::packing;
+use snowshelf_dag::run::Asked;
+use snowshelf_model::records::{RunId, sound};
+
+/// A definition of a DAG or of one run, with its packed text.
+#[derive(Debug)]
+pub struct PackedDefinition {
+    /// The definition.
+    pub definition: Box<Asked>,
+    /// The same, packed.
+    pub text: String,
+}
+
+/// A request on DAGs or their runs.
+#[derive(Debug)]
+pub enum DagRequest {
+    /// Starts a run.
+    StartRun(RunId, PackedDefinition),
+    /// Shows a run and some of its steps.
+    ShowRun {
+        /// The run.
+        run: RunId,
+        /// How many steps are skipped.
+        after: usize,
+        /// How many steps are shown at most.
+        limit: usize,
+    },
+    /// Cancels a run.
+    CancelRun(RunId),
+    /// Starts a run of what did not succeed in another, with a new name.
+    Rerun(RunId, String),
+    /// Stores a DAG under its name.
+    Define(String, PackedDefinition),
+    /// Shows a DAG's schedule.
+    ShowDag(String),
+    /// Pauses or resumes a DAG's schedule.
+    SetPaused(String, bool),
+}
+
+/// What names of DAGs and runs must be.
+const NAME_RULE: &str = "must be 1 to 64 letters, digits, '.', '_', ':', '+' or '-'";
+
+/// What is wrong with the body of a request; its `Display` is the text that the user reads.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidDagBody {
+    /// The body is not JSON.
+    #[error("body: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// The packed definition cannot be unpacked.
+    #[error("packed: {0}")]
+    Packed(String),
+    /// The definition has a wrong or missing field.
+    #[error("{0}")]
+    Definition(#[source] serde_json::Error),
+    /// The definition's name is not the one in the path.
+    #[error("graph.name: is another than the path's")]
+    OtherName,
+    /// The name of the DAG is malformed.
+    #[error("graph.name: {}", NAME_RULE)]
+    DagName,
+    /// The name of the run is malformed.
+    #[error("run: {}, and so must the graph's name", NAME_RULE)]
+    RunName,
+    /// The new name of a repeated run is missing, malformed or its old one.
+    #[error("run: must name another run, and {}", NAME_RULE)]
+    RerunName,
+}
+
+/// Steps of a run in one response if the request has no limit, and at most.
+const DEFAULT_STEPS: usize = 100;
+const MAX_STEPS: usize = 500;
+
+/// Parses a request; `None` if its path is none of the DAGs'.
+pub fn parse_request(
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Option<Result<DagRequest, RequestError>> {
+    let (path, query) = split(path);
+    let rest = path.strip_prefix("/api/graphs/")?;
+    let segments: Vec<&str> = rest.split('/').collect();
+    Some(parse_segments(method, &segments, query, body))
+}
+
+fn parse_segments(
+    method: &str,
+    segments: &[&str],
+    query: &str,
+    body: &[u8],
+) -> Result<DagRequest, RequestError> {
+    let run_id = |dag: &str, run: &str| RunId::new(dag, run).ok_or(RequestError::NoSuchPath);
+    match (method, segments) {
+        ("PUT", [dag]) => parse_define(dag, body),
+        ("GET", [dag]) if sound(dag) => Ok(DagRequest::ShowDag((*dag).to_string())),
+        ("POST", [dag, action @ ("pause" | "resume")]) if sound(dag) => Ok(DagRequest::SetPaused(
+            (*dag).to_string(),
+            *action == "pause",
+        )),
+        ("POST", [dag, "runs"]) => parse_start(dag, body),
+        ("GET", [dag, "runs", run]) => Ok(DagRequest::ShowRun {
+            run: run_id(dag, run)?,
+            after: number(query, "after", 0),
+            limit: number(query, "limit", DEFAULT_STEPS).min(MAX_STEPS),
+        }),
+        ("POST", [dag, "runs", run, "cancel"]) => Ok(DagRequest::CancelRun(run_id(dag, run)?)),
+        ("POST", [dag, "runs", run, "rerun"]) => parse_rerun(run_id(dag, run)?, body),
+        (_, [_] | [_, "pause" | "resume"] | [_, "runs", _, "rerun"])
+        | (_, [_, "runs"] | [_, "runs", _] | [_, "runs", _, "cancel"]) => {
+            Err(RequestError::WrongMethod)
+        }
+        _ => Err(RequestError::NoSuchPath),
+    }
+}
+
+fn number(query: &str, name: &str, default: usize) -> usize {
+    let value = param(query, name).and_then(|v| v.parse().ok());
+    value.unwrap_or(default)
+}
+
+/// Parses `{"packed": TEXT}`, or a definition as it is.
+fn parse_definition(dag: &str, body: &[u8]) -> Result<Asked, InvalidDagBody> {
+    let value: Value = serde_json::from_slice(body).map_err(InvalidDagBody::NotJson)?;
+    let definition: Asked = match value.get("packed").and_then(Value::as_str) {
+        Some(text) => packing::unpack(text).map_err(InvalidDagBody::Packed)?,
+        None => serde_json::from_value(value).map_err(InvalidDagBody::Definition)?,
+    };
+    if definition.graph.name == dag {
+        Ok(definition)
+    } else {
+        Err(InvalidDagBody::OtherName)
+    }
+}
+
+fn packed(definition: Asked) -> PackedDefinition {
+    let text = packing::pack(&definition);
+    PackedDefinition {
+        definition: Box::new(definition),
+        text,
+    }
+}
+
+fn parse_start(dag: &str, body: &[u8]) -> Result<DagRequest, RequestError> {
+    let definition = parse_definition(dag, body)?;
+    let id = RunId::new(dag, &definition.run).ok_or(InvalidDagBody::RunName)?;
+    Ok(DagRequest::StartRun(id, packed(definition)))
+}
+
+fn parse_rerun(id: RunId, body: &[u8]) -> Result<DagRequest, RequestError> {
+    let value: Option<Value> = serde_json::from_slice(body).ok();
+    let new_run = value.and_then(|v| v.get("run")?.as_str().map(str::to_string));
+    let new_run = new_run.filter(|new_run| sound(new_run) && *new_run != id.run);
+    let new_run = new_run.ok_or(InvalidDagBody::RerunName)?;
+    Ok(DagRequest::Rerun(id, new_run))
+}
+
+fn parse_define(dag: &str, body: &[u8]) -> Result<DagRequest, RequestError> {
+    let definition = parse_definition(dag, body)?;
+    if !sound(dag) {
+        return Err(InvalidDagBody::DagName.into());
+    }
+    Ok(DagRequest::Define(dag.to_string(), packed(definition)))
+}
--- /dev/null
+++ b/src/coordination/dag_runs/run_records.rs
@@ -0,0 +1,106 @@
+//! Writes of runs' records: cancellations by users, and what the progress of a run changes.
+
+use super::status::StatusQuery;
+use super::{DagRuns, DagRunsRequest, run_body, state_name};
+use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::unavailable::Unavailable;
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use snowshelf_model::ids::{ConnectionId, Version};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{RunId, RunRecord, RunState, run_key};
+
+/// A write of a run's record.
+pub(super) struct RunWrite {
+    /// Who waits for the response to a cancellation; nobody if the run has advanced.
+    pub(super) connection: Option<ConnectionId>,
+    pub(super) run: RunId,
+    pub(super) record: RunRecord,
+}
+
+impl DagRuns {
+    /// Cancels a run for a user.
+    pub(super) fn cancel(&mut self, connection: ConnectionId, id: RunId, context: &mut Context) {
+        let Some(v) = context.records.runs.get(&id).cloned() else {
+            // The record may not be cached yet.
+            let query = StatusQuery {
+                connection,
+                run: id,
+                after: 0,
+                limit: 0,
+            };
+            self.check_status(query, context);
+            return;
+        };
+        if v.value.state != RunState::Open || v.value.cancel {
+            let body = run_body(&id, &v.value);
+            let response = Response::json(200, &body);
+            context.effects.respond(connection, response);
+            return;
+        }
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+            let unavailable = Unavailable::RateLimited.into();
+            context.effects.respond(connection, unavailable);
+            return;
+        }
+        let record = RunRecord {
+            cancel: true,
+            ..(*v.value).clone()
+        };
+        let write = RunWrite {
+            connection: Some(connection),
+            run: id,
+            record,
+        };
+        self.write_run(write, v.version, CompareAndSwap::default(), context);
+    }
+
+    /// Writes a run's record, on condition of its version and of what `swap` compares already.
+    pub(super) fn write_run(
+        &mut self,
+        write: RunWrite,
+        version: Version,
+        swap: CompareAndSwap,
+        context: &mut Context,
+    ) {
+        let key = run_key(&write.run);
+        let swap = swap
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &write.record));
+        let id = self.next_request_id();
+        let request = KvRequest::DagRuns(DagRunsRequest::WriteRun(id));
+        context.kv.compare_and_swap(context.effects, request, &swap);
+        self.writes.insert(id, write);
+    }
+
+    /// Handles the outcome of such a write. Whatever one of the run's own leaves open, the watch brings, and
+    /// it is decided again.
+    pub(super) fn on_run_written(&mut self, id: u64, outcome: &SwapOutcome, context: &mut Context) {
+        let Some(RunWrite {
+            connection,
+            run,
+            record,
+        }) = self.writes.remove(&id)
+        else {
+            return;
+        };
+        let response = if let SwapOutcome::Done(revision) = outcome {
+            let value = serde_json::to_value(&record).unwrap_or_default();
+            context
+                .records
+                .apply(&run_key(&run), Some(&value), *revision);
+            if connection.is_some() {
+                tracing::info!(run = %run, "DAG run cancelled");
+            } else if record.state != RunState::Open {
+                let state = state_name(record.state, false);
+                tracing::info!(run = %run, state, "DAG run ended");
+            }
+            Response::json(200, &run_body(&run, &record))
+        } else {
+            Unavailable::Contended.into()
+        };
+        if let Some(connection) = connection {
+            context.effects.respond(connection, response);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/dag_runs/schedules.rs
@@ -0,0 +1,375 @@
+//! Stored DAGs, and the runs that their schedules start: one for each interval. That a run's key did not
+//! exist when it was written proves that the interval has only one.
+
+use super::requests::PackedDefinition;
+use super::submissions::{PendingDefinition, check_run_limits, chunks, plan_run};
+use super::{DagRuns, DagRunsRequest};
+use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::leases::Leases;
+use crate::coordination::unavailable::Unavailable;
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use crate::storage::record_cache::Versioned;
+use jiff::Timestamp;
+use serde_json::{Value, json};
+use snowshelf_dag::packing;
+use snowshelf_dag::run::Asked;
+use snowshelf_dag::schedule::{Timetable, run_of, timetable};
+use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version, WallClockMillis, shard_of};
+use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
+use snowshelf_model::records::{GraphRecord, RunId, definition_key, graph_key, run_key, shard_key};
+use std::collections::BTreeMap;
+
+/// Time between two evaluations of all schedules, in milliseconds.
+const EVALUATION_INTERVAL_MS: u64 = 500;
+/// Characters of the reason for which a schedule was paused that are stored.
+const MAX_REASON_CHARS: usize = 200;
+
+/// A stored DAG as it was last unpacked.
+struct UnpackedDag {
+    hash: String,
+    definition: Asked,
+    /// `None`: it has no schedule.
+    timetable: Option<Timetable>,
+}
+
+/// A write of a DAG's record.
+struct DagWrite {
+    /// Who waits for the response; nobody if the schedule has advanced.
+    connection: Option<ConnectionId>,
+    name: String,
+    record: GraphRecord,
+}
+
+/// The schedules of stored DAGs.
+#[derive(Default)]
+pub(super) struct Schedules {
+    evaluated_at: MonotonicMillis,
+    dags: BTreeMap<String, UnpackedDag>,
+    /// Writes of DAGs' records in flight.
+    writes: BTreeMap<u64, DagWrite>,
+}
+
+fn timestamp(at: WallClockMillis) -> Timestamp {
+    let ms = i64::try_from(at.0).unwrap_or(i64::MAX);
+    Timestamp::from_millisecond(ms).unwrap_or(Timestamp::MAX)
+}
+
+fn wall_clock(at: Timestamp) -> WallClockMillis {
+    WallClockMillis(u64::try_from(at.as_millisecond()).unwrap_or(0))
+}
+
+fn parse_timestamp(text: Option<&str>) -> Option<Timestamp> {
+    text?.parse().ok()
+}
+
+/// A DAG's schedule as users read it.
+fn dag_body(name: &str, record: &GraphRecord) -> Value {
+    let mut body = json!({"graph": name, "paused": record.paused, "missed": record.missed,
+        "done_until": timestamp(record.since).to_string()});
+    if let Some(why) = &record.why {
+        body["why"] = json!(why);
+    }
+    body
+}
+
+impl Schedules {
+    /// Unpacks a DAG, if it has changed and all its chunks are cached; whether its present definition is
+    /// unpacked.
+    fn unpack(&mut self, name: &str, record: &GraphRecord, context: &Context) -> bool {
+        let unpacked = self.dags.get(name);
+        if unpacked.is_some_and(|dag| dag.hash == record.hash) {
+            return true;
+        }
+        let definitions = &context.records.definitions;
+        let definition = packing::unpack_pieces(record.pieces, |chunk| {
+            let key = (name.to_string(), record.hash.clone(), chunk);
+            definitions.get(&key).map(|text| text.as_str())
+        });
+        let Some(Ok(definition)) = definition else {
+            return false;
+        };
+        let schedule = definition.graph.schedule.as_ref();
+        let timetable = schedule.and_then(|s| timetable(s, definition.graph.zone()).ok());
+        let dag = UnpackedDag {
+            hash: record.hash.clone(),
+            definition,
+            timetable,
+        };
+        self.dags.insert(name.to_string(), dag);
+        true
+    }
+}
+
+/// An interval of a schedule whose run is due, and how many before it are skipped.
+struct DueRun {
+    id: RunId,
+    from: Timestamp,
+    until: Timestamp,
+    skipped: u64,
+}
+
+/// The run that a DAG's schedule asks for now.
+fn due_run(
+    name: &str,
+    dag: &UnpackedDag,
+    record: &GraphRecord,
+    context: &Context,
+) -> Option<DueRun> {
+    // No interval is over before it is over by every clock.
+    let skew_ms = context.config.settings.skew_ms();
+    let wall_ms = context.effects.wall_ms.saturating_sub(skew_ms);
+    let now = timestamp(WallClockMillis(wall_ms));
+    let graph = &dag.definition.graph;
+    let timetable = dag.timetable.as_ref()?;
+    let start = parse_timestamp(graph.start.as_deref()).unwrap_or_else(|| timestamp(record.at));
+    let end = parse_timestamp(graph.end.as_deref()).unwrap_or(Timestamp::MAX);
+    let mut due = timetable.due(start, timestamp(record.since), now);
+    due.retain(|(from, _)| *from <= end);
+    let interval = if graph.catch_up {
+        due.first()
+    } else {
+        due.last()
+    };
+    let (from, until) = interval.copied()?;
+    let id = RunId::new(name, &run_of(from))?;
+    // An interval whose run was started before a later one was over is not skipped.
+    let has_run = |from: &Timestamp| {
+        let id = RunId::new(name, &run_of(*from));
+        id.is_some_and(|id| context.records.runs.contains_key(&id))
+    };
+    let skipped = due.iter().filter(|(f, _)| *f < from && !has_run(f)).count() as u64;
+    Some(DueRun {
+        id,
+        from,
+        until,
+        skipped: if graph.catch_up { 0 } else { skipped },
+    })
+}
+
+impl DagRuns {
+    /// Stores a DAG, in place of the one that had its name.
+    pub(super) fn define(
+        &mut self,
+        connection: ConnectionId,
+        name: &str,
+        PackedDefinition { definition, text }: &PackedDefinition,
+        context: &mut Context,
+    ) {
+        // Planned with its defaults, so that its user and not its schedule finds out what is wrong.
+        if let Err(rejection) = plan_run(definition, context) {
+            let response = Response::json(422, &rejection.body());
+            context.effects.respond(connection, response);
+            return;
+        }
+        let now = WallClockMillis(context.effects.wall_ms);
+        let before = context.records.graphs.get(name);
+        let hash = packing::hash(text);
+        let chunks = chunks(text, |i| definition_key(name, &hash, i), context);
+        let start = parse_timestamp(definition.graph.start.as_deref());
+        let start = start.map_or(now, wall_clock);
+        // Without catching up, nothing before now is run.
+        let since = if definition.graph.catch_up {
+            start
+        } else {
+            start.max(now)
+        };
+        let record = GraphRecord {
+            hash,
+            pieces: chunks.len() as u32,
+            at: before.map_or(now, |v| v.value.at),
+            paused: before.is_some_and(|v| v.value.paused && v.value.why.is_none()),
+            since: before.map_or(since, |v| v.value.since),
+            missed: before.map_or(0, |v| v.value.missed),
+            why: None,
+        };
+        let version = before.map(|v| v.version).unwrap_or_default();
+        let mut pending =
+            PendingDefinition::new(graph_key(name), version, &record, chunks, context);
+        pending.connection = Some(connection);
+        pending.body = dag_body(name, &record);
+        self.pending.push_back(pending);
+    }
+
+    /// Answers with a DAG's schedule.
+    pub(super) fn show_dag(&self, connection: ConnectionId, name: &str, context: &mut Context) {
+        let response = match context.records.graphs.get(name) {
+            Some(v) => Response::json(200, &dag_body(name, &v.value)),
+            None => Response::error(404, "no such graph"),
+        };
+        context.effects.respond(connection, response);
+    }
+
+    /// Pauses or resumes a DAG's schedule.
+    pub(super) fn set_paused(
+        &mut self,
+        connection: ConnectionId,
+        name: &str,
+        paused: bool,
+        context: &mut Context,
+    ) {
+        let Some(v) = context.records.graphs.get(name).cloned() else {
+            let response = Response::error(404, "no such graph");
+            context.effects.respond(connection, response);
+            return;
+        };
+        if !context.kv.may(context.now(), RequestPriority::Accept, 1) {
+            let unavailable = Unavailable::RateLimited.into();
+            context.effects.respond(connection, unavailable);
+            return;
+        }
+        let write = DagWrite {
+            connection: Some(connection),
+            name: name.to_string(),
+            record: GraphRecord {
+                paused,
+                why: None,
+                ..(*v.value).clone()
+            },
+        };
+        self.write_dag(write, v.version, CompareAndSwap::default(), context);
+    }
+
+    /// Writes a DAG's record, on condition of its version and of what `swap` compares already.
+    fn write_dag(
+        &mut self,
+        write: DagWrite,
+        version: Version,
+        swap: CompareAndSwap,
+        context: &mut Context,
+    ) {
+        let key = graph_key(&write.name);
+        let swap = swap
+            .compare(key.clone(), version)
+            .mutate(Mutation::put(key, &write.record));
+        let id = self.next_request_id();
+        let request = KvRequest::DagRuns(DagRunsRequest::WriteDag(id));
+        context.kv.compare_and_swap(context.effects, request, &swap);
+        self.schedules.writes.insert(id, write);
+    }
+
+    /// Handles the outcome of a write of a DAG's record.
+    pub(super) fn on_dag_written(&mut self, id: u64, outcome: &SwapOutcome, context: &mut Context) {
+        let Some(DagWrite {
+            connection,
+            name,
+            record,
+        }) = self.schedules.writes.remove(&id)
+        else {
+            return;
+        };
+        let response = if let SwapOutcome::Done(revision) = outcome {
+            let value = serde_json::to_value(&record).unwrap_or_default();
+            context
+                .records
+                .apply(&graph_key(&name), Some(&value), *revision);
+            Response::json(200, &dag_body(&name, &record))
+        } else {
+            Unavailable::Contended.into()
+        };
+        if let Some(connection) = connection {
+            context.effects.respond(connection, response);
+        }
+    }
+
+    /// Starts runs for intervals that are over, of the DAGs whose shard this controller leads.
+    pub(super) fn start_scheduled_runs(&mut self, leases: &Leases, context: &mut Context) {
+        let now = context.now();
+        if context.records.graphs.is_empty()
+            || now.since(self.schedules.evaluated_at) < EVALUATION_INTERVAL_MS
+        {
+            return;
+        }
+        self.schedules.evaluated_at = now;
+        let records = &context.records;
+        self.schedules
+            .dags
+            .retain(|name, _| records.graphs.contains_key(name));
+        let names: Vec<String> = context.records.graphs.keys().cloned().collect();
+        for name in names {
+            let shard_id = shard_of(&graph_key(&name), context.config.shard_count);
+            let record = context.records.graphs.get(&name).cloned();
+            let (Some(fencing_token), Some(record)) = (leases.fencing_token(shard_id), record)
+            else {
+                continue;
+            };
+            let is_writing = self.schedules.writes.values().any(|w| w.name == name);
+            if record.value.paused
+                || is_writing
+                || !self.schedules.unpack(&name, &record.value, context)
+            {
+                continue;
+            }
+            let swap =
+                CompareAndSwap::default().compare(shard_key(shard_id), Version(fencing_token.0));
+            self.start_due_run(&name, &record, swap, context);
+        }
+    }
+
+    /// Starts the run that is due of one DAG, or notes in its record that it has started.
+    fn start_due_run(
+        &mut self,
+        name: &str,
+        record: &Versioned<GraphRecord>,
+        swap: CompareAndSwap,
+        context: &mut Context,
+    ) {
+        let Some(dag) = self.schedules.dags.get(name) else {
+            return;
+        };
+        let Some(due) = due_run(name, dag, &record.value, context) else {
+            return;
+        };
+        let mut next = (*record.value).clone();
+        next.missed += due.skipped;
+        if context.records.runs.contains_key(&due.id) {
+            // It has started, by whichever controller: on to the next.
+            next.since = wall_clock(due.until);
+        } else {
+            let max_active_runs = dag.definition.graph.max_active_runs;
+            if self.is_pending(&run_key(&due.id))
+                || check_run_limits(name, max_active_runs, context).is_err()
+            {
+                return;
+            }
+            let definition = Asked {
+                run: due.id.run.clone(),
+                from: due.from,
+                until: due.until,
+                ..dag.definition.clone()
+            };
+            match plan_run(&definition, context) {
+                Ok(plan) => {
+                    let text = packing::pack(&definition);
+                    let pending =
+                        PendingDefinition::of_run(&due.id, plan.jobs.len(), &text, context);
+                    self.pending.push_back(pending);
+                    return;
+                }
+                Err(rejection) => {
+                    // Only the interval can make a difference to what was planned before.
+                    let why = rejection.body().to_string();
+                    next.paused = true;
+                    next.why = Some(why.chars().take(MAX_REASON_CHARS).collect());
+                    tracing::error!(
+                        dag = name,
+                        why = next.why,
+                        "scheduled DAG run failed to begin"
+                    );
+                }
+            }
+        }
+        if context.kv.may(context.now(), RequestPriority::Ends, 1) {
+            if next.missed > record.value.missed {
+                let missed = next.missed;
+                tracing::info!(dag = name, missed, "schedule intervals skipped");
+            }
+            let write = DagWrite {
+                connection: None,
+                name: name.to_string(),
+                record: next,
+            };
+            self.write_dag(write, record.version, swap, context);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/dag_runs/status.rs
@@ -0,0 +1,107 @@
+//! Status of runs, answered from the record cache once that is known to be up to date.
+
+use super::{DagRuns, DagRunsRequest, count_states, run_body};
+use crate::coordination::context::{Context, KvRequest};
+use crate::coordination::unavailable::Unavailable;
+use crate::effects::Response;
+use crate::storage::kv_client::{RequestPriority, SwapOutcome};
+use serde_json::{Value, json};
+use snowshelf_dag::plan::PlannedJob;
+use snowshelf_dag::run::Stand;
+use snowshelf_model::ids::ConnectionId;
+use snowshelf_model::protocol::state::CompareAndSwap;
+use snowshelf_model::records::{RunId, RunState, run_key};
+
+/// Timeout of a comparison of versions, in milliseconds.
+const CHECK_TIMEOUT_MS: u64 = 1_500;
+/// The text if the record cache is behind, or it is not known whether it is.
+const CACHE_BEHIND: &str = "the picture is behind, or the state service did not answer";
+/// Seconds after which the question should then be repeated.
+const RETRY_AFTER_S: u64 = 1;
+
+/// A user's question for the state of a run and some of its steps.
+pub(super) struct StatusQuery {
+    pub(super) connection: ConnectionId,
+    pub(super) run: RunId,
+    /// How many steps are skipped.
+    pub(super) after: usize,
+    /// How many steps are shown at most.
+    pub(super) limit: usize,
+}
+
+impl DagRuns {
+    /// Asks the key-value store whether the record cache is up to date with a run.
+    pub(super) fn check_status(&mut self, query: StatusQuery, context: &mut Context) {
+        if !context.kv.may(context.now(), RequestPriority::Reads, 0) {
+            let unavailable = Unavailable::RateLimited.into();
+            context.effects.respond(query.connection, unavailable);
+            return;
+        }
+        let cached = context.records.runs.get(&query.run).map(|v| v.version);
+        let comparison =
+            CompareAndSwap::default().compare(run_key(&query.run), cached.unwrap_or_default());
+        let id = self.next_request_id();
+        let request = KvRequest::DagRuns(DagRunsRequest::CheckStatus(id));
+        context
+            .kv
+            .check_versions(context.effects, request, &comparison, CHECK_TIMEOUT_MS);
+        self.status_queries.insert(id, query);
+    }
+
+    /// Handles the outcome of such a comparison.
+    pub(super) fn on_status_checked(
+        &mut self,
+        id: u64,
+        outcome: &SwapOutcome,
+        context: &mut Context,
+    ) {
+        let Some(query) = self.status_queries.remove(&id) else {
+            return;
+        };
+        let response = match outcome {
+            SwapOutcome::Done(_) => self.status(&query, context),
+            _ => Response::later(503, CACHE_BEHIND, RETRY_AFTER_S),
+        };
+        context.effects.respond(query.connection, response);
+    }
+
+    /// The state of a run, and its steps as long as its definition is retained.
+    fn status(&mut self, query: &StatusQuery, context: &Context) -> Response {
+        let StatusQuery {
+            run, after, limit, ..
+        } = query;
+        let Some(record) = context.records.runs.get(run).map(|v| v.value.clone()) else {
+            return Response::error(404, "no such run");
+        };
+        let mut body = run_body(run, &record);
+        if record.state != RunState::Open {
+            body["counts"] = json!(record.counts);
+        }
+        self.expand(run, &record, context);
+        if let Some(open_run) = self.open_runs.get_mut(run) {
+            let decision = open_run.decide(&record, 0, context);
+            if record.state == RunState::Open {
+                body["counts"] = json!(count_states(&decision.stands));
+            }
+            let jobs = &open_run.plan.jobs;
+            let steps = jobs.iter().zip(&decision.stands).enumerate();
+            let page = steps.skip(*after).take(*limit);
+            let page: Vec<Value> = page
+                .map(|(index, (job, state))| step_body(index, job, *state))
+                .collect();
+            body["steps"] = json!(page);
+            body["more"] = json!(after + limit < jobs.len());
+        }
+        Response::json(200, &body)
+    }
+}
+
+fn step_body(index: usize, job: &PlannedJob, state: Stand) -> Value {
+    let mut body =
+        json!({"at": index, "step": job.step, "job": job.submission.job, "stand": state});
+    if let Some(copy) = job.copy {
+        body["copy"] = json!(copy);
+        body["sweep"] = json!(job.sweep);
+    }
+    body
+}
--- a/src/coordination/request_error.rs
+++ b/src/coordination/request_error.rs
@@ -1,15 +1,19 @@
 //! Errors of the API's requests that are found before anything is decided on them.
 
+use super::dag_runs::InvalidDagBody;
 use crate::effects::Response;
 use serde_json::json;
 use snowshelf_calendar::entry::Malformed;
 
 /// Why a request is not taken; its `Display` is the text that the client reads.
-#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// A field of the body or a parameter of the query is wrong or missing.
     #[error(transparent)]
     Malformed(#[from] Malformed),
+    /// The body has no valid definition of a DAG or a run.
+    #[error(transparent)]
+    InvalidDag(#[from] InvalidDagBody),
     /// The API has no such path.
     #[error("no such path")]
     NoSuchPath,
@@ -38,6 +42,7 @@
             RequestError::Malformed(Malformed { field, .. }) => {
                 Response::json(400, &json!({"error": text, "field": field}))
             }
+            RequestError::InvalidDag(_) => Response::error(400, &text),
             RequestError::NoSuchPath | RequestError::NoSuchEntry => Response::error(404, &text),
             RequestError::WrongMethod => Response::error(405, &text),
         }
