--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -40,9 +40,7 @@
             return;
         }
         if let Some(mut autoscaler) = self.autoscaler.take() {
-            let types = autoscaler
-                .cloud_done(id, result, &mut self.context())
-                .flatten();
+            let types = autoscaler.on_cloud_response(id, result, &mut self.context());
             self.autoscaler = Some(autoscaler);
             if let Some(types) = types {
                 self.publish_types(types);
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -53,7 +53,7 @@
         missing.extend(
             self.autoscaler
                 .iter()
-                .flat_map(|f| f.missing.keys().cloned()),
+                .flat_map(|a| a.missing_machines().cloned()),
         );
         if !self.guard.holds.is_empty() && now.since(self.pools_at) >= HINT_MS {
             self.pools_at = now;
@@ -107,12 +107,12 @@
             if fresh && self.records.loaded {
                 let owned = self.records.shard_owners.len() == self.config.shard_count as usize
                     && self.gossip.fresh(now).count() + 1 == self.config.members.len();
-                if autoscaler.wants_heard(now) {
+                if autoscaler.needs_heartbeats(now) {
                     let mut heard = self.gossip.heard_machines(now);
                     for shard in self.shards.values() {
                         heard.extend(shard.heard(now, HEARD_MS).map(|m| m.as_str().to_string()));
                     }
-                    autoscaler.note_heard(now, heard.into_iter());
+                    autoscaler.record_heartbeats(now, heard.into_iter());
                 }
                 autoscaler.tick(owned, &mut self.context());
             }
@@ -366,7 +366,7 @@
         let missing = self
             .autoscaler
             .iter()
-            .flat_map(|f| f.missing.keys().cloned());
+            .flat_map(|a| a.missing_machines().cloned());
         let missing: BTreeSet<MachineId> = missing.collect();
         let missing = self.missing_turns.next(&missing, MISSING_BYTES);
         let within_ms = STRANGERS_REPORTS * self.config.settings.report_ms();
--- a/src/coordination/dag_runs/schedules.rs
+++ b/src/coordination/dag_runs/schedules.rs
@@ -2,7 +2,7 @@
 //! exist when it was written proves that the interval has only one.
 
 use super::requests::PackedDefinition;
-use super::submissions::{PendingDefinition, check_run_limits, chunks, plan_run};
+use super::submissions::{PendingDefinition, PlanRejection, check_run_limits, chunks, plan_run};
 use super::{DagRuns, DagRunsRequest};
 use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::leases::Leases;
@@ -326,38 +326,18 @@
             // It has started, by whichever controller: on to the next.
             next.since = wall_clock(due.until);
         } else {
-            let max_active_runs = dag.definition.graph.max_active_runs;
-            if self.is_pending(&run_key(&due.id))
-                || check_run_limits(name, max_active_runs, context).is_err()
-            {
+            let Err(rejection) = self.queue_due_run(name, &due, context) else {
                 return;
-            }
-            let definition = Asked {
-                run: due.id.run.clone(),
-                from: due.from,
-                until: due.until,
-                ..dag.definition.clone()
             };
-            match plan_run(&definition, context) {
-                Ok(plan) => {
-                    let text = packing::pack(&definition);
-                    let pending =
-                        PendingDefinition::of_run(&due.id, plan.jobs.len(), &text, context);
-                    self.pending.push_back(pending);
-                    return;
-                }
-                Err(rejection) => {
-                    // Only the interval can make a difference to what was planned before.
-                    let why = rejection.body().to_string();
-                    next.paused = true;
-                    next.why = Some(why.chars().take(MAX_REASON_CHARS).collect());
-                    tracing::error!(
-                        dag = name,
-                        why = next.why,
-                        "scheduled DAG run failed to begin"
-                    );
-                }
-            }
+            // Only the interval can make a difference to what was planned before.
+            let why = rejection.body().to_string();
+            next.paused = true;
+            next.why = Some(why.chars().take(MAX_REASON_CHARS).collect());
+            tracing::error!(
+                dag = name,
+                why = next.why,
+                "scheduled DAG run failed to begin"
+            );
         }
         if context.kv.may(context.now(), RequestPriority::Ends, 1) {
             if next.missed > record.value.missed {
@@ -372,4 +352,36 @@
             self.write_dag(write, record.version, swap, context);
         }
     }
+
+    /// Queues the run that is due to be written, unless it is already or a limit is reached.
+    ///
+    /// # Errors
+    /// Why the run cannot be planned.
+    fn queue_due_run(
+        &mut self,
+        name: &str,
+        due: &DueRun,
+        context: &Context,
+    ) -> Result<(), PlanRejection> {
+        let Some(dag) = self.schedules.dags.get(name) else {
+            return Ok(());
+        };
+        let max_active_runs = dag.definition.graph.max_active_runs;
+        if self.is_pending(&run_key(&due.id))
+            || check_run_limits(name, max_active_runs, context).is_err()
+        {
+            return Ok(());
+        }
+        let definition = Asked {
+            run: due.id.run.clone(),
+            from: due.from,
+            until: due.until,
+            ..dag.definition.clone()
+        };
+        let plan = plan_run(&definition, context)?;
+        let text = packing::pack(&definition);
+        let pending = PendingDefinition::of_run(&due.id, plan.jobs.len(), &text, context);
+        self.pending.push_back(pending);
+        Ok(())
+    }
 }
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -101,7 +101,7 @@
             self.remove_expired(leader_version, context);
             return;
         }
-        let Some(mut machines) = autoscaler.seen(context) else {
+        let Some(mut machines) = autoscaler.machines_for_drains(context) else {
             return;
         };
         self.exclude_released(&mut machines, status, context);
@@ -147,7 +147,7 @@
         let slowest_ready_s = ready_s.fold(0.0, f64::max);
         let settings = &context.config.settings;
         let list_lag_ms = seconds_to_ms(settings.deployment.cloud.list_lag_s);
-        let missed = autoscaler.lost(context);
+        let missed = autoscaler.lost_machines(context);
         self.waits.clear();
         for (name, version, drain) in open {
             let others = OtherDrains::of(name, machines, context);
@@ -160,7 +160,7 @@
                 zones: &others.zones,
                 whole: status.complete,
                 missed,
-                refused: autoscaler.refuses(),
+                refused: autoscaler.has_refusals(),
                 lag_ms: list_lag_ms.max(MIN_LIST_LAG_MS),
                 ready_ms: seconds_to_ms(slowest_ready_s),
                 report_ms: settings.report_ms(),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Decisions as pure functions, each test named after the failure it guards against.
 
 use snowshelf::coordination::api::partition;
-use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
+use snowshelf::coordination::autoscaler::{MachineSupply, Pool, TaskDemand, plan};
 use snowshelf::coordination::gossip::ShardCapacity;
 use snowshelf::coordination::placement::{
     Image, Load, MachineCandidate, ZoneRule, missed, place, weights,
@@ -38,9 +38,9 @@
     (label.into(), t)
 }
 
-fn want(tasks: u32, spot: bool) -> Want {
-    Want {
-        shut: Vec::new(),
+fn want(tasks: u32, spot: bool) -> TaskDemand {
+    TaskDemand {
+        closed_pools: Vec::new(),
         resources: Resources {
             cpus: 2.0,
             gpus: 0.0,
@@ -50,7 +50,7 @@
         types: None,
         zone: None,
         spot,
-        beyond: 0.0,
+        over_quota_cpu_s: 0.0,
         estimate_s: 10.0,
         patience_s: 20.0,
     }
@@ -78,7 +78,7 @@
     let types: BTreeMap<_, _> = [machine_type("s", 8.0, 0.8, Some(0.2))].into();
     let have = || {
         (0..4)
-            .map(|_| Have {
+            .map(|_| MachineSupply {
                 pool: pool(true),
                 free: pool_room(),
             })
@@ -91,8 +91,8 @@
     assert!(plan(&[want(600, true)], have(), &types, &no_spot).contains_key(&pool(false)));
     // So would twenty behind what the team's limit holds back (inc-2443: 80,000 CPUs waited and
     // nothing dear was rented, as each team's demand was cut to its limit).
-    let behind = Want {
-        beyond: 6_000.0,
+    let behind = TaskDemand {
+        over_quota_cpu_s: 6_000.0,
         ..want(20, true)
     };
     assert!(plan(&[behind], have(), &types, &no_spot).contains_key(&pool(false)));
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf::coordination::autoscaler::{Have, Pool, Want, plan};
+use snowshelf::coordination::autoscaler::{MachineSupply, Pool, TaskDemand, ZoneModel, plan};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,50 +44,50 @@
     })
 }
 
-fn want() -> impl Strategy<Value = Want> {
+fn want() -> impl Strategy<Value = TaskDemand> {
     let of = prop_oneof![
         Just(None),
         Just(Some(vec!["s".to_string()])),
         Just(Some(vec!["l".to_string(), "o".to_string()]))
     ];
     let zone = prop_oneof![Just(None), Just(Some("a".to_string()))];
-    let shut = prop_oneof![
+    let closed_pools = prop_oneof![
         4 => Just(Vec::new()),
-        1 => Just(vec![("b".to_string(), "s".to_string())])
+        1 => Just(vec![ZoneModel { zone: "b".to_string(), model: "s".to_string() }])
     ];
     let size = (1..6u32, 1..20u32, 0..60u32, 0..3u32);
-    (size, of, zone, any::<bool>(), shut).prop_map(
-        |((cpus, mem, tasks, late), types, zone, spot, shut)| Want {
+    (size, of, zone, any::<bool>(), closed_pools).prop_map(
+        |((cpus, mem, tasks, late), types, zone, spot, closed_pools)| TaskDemand {
             resources: room(cpus, mem),
             tasks,
-            beyond: 0.0,
+            over_quota_cpu_s: 0.0,
             types,
             zone,
             spot,
             estimate_s: 10.0,
             patience_s: [0.0, 5.0, 100.0][late as usize],
-            shut,
+            closed_pools,
         },
     )
 }
 
 /// What the plan was before machines were grouped.
 fn plain(
-    wants: &[Want],
-    mut have: Vec<Have>,
+    wants: &[TaskDemand],
+    mut have: Vec<MachineSupply>,
     types: &BTreeMap<String, MachineType>,
     refused: &BTreeSet<Pool>,
 ) -> BTreeMap<Pool, u32> {
-    let allows = |want: &Want, pool: &Pool| {
+    let allows = |want: &TaskDemand, pool: &Pool| {
         want.types.as_ref().is_none_or(|t| t.contains(&pool.model))
             && want.zone.as_ref().is_none_or(|z| *z == pool.zone)
             && (want.spot || !pool.spot)
             && !want
-                .shut
+                .closed_pools
                 .iter()
-                .any(|(zone, model)| *zone == pool.zone && *model == pool.model)
+                .any(|closed| closed.zone == pool.zone && closed.model == pool.model)
     };
-    let unit = |want: &Want, t: &MachineType, spot| match want.resources.count_in(t.room()) {
+    let unit = |want: &TaskDemand, t: &MachineType, spot| match want.resources.count_in(t.room()) {
         0 => None,
         per => Some(t.price(spot) / f64::from(per)),
     };
@@ -105,7 +105,7 @@
     }
     pools.retain(|p| !refused.contains(p));
     let mut rent: BTreeMap<Pool, u32> = BTreeMap::new();
-    let mut order: Vec<&Want> = wants.iter().collect();
+    let mut order: Vec<&TaskDemand> = wants.iter().collect();
     order.sort_by_key(|w| (w.spot, w.types.is_none(), w.zone.is_none()));
     have.sort_by_key(|h| !h.pool.spot);
     let mut backlog = 0.0;
@@ -139,8 +139,9 @@
             });
             let Some(pool) = best.cloned() else { break };
             let t = &types[&pool.model];
-            let work =
-                backlog + want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
+            let work = backlog
+                + want.over_quota_cpu_s
+                + f64::from(left) * want.resources.cpus * want.estimate_s;
             let dear = unit(want, t, pool.spot).is_none_or(|u| u > 1.5 * cheapest);
             if dear && want.patience_s > 0.0 && work <= reach * want.patience_s {
                 break;
@@ -151,9 +152,9 @@
             reach += t.cpus;
             left -= n;
             *rent.entry(pool.clone()).or_default() += 1;
-            have.push(Have { pool, free });
+            have.push(MachineSupply { pool, free });
         }
-        backlog += want.beyond + f64::from(left) * want.resources.cpus * want.estimate_s;
+        backlog += want.over_quota_cpu_s + f64::from(left) * want.resources.cpus * want.estimate_s;
     }
     rent
 }
@@ -179,9 +180,9 @@
             let have = machines.iter().map(|(pool, taken)| {
                 let mut free = types[&pool.model].room();
                 free.sub(room(*taken, 2 * taken));
-                Have { pool: pool.clone(), free }
+                MachineSupply { pool: pool.clone(), free }
             });
-            have.collect::<Vec<Have>>()
+            have.collect::<Vec<MachineSupply>>()
         };
         prop_assert_eq!(
             plan(&wants, have(), &types, &refused),
