--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -88,7 +88,7 @@
         let missing: BTreeSet<MachineId> = self
             .autoscaler
             .iter()
-            .flat_map(|leader| leader.missing.keys().cloned())
+            .flat_map(|leader| leader.missing_machines().cloned())
             .collect();
         let names = &mut self.peer_status.missing_names;
         names.next(&missing, MISSING_NAMES_BYTES)
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -30,8 +30,8 @@
         } else if let Some(request) = self.env.cloud.on_response(id, outcome) {
             self.on_cloud_response(request, outcome);
         } else if let Some(autoscaler) = &mut self.autoscaler {
-            let types = autoscaler.cloud_done(id, outcome, &mut self.env.context());
-            if let Some(types) = types.flatten() {
+            let types = autoscaler.on_cloud_response(id, outcome, &mut self.env.context());
+            if let Some(types) = types {
                 self.publish_machine_types(types);
             }
         }
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -22,16 +22,6 @@
     Response::error(405, "this path does not take that method")
 }
 
-/// A request on runs of graphs, or the response to one that cannot be read.
-fn dag_runs_request(read: dag_runs::Read) -> Result<dag_runs::Ask, Response> {
-    match read {
-        dag_runs::Read::Ask(ask) => Ok(ask),
-        dag_runs::Read::Malformed(why) => Err(Response::error(400, &why)),
-        dag_runs::Read::NoSuchPath => Err(no_such_path()),
-        dag_runs::Read::WrongMethod => Err(wrong_method()),
-    }
-}
-
 impl Controller {
     /// Routes a request by its path.
     pub(super) fn on_request(&mut self, conn: ConnectionId, request: &Request) {
@@ -82,10 +72,10 @@
             return true;
         }
         if ops.graphs.enabled
-            && let Some(read) = dag_runs::read(method, path, body)
+            && let Some(read) = dag_runs::parse_request(method, path, body)
         {
-            if let Some(ask) = self.accept_read(conn, dag_runs_request(read)) {
-                self.dag_runs.take(conn, ask, &mut self.env.context());
+            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
+                self.dag_runs.handle(conn, ask, &mut self.env.context());
             }
             return true;
         }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -171,7 +171,7 @@
         let short_of_quota = self.gossip.teams_short_of_quota(now);
         let mut missing = self.gossip.missing_machines(now);
         let leader_missing = self.autoscaler.iter();
-        missing.extend(leader_missing.flat_map(|leader| leader.missing.keys().cloned()));
+        missing.extend(leader_missing.flat_map(|leader| leader.missing_machines().cloned()));
         let may_respond = self.may_respond_to_workers();
         let mut offers = self.gossip.steal_offers(now);
         for shard in self.shards.values() {
@@ -197,7 +197,7 @@
         let can_decide = self.env.records.loaded
             && !self.list_watch.is_reading_finished_jobs()
             && self.env.machine_types.are_known();
-        if !can_decide || self.dag_runs.idle(&self.env.records) {
+        if !can_decide || self.dag_runs.is_idle(&self.env.records) {
             return;
         }
         let mut failing: BTreeMap<JobId, u32> = self.gossip.failing_jobs(now);
@@ -208,7 +208,7 @@
         self.dag_runs
             .tick(&self.leases, &failing, job_api, &mut self.env.context());
         if self.autoscaler.is_some() {
-            self.dag_runs.tidy(&mut self.env.context());
+            self.dag_runs.remove_ended(&mut self.env.context());
         }
     }
 
@@ -251,13 +251,13 @@
         let config = &self.env.config;
         let all_shards_led = self.env.records.shard_owners.len() == config.shard_count as usize
             && self.gossip.recent(now).count() + 1 == config.members.len();
-        if autoscaler.wants_heard(now) {
+        if autoscaler.needs_heartbeats(now) {
             let mut machines = self.gossip.machines_with_heartbeats(now);
             for shard in self.shards.values() {
                 let own = shard.machines_heard_since(now, RECENT_HEARTBEAT_MS);
                 machines.extend(own.map(|machine| machine.as_str().to_string()));
             }
-            autoscaler.note_heard(now, machines.into_iter());
+            autoscaler.record_heartbeats(now, machines.into_iter());
         }
         autoscaler.tick(all_shards_led, &mut self.env.context());
     }
