--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -173,7 +173,7 @@
                     && !m.reports_live_tasks()
                     && !self.jobs.has_tasks_on(name)
             }
-            None => self.scale_in.released.contains(*name),
+            None => self.scale_in.released.contains(name),
         });
         drained.map(|(name, _)| name.clone()).collect()
     }
