--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -95,7 +95,7 @@
 
 impl JobApi {
     /// Handles a user's submission.
-    pub fn submit(&mut self, connection: ConnectionId, body: &[u8], context: &mut Context) {
+    pub fn submit(&mut self, connection: ConnectionId, body: &[u8], context: &mut Context<'_>) {
         let submission = match user::parse_submission(body) {
             Ok(submission) => submission,
             Err(error) => {
@@ -153,7 +153,7 @@
         connection: ConnectionId,
         body: &[u8],
         error: InvalidField,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         tracing::info!(%error, "submission rejected: malformed");
         match user::submitted_job(body) {
@@ -173,7 +173,7 @@
     fn admit(
         &mut self,
         submission: PendingSubmission,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Result<(), Unavailable> {
         let is_cached = !submission.from_run && context.records.jobs.contains_key(&submission.job);
         let missing: BTreeSet<JobId> = submission
@@ -221,7 +221,7 @@
         &mut self,
         submission: &Submission,
         pause_ms: u64,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> bool {
         let job = &submission.job;
         if self.admission.find_mut(job).is_some()
@@ -252,7 +252,7 @@
         id: u64,
         dependency: &JobId,
         outcome: &GetOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let Some(lookup) = self.admission.lookups.get_mut(&id) else {
             return;
@@ -291,7 +291,7 @@
 
 /// Checks whether a submission can be decided on now, and whether its job can ever run. A job that is
 /// accepted already is answered by its state, whatever the limits are now.
-fn check_admissible(submission: &Submission, context: &Context) -> Result<(), NotAdmitted> {
+fn check_admissible(submission: &Submission, context: &Context<'_>) -> Result<(), NotAdmitted> {
     let Submission {
         job,
         spec,
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -72,7 +72,7 @@
         job: &JobId,
         purpose: JobReadPurpose,
         record: &VersionedRecord<JobRecord>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let cancelled = context.job_value(&context.cancelled(&record.value));
         let may_write = context
@@ -103,8 +103,8 @@
     pub(super) fn on_cancelled(
         &mut self,
         id: u64,
-        outcome: SwapOutcome,
-        context: &mut Context,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
     ) -> Option<JobId> {
         let UserCancellation {
             connection,
@@ -118,7 +118,7 @@
                 tracing::info!(%job, "job cancelled");
                 context
                     .records
-                    .apply(&job_key(&job), Some(&cancelled), revision);
+                    .apply(&job_key(&job), Some(&cancelled), *revision);
                 let end = FinishedJob {
                     state: JobState::Cancelled,
                     tasks: 0,
@@ -144,7 +144,11 @@
     /// Cancels jobs that depend on a cancelled one, and those that DAG runs want cancelled: of jobs whose
     /// first shard this controller leads, as many as go into a transaction. Works on the present records,
     /// not on events, so nothing is ever missed.
-    pub fn cascade_cancellations(&mut self, led_shards: &BTreeSet<ShardId>, context: &mut Context) {
+    pub fn cascade_cancellations(
+        &mut self,
+        led_shards: &BTreeSet<ShardId>,
+        context: &mut Context<'_>,
+    ) {
         let now = context.now();
         let cancellations = &mut self.cancellations;
         if now.since(cancellations.last_cascade_at) < CASCADE_INTERVAL_MS
@@ -198,7 +202,7 @@
         &mut self,
         id: u64,
         outcome: SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<JobId> {
         let batch = self.cancellations.cascades.remove(&id).unwrap_or_default();
         let backoff_until = &mut self.cancellations.backoff_until;
@@ -237,7 +241,7 @@
         &self,
         job: &JobId,
         led_shards: &BTreeSet<ShardId>,
-        context: &'a Context,
+        context: &'a Context<'_>,
     ) -> Option<&'a VersionedRecord<JobRecord>> {
         let record = context.records.jobs.get(job)?;
         let from_run = self.requested_by_runs.contains(job) && record.value.run;
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -77,7 +77,7 @@
 
 impl JobApi {
     /// Refuses all submissions that wait to be written: the key-value store does not serve.
-    pub fn refuse_pending(&mut self, context: &mut Context) {
+    pub fn refuse_pending(&mut self, context: &mut Context<'_>) {
         for submission in self.admission.ready.drain(..) {
             for connection in submission.connections {
                 let unavailable = Unavailable::StoreDown.into();
@@ -87,7 +87,7 @@
     }
 
     /// Writes submissions that wait, as many as one transaction takes.
-    pub fn commit_pending(&mut self, context: &mut Context) {
+    pub fn commit_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let Some(oldest) = self.admission.ready.front().map(|s| s.queued_at) else {
             return;
@@ -122,7 +122,7 @@
     }
 
     /// Moves submissions from the queue into a transaction.
-    fn collect_batch(&mut self, context: &mut Context) -> BatchBuilder {
+    fn collect_batch(&mut self, context: &mut Context<'_>) -> BatchBuilder {
         let now = context.now();
         // A batch larger than the budget has room for would wait until the bucket is full, while
         // smaller writes keep drawing on it.
@@ -153,7 +153,7 @@
         &self,
         submission: &PendingSubmission,
         capacity: &BTreeMap<ShardId, ShardCapacity>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Vec<ShardAssignment> {
         let spec = &submission.spec;
         let fetch_s = spec.pull_gb / slowest_fetch(context.types.values());
@@ -172,7 +172,7 @@
         submission: PendingSubmission,
         mut assignments: Vec<ShardAssignment>,
         builder: &mut BatchBuilder,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let record = initial_record(&submission, &assignments, context);
         if record.is_final() {
@@ -211,7 +211,7 @@
         &mut self,
         submission: PendingSubmission,
         record: &JobRecord,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if record.dependencies.is_empty() {
             let purpose = JobReadPurpose::Reject(RejectionReason::RecordTooLarge);
@@ -234,7 +234,12 @@
     }
 
     /// Handles the outcome of a transaction of submissions.
-    pub(super) fn on_committed(&mut self, id: u64, outcome: SwapOutcome, context: &mut Context) {
+    pub(super) fn on_committed(
+        &mut self,
+        id: u64,
+        outcome: SwapOutcome,
+        context: &mut Context<'_>,
+    ) {
         let Some(CommitBatch {
             submissions,
             writes,
@@ -271,7 +276,7 @@
     }
 
     /// Answers the users of a submission that is durable.
-    fn confirm_acceptance(&mut self, submission: PendingSubmission, context: &mut Context) {
+    fn confirm_acceptance(&mut self, submission: PendingSubmission, context: &mut Context<'_>) {
         let PendingSubmission { job, spec, .. } = &submission;
         tracing::info!(job = %job, team = %spec.team, class = %spec.class, tasks = spec.tasks,
             dependencies = submission.dependencies.len(), "job accepted");
@@ -292,7 +297,7 @@
         &mut self,
         submission: PendingSubmission,
         is_known: bool,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if is_known {
             if submission.from_run {
@@ -326,7 +331,7 @@
 fn initial_record(
     submission: &PendingSubmission,
     assignments: &[ShardAssignment],
-    context: &Context,
+    context: &Context<'_>,
 ) -> JobRecord {
     let state_of = |dependency: &JobId| {
         context
--- a/src/coordination/api/dependency_chunks.rs
+++ b/src/coordination/api/dependency_chunks.rs
@@ -22,7 +22,7 @@
 impl JobApi {
     /// Writes the next dependency chunks of each long submission, a transaction at a time, on condition
     /// that no job of that name is accepted. One whose chunks are all written joins the queue of commits.
-    pub fn write_dependency_chunks(&mut self, context: &mut Context) {
+    pub fn write_dependency_chunks(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let mut complete = Vec::new();
         for (id, chunked) in &mut self.admission.chunked {
@@ -70,7 +70,7 @@
         &mut self,
         id: u64,
         outcome: &SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if let (SwapOutcome::Applied(_), Some(chunked)) =
             (outcome, self.admission.chunked.get_mut(&id))
--- a/src/coordination/api/feasibility.rs
+++ b/src/coordination/api/feasibility.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// The first reason for which it can never run.
-pub fn check_feasible(spec: &JobSpec, context: &Context) -> Result<(), RejectionReason> {
+pub fn check_feasible(spec: &JobSpec, context: &Context<'_>) -> Result<(), RejectionReason> {
     let mut teams = context.config.settings.deployment.teams.iter();
     let team = teams
         .find(|t| t.name == spec.team.as_str())
@@ -75,7 +75,7 @@
 pub(super) fn check_dependencies(
     job: &JobId,
     dependencies: &[JobId],
-    context: &Context,
+    context: &Context<'_>,
 ) -> Result<(), RejectionReason> {
     let is_service = |dependency: &JobId| {
         let record = context.records.jobs.get(dependency).map(|v| &v.value);
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -18,7 +18,7 @@
 const READ_TIMEOUT_MS: u64 = 1_500;
 
 /// Whether this controller knows the cancellations that others have confirmed, but for the last moments.
-pub(super) fn cancellations_known(context: &Context) -> bool {
+pub(super) fn cancellations_known(context: &Context<'_>) -> bool {
     let answering_ms = context.config.settings.answering_ms();
     is_covered(context.watermark, context.now(), answering_ms)
 }
@@ -30,7 +30,7 @@
         connection: ConnectionId,
         job: &JobId,
         purpose: JobReadPurpose,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if let Some(end) = context.records.finished_job(job) {
             self.respond_final(connection, job, end, purpose, context);
@@ -52,7 +52,7 @@
         connection: ConnectionId,
         job: &JobId,
         purpose: JobReadPurpose,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let priority = match purpose {
             JobReadPurpose::Poll => RequestPriority::Reads,
@@ -84,7 +84,7 @@
         job: &JobId,
         purpose: JobReadPurpose,
         outcome: GetOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let found = match outcome {
             GetOutcome::Found(item) => match decode_record(&item, context) {
@@ -135,7 +135,7 @@
         job: &JobId,
         record: &JobRecord,
         purpose: JobReadPurpose,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         // Guards against calling a job open whose dependency another controller has confirmed as cancelled
         // over `cancel_s` ago, while this one could not learn it.
@@ -167,7 +167,7 @@
         job: &JobId,
         end: FinishedJob,
         purpose: JobReadPurpose,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if end.state == JobState::Cancelled {
             self.confirmed_cancellations.record(job, context.now());
@@ -196,7 +196,7 @@
 /// Decodes a job's record and brings the record cache up to date with it.
 fn decode_record(
     item: &KeyValue,
-    context: &mut Context,
+    context: &mut Context<'_>,
 ) -> Result<VersionedRecord<JobRecord>, Unavailable> {
     let record = JobRecord::deserialize(&item.value).map_err(|_| Unavailable::UnreadableRecord)?;
     context
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -119,7 +119,7 @@
         &mut self,
         request: JobApiRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         match (request, response) {
             (JobApiRequest::Commit(id), KvResponse::Swap(outcome)) => {
@@ -143,7 +143,7 @@
                 self.on_polls_checked(id, outcome, context);
             }
             (JobApiRequest::Cancel(id), KvResponse::Swap(outcome)) => {
-                let job = self.on_cancelled(id, outcome, context);
+                let job = self.on_cancelled(id, &outcome, context);
                 return job.into_iter().map(RecordChange::Job).collect();
             }
             (JobApiRequest::ReadDependency { submission, job }, KvResponse::Get(outcome)) => {
--- a/src/coordination/api/status_polls.rs
+++ b/src/coordination/api/status_polls.rs
@@ -60,7 +60,7 @@
 impl JobApi {
     /// Asks for the gathered polls, in one request for as many as it may compare, whether the record cache
     /// is behind: a record that nobody has changed since may be answered from it.
-    pub fn check_polls(&mut self, context: &mut Context) {
+    pub fn check_polls(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let max_polls = COMPARISONS_PER_MUTATION * context.storage_limits.txn_ops;
         while let Some(batch) = self.polls.take_batch(max_polls, now) {
@@ -91,7 +91,7 @@
         &mut self,
         id: u64,
         outcome: SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let batch = self.polls.in_flight.remove(&id).unwrap_or_default();
         match outcome {
@@ -124,7 +124,7 @@
     }
 
     /// Answers a poll for which the record cache is known to be up to date.
-    fn respond_from_cache(&mut self, poll: &StatusPoll, context: &mut Context) {
+    fn respond_from_cache(&mut self, poll: &StatusPoll, context: &mut Context<'_>) {
         let StatusPoll { connection, job } = poll;
         let purpose = JobReadPurpose::Poll;
         if let Some(end) = context.records.finished_job(job) {
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -21,7 +21,7 @@
 }
 
 /// The demand of all jobs that can run, and of reservations beyond what their teams' jobs need.
-pub(super) fn task_demand(context: &Context) -> Vec<TaskDemand> {
+pub(super) fn task_demand(context: &Context<'_>) -> Vec<TaskDemand> {
     let mut demand = Vec::new();
     let mut job_demand = Vec::new();
     let mut quotas = team_quotas(context);
@@ -73,7 +73,7 @@
 }
 
 /// A job's tasks that wait or have started.
-fn unfinished_tasks(id: &JobId, record: &JobRecord, context: &Context) -> u32 {
+fn unfinished_tasks(id: &JobId, record: &JobRecord, context: &Context<'_>) -> u32 {
     let mut tasks = 0;
     for shard_id in &record.shards {
         let allocation = context.records.allocations.get(&(*shard_id, id.clone()));
@@ -90,7 +90,12 @@
     over_quota: u32,
 }
 
-fn demand_of(spec: &JobSpec, counts: &TaskCounts, blocked_s: f64, context: &Context) -> TaskDemand {
+fn demand_of(
+    spec: &JobSpec,
+    counts: &TaskCounts,
+    blocked_s: f64,
+    context: &Context<'_>,
+) -> TaskDemand {
     let settings = &context.config.ops;
     let objectives = &context.config.settings.deployment.objectives;
     let estimate_s = estimate(spec, settings.default_run_s);
@@ -109,7 +114,7 @@
 }
 
 /// Zones and types that close before a machine that is requested now could run for so long.
-fn closed_pools(expected_stay_ms: Option<u64>, context: &Context) -> Vec<ZoneModel> {
+fn closed_pools(expected_stay_ms: Option<u64>, context: &Context<'_>) -> Vec<ZoneModel> {
     let now = WallClockMillis(context.effects.wall_ms);
     let pools = context.guard.closings.keys();
     pools
@@ -127,7 +132,7 @@
 
 /// Machines for what is reserved now, or so soon that they must be requested: beyond what the team's jobs
 /// need there themselves.
-fn reserved_demand(mut jobs: Vec<JobDemand>, context: &Context) -> Vec<TaskDemand> {
+fn reserved_demand(mut jobs: Vec<JobDemand>, context: &Context<'_>) -> Vec<TaskDemand> {
     let now = WallClockMillis(context.effects.wall_ms);
     let ahead_ms = provisioning_lead_ms(context);
     let mut demand = Vec::new();
--- a/src/coordination/autoscaler/drain_view.rs
+++ b/src/coordination/autoscaler/drain_view.rs
@@ -48,7 +48,7 @@
 impl Autoscaler {
     /// All machines that are listed and have not failed, with what they do; `None` before there is a list.
     #[must_use]
-    pub fn machines_for_drains(&self, context: &Context) -> Option<BTreeMap<MachineId, Seen>> {
+    pub fn machines_for_drains(&self, context: &Context<'_>) -> Option<BTreeMap<MachineId, Seen>> {
         if !self.list.is_complete {
             return None;
         }
@@ -69,7 +69,7 @@
         &self,
         listed: &ListedMachine,
         load: MachineLoad,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Seen {
         let now: MonotonicMillis = context.effects.now;
         let heartbeat = self.heartbeats.get(listed.machine.as_str());
@@ -93,7 +93,7 @@
     /// How many machines are missing on which the records still have tasks: they failed or were
     /// interrupted. Those that were released are missing as well, with nothing on them.
     #[must_use]
-    pub fn lost_machines(&self, context: &Context) -> usize {
+    pub fn lost_machines(&self, context: &Context<'_>) -> usize {
         let allocations = context.records.allocations.values();
         let started = allocations.flat_map(|a| a.value.started.keys());
         let with_tasks: BTreeSet<&MachineId> = started.collect();
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -60,14 +60,14 @@
 }
 
 /// How long a list may be without a machine that has started, in milliseconds.
-fn list_delay_ms(context: &Context) -> u64 {
+fn list_delay_ms(context: &Context<'_>) -> u64 {
     let list_lag_s = context.config.settings.deployment.cloud.list_lag_s;
     2 * seconds_to_ms(list_lag_s) + LIST_MARGIN_MS
 }
 
 impl Autoscaler {
     /// Reads the list, if it is time.
-    pub(super) fn request_list(&mut self, context: &mut Context) {
+    pub(super) fn request_list(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let list_lag_s = context.config.settings.deployment.cloud.list_lag_s;
         let interval_ms = seconds_to_ms(list_lag_s).max(MIN_LIST_INTERVAL_MS);
@@ -82,7 +82,7 @@
         }
     }
 
-    fn request_page(&mut self, context: &mut Context) {
+    fn request_page(&mut self, context: &mut Context<'_>) {
         let reading = self.list.reading.as_ref();
         let after = reading.map_or("", |reading| &reading.after);
         let path = if after.is_empty() {
@@ -100,7 +100,7 @@
     }
 
     /// Handles a page of the list.
-    pub(super) fn on_list_page(&mut self, page: MachineListResponse, context: &mut Context) {
+    pub(super) fn on_list_page(&mut self, page: MachineListResponse, context: &mut Context<'_>) {
         let Some(reading) = &mut self.list.reading else {
             return;
         };
@@ -118,7 +118,7 @@
     }
 
     /// Takes a whole list over.
-    fn on_list(&mut self, machines: Vec<ListedMachine>, context: &Context) {
+    fn on_list(&mut self, machines: Vec<ListedMachine>, context: &Context<'_>) {
         let now = context.now();
         let delay_ms = list_delay_ms(context);
         let list = &mut self.list;
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -87,7 +87,7 @@
     }
 
     /// Periodic work; `all_shards_led` is whether every shard has a leader that reports.
-    pub fn tick(&mut self, all_shards_led: bool, context: &mut Context) {
+    pub fn tick(&mut self, all_shards_led: bool, context: &mut Context<'_>) {
         let now = context.now();
         self.request_types(context);
         self.request_list(context);
@@ -103,7 +103,7 @@
     }
 
     /// Reads the machine types and their prices, if it is time.
-    fn request_types(&mut self, context: &mut Context) {
+    fn request_types(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let is_older_than = |age_ms: u64| {
             self.types_requested_at
@@ -129,7 +129,7 @@
         &mut self,
         id: CallId,
         outcome: &CallOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Option<Vec<MachineType>> {
         let tag = self.cloud.on_response(id, outcome)?;
         let (status, body): (u16, &[u8]) = match outcome {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -17,7 +17,7 @@
 
 impl Autoscaler {
     /// Releases machines that do not serve.
-    pub(super) fn scale_in(&mut self, all_shards_led: bool, context: &mut Context) {
+    pub(super) fn scale_in(&mut self, all_shards_led: bool, context: &mut Context<'_>) {
         let now = context.now();
         if self.is_releasing {
             return;
@@ -38,7 +38,12 @@
         }
     }
 
-    fn is_unused(&self, listed: &ListedMachine, all_shards_led: bool, context: &Context) -> bool {
+    fn is_unused(
+        &self,
+        listed: &ListedMachine,
+        all_shards_led: bool,
+        context: &Context<'_>,
+    ) -> bool {
         let now = context.now();
         let lease_s = context.config.settings.deployment.workers.lease_s;
         let machine_type = context.types.get(&listed.model);
@@ -62,7 +67,12 @@
     }
 
     /// Handles the response to a release.
-    pub(super) fn on_released(&mut self, machines: Vec<MachineId>, status: u16, context: &Context) {
+    pub(super) fn on_released(
+        &mut self,
+        machines: Vec<MachineId>,
+        status: u16,
+        context: &Context<'_>,
+    ) {
         self.is_releasing = false;
         if status == 200 {
             for machine in machines {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -152,7 +152,7 @@
     }
 
     /// Repeats requests whose pause is over.
-    pub(super) fn retry_scale_out(&mut self, context: &mut Context) {
+    pub(super) fn retry_scale_out(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let requests = self.scale_out.requests.iter();
         let due: Vec<String> = requests
@@ -167,7 +167,7 @@
     }
 
     /// Requests machines for the demand that the present ones do not meet.
-    pub(super) fn scale_out(&mut self, context: &mut Context) {
+    pub(super) fn scale_out(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let demand = task_demand(context);
         let supply = self.supply(context);
@@ -208,7 +208,7 @@
     }
 
     /// All machines that serve, have started or are requested.
-    fn supply(&self, context: &Context) -> Vec<MachineSupply> {
+    fn supply(&self, context: &Context<'_>) -> Vec<MachineSupply> {
         let mut supply = Vec::new();
         let mut add = |pool: Pool| {
             if let Some(machine_type) = context.types.get(&pool.model) {
@@ -238,7 +238,7 @@
         supply
     }
 
-    fn send_request(&mut self, name: &str, context: &mut Context) {
+    fn send_request(&mut self, name: &str, context: &mut Context<'_>) {
         if let Some(request) = self.scale_out.requests.get_mut(name) {
             request.in_flight = true;
             let body = request.body.clone();
--- a/src/coordination/conditional_write.rs
+++ b/src/coordination/conditional_write.rs
@@ -6,7 +6,7 @@
 
 /// What becomes of a record.
 #[derive(Clone, PartialEq, Debug)]
-pub enum RecordUpdate {
+pub(super) enum RecordUpdate {
     /// It stays: only its version is checked.
     Unchanged,
     /// It gets this value.
@@ -17,7 +17,7 @@
 
 /// An update of one record, on condition of its version.
 #[derive(Clone, PartialEq, Debug)]
-pub struct ConditionalWrite {
+pub(super) struct ConditionalWrite {
     /// The key of the record.
     pub key: String,
     /// The version on which the decision rests; 0 if the record must not exist.
@@ -29,13 +29,13 @@
 impl ConditionalWrite {
     /// Whether the record changes.
     #[must_use]
-    pub fn changes_record(&self) -> bool {
+    pub(super) fn changes_record(&self) -> bool {
         self.update != RecordUpdate::Unchanged
     }
 
     /// The record's value after the write; none if it is deleted or unchanged.
     #[must_use]
-    pub fn value(&self) -> Option<&Value> {
+    pub(super) fn value(&self) -> Option<&Value> {
         match &self.update {
             RecordUpdate::Put(value) => Some(value),
             RecordUpdate::Unchanged | RecordUpdate::Delete => None,
@@ -44,7 +44,7 @@
 
     /// The mutation that makes the update, if there is one.
     #[must_use]
-    pub fn mutation(&self) -> Option<Mutation> {
+    pub(super) fn mutation(&self) -> Option<Mutation> {
         match &self.update {
             RecordUpdate::Unchanged => None,
             RecordUpdate::Put(value) => Some(Mutation::put(self.key.clone(), value)),
@@ -56,7 +56,7 @@
 
     /// `swap` with the comparison and the mutation of this write.
     #[must_use]
-    pub fn add_to(&self, swap: CompareAndSwap) -> CompareAndSwap {
+    pub(super) fn add_to(&self, swap: CompareAndSwap) -> CompareAndSwap {
         let mut swap = swap.compare(self.key.clone(), self.version);
         swap.mutations.extend(self.mutation());
         swap
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -131,7 +131,7 @@
     }
 
     /// Runs `f` on a shard that this controller leads. A shard that finds itself fenced is dropped.
-    fn with_shard(&mut self, shard_id: ShardId, f: impl FnOnce(&mut Shard, &mut Context)) {
+    fn with_shard(&mut self, shard_id: ShardId, f: impl FnOnce(&mut Shard, &mut Context<'_>)) {
         let Some(shard) = self.shards.get_mut(&shard_id) else {
             return;
         };
@@ -149,7 +149,7 @@
     }
 
     /// Runs `f` on each shard that this controller leads.
-    fn for_each_shard(&mut self, mut f: impl FnMut(&mut Shard, &mut Context)) {
+    fn for_each_shard(&mut self, mut f: impl FnMut(&mut Shard, &mut Context<'_>)) {
         let shards: Vec<ShardId> = self.shards.keys().copied().collect();
         for shard_id in shards {
             self.with_shard(shard_id, &mut f);
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -43,7 +43,7 @@
     fn status(&mut self) -> PeerStatus {
         let now = self.env.now();
         let shards = self.shards.values();
-        let teams = shards.flat_map(|shard| shard.teams_short_of_quota());
+        let teams = shards.flat_map(super::super::shard::Shard::teams_short_of_quota);
         let teams: BTreeSet<String> = teams.map(|team| team.as_str().to_string()).collect();
         let shards = self.shard_statuses();
         PeerStatus {
--- a/src/coordination/controller/readiness.rs
+++ b/src/coordination/controller/readiness.rs
@@ -26,7 +26,11 @@
     }
 
     fn ready_response(&self) -> Response {
-        let shards: Vec<ShardProgress> = self.shards.values().map(|s| s.progress()).collect();
+        let shards: Vec<ShardProgress> = self
+            .shards
+            .values()
+            .map(super::super::shard::Shard::progress)
+            .collect();
         Response::json(
             200,
             &json!({
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -78,7 +78,7 @@
                 KvResponse::Swap(outcome) => {
                     let context = &mut self.env.context();
                     self.format_migration
-                        .on_response(key, value, outcome, context);
+                        .on_response(key, value, &outcome, context);
                 }
                 _ => unexpected_response(&request),
             },
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -266,7 +266,10 @@
     pub(super) fn receives_no_heartbeats(&self) -> bool {
         let now = self.env.now();
         let heartbeat_interval_ms = self.env.config.settings.report_ms();
-        let mut shards = self.shards.values().map(|s| s.heartbeat_summary());
+        let mut shards = self
+            .shards
+            .values()
+            .map(super::super::shard::Shard::heartbeat_summary);
         !self.shards.is_empty()
             && shards
                 .all(|heartbeats| silence::is_unreachable(heartbeats, now, heartbeat_interval_ms))
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -87,7 +87,7 @@
     }
 
     /// Handles a peer's answer to a confirmation request.
-    fn on_confirmation(&mut self, now: MonotonicMillis, confirmation: Confirmation) {
+    fn on_confirmation(&mut self, now: MonotonicMillis, confirmation: &Confirmation) {
         let cancelled = confirmation.cancelled.iter();
         let confirmation = PeerConfirmation {
             from: Member::new(&confirmation.member),
@@ -183,7 +183,7 @@
         }
         if let Some(confirmation) = message.confirmation {
             let now = self.env.now();
-            self.env.cancellations.on_confirmation(now, confirmation);
+            self.env.cancellations.on_confirmation(now, &confirmation);
         }
     }
 
--- a/src/coordination/dag_runs/advance.rs
+++ b/src/coordination/dag_runs/advance.rs
@@ -37,7 +37,7 @@
         leases: &Leases,
         errors: &BTreeMap<JobId, u32>,
         job_api: &mut JobApi,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         self.write_pending(context);
         self.start_scheduled_runs(leases, context);
@@ -83,7 +83,7 @@
     }
 
     /// Forgets the plans of runs that are neither advanced here nor polled.
-    fn drop_unused(&mut self, leases: &Leases, context: &Context) {
+    fn drop_unused(&mut self, leases: &Leases, context: &Context<'_>) {
         let now = context.now();
         let mut polled = 0;
         let records = &context.records;
@@ -99,7 +99,7 @@
     }
 
     /// The run to advance after the last one, round robin.
-    fn next_run(&self, leases: &Leases, context: &Context) -> Option<RunId> {
+    fn next_run(&self, leases: &Leases, context: &Context<'_>) -> Option<RunId> {
         let runs = &context.records.runs;
         let is_candidate = |id: &&RunId| {
             runs[*id].value.state == RunState::Open && is_responsible(id, leases, context)
@@ -117,7 +117,7 @@
         before: &VersionedRecord<RunRecord>,
         advanced: RunRecord,
         leases: &Leases,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let shard_id = shard_of(&id.to_string(), context.config.shard_count);
         let fencing_token = leases.fencing_token(shard_id);
@@ -156,13 +156,13 @@
 }
 
 /// Whether this controller leads the shard that a run belongs to.
-fn is_responsible(id: &RunId, leases: &Leases, context: &Context) -> bool {
+fn is_responsible(id: &RunId, leases: &Leases, context: &Context<'_>) -> bool {
     let shard_id = shard_of(&id.to_string(), context.config.shard_count);
     leases.fencing_token(shard_id).is_some()
 }
 
 /// Reads jobs of earlier runs that the record cache lacks.
-fn look_up_earlier_jobs(id: &RunId, run: &mut OpenRun, context: &mut Context) {
+fn look_up_earlier_jobs(id: &RunId, run: &mut OpenRun, context: &mut Context<'_>) {
     for job in run.inherit(MAX_JOBS_AT_ONCE, context) {
         if context
             .kv
@@ -181,7 +181,12 @@
 }
 
 /// Submits and cancels jobs as decided.
-fn apply_to_jobs(run: &OpenRun, decision: &Decision, job_api: &mut JobApi, context: &mut Context) {
+fn apply_to_jobs(
+    run: &OpenRun,
+    decision: &Decision,
+    job_api: &mut JobApi,
+    context: &mut Context<'_>,
+) {
     for index in &decision.submit {
         let pause_ms = seconds_to_ms(run.plan.jobs[*index].retry_delay_s);
         if !job_api.submit_for_run(&run.submission(*index), pause_ms, context) {
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -110,7 +110,12 @@
 
 impl DagRuns {
     /// Handles a request. That the key-value store serves has been checked before.
-    pub fn handle(&mut self, connection: ConnectionId, request: DagRequest, context: &mut Context) {
+    pub fn handle(
+        &mut self,
+        connection: ConnectionId,
+        request: DagRequest,
+        context: &mut Context<'_>,
+    ) {
         if !context.records.all_support(&Capability::graphs()) {
             let why = "not every controller takes graphs yet";
             let later = Response::later(503, why, UNSUPPORTED_RETRY_AFTER_S);
@@ -157,7 +162,7 @@
         &mut self,
         request: DagRunsRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         match (request, response) {
             (DagRunsRequest::WriteDefinition, KvResponse::Swap(outcome)) => {
@@ -196,7 +201,7 @@
     }
 
     /// Expands a run, if it is not expanded yet and its definition is cached.
-    fn expand(&mut self, id: &RunId, record: &RunRecord, context: &Context) {
+    fn expand(&mut self, id: &RunId, record: &RunRecord, context: &Context<'_>) {
         if self.open_runs.contains_key(id) || self.broken.contains(id) {
             return;
         }
--- a/src/coordination/dag_runs/open_run.rs
+++ b/src/coordination/dag_runs/open_run.rs
@@ -25,7 +25,7 @@
 pub(super) fn unpack_run(
     id: &RunId,
     record: &RunRecord,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Option<Result<Asked, ExpansionError>> {
     let definition = packing::unpack_pieces(record.pieces, |chunk| {
         let key = ChunkKey {
@@ -72,7 +72,7 @@
     pub(super) fn expand(
         id: &RunId,
         record: &RunRecord,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<Result<OpenRun, ExpansionError>> {
         let definition = unpack_run(id, record, context)?;
         Some(definition.and_then(|definition| OpenRun::new(id, &definition)))
@@ -105,7 +105,7 @@
 
     /// Looks up what became of jobs in earlier runs. Returns ids of some that must be read first, if any;
     /// no more jobs are looked up after `max_reads` of them.
-    pub(super) fn inherit(&mut self, max_reads: usize, context: &Context) -> Vec<JobId> {
+    pub(super) fn inherit(&mut self, max_reads: usize, context: &Context<'_>) -> Vec<JobId> {
         let mut unknown = Vec::new();
         for (i, ids) in self.earlier_jobs.iter_mut().enumerate() {
             ids.retain(|id| match context.records.finished_job(id) {
@@ -155,7 +155,7 @@
         &mut self,
         record: &RunRecord,
         max_submissions: usize,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Decision {
         self.observed_at = context.effects.now;
         for (observed, job) in self.observed.iter_mut().zip(&self.plan.jobs) {
@@ -195,7 +195,7 @@
     pub(super) fn failed_jobs(
         &mut self,
         errors: &BTreeMap<JobId, u32>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Vec<u32> {
         let mut failed = Vec::new();
         for (i, job) in self.plan.jobs.iter().enumerate() {
--- a/src/coordination/dag_runs/requests.rs
+++ b/src/coordination/dag_runs/requests.rs
@@ -108,10 +108,13 @@
         }),
         ("POST", [dag, "runs", run, "cancel"]) => Ok(DagRequest::CancelRun(run_id(dag, run)?)),
         ("POST", [dag, "runs", run, "rerun"]) => parse_rerun(run_id(dag, run)?, body),
-        (_, [_] | [_, "pause" | "resume"] | [_, "runs", _, "rerun"])
-        | (_, [_, "runs"] | [_, "runs", _] | [_, "runs", _, "cancel"]) => {
-            Err(RequestError::WrongMethod)
-        }
+        (
+            _,
+            [_]
+            | [_, "pause" | "resume" | "runs"]
+            | [_, "runs", _, "rerun" | "cancel"]
+            | [_, "runs", _],
+        ) => Err(RequestError::WrongMethod),
         _ => Err(RequestError::NoSuchPath),
     }
 }
--- a/src/coordination/dag_runs/retention.rs
+++ b/src/coordination/dag_runs/retention.rs
@@ -25,7 +25,7 @@
 
 impl DagRuns {
     /// Removes chunks of definitions, or else one record, whose retention is over.
-    pub fn remove_ended(&mut self, context: &mut Context) {
+    pub fn remove_ended(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.retention.is_removing || now.since(self.retention.searched_at) < SEARCH_INTERVAL_MS
         {
@@ -75,7 +75,7 @@
         &mut self,
         keys: &[String],
         outcome: &SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         self.retention.is_removing = false;
         if let SwapOutcome::Applied(revision) = outcome {
--- a/src/coordination/dag_runs/run_records.rs
+++ b/src/coordination/dag_runs/run_records.rs
@@ -20,7 +20,12 @@
 
 impl DagRuns {
     /// Cancels a run for a user.
-    pub(super) fn cancel(&mut self, connection: ConnectionId, id: RunId, context: &mut Context) {
+    pub(super) fn cancel(
+        &mut self,
+        connection: ConnectionId,
+        id: RunId,
+        context: &mut Context<'_>,
+    ) {
         let Some(v) = context.records.runs.get(&id).cloned() else {
             // The record may not be cached yet.
             let query = StatusQuery {
@@ -64,7 +69,7 @@
         write: RunWrite,
         version: Version,
         swap: CompareAndSwap,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let key = run_key(&write.run);
         let swap = swap
@@ -78,7 +83,12 @@
 
     /// Handles the outcome of such a write. Whatever one of the run's own leaves open, the watch brings, and
     /// it is decided again.
-    pub(super) fn on_run_written(&mut self, id: u64, outcome: &SwapOutcome, context: &mut Context) {
+    pub(super) fn on_run_written(
+        &mut self,
+        id: u64,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
+    ) {
         let Some(RunWrite {
             connection,
             run,
--- a/src/coordination/dag_runs/schedules.rs
+++ b/src/coordination/dag_runs/schedules.rs
@@ -77,7 +77,7 @@
 impl Schedules {
     /// Unpacks a DAG, if it has changed and all its chunks are cached; whether its present definition is
     /// unpacked.
-    fn unpack(&mut self, name: &str, record: &GraphRecord, context: &Context) -> bool {
+    fn unpack(&mut self, name: &str, record: &GraphRecord, context: &Context<'_>) -> bool {
         let unpacked = self.dags.get(name);
         if unpacked.is_some_and(|dag| dag.hash == record.hash) {
             return true;
@@ -119,7 +119,7 @@
     name: &str,
     dag: &UnpackedDag,
     record: &GraphRecord,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Option<DueRun> {
     // No interval is over before it is over by every clock.
     let skew_ms = context.config.settings.skew_ms();
@@ -159,7 +159,7 @@
         connection: ConnectionId,
         name: &str,
         PackedDefinition { definition, text }: &PackedDefinition,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         // Planned with its defaults, so that its user and not its schedule finds out what is wrong.
         if let Err(rejection) = plan_run(definition, context) {
@@ -197,7 +197,7 @@
     }
 
     /// Answers with a DAG's schedule.
-    pub(super) fn show_dag(&self, connection: ConnectionId, name: &str, context: &mut Context) {
+    pub(super) fn show_dag(&self, connection: ConnectionId, name: &str, context: &mut Context<'_>) {
         let response = match context.records.graphs.get(name) {
             Some(v) => Response::json(200, &dag_body(name, &v.value)),
             None => Response::error(404, "no such graph"),
@@ -211,7 +211,7 @@
         connection: ConnectionId,
         name: &str,
         paused: bool,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let Some(v) = context.records.graphs.get(name).cloned() else {
             let response = Response::error(404, "no such graph");
@@ -244,7 +244,7 @@
         write: DagWrite,
         version: Version,
         swap: CompareAndSwap,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let key = graph_key(&write.name);
         let swap = swap
@@ -257,7 +257,12 @@
     }
 
     /// Handles the outcome of a write of a DAG's record.
-    pub(super) fn on_dag_written(&mut self, id: u64, outcome: &SwapOutcome, context: &mut Context) {
+    pub(super) fn on_dag_written(
+        &mut self,
+        id: u64,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
+    ) {
         let Some(DagWrite {
             connection,
             name,
@@ -281,7 +286,7 @@
     }
 
     /// Starts runs for intervals that are over, of the DAGs whose shard this controller leads.
-    pub(super) fn start_scheduled_runs(&mut self, leases: &Leases, context: &mut Context) {
+    pub(super) fn start_scheduled_runs(&mut self, leases: &Leases, context: &mut Context<'_>) {
         let now = context.now();
         if context.records.graphs.is_empty()
             || now.since(self.schedules.evaluated_at) < EVALUATION_INTERVAL_MS
@@ -320,7 +325,7 @@
         name: &str,
         record: &VersionedRecord<GraphRecord>,
         swap: CompareAndSwap,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let Some(dag) = self.schedules.dags.get(name) else {
             return;
@@ -372,7 +377,7 @@
         &mut self,
         name: &str,
         due: &DueRun,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Result<(), PlanRejection> {
         let Some(dag) = self.schedules.dags.get(name) else {
             return Ok(());
--- a/src/coordination/dag_runs/status.rs
+++ b/src/coordination/dag_runs/status.rs
@@ -31,7 +31,7 @@
 
 impl DagRuns {
     /// Asks the key-value store whether the record cache is up to date with a run.
-    pub(super) fn check_status(&mut self, query: StatusQuery, context: &mut Context) {
+    pub(super) fn check_status(&mut self, query: StatusQuery, context: &mut Context<'_>) {
         if !context
             .kv
             .has_budget(context.now(), RequestPriority::Reads, 0)
@@ -56,7 +56,7 @@
         &mut self,
         id: u64,
         outcome: &SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let Some(query) = self.status_queries.remove(&id) else {
             return;
@@ -69,7 +69,7 @@
     }
 
     /// The state of a run, and its steps as long as its definition is retained.
-    fn status(&mut self, query: &StatusQuery, context: &Context) -> Response {
+    fn status(&mut self, query: &StatusQuery, context: &Context<'_>) -> Response {
         let StatusQuery {
             run, after, limit, ..
         } = query;
--- a/src/coordination/dag_runs/submissions.rs
+++ b/src/coordination/dag_runs/submissions.rs
@@ -62,7 +62,7 @@
         version: Version,
         record: &impl Serialize,
         chunks: Vec<Chunk>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> PendingDefinition {
         PendingDefinition {
             connection: None,
@@ -82,7 +82,7 @@
         id: &RunId,
         jobs: usize,
         text: &str,
-        context: &Context,
+        context: &Context<'_>,
     ) -> PendingDefinition {
         let hash = packing::hash(text);
         let chunks = chunks(text, |i| plan_key(id, &hash, i), context);
@@ -108,7 +108,7 @@
 pub(super) fn chunks(
     text: &str,
     chunk_key: impl Fn(u32) -> String,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Vec<Chunk> {
     let value_bytes = context.storage_limits.value_bytes;
     let texts = packing::pieces(text, value_bytes.saturating_sub(SPARE_BYTES));
@@ -136,7 +136,7 @@
 pub(super) fn check_run_limits(
     dag: &str,
     max_active_runs: Option<u32>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Result<(), RunLimit> {
     let runs = context.records.runs.iter();
     let open = runs.filter(|(_, v)| v.value.state == RunState::Open);
@@ -186,7 +186,7 @@
 ///
 /// # Errors
 /// Why it cannot run here.
-pub(super) fn plan_run(definition: &Asked, context: &Context) -> Result<Plan, PlanRejection> {
+pub(super) fn plan_run(definition: &Asked, context: &Context<'_>) -> Result<Plan, PlanRejection> {
     let facts = definition.facts();
     let plan = expand(&definition.graph, &definition.mapping, &facts, "graph")
         .map_err(|problems| PlanRejection::Invalid(json!(problems)))?;
@@ -211,7 +211,7 @@
         connection: ConnectionId,
         id: &RunId,
         PackedDefinition { definition, text }: &PackedDefinition,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if let Some(v) = context.records.runs.get(id) {
             let body = run_body(id, &v.value);
@@ -249,9 +249,9 @@
         connection: ConnectionId,
         id: &RunId,
         new_run: String,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
-        let refuse = |context: &mut Context, status: u16, why: &str| {
+        let refuse = |context: &mut Context<'_>, status: u16, why: &str| {
             let response = Response::error(status, why);
             context.effects.respond(connection, response);
         };
@@ -280,7 +280,7 @@
     }
 
     /// Gives the oldest submission up.
-    fn drop_first(&mut self, response: Response, context: &mut Context) {
+    fn drop_first(&mut self, response: Response, context: &mut Context<'_>) {
         if let Some(dropped) = self.pending.pop_front()
             && let Some(connection) = dropped.connection
         {
@@ -289,7 +289,7 @@
     }
 
     /// Writes the chunks of the oldest submission, and then its record.
-    pub(super) fn write_pending(&mut self, context: &mut Context) {
+    pub(super) fn write_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         while let Some(first) = self.pending.front()
             && first.in_flight == 0
@@ -326,7 +326,11 @@
     }
 
     /// Handles the outcome of a write of chunks or of the record that makes them count.
-    pub(super) fn on_definition_written(&mut self, outcome: &SwapOutcome, context: &mut Context) {
+    pub(super) fn on_definition_written(
+        &mut self,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
+    ) {
         let Some(first) = self.pending.front_mut() else {
             return;
         };
@@ -356,7 +360,7 @@
     }
 
     /// Refuses all submissions: the key-value store does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
+    pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         while !self.pending.is_empty() {
             self.drop_first(Unavailable::StoreDown.into(), context);
         }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -110,7 +110,7 @@
     /// Builds the graph. `previous` says since when jobs have been ready where the records do not.
     #[must_use]
     pub fn build(
-        source: &GraphSource,
+        source: &GraphSource<'_, '_>,
         now: WallClockMillis,
         previous: &DependencyGraph,
     ) -> DependencyGraph {
--- a/src/coordination/drains/decisions.rs
+++ b/src/coordination/drains/decisions.rs
@@ -54,7 +54,7 @@
     key: String,
     version: Version,
     record: &T,
-    context: &Context,
+    context: &Context<'_>,
 ) -> DrainDecision {
     let value = serde_json::to_value(record).unwrap_or_default();
     if !context.storage_limits.accepts(&value) {
@@ -82,7 +82,7 @@
 pub(super) fn decide(
     request: &DrainsRequest,
     waits: &BTreeMap<Name, WaitReason>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> DrainDecision {
     match request {
         DrainsRequest::Start(name, drain) => start(name, drain, waits, context),
@@ -114,7 +114,7 @@
     name: &Name,
     drain: &Drain,
     waits: &BTreeMap<Name, WaitReason>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Value {
     let mut body = drain.shown(name);
     if let Some(reason) = waits.get(name).filter(|_| !drain.state.ended()) {
@@ -132,7 +132,7 @@
 
 /// Drains that have not ended and may concern the same machines: each machine goes with the first one
 /// whose step takes it, and is left alone by the others meanwhile.
-fn overlapping_drains(name: &Name, drain: &Drain, context: &Context) -> Vec<String> {
+fn overlapping_drains(name: &Name, drain: &Drain, context: &Context<'_>) -> Vec<String> {
     let drains = context.records.drains.iter();
     let others = drains.filter(|(n, v)| *n != name && !v.value.state.ended());
     others
@@ -155,7 +155,7 @@
     name: &Name,
     word: Word,
     waits: &BTreeMap<Name, WaitReason>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> DrainDecision {
     let key = drain_key(name);
     let Some(v) = context.records.drains.get(name) else {
@@ -177,7 +177,7 @@
 fn list(
     page: &ListRequest,
     waits: &BTreeMap<Name, WaitReason>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> DrainDecision {
     let drains = context.records.drains.iter();
     let mut items: Vec<Value> = drains
@@ -190,12 +190,12 @@
     Response::json(200, &json!({"items": items, "more": more})).into()
 }
 
-fn is_known(team: &Team, context: &Context) -> bool {
+fn is_known(team: &Team, context: &Context<'_>) -> bool {
     let teams = &context.config.settings.deployment.teams;
     teams.iter().any(|t| t.name == team.as_str())
 }
 
-fn ledger(team: &Team, context: &Context) -> (Version, Ledger) {
+fn ledger(team: &Team, context: &Context<'_>) -> (Version, Ledger) {
     let record = context.records.ledgers.get(team);
     record.map_or((Version(0), Ledger::default()), |v| {
         (v.version, (*v.value).clone())
@@ -203,7 +203,7 @@
 }
 
 /// A team's disruption budget, and what is left of it.
-fn budget_body(team: &Team, ledger: &Ledger, context: &Context) -> Value {
+fn budget_body(team: &Team, ledger: &Ledger, context: &Context<'_>) -> Value {
     let budget = ledger.budget(&context.config.ops.drains.budget);
     let skew_ms = context.config.settings.skew_ms();
     let recent = ledger.lately(&budget, WallClockMillis(context.effects.wall_ms), skew_ms);
@@ -216,7 +216,7 @@
         "stretch_left_cpus": stretch.max(0.0), "breach_cpus": ledger.breach})
 }
 
-fn set_budget(team: &Team, budget: Option<Budget>, context: &Context) -> DrainDecision {
+fn set_budget(team: &Team, budget: Option<Budget>, context: &Context<'_>) -> DrainDecision {
     let (version, mut ledger) = ledger(team, context);
     if ledger.budget == budget {
         let body = budget_body(team, &ledger, context);
@@ -232,7 +232,7 @@
     name: &Name,
     drain: &Drain,
     waits: &BTreeMap<Name, WaitReason>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> DrainDecision {
     let key = drain_key(name);
     if let Some(old) = context.records.drains.get(name) {
@@ -266,7 +266,7 @@
 }
 
 /// Why a drain contradicts another: what one keeps empty must not be released by the other.
-fn contradiction(drain: &Drain, context: &Context) -> Option<String> {
+fn contradiction(drain: &Drain, context: &Context<'_>) -> Option<String> {
     context.records.drains.iter().find_map(|(other_name, v)| {
         let other = &*v.value;
         let is_in_force =
--- a/src/coordination/drains/disruption.rs
+++ b/src/coordination/drains/disruption.rs
@@ -38,7 +38,7 @@
     /// Adds up the allocations of all shards: a task that has been tried before is unavailable, evicted or
     /// lost, unless its shard's leader has seen it run again.
     #[must_use]
-    pub fn of(team: &Team, context: &Context) -> TeamDisruption {
+    pub fn of(team: &Team, context: &Context<'_>) -> TeamDisruption {
         let mut disruption = TeamDisruption::default();
         for ((shard_id, id), allocation) in &context.records.allocations {
             let Some(record) = context.records.jobs.get(id) else {
@@ -82,7 +82,7 @@
 }
 
 /// Whether the records have any of a job's tasks from some number on started on a machine.
-fn has_started(machine: &MachineId, job: &JobId, from: TaskIndex, context: &Context) -> bool {
+fn has_started(machine: &MachineId, job: &JobId, from: TaskIndex, context: &Context<'_>) -> bool {
     let shard_id = shard_of(machine.as_str(), context.config.shard_count);
     let allocation = context.records.allocations.get(&(shard_id, job.clone()));
     let started = allocation.and_then(|a| a.value.started.get(machine));
@@ -90,7 +90,7 @@
 }
 
 /// Evaluates something on the view of the records against which charges are checked.
-pub fn with_record_view<T>(context: &Context, evaluate: impl FnOnce(&Picture) -> T) -> T {
+pub fn with_record_view<T>(context: &Context<'_>, evaluate: impl FnOnce(&Picture<'_>) -> T) -> T {
     let has_started =
         |machine: &MachineId, job: &JobId, from| has_started(machine, job, from, context);
     let version = |machine: &MachineId, job: &JobId| {
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -73,7 +73,7 @@
 
     /// Whether it is time for the leader's next step.
     #[must_use]
-    pub fn is_step_due(&self, context: &Context) -> bool {
+    pub fn is_step_due(&self, context: &Context<'_>) -> bool {
         let now = context.effects.now;
         let is_idle =
             context.records.drains.is_empty() && context.config.ops.drains.planned.is_empty();
@@ -86,7 +86,7 @@
         &mut self,
         autoscaler: &Autoscaler,
         status: &EvictionStatus,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let now = context.now();
         let leader_since = *self.leader.leader_since.get_or_insert(now);
@@ -116,7 +116,7 @@
         &mut self,
         machines: &mut BTreeMap<MachineId, Seen>,
         status: &EvictionStatus,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let now = context.now();
         let cordoned = &context.drains.cordoned;
@@ -135,7 +135,7 @@
         autoscaler: &Autoscaler,
         machines: &BTreeMap<MachineId, Seen>,
         status: &EvictionStatus,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<DrainUpdate> {
         let drains = context.records.drains.iter();
         let mut open: Vec<(&Name, Version, &Drain)> = drains
@@ -190,7 +190,7 @@
         None
     }
 
-    fn write(&mut self, update: DrainUpdate, leader_version: Version, context: &mut Context) {
+    fn write(&mut self, update: DrainUpdate, leader_version: Version, context: &mut Context<'_>) {
         // A step is a write in some seconds, and much waits for it.
         if !context
             .kv
@@ -223,7 +223,7 @@
     }
 
     /// Removes a drain whose retention is over.
-    fn remove_expired(&mut self, leader_version: Version, context: &mut Context) {
+    fn remove_expired(&mut self, leader_version: Version, context: &mut Context<'_>) {
         let now = context.now();
         if now.since(self.leader.last_expiry_at) < EXPIRY_INTERVAL_MS
             || !context.kv.has_budget(now, RequestPriority::Background, 1)
@@ -259,7 +259,7 @@
 }
 
 /// A drain that the operators' settings plan and of which there is no record.
-fn planned_drain(leader_ms: u64, context: &Context) -> Option<DrainUpdate> {
+fn planned_drain(leader_ms: u64, context: &Context<'_>) -> Option<DrainUpdate> {
     if !context.records.all_support(&Capability::drains()) {
         return None;
     }
@@ -285,7 +285,7 @@
 
 impl OtherDrains {
     /// What all drains but the one of this name claim.
-    fn of(name: &Name, machines: &BTreeMap<MachineId, Seen>, context: &Context) -> OtherDrains {
+    fn of(name: &Name, machines: &BTreeMap<MachineId, Seen>, context: &Context<'_>) -> OtherDrains {
         let mut others = OtherDrains::default();
         for (_, v) in context.records.drains.iter().filter(|(n, _)| *n != name) {
             let drain = &*v.value;
@@ -308,7 +308,7 @@
 }
 
 /// A drain's value, with smaller steps if it would be too large.
-fn encode(mut drain: Drain, context: &Context) -> Option<Value> {
+fn encode(mut drain: Drain, context: &Context<'_>) -> Option<Value> {
     loop {
         let value = serde_json::to_value(&drain).ok()?;
         if context.storage_limits.accepts(&value) {
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -74,7 +74,7 @@
         &mut self,
         connection: ConnectionId,
         request: DrainsRequest,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let refusal = if !context.records.all_support(&Capability::drains()) {
             Some("not every controller takes drains yet")
@@ -87,12 +87,12 @@
     }
 
     /// Refuses all pending requests: the key-value store does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
+    pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         self.pending.refuse_all(context);
     }
 
     /// Decides the oldest request.
-    pub fn tick(&mut self, context: &mut Context) {
+    pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         self.pending.expire(context);
         if self.in_flight.is_some() || now < self.retry_at || !context.records.loaded {
@@ -125,7 +125,7 @@
         write: ConditionalWrite,
         request: Option<DecidedRequest>,
         leader_version: Option<Version>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let mut swap = CompareAndSwap::default().compare(write.key.clone(), write.version);
         if let Some(version) = leader_version {
@@ -148,7 +148,7 @@
     }
 
     /// Handles the outcome of a write.
-    pub fn on_outcome(&mut self, id: u64, outcome: SwapOutcome, context: &mut Context) {
+    pub fn on_outcome(&mut self, id: u64, outcome: SwapOutcome, context: &mut Context<'_>) {
         let Some(InFlightWrite { write, request, .. }) = self.in_flight.take_if(|w| w.id == id)
         else {
             return;
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -98,7 +98,7 @@
 
 impl FormatMigration {
     /// Writes the next declaration.
-    pub fn tick(&mut self, context: &mut Context) {
+    pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let is_held = context.config.ops.hold_format && context.records.format == RecordFormat::V1;
         if self.in_flight || now < self.retry_at || !context.records.loaded || is_held {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn write(&mut self, declaration: Declaration, context: &mut Context) {
+    fn write(&mut self, declaration: Declaration, context: &mut Context<'_>) {
         let Declaration {
             key,
             version,
@@ -140,12 +140,12 @@
         &mut self,
         key: &str,
         value: &Value,
-        outcome: SwapOutcome,
-        context: &mut Context,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
     ) {
         self.in_flight = false;
         self.retry_at = context.now().plus(RETRY_MS);
-        if let SwapOutcome::Applied(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = *outcome {
             context.records.apply(key, Some(value), revision);
             self.retry_at = context.now();
         }
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -33,7 +33,7 @@
 }
 
 /// The value of a role's key when this controller holds the role.
-fn holder_value(lease: LeaseId, context: &Context) -> Value {
+fn holder_value(lease: LeaseId, context: &Context<'_>) -> Value {
     let holder = LeaseHolder {
         owner: context.config.me.clone(),
         lease,
@@ -41,7 +41,7 @@
     serde_json::to_value(&holder).unwrap_or_default()
 }
 
-fn cached_holder(role: Role, context: &Context) -> Option<KeyHolder> {
+fn cached_holder(role: Role, context: &Context<'_>) -> Option<KeyHolder> {
     let record = match role {
         Role::ShardLeader(shard_id) => context.records.shard_owners.get(&shard_id),
         Role::ClusterLeader => context.records.leader.as_ref(),
@@ -54,7 +54,11 @@
 
 impl Leases {
     /// Acquires the roles that this controller may have.
-    pub(super) fn tick_election(&mut self, first_tick_at: MonotonicMillis, context: &mut Context) {
+    pub(super) fn tick_election(
+        &mut self,
+        first_tick_at: MonotonicMillis,
+        context: &mut Context<'_>,
+    ) {
         let shards = (0..context.config.shard_count).map(ShardId);
         let roles = shards.map(Role::ShardLeader).chain([Role::ClusterLeader]);
         for role in roles {
@@ -77,7 +81,7 @@
         &mut self,
         role: Role,
         first_tick_at: MonotonicMillis,
-        context: &Context,
+        context: &Context<'_>,
     ) -> RoleObservation {
         let now = context.now();
         let holder = cached_holder(role, context);
@@ -99,7 +103,7 @@
         }
     }
 
-    fn acquire(&mut self, role: Role, version: Version, context: &mut Context) {
+    fn acquire(&mut self, role: Role, version: Version, context: &mut Context<'_>) {
         let Some(lease) = self.lease else { return };
         if !context
             .kv
@@ -124,8 +128,8 @@
     pub(super) fn on_acquisition(
         &mut self,
         role: Role,
-        outcome: SwapOutcome,
-        context: &mut Context,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
     ) -> Option<FencingToken> {
         if !self.acquiring.remove(&role) {
             return None;
@@ -134,7 +138,7 @@
             SwapOutcome::Applied(revision) => {
                 let value = holder_value(self.lease?, context);
                 let key = role_key(role);
-                context.records.apply(&key, Some(&value), revision);
+                context.records.apply(&key, Some(&value), *revision);
                 let fencing_token = FencingToken(revision.0);
                 tracing::info!(?role, fencing_token = %fencing_token, "leadership acquired");
                 self.fencing_tokens.insert(role, fencing_token);
@@ -167,7 +171,7 @@
     pub(super) fn release_to_home_member(
         &mut self,
         available_homes: &BTreeSet<ShardId>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         if context.now() < self.next_release_at || self.releasing.is_some() {
             return;
@@ -187,7 +191,7 @@
     }
 
     /// Releases a shard to a controller that its workers reach.
-    pub fn hand_over(&mut self, shard_id: ShardId, context: &mut Context) {
+    pub fn hand_over(&mut self, shard_id: ShardId, context: &mut Context<'_>) {
         if self.releasing.is_some() {
             return;
         }
@@ -197,7 +201,12 @@
         }
     }
 
-    fn release(&mut self, shard_id: ShardId, fencing_token: FencingToken, context: &mut Context) {
+    fn release(
+        &mut self,
+        shard_id: ShardId,
+        fencing_token: FencingToken,
+        context: &mut Context<'_>,
+    ) {
         let now = context.now();
         if !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 1) {
             return;
@@ -221,11 +230,11 @@
     pub(super) fn on_release(
         &mut self,
         shard_id: ShardId,
-        outcome: SwapOutcome,
-        context: &mut Context,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
     ) {
         self.releasing = None;
-        if let SwapOutcome::Applied(revision) = outcome {
+        if let SwapOutcome::Applied(revision) = *outcome {
             context.records.apply(&shard_key(shard_id), None, revision);
         }
     }
--- a/src/coordination/leases/mod.rs
+++ b/src/coordination/leases/mod.rs
@@ -121,7 +121,7 @@
     /// Renews the lease, acquires vacant roles and releases shards to their home members.
     ///
     /// `available_homes` are the shards whose home member can lead them.
-    pub fn tick(&mut self, available_homes: &BTreeSet<ShardId>, context: &mut Context) {
+    pub fn tick(&mut self, available_homes: &BTreeSet<ShardId>, context: &mut Context<'_>) {
         let first_tick_at = *self.first_tick_at.get_or_insert(context.now());
         self.tick_renewal(context);
         if !context.records.shard_owners_read || !self.is_valid(context.now()) {
@@ -137,7 +137,7 @@
         &mut self,
         request: LeaseRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> RoleChange {
         match (request, response) {
             (LeaseRequest::Grant, KvResponse::LeaseGrant(lease)) => {
@@ -148,12 +148,12 @@
                 self.on_renewal(sent_at, renewed, context)
             }
             (LeaseRequest::Acquire(role), KvResponse::Swap(outcome)) => self
-                .on_acquisition(role, outcome, context)
+                .on_acquisition(role, &outcome, context)
                 .map_or(RoleChange::Unchanged, |fencing_token| {
                     RoleChange::Acquired(role, fencing_token)
                 }),
             (LeaseRequest::Release(shard_id), KvResponse::Swap(outcome)) => {
-                self.on_release(shard_id, outcome, context);
+                self.on_release(shard_id, &outcome, context);
                 RoleChange::Unchanged
             }
             (request, _) => {
--- a/src/coordination/leases/renewal.rs
+++ b/src/coordination/leases/renewal.rs
@@ -21,14 +21,14 @@
 
 impl Leases {
     /// Requests a lease, or renews the one that there is.
-    pub(super) fn tick_renewal(&mut self, context: &mut Context) {
+    pub(super) fn tick_renewal(&mut self, context: &mut Context<'_>) {
         match self.lease {
             None => self.request_grant(context),
             Some(lease) => self.renew(lease, context),
         }
     }
 
-    fn request_grant(&mut self, context: &mut Context) {
+    fn request_grant(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let idle = self
             .grant_requested_at
@@ -42,7 +42,7 @@
         context.kv.grant_lease(context.effects, request, ttl_ms);
     }
 
-    fn renew(&mut self, lease: LeaseId, context: &mut Context) {
+    fn renew(&mut self, lease: LeaseId, context: &mut Context<'_>) {
         let now = context.now();
         if self
             .renewal_sent_at
@@ -60,7 +60,7 @@
     }
 
     /// The response to a grant; `None`: no lease was granted.
-    pub(super) fn on_grant(&mut self, lease: Option<LeaseId>, context: &Context) {
+    pub(super) fn on_grant(&mut self, lease: Option<LeaseId>, context: &Context<'_>) {
         let now = context.effects.now;
         let Some(requested_at) = self.grant_requested_at else {
             return;
@@ -91,7 +91,7 @@
         &mut self,
         sent_at: MonotonicMillis,
         renewed: RenewalOutcome,
-        context: &Context,
+        context: &Context<'_>,
     ) -> RoleChange {
         if self.renewal_sent_at == Some(sent_at) {
             self.renewal_sent_at = None;
@@ -105,7 +105,7 @@
                 return RoleChange::AllLost;
             }
             RenewalOutcome::Failed => {
-                self.next_renewal_at = context.effects.now.plus(RENEWAL_RETRY_MS)
+                self.next_renewal_at = context.effects.now.plus(RENEWAL_RETRY_MS);
             }
         }
         RoleChange::Unchanged
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -39,7 +39,7 @@
         connection: ConnectionId,
         request: R,
         refusal: Option<&str>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let is_full = self.0.len() >= MAX_PENDING;
         if let Some(why) = refusal.or(is_full.then_some("too many requests")) {
@@ -55,7 +55,7 @@
     }
 
     /// Refuses all requests: the key-value store does not serve.
-    pub(super) fn refuse_all(&mut self, context: &mut Context) {
+    pub(super) fn refuse_all(&mut self, context: &mut Context<'_>) {
         for pending in self.0.drain(..) {
             let unavailable = Unavailable::StoreDown.into();
             context.effects.respond(pending.connection, unavailable);
@@ -63,7 +63,7 @@
     }
 
     /// Refuses the requests whose deadline has passed.
-    pub(super) fn expire(&mut self, context: &mut Context) {
+    pub(super) fn expire(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         while let Some(pending) = self.0.front()
             && now.since(pending.received_at) > DEADLINE_MS
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -102,7 +102,7 @@
     }
 
     /// Probes a worker while none reaches this controller.
-    pub fn probe(&mut self, context: &mut Context) {
+    pub fn probe(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let due = self.probe.is_none() && now.since(self.last_probe_at) >= PROBE_INTERVAL_MS;
         if !self.unreachable_by_workers || !due {
--- a/src/coordination/reservations/commit.rs
+++ b/src/coordination/reservations/commit.rs
@@ -36,7 +36,7 @@
 impl Reservations {
     /// Decides all pending requests, one after the other on a copy of the calendar, and writes what they
     /// change in one transaction.
-    pub(super) fn decide_pending(&mut self, context: &mut Context) {
+    pub(super) fn decide_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         self.pending.expire(context);
         if self
@@ -82,7 +82,7 @@
     /// The decisions on as many pending requests as one transaction takes, and that transaction.
     fn collect_decisions(
         &mut self,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> (CompareAndSwap, Vec<DecidedRequest>) {
         let max_writes = context
             .kv
@@ -117,7 +117,7 @@
         &mut self,
         id: u64,
         outcome: SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         let Some(batch) = self.in_flight.take_if(|batch| batch.id == id) else {
             return Vec::new();
@@ -151,7 +151,7 @@
 fn respond(
     requests: Vec<DecidedRequest>,
     revision: Version,
-    context: &mut Context,
+    context: &mut Context<'_>,
 ) -> Vec<RecordChange> {
     let mut changes = Vec::new();
     let mut calendar_changed = false;
--- a/src/coordination/reservations/decisions.rs
+++ b/src/coordination/reservations/decisions.rs
@@ -65,7 +65,7 @@
         key: String,
         version: Option<Version>,
         record: &T,
-        context: &Context,
+        context: &Context<'_>,
     ) -> CalendarDecision {
         let value = serde_json::to_value(record).unwrap_or_default();
         if !context.storage_limits.accepts(&value) {
@@ -86,7 +86,7 @@
 pub(super) fn decide(
     request: &CalendarRequest,
     calendar: &mut Calendar,
-    context: &Context,
+    context: &Context<'_>,
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
     match request {
@@ -123,7 +123,7 @@
     wanted: &Wanted,
     mode: SubmissionMode,
     calendar: &mut Calendar,
-    context: &Context,
+    context: &Context<'_>,
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
     let old = calendar.reservation(name).cloned();
@@ -167,7 +167,7 @@
     ForcedWindow { window, force }: &ForcedWindow<'_>,
     mode: SubmissionMode,
     calendar: &mut Calendar,
-    context: &Context,
+    context: &Context<'_>,
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
     let old = calendar.window(name).cloned();
@@ -205,7 +205,12 @@
     decision
 }
 
-fn cancel(kind: Kind, name: &Name, calendar: &mut Calendar, context: &Context) -> CalendarDecision {
+fn cancel(
+    kind: Kind,
+    name: &Name,
+    calendar: &mut Calendar,
+    context: &Context<'_>,
+) -> CalendarDecision {
     let records = &context.records;
     let (key, version) = match kind {
         Kind::Reservation => (
--- a/src/coordination/reservations/expiry.rs
+++ b/src/coordination/reservations/expiry.rs
@@ -22,7 +22,7 @@
 
 impl Reservations {
     /// Removes an entry whose retention is over.
-    pub(super) fn remove_expired(&mut self, context: &mut Context) {
+    pub(super) fn remove_expired(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.expiry.is_removing || now.since(self.expiry.searched_at) < SEARCH_INTERVAL_MS {
             return;
@@ -47,7 +47,7 @@
         &mut self,
         key: &str,
         outcome: &SwapOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         self.expiry.is_removing = false;
         let SwapOutcome::Applied(revision) = outcome else {
@@ -60,7 +60,7 @@
 }
 
 /// The key and version of an entry whose retention is over.
-fn expired_entry(context: &Context) -> Option<(String, Version)> {
+fn expired_entry(context: &Context<'_>) -> Option<(String, Version)> {
     let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(RETENTION_MS));
     let is_over = |when: &When| match when {
         When::Once { until, .. } => *until < limit,
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -71,7 +71,7 @@
         &mut self,
         connection: ConnectionId,
         request: CalendarRequest,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let refusal = if !context.records.all_support(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
@@ -84,7 +84,7 @@
     }
 
     /// Refuses all pending requests: the key-value store does not serve.
-    pub fn refuse_all(&mut self, context: &mut Context) {
+    pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         self.pending.refuse_all(context);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Brings the calendar up to date with changed records.
-    pub fn on_changes(&mut self, changes: &[RecordChange], context: &Context) {
+    pub fn on_changes(&mut self, changes: &[RecordChange], context: &Context<'_>) {
         let now = WallClockMillis(context.effects.wall_ms);
         for change in changes {
             match change {
@@ -120,7 +120,7 @@
     }
 
     /// Builds the calendar from the records if there is none, or if it is planned too little ahead.
-    fn build(&mut self, context: &Context) {
+    fn build(&mut self, context: &Context<'_>) {
         let is_needed = context.config.ops.calendar.enabled
             || !context.records.reservations.is_empty()
             || !context.records.windows.is_empty();
@@ -154,7 +154,7 @@
 
     /// Periodic work. Returns what placement and scale-out must respect, if that was computed again.
     #[must_use]
-    pub fn tick(&mut self, is_leader: bool, context: &mut Context) -> Option<Guard> {
+    pub fn tick(&mut self, is_leader: bool, context: &mut Context<'_>) -> Option<Guard> {
         self.build(context);
         self.decide_pending(context);
         if is_leader {
@@ -177,7 +177,7 @@
         &mut self,
         request: ReservationsRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
         match (request, response) {
             (ReservationsRequest::Decide(id), KvResponse::Swap(outcome)) => {
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -66,7 +66,7 @@
         &mut self,
         queue: &[QueuedJob],
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let now = context.now();
         let waiting = self.long_waiting(queue, context);
@@ -91,9 +91,13 @@
 
     /// The jobs that have waited for long: by the users' priorities, then those of which nothing has ever begun, the
     /// oldest of them before the others.
-    fn long_waiting<'a>(&self, queue: &'a [QueuedJob], context: &Context) -> Vec<LongWaiting<'a>> {
+    fn long_waiting<'a>(
+        &self,
+        queue: &'a [QueuedJob],
+        context: &Context<'_>,
+    ) -> Vec<LongWaiting<'a>> {
         let wall_ms = context.effects.wall_ms;
-        let mut waiting: Vec<LongWaiting> = queue
+        let mut waiting: Vec<LongWaiting<'_>> = queue
             .iter()
             .filter(|q| wall_ms.saturating_sub(q.since.0) >= MIN_WAIT_MS)
             .filter_map(|queued| {
@@ -104,14 +108,14 @@
             })
             .collect();
         waiting.sort_by(|a, b| {
-            let rank = |w: &LongWaiting| (w.queued.rank.1, w.has_begun, w.queued.since);
+            let rank = |w: &LongWaiting<'_>| (w.queued.rank.1, w.has_begun, w.queued.since);
             (rank(a), &a.queued.job).cmp(&(rank(b), &b.queued.job))
         });
         waiting
     }
 
     /// Whether anything of a job has ended, in any shard; `None` if something of it is on a machine, or if it fails.
-    fn has_begun(&self, id: &JobId, context: &Context) -> Option<bool> {
+    fn has_begun(&self, id: &JobId, context: &Context<'_>) -> Option<bool> {
         let job = self.jobs.get(id);
         let job = job.filter(|j| j.started_tasks == 0 && j.consecutive_failures < MAX_FAILURES)?;
         let others = job.record.shards.iter().filter(|s| **s != self.id);
@@ -131,7 +135,7 @@
         &mut self,
         queued: &QueuedJob,
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let now = context.now();
         let Some(spec) = self.jobs.get(&queued.job).and_then(|j| j.spec()).cloned() else {
@@ -171,7 +175,12 @@
 
     /// Sets grant for one task aside in this pass: what ends of its team leaves grant to it. Returns whether the team's
     /// grant does not cover the task now.
-    fn set_grant_aside(&self, spec: &JobSpec, pass: &mut PlacementPass, context: &Context) -> bool {
+    fn set_grant_aside(
+        &self,
+        spec: &JobSpec,
+        pass: &mut PlacementPass,
+        context: &Context<'_>,
+    ) -> bool {
         let granted = self.granted(&spec.team, context);
         let used = pass.used.entry(spec.team.clone()).or_default();
         let lacks_grant = granted.cpus - used.cpus < spec.resources.cpus;
@@ -186,7 +195,7 @@
         &self,
         spec: &JobSpec,
         index: &CapacityIndex,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let mut classes = index.classes();
         let most = max_reservations(index.entries().len());
@@ -199,7 +208,7 @@
     }
 
     /// CPUs of a team's quota that no shard has been granted.
-    fn ungranted_cpus(&self, team: &Team, context: &Context) -> f64 {
+    fn ungranted_cpus(&self, team: &Team, context: &Context<'_>) -> f64 {
         let limits = &context.config.settings.deployment.teams;
         let limit = limits.iter().find(|t| t.name == team.as_str());
         let quota = context.records.quotas.get(team);
@@ -213,7 +222,7 @@
         name: &MachineId,
         spec: &JobSpec,
         pass: &PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let mut entries = pass.capacity_index.entries().iter();
         let entry = entries.find(|e| e.machine.name == *name);
@@ -229,7 +238,7 @@
         &self,
         spec: &JobSpec,
         pass: &PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<MachineId> {
         let is_reserved =
             |name: &MachineId| pass.backfill.contains_key(name) || self.backfill.uses(name);
@@ -263,7 +272,11 @@
         let mut used = Resources::default();
         for (_, job) in self.jobs.on_machine(name) {
             if let Some(spec) = job.spec().filter(|s| s.kind == JobKind::Service) {
-                let tasks = job.desired.started.get(name).map_or(0, |r| r.len());
+                let tasks = job
+                    .desired
+                    .started
+                    .get(name)
+                    .map_or(0, snowshelf_model::task_ranges::TaskRanges::len);
                 used.add(spec.resources.times(f64::from(tasks)));
             }
         }
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -40,7 +40,7 @@
 
 impl MachineClass {
     /// The class but for what it is reserved for.
-    pub fn kind(&self) -> MachineKind {
+    pub(super) fn kind(&self) -> MachineKind {
         (self.model.clone(), self.zone, self.spot)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// The machines that may take tasks now.
-    pub(super) fn capacity_index(&mut self, context: &Context) -> CapacityIndex {
+    pub(super) fn capacity_index(&mut self, context: &Context<'_>) -> CapacityIndex {
         self.refresh_usage();
         let heartbeat_ms = context.config.settings.report_ms().max(1);
         let max_silence_ms = 2 * context.config.settings.report_ms() + HEARTBEAT_SLACK_MS;
@@ -151,7 +151,7 @@
         spec: &JobSpec,
         index: &mut CapacityIndex,
         counts: impl Fn(&MachineClass) -> bool,
-        context: &Context,
+        context: &Context<'_>,
     ) -> u32 {
         let allowed =
             index.allowed(|class| counts(class) && self.is_eligible(spec, class, context));
@@ -166,7 +166,7 @@
         &self,
         spec: &JobSpec,
         class: &MachineClass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let zone = context.config.settings.deployment.zones.get(class.zone);
         let reservation = class.reservation.as_ref();
@@ -180,7 +180,7 @@
     request: PlacementRequest<'_>,
     at: usize,
     pass: &PlacementPass,
-    context: &Context,
+    context: &Context<'_>,
 ) -> MachineCandidate {
     let PlacementRequest { job, spec, .. } = request;
     let entry = &pass.capacity_index.entries()[at];
@@ -211,7 +211,12 @@
 
 /// How soon a task could run on a machine, in quarters of the heartbeat interval: commands are part of the response to
 /// a heartbeat, and the image may have to be fetched, sharing bandwidth with other fetches.
-fn start_delay(spec: &JobSpec, image: ImageState, machine: &OpenMachine, context: &Context) -> u32 {
+fn start_delay(
+    spec: &JobSpec,
+    image: ImageState,
+    machine: &OpenMachine,
+    context: &Context<'_>,
+) -> u32 {
     let heartbeat_ms = context.config.settings.report_ms().max(1);
     let rate = machine.fetch_gb_per_s;
     let fetch_ms = if rate > 0.0 {
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -24,7 +24,7 @@
         connection: ConnectionId,
         renewal: LeaseRenewal<(TaskRef, Attempt)>,
         commands: Vec<Command>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let halts = renewal.into_halts();
         if halts.len() > MAX_COMMANDS {
@@ -53,7 +53,7 @@
     }
 
     /// The commands for a machine, by its newest heartbeat and the desired state.
-    pub(super) fn commands(&self, name: &MachineId, context: &Context) -> Vec<Command> {
+    pub(super) fn commands(&self, name: &MachineId, context: &Context<'_>) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
@@ -83,7 +83,7 @@
         &self,
         machine: &Machine,
         attempt: AttemptOnMachine<'_>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> MachineDisposition {
         let task = attempt.task;
         let grounds = self.eviction_grounds(attempt.machine, &task.job, task.task, context);
@@ -107,7 +107,7 @@
         attempt: AttemptOnMachine<'_>,
         observed: ObservedState,
         disposition: MachineDisposition,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<Command> {
         let job = self.jobs.get(&attempt.task.job);
         let mut desired = desired_state(job, attempt);
--- a/src/coordination/shard/demand.rs
+++ b/src/coordination/shard/demand.rs
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// Matches what waits with the machines after a placement pass.
-    pub(super) fn update_demand(&mut self, index: &CapacityIndex, context: &Context) {
+    pub(super) fn update_demand(&mut self, index: &CapacityIndex, context: &Context<'_>) {
         let now = context.now();
         let offers_due = now.since(self.placement.offers_updated_at) >= OFFERS_INTERVAL_MS;
         let previous = std::mem::take(&mut self.placement.demand.offers);
@@ -72,15 +72,15 @@
         &self,
         index: &CapacityIndex,
         offers_due: bool,
-        context: &Context,
+        context: &Context<'_>,
     ) -> DemandMatch {
         let classes = class_capacities(index);
-        let could_run = |spec: &JobSpec, c: &ClassCapacity| {
+        let could_run = |spec: &JobSpec, c: &ClassCapacity<'_>| {
             spec.resources.fits_in(c.total) && self.is_eligible(spec, c.class, context)
         };
-        let mut unwanted: Vec<&ClassCapacity> = classes.iter().collect();
+        let mut unwanted: Vec<&ClassCapacity<'_>> = classes.iter().collect();
         let mut wanted = BTreeSet::new();
-        let mut offers: Vec<Offer> = Vec::new();
+        let mut offers: Vec<Offer<'_>> = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_waiting()) {
             let Some(spec) = job.spec() else { continue };
             if unwanted.is_empty() && !offers_due {
@@ -132,7 +132,7 @@
     id: &JobId,
     job: &ShardJob,
     stranded: bool,
-    context: &Context,
+    context: &Context<'_>,
 ) -> Option<StealOffer> {
     let waited_ms = context.waited_ms(id, &job.record);
     if stranded {
--- a/src/coordination/shard/disruption.rs
+++ b/src/coordination/shard/disruption.rs
@@ -47,7 +47,7 @@
 
 /// How long a job's tasks are waited for on a cordoned machine: as long as they should take, if that is not too long. A
 /// service would not end by itself.
-fn drain_patience_ms(spec: &JobSpec, patience_ms: u64, context: &Context) -> u64 {
+fn drain_patience_ms(spec: &JobSpec, patience_ms: u64, context: &Context<'_>) -> u64 {
     match (spec.kind, expected_stay_ms(spec, context)) {
         (JobKind::Service, _) | (_, None) => 0,
         (JobKind::Batch, Some(stay)) => stay.min(patience_ms),
@@ -56,7 +56,7 @@
 
 impl Shard {
     /// Charges the budget of one team with what is to be evicted next, as far as it allows.
-    pub(super) fn charge_budgets(&mut self, context: &mut Context) {
+    pub(super) fn charge_budgets(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if !self.may_charge(context) {
             return;
@@ -86,7 +86,7 @@
 
     /// Whether a charge may be decided on. Records that may be old do not say what is disrupted; nor do they if an
     /// allocation is newer than the rest: tasks that another shard stole from it would be nowhere.
-    fn may_charge(&self, context: &Context) -> bool {
+    fn may_charge(&self, context: &Context<'_>) -> bool {
         self.evictions.charge_in_flight.is_none()
             && context.now() >= self.evictions.next_charge_at
             && self.ready
@@ -96,7 +96,7 @@
     }
 
     /// Sets which of this shard's tasks run again to what is known now.
-    fn update_restarted_tasks(&self, context: &mut Context) {
+    fn update_restarted_tasks(&self, context: &mut Context<'_>) {
         let restarted = self.restarted_tasks(context).into_iter();
         let restarted = restarted.map(|(job, tasks)| ((self.id, job), tasks));
         let all = &mut context.drains.restarted_tasks;
@@ -105,7 +105,7 @@
     }
 
     /// Tasks that are to be evicted by now, by team: those that lose least first.
-    fn eviction_candidates(&self, context: &Context) -> BTreeMap<Team, Vec<Ask>> {
+    fn eviction_candidates(&self, context: &Context<'_>) -> BTreeMap<Team, Vec<Ask>> {
         let mut found: BTreeMap<Team, Vec<EvictionCandidate>> = BTreeMap::new();
         for name in context.drains.cordoned.keys() {
             if shard_of(name.as_str(), context.config.shard_count) != self.id {
@@ -140,7 +140,7 @@
         &self,
         name: &MachineId,
         m: &Machine,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Vec<(Team, EvictionCandidate)> {
         let Some(drained) = context.drains.cordoned.get(name) else {
             return Vec::new();
@@ -186,7 +186,7 @@
         team: &Team,
         requests: &[Ask],
         at_risk: Amount,
-        context: &Context,
+        context: &Context<'_>,
     ) -> ChargeRound {
         let wall = WallClockMillis(context.effects.wall_ms);
         let skew_ms = context.config.settings.skew_ms();
@@ -243,7 +243,7 @@
         team: Team,
         version: Version,
         ledger: Ledger,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let key = ledger_key(&team);
         let swap = CompareAndSwap::default()
@@ -257,7 +257,7 @@
 
     /// Settles this shard's charges that are over, so that they count from now on as what was evicted, with writes
     /// that nobody else needs: until then they count as if they were still to come.
-    fn settle_finished_charges(&mut self, context: &mut Context) {
+    fn settle_finished_charges(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let wall = WallClockMillis(context.effects.wall_ms);
         let skew_ms = context.config.settings.skew_ms();
@@ -283,7 +283,7 @@
 
     /// Whether nothing can be evicted under a charge any more: its machine is this shard's, serves again, and has
     /// learned so long ago. What was on a machine that is gone stays disrupted until the records say otherwise.
-    fn is_void(&self, charge: &Charge, now: MonotonicMillis, context: &Context) -> bool {
+    fn is_void(&self, charge: &Charge, now: MonotonicMillis, context: &Context<'_>) -> bool {
         let name = &charge.machine;
         let lease_ms = context.config.settings.lease_ms();
         let machine = self.machines.get(name);
@@ -294,7 +294,7 @@
     }
 
     /// Takes the outcome of a charge over.
-    pub(super) fn on_charge_outcome(&mut self, outcome: SwapOutcome, context: &mut Context) {
+    pub(super) fn on_charge_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some(charge) = self.evictions.charge_in_flight.take() else {
             return;
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -31,7 +31,7 @@
 impl Shard {
     /// Cordons machines and lifts cordons, as the drains' records say, and charges the budgets with what has been
     /// waited for long enough.
-    pub(super) fn update_cordons(&mut self, context: &mut Context) {
+    pub(super) fn update_cordons(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         for (name, m) in &mut self.machines {
             let drained = context.drains.cordoned.get(name);
@@ -54,7 +54,11 @@
     }
 
     /// Tasks on machines that are silent, or that the cloud is about to take, by team.
-    pub fn tasks_at_risk(&self, now: MonotonicMillis, context: &Context) -> BTreeMap<Team, Amount> {
+    pub fn tasks_at_risk(
+        &self,
+        now: MonotonicMillis,
+        context: &Context<'_>,
+    ) -> BTreeMap<Team, Amount> {
         let silent_ms = 2 * context.config.settings.report_ms() + SILENCE_SLACK_MS;
         let mut at_risk: BTreeMap<Team, Amount> = BTreeMap::new();
         for (name, m) in &self.machines {
@@ -75,7 +79,7 @@
 
     /// How many of each job's tasks that were attempted before have been seen to run again, and are not to be evicted
     /// once more.
-    pub fn restarted_tasks(&self, context: &Context) -> BTreeMap<JobId, u32> {
+    pub fn restarted_tasks(&self, context: &Context<'_>) -> BTreeMap<JobId, u32> {
         let mut restarted = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
             let started = &job.durable.started;
@@ -92,7 +96,7 @@
         restarted
     }
 
-    fn restarted_tasks_on(&self, name: &MachineId, id: &JobId, context: &Context) -> u32 {
+    fn restarted_tasks_on(&self, name: &MachineId, id: &JobId, context: &Context<'_>) -> u32 {
         let machine = self.machines.get(name).filter(|m| m.token_acknowledged);
         let ranges = self.jobs.get(id).and_then(|j| j.durable.started.get(name));
         let (Some(m), Some(ranges)) = (machine, ranges) else {
@@ -110,7 +114,13 @@
     }
 
     /// Whether a durable charge covers a task on a cordoned machine.
-    fn is_charged(&self, name: &MachineId, id: &JobId, task: TaskIndex, context: &Context) -> bool {
+    fn is_charged(
+        &self,
+        name: &MachineId,
+        id: &JobId,
+        task: TaskIndex,
+        context: &Context<'_>,
+    ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -130,14 +140,17 @@
         name: &MachineId,
         job: &JobId,
         task: TaskIndex,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Grounds {
         let Some(m) = self.machines.get(name) else {
             return Grounds::default();
         };
         let drained = context.drains.cordoned.get(name).filter(|_| m.cordoned);
         Grounds {
-            cancelled: self.jobs.get(job).is_some_and(|j| j.cancelled()),
+            cancelled: self
+                .jobs
+                .get(job)
+                .is_some_and(super::job::ShardJob::cancelled),
             noticed: m.interruption_at.is_some(),
             faulty: m.retirement == Some(RetirementReason::Fault),
             window: m.retirement == Some(RetirementReason::Window),
@@ -154,7 +167,7 @@
         name: &MachineId,
         job: &JobId,
         task: TaskIndex,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         if let Some(cause) = stops(self.eviction_grounds(name, job, task, context)) {
             *self.evictions.counts.entry(cause).or_default() += 1;
@@ -163,7 +176,7 @@
 
     /// Cordoned machines without tasks, of those that a drain keeps, and those that were released, which the cloud
     /// lists a while longer.
-    pub fn drained_machines(&self, context: &Context) -> Vec<MachineId> {
+    pub fn drained_machines(&self, context: &Context<'_>) -> Vec<MachineId> {
         let cordoned = context.drains.cordoned.iter();
         let drained = cordoned.filter(|(name, c)| match self.machines.get(*name) {
             Some(m) => {
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -20,7 +20,7 @@
         connection: ConnectionId,
         heartbeat: Heartbeat,
         received: MonotonicMillis,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> Option<(RenewalRefusal, Heartbeat)> {
         if self.rejects(connection, &heartbeat, context) {
             return None;
@@ -65,7 +65,7 @@
         &mut self,
         connection: ConnectionId,
         heartbeat: &Heartbeat,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> bool {
         if heartbeat.fencing_token > self.fencing_token {
             tracing::info!(shard = %self.id, fencing_token = %self.fencing_token, seen = %heartbeat.fencing_token,
@@ -97,7 +97,7 @@
 
     /// Processes the heartbeats from before the shard was ready. This leader has started nothing since, so they prove
     /// what they would have proved then.
-    pub(super) fn process_early_heartbeats(&mut self, context: &mut Context) {
+    pub(super) fn process_early_heartbeats(&mut self, context: &mut Context<'_>) {
         for (received_at, heartbeat) in std::mem::take(&mut self.early_heartbeats).into_values() {
             self.record_heartbeat(heartbeat, received_at, context);
         }
@@ -109,7 +109,7 @@
         &mut self,
         heartbeat: Heartbeat,
         received_at: MonotonicMillis,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) -> bool {
         let now = context.now();
         let name = heartbeat.machine.clone();
@@ -175,7 +175,7 @@
     }
 
     /// Sends the deferred responses whose start is durable, and those that cannot wait any longer.
-    pub(super) fn send_deferred_responses(&mut self, context: &mut Context) {
+    pub(super) fn send_deferred_responses(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let deferred: Vec<(MachineId, DeferredResponse)> = self
             .machines
@@ -201,7 +201,7 @@
     }
 
     /// Ends the request of a machine's earlier heartbeat, which the worker has given up.
-    fn redirect_previous_request(&mut self, name: &MachineId, context: &mut Context) {
+    fn redirect_previous_request(&mut self, name: &MachineId, context: &mut Context<'_>) {
         let machine = self.machines.get_mut(name);
         if let Some(previous) = machine.and_then(|m| m.deferred_response.take()) {
             redirect_worker(previous.connection, context);
@@ -209,7 +209,7 @@
     }
 
     /// Redirects every worker that waits for a response: this leader may not respond any more.
-    pub fn redirect_deferred_requests(&mut self, context: &mut Context) {
+    pub fn redirect_deferred_requests(&mut self, context: &mut Context<'_>) {
         for machine in self.machines.values_mut() {
             if let Some(deferred) = machine.deferred_response.take() {
                 redirect_worker(deferred.connection, context);
@@ -222,7 +222,7 @@
     machine: &mut Machine,
     heartbeat: Heartbeat,
     received_at: MonotonicMillis,
-    context: &Context,
+    context: &Context<'_>,
 ) {
     if machine.pool.is_none() {
         machine.pool = Some(Pool::new(&heartbeat.zone, &heartbeat.model));
@@ -243,7 +243,7 @@
 }
 
 /// Lets a worker look for the leader elsewhere; its lease is not renewed.
-pub(super) fn redirect_worker(connection: ConnectionId, context: &mut Context) {
+pub(super) fn redirect_worker(connection: ConnectionId, context: &mut Context<'_>) {
     let response = Response::new(421, redirect_body(None));
     context.effects.respond(connection, response);
 }
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -71,7 +71,7 @@
 
 impl ShardJob {
     /// An allocation just read, before its state is taken over.
-    pub fn new(
+    pub(super) fn new(
         record: &VersionedRecord<JobRecord>,
         allocation: &VersionedRecord<ShardAllocation>,
         image_id: u32,
@@ -101,27 +101,27 @@
     }
 
     /// The job's specification; `None` once the record has been reduced to its end.
-    pub fn spec(&self) -> Option<&JobSpec> {
+    pub(super) fn spec(&self) -> Option<&JobSpec> {
         self.record.spec.as_ref()
     }
 
     /// Whether the job has been cancelled.
-    pub fn cancelled(&self) -> bool {
+    pub(super) fn cancelled(&self) -> bool {
         self.record.state == JobState::Cancelled
     }
 
     /// Whether tasks of the job wait for machines, and for nothing else.
-    pub fn is_waiting(&self) -> bool {
+    pub(super) fn is_waiting(&self) -> bool {
         self.dependencies_satisfied && !self.cancelled() && !self.desired.waiting.is_empty()
     }
 
     /// Whether nothing of the job is left in this shard once all pending changes are durable.
-    pub fn is_over_here(&self) -> bool {
+    pub(super) fn is_over_here(&self) -> bool {
         self.desired.started.is_empty() && (self.cancelled() || self.desired.waiting.is_empty())
     }
 
     /// Works `desired` out anew from `durable`; pending changes that no longer apply are dropped.
-    pub fn reapply_pending_changes(&mut self) {
+    pub(super) fn reapply_pending_changes(&mut self) {
         let mut desired = (*self.durable).clone();
         let cancelled = self.cancelled();
         self.pending_changes.retain(|pending| {
@@ -139,18 +139,18 @@
 
     /// For how long the pending starts have waited to be durable, summed over all: when writes are scarce, the
     /// allocation goes first that keeps most tasks waiting.
-    pub fn start_wait_ms(&self, now: MonotonicMillis) -> u64 {
+    pub(super) fn start_wait_ms(&self, now: MonotonicMillis) -> u64 {
         let starts = self.pending_changes.iter().filter(|p| p.is_start());
         starts.map(|p| now.since(p.applied_at).max(1)).sum()
     }
 
     /// Whether a start is pending.
-    pub fn has_pending_start(&self) -> bool {
+    pub(super) fn has_pending_start(&self) -> bool {
         self.pending_changes.iter().any(PendingChange::is_start)
     }
 
     /// How soon the allocation should be written; `None` if there is nothing to write.
-    pub fn write_priority(&self) -> Option<WritePriority> {
+    pub(super) fn write_priority(&self) -> Option<WritePriority> {
         if self.write_in_flight || self.read_in_flight {
             None
         } else if self.outcome_unknown || self.is_over_here() {
--- a/src/coordination/shard/job_table.rs
+++ b/src/coordination/shard/job_table.rs
@@ -22,65 +22,68 @@
 
 impl JobTable {
     /// The number of jobs.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
 
     /// Whether the shard has an allocation of this job.
-    pub fn contains_key(&self, job: &JobId) -> bool {
+    pub(super) fn contains_key(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
     /// The allocation of a job.
-    pub fn get(&self, job: &JobId) -> Option<&ShardJob> {
+    pub(super) fn get(&self, job: &JobId) -> Option<&ShardJob> {
         self.jobs.get(job)
     }
 
     /// The allocation of a job, to be changed.
-    pub fn get_mut(&mut self, job: &JobId) -> Option<&mut ShardJob> {
+    pub(super) fn get_mut(&mut self, job: &JobId) -> Option<&mut ShardJob> {
         self.jobs.get_mut(job)
     }
 
     /// All allocations, in the order of their jobs' ids.
-    pub fn values(&self) -> impl Iterator<Item = &ShardJob> + '_ {
+    pub(super) fn values(&self) -> impl Iterator<Item = &ShardJob> + '_ {
         self.jobs.values()
     }
 
     /// All jobs with their allocations, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
         self.jobs.iter()
     }
 
     /// The same, to be changed.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&JobId, &mut ShardJob)> + '_ {
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&JobId, &mut ShardJob)> + '_ {
         self.jobs.iter_mut()
     }
 
     /// Jobs with started tasks on a machine, in their desired state.
-    pub fn on_machine(&self, name: &MachineId) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
+    pub(super) fn on_machine(
+        &self,
+        name: &MachineId,
+    ) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
         let jobs = self.by_machine.get(name).into_iter().flatten();
         jobs.filter_map(|id| Some((id, self.jobs.get(id)?)))
     }
 
     /// Whether any task is started on a machine, in the desired state.
-    pub fn has_tasks_on(&self, name: &MachineId) -> bool {
+    pub(super) fn has_tasks_on(&self, name: &MachineId) -> bool {
         self.by_machine.contains_key(name)
     }
 
     /// The tasks started on a machine, in the desired state.
-    pub fn tasks_on(&self, name: &MachineId) -> Vec<StartedTask> {
+    pub(super) fn tasks_on(&self, name: &MachineId) -> Vec<StartedTask> {
         let jobs = self.on_machine(name);
         let tasks = jobs.flat_map(|(id, j)| {
             let ranges = j.desired.started.get(name).into_iter();
             ranges
-                .flat_map(|r| r.iter())
+                .flat_map(snowshelf_model::task_ranges::TaskRanges::iter)
                 .map(|(task, attempt)| (id.clone(), task, attempt))
         });
         tasks.collect()
     }
 
     /// The machines on which tasks are started, in the desired state.
-    pub fn machines_in_use(&self) -> BTreeSet<MachineId> {
+    pub(super) fn machines_in_use(&self) -> BTreeSet<MachineId> {
         self.jobs
             .values()
             .flat_map(|j| j.desired.started.keys().cloned())
@@ -89,11 +92,11 @@
 
     /// Takes the record cache's state of a job over. Returns the machines on which the job has or had started tasks,
     /// or `None` if nothing changed.
-    pub fn refresh(
+    pub(super) fn refresh(
         &mut self,
         shard_id: ShardId,
         job: &JobId,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<BTreeSet<MachineId>> {
         let allocation = context.records.allocations.get(&(shard_id, job.clone()));
         let record = context.records.jobs.get(job);
@@ -126,7 +129,7 @@
             // The allocation is known and the job's record not yet: its change follows.
             (Some(_), None) => return None,
         };
-        Some(self.reindex(job, before))
+        Some(self.reindex(job, &before))
     }
 
     /// The number that stands for an image.
@@ -141,7 +144,7 @@
 
     /// Updates the index after the desired state of a job, which had started tasks on the machines `before`, was
     /// replaced or removed. Returns all machines concerned.
-    fn reindex(&mut self, job: &JobId, before: BTreeSet<MachineId>) -> BTreeSet<MachineId> {
+    fn reindex(&mut self, job: &JobId, before: &BTreeSet<MachineId>) -> BTreeSet<MachineId> {
         let desired = self.jobs.get(job).map(|j| &j.desired);
         let after: BTreeSet<MachineId> = desired
             .into_iter()
@@ -167,7 +170,12 @@
     }
 
     /// Applies a change to a job's desired state and queues it to be written. Returns whether it applies.
-    pub fn apply(&mut self, now: MonotonicMillis, job: &JobId, change: AllocationChange) -> bool {
+    pub(super) fn apply(
+        &mut self,
+        now: MonotonicMillis,
+        job: &JobId,
+        change: AllocationChange,
+    ) -> bool {
         let Some(entry) = self.jobs.get_mut(job) else {
             return false;
         };
@@ -199,7 +207,7 @@
     }
 
     /// Whether starts on this machine are pending, and not durable yet.
-    pub fn awaits_durable_start(&self, name: &MachineId) -> bool {
+    pub(super) fn awaits_durable_start(&self, name: &MachineId) -> bool {
         self.on_machine(name).any(|(_, job)| {
             let Some(desired) = job.desired.started.get(name) else {
                 return false;
--- a/src/coordination/shard/load.rs
+++ b/src/coordination/shard/load.rs
@@ -31,7 +31,7 @@
         shard_id: ShardId,
         machines: &BTreeMap<MachineId, Machine>,
         jobs: &JobTable,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let mut capacity = 0.0;
         for m in machines.values() {
@@ -69,7 +69,7 @@
 
 impl Shard {
     /// Logs the load and the counts of reconciliation, if it is time to.
-    pub(super) fn log_load(&mut self, context: &Context) {
+    pub(super) fn log_load(&mut self, context: &Context<'_>) {
         let now = context.effects.now;
         if now.since(self.load.last_logged_at) < LOG_INTERVAL_MS {
             return;
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -79,7 +79,7 @@
 
 impl Machine {
     /// Whether tasks may be placed here.
-    pub fn accepts_tasks(&self, now: MonotonicMillis, max_silence_ms: u64) -> bool {
+    pub(super) fn accepts_tasks(&self, now: MonotonicMillis, max_silence_ms: u64) -> bool {
         self.token_acknowledged
             && self.retirement.is_none()
             && !self.cordoned
@@ -90,7 +90,7 @@
     }
 
     /// What is to become of it, for a task that may take `grace_s` seconds to save a checkpoint.
-    pub fn disposition(
+    pub(super) fn disposition(
         &self,
         now: MonotonicMillis,
         grace_s: f64,
@@ -111,7 +111,7 @@
 
     /// The same for a task that is started here in the desired state and absent from the newest heartbeat: it has not
     /// begun, and does not on a cordoned machine.
-    pub fn disposition_of_unstarted(
+    pub(super) fn disposition_of_unstarted(
         &self,
         now: MonotonicMillis,
         heartbeat_ms: u64,
@@ -123,14 +123,14 @@
     }
 
     /// Whether its newest heartbeat lists a task that has not ended.
-    pub fn reports_live_tasks(&self) -> bool {
+    pub(super) fn reports_live_tasks(&self) -> bool {
         self.reported_tasks
             .iter()
             .any(|t| t.state != TaskState::Exited)
     }
 
     /// A machine of which nothing is known but its name.
-    pub fn unknown(now: MonotonicMillis) -> Machine {
+    pub(super) fn unknown(now: MonotonicMillis) -> Machine {
         Machine {
             model: String::new(),
             zone: UNKNOWN_ZONE,
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -154,7 +154,7 @@
         &mut self,
         request: ShardRequest,
         response: KvResponse,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         match (request, response) {
             (ShardRequest::WriteAllocations, KvResponse::Swap(outcome)) => {
@@ -167,7 +167,7 @@
                 self.on_regrant_outcome(outcome, context);
             }
             (ShardRequest::Steal { swap, .. }, KvResponse::Swap(outcome)) => {
-                self.on_steal_outcome(&swap, outcome, context);
+                self.on_steal_outcome(&swap, &outcome, context);
             }
             (ShardRequest::ChargeBudget, KvResponse::Swap(outcome)) => {
                 self.on_charge_outcome(outcome, context);
@@ -188,7 +188,7 @@
 
     /// Rebuilds the shard's state once the record cache has everything up to the fencing token: from then on no write
     /// of an earlier leader can succeed, and those that did are in the cache.
-    fn activate(&mut self, context: &mut Context) {
+    fn activate(&mut self, context: &mut Context<'_>) {
         if self.ready
             || !context.records.loaded
             || context.records.revision.0 < self.fencing_token.0
@@ -218,7 +218,7 @@
     }
 
     /// Takes the record cache's state of a job and of the shard's allocation of it over.
-    pub fn refresh_job(&mut self, job: &JobId, context: &Context) {
+    pub fn refresh_job(&mut self, job: &JobId, context: &Context<'_>) {
         if !self.ready {
             return;
         }
@@ -259,7 +259,7 @@
         true
     }
 
-    fn update_dependencies(&mut self, context: &Context) {
+    fn update_dependencies(&mut self, context: &Context<'_>) {
         let blocked = self.jobs.iter_mut();
         for (id, job) in blocked.filter(|(_, j)| !j.dependencies_satisfied) {
             if context.dependency_graph.is_ready(id, &job.record) {
@@ -277,7 +277,7 @@
         lease_valid: bool,
         others_short: &BTreeSet<Team>,
         missing: &BTreeSet<MachineId>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         self.activate(context);
         if !self.ready || self.fenced {
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -118,7 +118,7 @@
 
 impl Shard {
     /// Writes pending changes in one transaction, as many as the request budget allows.
-    pub(super) fn flush_changes(&mut self, context: &mut Context) {
+    pub(super) fn flush_changes(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.writes.in_flight.is_some() || self.fenced || now < self.writes.retry_at {
             return;
@@ -178,7 +178,7 @@
     }
 
     /// Puts a transaction of at most `max_ops` operations together.
-    fn batch(&mut self, due: &[DueWrite], max_ops: usize, context: &Context) -> Batch {
+    fn batch(&mut self, due: &[DueWrite], max_ops: usize, context: &Context<'_>) -> Batch {
         let fencing = Version(self.fencing_token.0);
         let mut batch = Batch {
             swap: CompareAndSwap::default().compare(shard_key(self.id), fencing),
@@ -213,7 +213,7 @@
         &self,
         id: &JobId,
         job: &ShardJob,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<AllocationWrite> {
         let (allocation, record) = if job.is_over_here() {
             let wall = WallClockMillis(context.effects.wall_ms);
@@ -233,7 +233,7 @@
     }
 
     /// Takes the outcome of a transaction over.
-    pub(super) fn on_write_outcome(&mut self, outcome: SwapOutcome, context: &mut Context) {
+    pub(super) fn on_write_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some(writes) = self.writes.in_flight.take() else {
             return;
@@ -272,7 +272,7 @@
         &mut self,
         writes: Vec<AllocationWrite>,
         revision: Version,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let now = context.now();
         self.writes.consecutive_failures = 0;
@@ -310,7 +310,7 @@
         }
     }
 
-    fn on_write_unknown(&mut self, writes: Vec<AllocationWrite>, context: &mut Context) {
+    fn on_write_unknown(&mut self, writes: Vec<AllocationWrite>, context: &mut Context<'_>) {
         tracing::info!(shard = %self.id, jobs = writes.len(), "write outcome unknown: reading back");
         for write in writes {
             let id = write.job;
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -71,7 +71,7 @@
 
 impl Shard {
     /// One placement pass over the waiting jobs, if it is due.
-    pub(super) fn place(&mut self, context: &mut Context) {
+    pub(super) fn place(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let due =
             self.placement.dirty && now.since(self.placement.last_pass_at) >= PASS_INTERVAL_MS;
@@ -95,7 +95,7 @@
         self.update_demand(&pass.capacity_index, context);
     }
 
-    fn begin_pass(&mut self, context: &Context) -> PlacementPass {
+    fn begin_pass(&mut self, context: &Context<'_>) -> PlacementPass {
         let capacity_index = self.capacity_index(context);
         let mut load = Load::default();
         for m in self.machines.values() {
@@ -122,7 +122,12 @@
 
     /// Places jobs of the same rank. Fetching an image often takes longer than the task: jobs that can still wait
     /// leave machines without their image to those that need no fetch there, and come again afterwards.
-    fn place_equals(&mut self, equals: &[QueuedJob], pass: &mut PlacementPass, context: &Context) {
+    fn place_equals(
+        &mut self,
+        equals: &[QueuedJob],
+        pass: &mut PlacementPass,
+        context: &Context<'_>,
+    ) {
         for queued in equals {
             let scope = if queued.patient {
                 PlacementScope::WithImage
@@ -152,7 +157,7 @@
         queued: &QueuedJob,
         scope: &PlacementScope,
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         if let Some(mut selection) = self.select_machines(queued, scope, pass, context) {
             self.limit_to_grant(&mut selection, pass, context);
@@ -166,7 +171,7 @@
         queued: &QueuedJob,
         scope: &PlacementScope,
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<Selection> {
         let job = self.jobs.get(&queued.job)?;
         let spec = job.spec()?;
@@ -225,7 +230,7 @@
         &self,
         spec: &JobSpec,
         pass: &PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> AllowedClasses {
         let zone_count = context.config.settings.deployment.zones.len();
         pass.capacity_index.allowed(|class| {
@@ -256,7 +261,7 @@
         &mut self,
         selection: &mut Selection,
         pass: &PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let task = selection.resources;
         let granted = self.granted(&selection.team, context);
@@ -292,7 +297,7 @@
         id: &JobId,
         selection: Selection,
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let now = context.now();
         let used = pass.used.entry(selection.team).or_default();
--- a/src/coordination/shard/placement_request.rs
+++ b/src/coordination/shard/placement_request.rs
@@ -35,17 +35,17 @@
 
 impl PlacementRequest<'_> {
     /// Whether only machines count that have the job's image, or are fetching it.
-    pub fn only_with_image(&self) -> bool {
+    pub(super) fn only_with_image(&self) -> bool {
         *self.scope == PlacementScope::WithImage
     }
 
     /// Whether the job is placed on the machine that is reserved for it.
-    pub fn on_reserved_machine(&self) -> bool {
+    pub(super) fn on_reserved_machine(&self) -> bool {
         matches!(self.scope, PlacementScope::On(_))
     }
 
     /// How many tasks may be started at once.
-    pub fn wanted_tasks(&self) -> u32 {
+    pub(super) fn wanted_tasks(&self) -> u32 {
         let waiting = self.job.desired.waiting.len();
         if self.job.consecutive_failures >= FAILURES_BEFORE_SINGLE_TASKS
             && self.job.desired.finished.is_empty()
@@ -69,11 +69,11 @@
 
     /// The machines with free resources for a task that may take one now: their places in the index, and what
     /// placement weighs of them.
-    pub fn candidates(
+    pub(super) fn candidates(
         &self,
         allowed: &AllowedClasses,
         pass: &mut PlacementPass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> (Vec<usize>, Vec<MachineCandidate>) {
         let mut fitting = pass.capacity_index.fitting(self.spec.resources, allowed);
         let mut candidates = Vec::with_capacity(fitting.len());
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -25,7 +25,7 @@
     /// preempted for jobs of the reservation's team which wait here: to give these their team's quota, where theirs is
     /// not concerned, or for their priority. As many as the waiting tasks need, and none where only the team's quota
     /// keeps these waiting.
-    pub(super) fn find_preemptible(&mut self, context: &Context) {
+    pub(super) fn find_preemptible(&mut self, context: &Context<'_>) {
         self.reservations.preemptible.clear();
         let mut demand = self.reserved_demand(context);
         if demand.is_empty() {
@@ -49,7 +49,11 @@
                     for_quota || priority(waiting) > Some(spec.priority)
                 });
                 if yields {
-                    let tasks = job.desired.started.get(name).map_or(0, |r| r.len());
+                    let tasks = job
+                        .desired
+                        .started
+                        .get(name)
+                        .map_or(0, snowshelf_model::task_ranges::TaskRanges::len);
                     demand.cpus -= spec.resources.cpus * f64::from(tasks);
                     preemptible
                         .entry(name.clone())
@@ -62,8 +66,8 @@
     }
 
     /// What waits here, by team, of teams that have machines reserved now and do not lack quota.
-    fn reserved_demand(&self, context: &Context) -> BTreeMap<&Team, ReservedDemand<'_>> {
-        let mut demand: BTreeMap<&Team, ReservedDemand> = BTreeMap::new();
+    fn reserved_demand(&self, context: &Context<'_>) -> BTreeMap<&Team, ReservedDemand<'_>> {
+        let mut demand: BTreeMap<&Team, ReservedDemand<'_>> = BTreeMap::new();
         let reserved = self.reservations.by_machine.values();
         for reservation in reserved.filter(|r| r.is_open(context)) {
             if !self.quotas.shortfalls.contains_key(&reservation.team) {
@@ -92,7 +96,7 @@
 
     /// Begins to evict from machines whose pool closes as soon as a task, with its checkpoint, can just be stopped in
     /// time. They are released once nothing is on them.
-    pub(super) fn drain_closing_pools(&mut self, context: &Context) {
+    pub(super) fn drain_closing_pools(&mut self, context: &Context<'_>) {
         if context.guard.closings.is_empty() {
             return;
         }
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -38,7 +38,7 @@
 }
 
 impl<'a> WaitingJob<'a> {
-    fn new(id: &'a JobId, record: &JobRecord, spec: &'a JobSpec, context: &Context) -> Self {
+    fn new(id: &'a JobId, record: &JobRecord, spec: &'a JobSpec, context: &Context<'_>) -> Self {
         let objectives = &context.config.settings.deployment.objectives;
         // Objectives on starting and finishing count from when the last dependency was done, the deadline from the
         // submission.
@@ -61,7 +61,7 @@
         self,
         within_quota: &HashSet<JobId>,
         shortage: &Shortage<'_>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> QueuedJob {
         let urgency = context.dependency_graph.urgency(self.id, self.spec);
         let slack = shortage.slack(&self.spec.class, self.work);
@@ -87,13 +87,17 @@
 
 impl Shard {
     /// The waiting jobs in the order in which they are served.
-    pub(super) fn queue_order(&self, now: MonotonicMillis, context: &Context) -> Vec<QueuedJob> {
+    pub(super) fn queue_order(
+        &self,
+        now: MonotonicMillis,
+        context: &Context<'_>,
+    ) -> Vec<QueuedJob> {
         let within_quota = jobs_within_quota(context);
         let mut shortage = Shortage::default();
         let jobs = self.jobs.iter().filter(|(_, j)| {
             j.is_waiting() && j.placement_backoff_until <= now && !j.read_in_flight
         });
-        let waiting: Vec<WaitingJob> = jobs
+        let waiting: Vec<WaitingJob<'_>> = jobs
             .filter_map(|(id, j)| Some(WaitingJob::new(id, &j.record, j.spec()?, context)))
             .collect();
         for job in &waiting {
@@ -109,7 +113,7 @@
 }
 
 /// The jobs that fit into their team's quota together with the team's earlier unfinished ones.
-pub(super) fn jobs_within_quota(context: &Context) -> HashSet<JobId> {
+pub(super) fn jobs_within_quota(context: &Context<'_>) -> HashSet<JobId> {
     let jobs = context.records.jobs.iter();
     let open = jobs.filter(|(id, r)| {
         r.value.state == JobState::Open && context.dependency_graph.is_ready(id, &r.value)
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -73,7 +73,7 @@
     }
 
     /// What the shard may use of a team's quota.
-    pub(super) fn granted(&self, team: &Team, context: &Context) -> Grant {
+    pub(super) fn granted(&self, team: &Team, context: &Context<'_>) -> Grant {
         let record = context.records.quotas.get(team);
         let durable = record.and_then(|q| q.value.grants.get(&self.id).copied());
         let durable = durable.unwrap_or_default();
@@ -84,7 +84,11 @@
     }
 
     /// Moves the grant of one team, if any is due. `others_short` names teams for which other shards lack quota.
-    pub(super) fn regrant_quota(&mut self, others_short: &BTreeSet<Team>, context: &mut Context) {
+    pub(super) fn regrant_quota(
+        &mut self,
+        others_short: &BTreeSet<Team>,
+        context: &mut Context<'_>,
+    ) {
         let now = context.now();
         if self.quotas.in_flight.is_some() || !self.ready || self.fenced {
             return;
@@ -116,7 +120,7 @@
         settings: &TeamLimits,
         used: Grant,
         contended: bool,
-        context: &Context,
+        context: &Context<'_>,
     ) -> ShardDemand {
         let limit = Grant {
             cpus: settings.cpus_max,
@@ -145,7 +149,7 @@
     }
 
     /// The move of a team's grant that the demand calls for; `None` if the grant stays.
-    fn regrant(&self, team: &Team, demand: &ShardDemand, context: &Context) -> Option<Regrant> {
+    fn regrant(&self, team: &Team, demand: &ShardDemand, context: &Context<'_>) -> Option<Regrant> {
         let (version, record) = match context.records.quotas.get(team) {
             Some(stored) => (stored.version, (*stored.value).clone()),
             None => (Version(0), QuotaRecord::default()),
@@ -173,7 +177,7 @@
         })
     }
 
-    fn write_regrant(&mut self, team: Team, regrant: Regrant, context: &mut Context) {
+    fn write_regrant(&mut self, team: Team, regrant: Regrant, context: &mut Context<'_>) {
         let key = quota_key(&team);
         let swap = CompareAndSwap::default()
             .compare(shard_key(self.id), Version(self.fencing_token.0))
@@ -191,7 +195,7 @@
     }
 
     /// Takes the outcome of a move over.
-    pub(super) fn on_regrant_outcome(&mut self, outcome: SwapOutcome, context: &mut Context) {
+    pub(super) fn on_regrant_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some((team, record)) = self.quotas.in_flight.take() else {
             return;
@@ -212,7 +216,7 @@
                     return;
                 }
                 state.retry_at = now.plus(CONFLICT_RETRY_MS);
-                self.read_quota(key, context);
+                self.read_quota(&key, context);
             }
             // The same write would be refused again.
             SwapOutcome::Rejected => state.retry_at = now.plus(REFUSED_BACKOFF_MS),
@@ -222,16 +226,18 @@
             SwapOutcome::Unknown => {
                 // A lowered grant stays lowered until a later write settles the key.
                 state.retry_at = now.plus(FAILURE_RETRY_MS);
-                self.read_quota(key, context);
+                self.read_quota(&key, context);
             }
         }
     }
 
-    fn read_quota(&self, key: String, context: &mut Context) {
-        let request = self.kv_request(ShardRequest::ReadQuota { key: key.clone() });
+    fn read_quota(&self, key: &str, context: &mut Context<'_>) {
+        let request = self.kv_request(ShardRequest::ReadQuota {
+            key: key.to_string(),
+        });
         context
             .kv
-            .get(context.effects, request, &key, READ_TIMEOUT_MS);
+            .get(context.effects, request, key, READ_TIMEOUT_MS);
     }
 }
 
@@ -243,7 +249,7 @@
 }
 
 /// A shard's part of what a team's jobs have unfinished, over all shards.
-fn demand_share(team: &Team, shard_id: ShardId, context: &Context) -> f64 {
+fn demand_share(team: &Team, shard_id: ShardId, context: &Context<'_>) -> f64 {
     let (mut ours, mut all) = (0.0, 0.0);
     for ((other, id), allocation) in &context.records.allocations {
         let Some(record) = context.records.jobs.get(id) else {
--- a/src/coordination/shard/read_back.rs
+++ b/src/coordination/shard/read_back.rs
@@ -17,7 +17,7 @@
 
 impl Shard {
     /// Reads a key back. Nothing of its job is written until its value is known.
-    pub(super) fn read_back(&mut self, key: &str, context: &mut Context) {
+    pub(super) fn read_back(&mut self, key: &str, context: &mut Context<'_>) {
         if let Some(job) = self.job_of_key(key)
             && let Some(job) = self.jobs.get_mut(&job)
         {
@@ -26,7 +26,7 @@
         self.request_allocation(key, context);
     }
 
-    fn request_allocation(&self, key: &str, context: &mut Context) {
+    fn request_allocation(&self, key: &str, context: &mut Context<'_>) {
         let request = self.kv_request(ShardRequest::ReadAllocation {
             key: key.to_string(),
         });
@@ -40,7 +40,7 @@
         &mut self,
         key: &str,
         outcome: GetOutcome,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         let records = &mut *context.records;
         match outcome {
@@ -63,7 +63,7 @@
     }
 
     /// Repeats failed reads, a few times a second.
-    pub(super) fn retry_reads(&mut self, context: &mut Context) {
+    pub(super) fn retry_reads(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if now.0 % RETRY_INTERVAL_MS >= RETRY_WINDOW_MS {
             return;
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -31,7 +31,7 @@
 
 impl<'a> AttemptOnMachine<'a> {
     /// An attempt of `task` on `machine`.
-    pub fn new(machine: &'a MachineId, task: &'a TaskRef, attempt: Attempt) -> Self {
+    pub(super) fn new(machine: &'a MachineId, task: &'a TaskRef, attempt: Attempt) -> Self {
         AttemptOnMachine {
             machine,
             task,
@@ -86,7 +86,7 @@
         &mut self,
         name: &MachineId,
         evidence: HeartbeatEvidence,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let now = context.now();
         let proofs = self.proofs(name, evidence, context);
@@ -115,7 +115,7 @@
         &self,
         name: &MachineId,
         evidence: HeartbeatEvidence,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Vec<Proof> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
@@ -160,7 +160,7 @@
         name: &MachineId,
         task: &TaskRef,
         signal: OutcomeSignal,
-        context: &Context,
+        context: &Context<'_>,
     ) {
         let now = context.now();
         match signal {
@@ -231,7 +231,7 @@
     }
 
     /// Updates which images a machine has and which it fetches, by its newest heartbeat.
-    fn update_images(&mut self, name: &MachineId, context: &Context) {
+    fn update_images(&mut self, name: &MachineId, context: &Context<'_>) {
         let unreported = self.unreported_tasks(name);
         let Some(m) = self.machines.get_mut(name) else {
             return;
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -28,17 +28,17 @@
 }
 
 impl MachineReservation {
-    fn has_begun(&self, context: &Context) -> bool {
+    fn has_begun(&self, context: &Context<'_>) -> bool {
         self.from.0 <= context.effects.wall_ms
     }
 
     /// Whether the reservation has begun and not ended.
-    pub fn is_open(&self, context: &Context) -> bool {
+    pub(super) fn is_open(&self, context: &Context<'_>) -> bool {
         self.has_begun(context) && context.effects.wall_ms < self.until.0
     }
 
     /// The team that the machine is reserved for, once the reservation has begun.
-    pub fn current_team(&self, context: &Context) -> Option<&Team> {
+    pub(super) fn current_team(&self, context: &Context<'_>) -> Option<&Team> {
         self.has_begun(context).then_some(&self.team)
     }
 }
@@ -66,7 +66,7 @@
 }
 
 /// How long a task is expected to be on its machine if it starts now, in milliseconds; `None`: until it is stopped.
-pub fn expected_stay_ms(spec: &JobSpec, context: &Context) -> Option<u64> {
+pub fn expected_stay_ms(spec: &JobSpec, context: &Context<'_>) -> Option<u64> {
     if spec.kind == JobKind::Service {
         return None;
     }
@@ -78,7 +78,7 @@
 
 /// How long before a reservation begins its machines are provisioned, in milliseconds: what the slowest type takes to be
 /// up and to fetch an image.
-pub fn provisioning_lead_ms(context: &Context) -> u64 {
+pub fn provisioning_lead_ms(context: &Context<'_>) -> u64 {
     let types = context.types.values();
     let ready_s = types.map(|t| t.ready_s).fold(0.0, f64::max);
     seconds_to_ms(2.0 * ready_s + IMAGE_FETCH_ALLOWANCE_S)
@@ -91,7 +91,7 @@
         spec: &JobSpec,
         pool: Option<&Pool>,
         reservation: Option<&MachineReservation>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         if context.guard.is_empty() {
             return false;
@@ -117,7 +117,7 @@
         &self,
         name: &MachineId,
         lead_ms: u64,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let now = context.effects.wall_ms;
         let reservation = self.reservations.by_machine.get(name);
@@ -127,7 +127,7 @@
     /// Chooses anew which machines are reserved for what: of each reservation, this shard takes its part. Machines' names
     /// decide before a reservation begins, so that the choice lasts; from then on what is free there, or its team's
     /// already.
-    pub(super) fn reserve_machines(&mut self, context: &Context) {
+    pub(super) fn reserve_machines(&mut self, context: &Context<'_>) {
         self.reservations.by_machine.clear();
         if context.guard.holds.is_empty() {
             return;
@@ -135,7 +135,7 @@
         let now = WallClockMillis(context.effects.wall_ms);
         let begins_by = self.reservation_horizon(now, context);
         let mut reserved = BTreeMap::new();
-        for hold in context.guard.holds.iter() {
+        for hold in &context.guard.holds {
             if hold.until <= now || hold.from.0 > begins_by {
                 continue;
             }
@@ -162,7 +162,7 @@
 
     /// Reservations that begin later need no machines yet: nothing that waits would run into them, and their machines
     /// are not provisioned yet.
-    fn reservation_horizon(&self, now: WallClockMillis, context: &Context) -> u64 {
+    fn reservation_horizon(&self, now: WallClockMillis, context: &Context<'_>) -> u64 {
         let waiting = self.jobs.values().filter(|j| j.is_waiting());
         let stays = waiting
             .filter_map(|j| j.spec())
@@ -179,7 +179,7 @@
         &self,
         hold: &Hold,
         reserved: &BTreeMap<MachineId, MachineReservation>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Vec<(Amount, MachineId)> {
         let open = hold.from.0 <= context.effects.wall_ms;
         let machines = self.machines.iter();
@@ -213,7 +213,7 @@
 
     /// What of a reservation this shard takes: shards take it one after the other, each as much as it has, beginning
     /// with one that the reservation's name tells, so that small ones are not splintered and many are spread.
-    fn reserved_amount(&self, hold: &Hold, context: &Context) -> Amount {
+    fn reserved_amount(&self, hold: &Hold, context: &Context<'_>) -> Amount {
         let shard_count = context.config.shard_count.max(1);
         let first = shard_of(hold.reservation.as_str(), shard_count).0;
         let Some(machine_type) = context.types.get(&*hold.pool.model) else {
@@ -262,7 +262,7 @@
     pub(super) fn reserved_capacity(
         &self,
         index: &CapacityIndex,
-        context: &Context,
+        context: &Context<'_>,
     ) -> BTreeMap<Team, ReservedCapacity> {
         let mut capacity: BTreeMap<Team, ReservedCapacity> = BTreeMap::new();
         for machine in index.entries() {
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -37,7 +37,7 @@
 
 impl ReleasedMachines {
     /// Whether a machine is one of these.
-    pub fn contains(&self, name: &MachineId) -> bool {
+    pub(super) fn contains(&self, name: &MachineId) -> bool {
         self.names.contains(name)
     }
 
@@ -84,7 +84,7 @@
     pub(super) fn scale_in_machines(
         &mut self,
         missing: &BTreeSet<MachineId>,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         self.drain_closing_pools(context);
         self.update_cordons(context);
@@ -108,7 +108,7 @@
         &mut self,
         name: &MachineId,
         round: &ScaleInRound<'_>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> bool {
         let Some(m) = self.machines.get(name) else {
             return false;
@@ -133,7 +133,7 @@
         name: &MachineId,
         m: &Machine,
         round: &ScaleInRound<'_>,
-        context: &Context,
+        context: &Context<'_>,
     ) -> ScaleInDecision {
         let now = context.now();
         let heartbeat_ms = context.config.settings.report_ms();
@@ -161,7 +161,7 @@
         }
     }
 
-    fn request_release(&mut self, mut releases: Vec<MachineId>, context: &mut Context) {
+    fn request_release(&mut self, mut releases: Vec<MachineId>, context: &mut Context<'_>) {
         if releases.is_empty()
             || self.scale_in.request_in_flight
             || !context.cloud.may_call(context.now())
@@ -177,7 +177,7 @@
     /// Whether a machine has, by the records, tasks that were cancelled so long ago that it must be released unless its
     /// heartbeats come. Guards against one that hangs for longer than cancelled tasks may stay, while leaders change:
     /// each begins anew to count its silence, the cancellation's record does not.
-    fn may_be_frozen(&self, name: &MachineId, context: &Context) -> bool {
+    fn may_be_frozen(&self, name: &MachineId, context: &Context<'_>) -> bool {
         let limit_ms = release_after_cancellation_ms(context.config.settings.cancel_ms());
         let jobs = self.jobs.on_machine(name);
         let cancelled = jobs.filter(|(_, j)| j.cancelled());
@@ -186,7 +186,7 @@
     }
 
     /// How many of the machines of each zone are silent.
-    fn zone_silence(&self, context: &Context) -> BTreeMap<usize, ZoneSilence> {
+    fn zone_silence(&self, context: &Context<'_>) -> BTreeMap<usize, ZoneSilence> {
         let now = context.now();
         let silent_ms = 2 * context.config.settings.report_ms();
         let mut zones: BTreeMap<usize, ZoneSilence> = BTreeMap::new();
@@ -204,7 +204,7 @@
         &mut self,
         machines: &[MachineId],
         confirmed: bool,
-        context: &mut Context,
+        context: &mut Context<'_>,
     ) {
         self.scale_in.request_in_flight = false;
         if !confirmed {
@@ -238,7 +238,7 @@
     name: &MachineId,
     m: &Machine,
     round: &ScaleInRound<'_>,
-    context: &Context,
+    context: &Context<'_>,
 ) -> u64 {
     let settings = &context.config.settings;
     let heartbeat_ms = settings.report_ms();
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -72,7 +72,7 @@
 
 impl Shard {
     /// Takes over tasks that wait in another shard, in one compare-and-swap, if this one could run them.
-    pub(super) fn steal(&mut self, context: &mut Context) {
+    pub(super) fn steal(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.stealing.in_flight || now < self.stealing.next_attempt_at {
             return;
@@ -110,7 +110,7 @@
     }
 
     /// What this shard could run tasks of others with; `None` if nothing is to be stolen.
-    fn spare_capacity(&mut self, context: &Context) -> Option<SpareCapacity> {
+    fn spare_capacity(&mut self, context: &Context<'_>) -> Option<SpareCapacity> {
         let mut reserved = self.reservations.capacity.values();
         let reserved = reserved.any(|capacity| capacity.free > 0.0);
         let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle.is_empty();
@@ -136,7 +136,7 @@
     fn find_stealable<'a>(
         &self,
         spare: &mut SpareCapacity,
-        context: &'a Context,
+        context: &'a Context<'_>,
     ) -> Option<(StealCandidate<'a>, u32)> {
         let allocations = &context.records.allocations;
         let considered: Vec<_> = if spare.considers_all() {
@@ -147,7 +147,7 @@
                 .filter_map(|id| allocations.get_key_value(id))
                 .collect()
         };
-        let mut best: Option<(StealCandidate, u32)> = None;
+        let mut best: Option<(StealCandidate<'_>, u32)> = None;
         for (id, allocation) in considered {
             let Some(candidate) = self.steal_candidate(id, allocation, context) else {
                 continue;
@@ -172,7 +172,7 @@
         &self,
         (from, job): &'a AllocationId,
         allocation: &'a VersionedRecord<ShardAllocation>,
-        context: &'a Context,
+        context: &'a Context<'_>,
     ) -> Option<StealCandidate<'a>> {
         if *from == self.id || allocation.value.waiting.is_empty() {
             return None;
@@ -215,7 +215,7 @@
         &self,
         candidate: &StealCandidate<'_>,
         spare: &mut SpareCapacity,
-        context: &Context,
+        context: &Context<'_>,
     ) -> u32 {
         let spec = candidate.spec;
         let id = (candidate.from, candidate.job.clone());
@@ -247,7 +247,7 @@
     fn team_reserved_for<'a>(
         &self,
         class: &'a MachineClass,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<&'a Team> {
         let team = class.reservation.as_ref()?.current_team(context)?;
         self.reservations
@@ -261,7 +261,7 @@
         &self,
         candidate: &StealCandidate<'_>,
         tasks: u32,
-        context: &Context,
+        context: &Context<'_>,
     ) -> Option<CompareAndSwap> {
         let (job, record) = (candidate.job, candidate.record);
         let ours = context.records.allocations.get(&(self.id, job.clone()));
@@ -299,7 +299,12 @@
     }
 
     /// Whether the shard's quota grant covers one more task of this job.
-    fn has_grant(&self, spec: &JobSpec, used: &HashMap<Team, Grant>, context: &Context) -> bool {
+    fn has_grant(
+        &self,
+        spec: &JobSpec,
+        used: &HashMap<Team, Grant>,
+        context: &Context<'_>,
+    ) -> bool {
         let granted = self.granted(&spec.team, context);
         let mut next = used.get(&spec.team).copied().unwrap_or_default();
         next.add(Grant::from(spec.resources));
@@ -311,8 +316,8 @@
     pub(super) fn on_steal_outcome(
         &mut self,
         swap: &CompareAndSwap,
-        outcome: SwapOutcome,
-        context: &mut Context,
+        outcome: &SwapOutcome,
+        context: &mut Context<'_>,
     ) {
         let now = context.now();
         self.stealing.in_flight = false;
@@ -325,7 +330,7 @@
                 };
                 for mutation in &swap.mutations {
                     if let Mutation::Put { key, value, .. } = mutation {
-                        context.records.apply(key, Some(value), revision);
+                        context.records.apply(key, Some(value), *revision);
                     }
                 }
             }
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -433,7 +433,7 @@
         simulation.assert_sound(seed);
         let drains = simulation.operators.iter().filter(|o| o.is_drain());
         let open: Vec<&str> = drains
-            .map(|o| o.state())
+            .map(snowshelf_simulation::draining::Operator::state)
             .filter(|s| !matches!(*s, "done" | "cancelled"))
             .collect();
         assert!(open.is_empty(), "seed {seed}: {open:?}");
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -188,6 +188,7 @@
 /// Guards against commands and controllers that only agree in their own tests: what is booked by the
 /// one is kept by the other, through `kill -9`.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn what_is_booked_on_the_command_line_outlives_the_controller() {
     let folder = Folder::new("booked");
     let (server, outside) = (free_address(), outside());
@@ -330,6 +331,7 @@
 /// its lease still held), and against losing what a short life has told: killed with -9 and started at once,
 /// 20 times, after 0 to 190 ms, with clients connected to both of its sockets.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn a_controller_killed_and_started_at_once_again_and_again_loses_nothing() {
     let folder = Folder::new("again");
     let (server, outside) = (free_address(), outside());
@@ -402,6 +404,7 @@
 /// workers are served, each on a connection of its own, with room for users and probes; and whoever is idle for
 /// longest makes room when it is full, nobody who asks is refused.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn a_controller_serves_as_many_connections_as_it_has_sockets() {
     let folder = Folder::new("doors");
     let (server, outside) = (free_address(), outside());
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -222,7 +222,7 @@
         }
     }
 
-    fn ask(&self, conn: u64, method: &str, path: &str, body: Value) -> ControllerEvent {
+    fn ask(&self, conn: u64, method: &str, path: &str, body: &Value) -> ControllerEvent {
         let request = Request {
             method: method.into(),
             path: path.into(),
@@ -245,8 +245,8 @@
                 let report = json!({"Prensa": "n-9", "Modelo": "t", "Parcela": "a", "Jornada": 1,
                     "Contagem": self.now, "Selo": self.fencing_token,
                     "Tarefas": [{"Tarefa": "wk-7/0", "Tentativa": 1, "Estado": "running"}]});
-                inputs.push(self.ask(STRAY, "POST", "/checkin", report));
-                inputs.push(self.ask(READY, "GET", "/ready", json!({})));
+                inputs.push(self.ask(STRAY, "POST", "/checkin", &report));
+                inputs.push(self.ask(READY, "GET", "/ready", &json!({})));
             }
             for input in inputs {
                 for output in self
@@ -268,7 +268,7 @@
                             }
                         }
                         Effect::Respond(conn, _) if conn == ConnectionId(STRAY) => {
-                            self.sent_away += 1
+                            self.sent_away += 1;
                         }
                         Effect::Call {
                             id,
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -72,6 +72,10 @@
 }
 
 /// What the plan was before machines were grouped.
+#[expect(
+    clippy::too_many_lines,
+    reason = "the reference model stands in one place"
+)]
 fn plain(
     wants: &[TaskDemand],
     mut have: Vec<MachineSupply>,
--- a/tests/reserving.rs
+++ b/tests/reserving.rs
@@ -59,7 +59,10 @@
         simulation.run(200_000);
         simulation.assert_sound(seed);
         assert!(
-            simulation.bookers.iter().all(|b| b.accepted()),
+            simulation
+                .bookers
+                .iter()
+                .all(snowshelf_simulation::booking::Booker::accepted),
             "seed {seed}"
         );
     }
--- a/tests/running.rs
+++ b/tests/running.rs
@@ -248,6 +248,7 @@
 /// The same work as a graph and as jobs of a user's own: the same results, and about the same times. Machines
 /// boot as luck has it, so that single days say little: 27 to 38 s either way.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn a_graph_does_as_native_jobs_do() {
     let ends = |native: bool, seed: u64| -> (bool, u64) {
         let mut simulation = simulation(seed, CALM, 0);
@@ -410,6 +411,7 @@
 /// Guards against intervals that are left out, or run twice, by takeovers, outages, a roll, or clocks that
 /// differ: each has one run, which begins when it is over by every clock, in the storms and after them.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn every_interval_has_one_run() {
     for seed in 1..=24 {
         let conditions = NetworkConditions {
