--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -1,11 +1,10 @@
-//! A team's budget of disruption: how much of its work may be taken away on purpose, at once and in any
-//! stretch of time.
+//! A team's disruption budget: how much of its work may be unavailable because of evictions, at a time and
+//! within any stretch of time.
 //!
-//! Everything that was taken away stands in one record for each team, `disrupt/<team>`. Whoever wants to
-//! stop more writes it there first, on condition that the record is as it was read: so the budget holds
-//! over all parts at every moment, whoever owns them. A charge counts until its tasks have left their
-//! machine durably; from then on whatever has been tried before and is not known to run again counts,
-//! stopped or lost by itself.
+//! Each team's evictions are charged to one record, `disrupt/<team>`. A shard leader writes a charge with a
+//! compare-and-swap before it evicts, so the budget holds across all shards and through failovers. A charge
+//! counts until its tasks have left their machine durably. From then on, every task that was attempted
+//! before and is not known to run again counts, whether it was evicted or lost.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -49,7 +48,7 @@
 }
 
 impl Budget {
-    /// What is wrong with it, if anything: a field and why.
+    /// Checks the ranges of all fields; an error names the first invalid field and the reason.
     pub fn check(&self) -> Result<(), (&'static str, &'static str)> {
         let amounts = [("cpus", self.cpus), ("stretch_cpus", self.stretch_cpus)];
         let shares = [
@@ -72,280 +71,322 @@
         Ok(())
     }
 
+    /// `stretch_s` in milliseconds.
     fn stretch_ms(&self) -> u64 {
         (self.stretch_s * 1000.0) as u64
     }
 }
 
-/// Tasks of one job on one machine that may be stopped.
+/// Permission to evict tasks of one job on one machine.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Charge {
+    /// The machine on which the tasks run.
     #[serde(rename = "m")]
     pub machine: MachineId,
+    /// The job of the tasks.
     #[serde(rename = "j")]
     pub job: JobId,
+    /// How many tasks may be evicted.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// These are the ones with this number or a higher one.
+    /// The charge covers the job's tasks on the machine from this number on.
     #[serde(rename = "f")]
-    pub from: TaskIndex,
-    /// CPUs of each.
+    pub first_task: TaskIndex,
+    /// CPUs of each task.
     #[serde(rename = "c")]
-    pub cpus: f64,
-    /// A picture of the records that is older than this may not have its tasks there yet, and knows nothing of
-    /// their end.
+    pub cpus_per_task: f64,
+    /// Oldest revision that can tell whether the tasks have left the machine. An older view of the records may
+    /// not show them there yet.
     #[serde(rename = "r")]
-    pub seen: Version,
+    pub min_revision: Version,
 }
 
-/// What was stopped up to some moment, as far as it had been seen by then.
+/// Finished evictions of one interval of time: the end of the interval, CPUs, tasks.
 #[derive(Clone, Copy, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Past(pub WallClockMillis, pub f64, pub u32);
+pub struct PastEvictions(pub WallClockMillis, pub f64, pub u32);
 
-/// A stretch is remembered in so many pieces: what falls out of it does so up to a piece late.
-const PIECES: u64 = 12;
-/// Charges that one record holds: with all else it stays under 2 KiB.
-pub const MOST_CHARGES: usize = 16;
-/// Absorbs the rounding of repeated additions.
-const EPS: f64 = 1e-6;
+/// Intervals into which the history of one `stretch_s` is divided. An eviction leaves the history up to one
+/// interval late.
+const HISTORY_INTERVALS: u64 = 12;
+/// Most charges in one record; keeps the record under 2 KiB.
+pub const MAX_CHARGES: usize = 16;
+/// Absorbs the rounding errors of repeated additions of CPUs.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// `disrupt/<team>`.
+/// A team's record of evictions, stored under `disrupt/<team>`.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The operators' word; none: the settings' default.
+    /// The budget that operators have set for the team; absent if the default of the settings applies.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub budget: Option<Budget>,
+    /// Charges that are not settled yet.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub charges: Vec<Charge>,
+    /// Evictions of settled charges, oldest first.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub past: Vec<Past>,
-    /// What had been seen of the records when charges were last settled: an older picture may have their
-    /// tasks on their machines still, and must not be asked what is away.
+    pub history: Vec<PastEvictions>,
+    /// Revision of the records when charges were last settled. An older view may still show their tasks on
+    /// their machines, so unavailable work must not be computed from it.
     #[serde(rename = "s", default)]
-    pub settled: Version,
-    /// CPUs stopped beyond the budget, by drains that had to be over, since the record was made.
+    pub settled_revision: Version,
+    /// CPUs evicted beyond the budget, by drains past their deadline, since the record was created.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
-    pub breach: f64,
+    pub excess_cpus: f64,
 }
 
 fn is_zero(n: &f64) -> bool {
     *n == 0.0
 }
 
-/// CPUs and tasks.
+/// A number of tasks, and the CPUs that they use together.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Amount {
+    /// CPUs of all the tasks.
     pub cpus: f64,
+    /// Number of tasks.
     pub tasks: u32,
 }
 
 impl Amount {
-    pub fn add(&mut self, tasks: u32, cpus: f64) {
+    /// Adds tasks that use `cpus_per_task` CPUs each.
+    pub fn add(&mut self, tasks: u32, cpus_per_task: f64) {
         self.tasks = self.tasks.saturating_add(tasks);
-        self.cpus += f64::from(tasks) * cpus;
+        self.cpus += f64::from(tasks) * cpus_per_task;
     }
 }
 
-/// What is known of the team's work, over all parts.
+/// The disruption of a team and of one of its jobs, over all shards.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Facts {
-    /// Tasks that were tried before and do not run again yet, whyever, and those on machines that are silent
-    /// or about to be taken.
-    pub away: Amount,
-    /// The same of the job in question.
-    pub job_away: u32,
+pub struct DisruptionState {
+    /// The team's tasks that were attempted before and do not run again yet, for whatever reason, and those on
+    /// machines that are silent or about to be interrupted.
+    pub unavailable: Amount,
+    /// The job's tasks that count as unavailable.
+    pub job_unavailable: u32,
+    /// All tasks of the job.
     pub job_tasks: u32,
-    /// Replicas of a service that run, as far as is known.
+    /// Replicas of a service that are known to run.
     pub job_up: u32,
-    pub standing: bool,
+    /// Whether the job is a service.
+    pub is_service: bool,
 }
 
-/// Whose tasks are to be stopped, by their numbers in order.
+/// A request to evict tasks of one job from one machine.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct EvictionRequest {
+    /// The machine on which the tasks run.
     pub machine: MachineId,
+    /// The job of the tasks.
     pub job: JobId,
-    pub there: Vec<TaskIndex>,
-    /// The version of the share that has them there.
-    pub version: Version,
-    pub cpus: f64,
-    /// Whatever the budget says.
-    pub force: bool,
+    /// The numbers of the tasks, in ascending order.
+    pub tasks: Vec<TaskIndex>,
+    /// Version of the shard's allocation that places the tasks on the machine.
+    pub allocation_version: Version,
+    /// CPUs of each task.
+    pub cpus_per_task: f64,
+    /// Whether the eviction may exceed the budget.
+    pub forced: bool,
 }
 
-/// What a budget lacks for as much as one task.
+/// The limit that allows no further eviction.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Short {
-    AtOnce,
-    Stretch,
-    Job,
+pub enum Shortfall {
+    /// The team's unavailable tasks or CPUs have reached the budget.
+    Concurrency,
+    /// Evictions within the last `stretch_s` have reached the budget.
+    Rate,
+    /// The job's unavailable tasks have reached its share.
+    JobShare,
+    /// The service has no replicas to spare.
     Replicas,
-    /// The record holds as many charges as it can.
-    Full,
-    /// The picture of the records is older than what is known of stops that have ended.
-    Behind,
+    /// The ledger has no space for another charge, or has an open one for the same job and machine.
+    LedgerFull,
+    /// The view of the records is older than the last settled charge.
+    StaleRecords,
 }
 
-impl fmt::Display for Short {
+impl fmt::Display for Shortfall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Short::AtOnce => "as much of its work is away as may be at once",
-            Short::Stretch => "as much was stopped lately as may be in a stretch of time",
-            Short::Job => "as many tasks of one job are away as may be",
-            Short::Replicas => "as few replicas of a service are up as may be",
-            Short::Behind => "what is away is not known yet",
-            Short::Full => "too many stops are underway at once",
+            Shortfall::Concurrency => "as much of its work is away as may be at once",
+            Shortfall::Rate => "as much was stopped lately as may be in a stretch of time",
+            Shortfall::JobShare => "as many tasks of one job are away as may be",
+            Shortfall::Replicas => "as few replicas of a service are up as may be",
+            Shortfall::StaleRecords => "what is away is not known yet",
+            Shortfall::LedgerFull => "too many stops are underway at once",
         })
     }
 }
 
-/// A picture of the records: up to where they were read, and whether any of a job's tasks from some number on
-/// stands started on a machine.
-pub struct Picture<'a> {
-    pub seen: Version,
-    pub there: &'a dyn Fn(&MachineId, &JobId, TaskIndex) -> bool,
-    /// The version of the share that says so: an owner's own writes are known before the feed brings them.
-    pub version: &'a dyn Fn(&MachineId, &JobId) -> Version,
+/// A view of the stored allocations, as old as the record cache that it reads.
+pub struct RecordView<'a> {
+    /// Revision up to which the records have been read.
+    pub revision: Version,
+    /// Whether any task of a job, from the given number on, is recorded as started on a machine.
+    pub has_started: &'a dyn Fn(&MachineId, &JobId, TaskIndex) -> bool,
+    /// Version of the allocation that `has_started` reads. It may be newer than `revision`: a shard leader
+    /// knows its own writes before the watch delivers them.
+    pub allocation_version: &'a dyn Fn(&MachineId, &JobId) -> Version,
 }
 
-impl Picture<'_> {
-    /// Whether a charge's tasks have not all left their machine, as far as can be known.
-    pub fn open(&self, charge: &Charge) -> bool {
-        self.seen < charge.seen || (self.there)(&charge.machine, &charge.job, charge.from)
+impl RecordView<'_> {
+    /// Whether some tasks of a charge may still be on their machine.
+    pub fn is_open(&self, charge: &Charge) -> bool {
+        self.revision < charge.min_revision
+            || (self.has_started)(&charge.machine, &charge.job, charge.first_task)
     }
 }
 
 impl Ledger {
+    /// The budget in force: the team's own, or the default of the settings.
     pub fn budget(&self, default: &Budget) -> Budget {
         self.budget.unwrap_or(*default)
     }
 
-    /// Charges whose tasks have not left yet.
-    pub fn open(&self, picture: &Picture) -> Amount {
+    /// The sum of all charges whose tasks may still be on their machines.
+    pub fn open_charges(&self, records: &RecordView) -> Amount {
         let mut open = Amount::default();
-        for charge in self.charges.iter().filter(|c| picture.open(c)) {
-            open.add(charge.tasks, charge.cpus);
+        for charge in self.charges.iter().filter(|c| records.is_open(c)) {
+            open.add(charge.tasks, charge.cpus_per_task);
         }
         open
     }
 
-    /// What was stopped within a stretch of time before now, by any clock that is off by so much, or still
-    /// may be: a charge counts until its end has been seen, and for a stretch from then on, as its tasks may
-    /// have been stopped only then.
-    pub fn lately(&self, budget: &Budget, now: WallClockMillis, skew_ms: u64) -> Amount {
+    /// Evictions within the last `stretch_s`, for clocks that differ by up to `skew_ms`, and those that charges
+    /// still permit. A charge counts until its end has been seen and for `stretch_s` from then on, as its tasks
+    /// may have been evicted only then.
+    pub fn recent_evictions(&self, budget: &Budget, now: WallClockMillis, skew_ms: u64) -> Amount {
         let from = now.0.saturating_sub(budget.stretch_ms() + 2 * skew_ms);
         let mut sum = Amount::default();
         for charge in &self.charges {
-            sum.add(charge.tasks, charge.cpus);
+            sum.add(charge.tasks, charge.cpus_per_task);
         }
-        for Past(_, cpus, tasks) in self.past.iter().filter(|p| p.0.0 > from) {
+        for PastEvictions(_, cpus, tasks) in self.history.iter().filter(|p| p.0.0 > from) {
             sum.cpus += cpus;
             sum.tasks = sum.tasks.saturating_add(*tasks);
         }
         sum
     }
 
-    /// The charge under which tasks of a job may be stopped on a machine.
+    /// The charge that covers tasks of a job on a machine; `None` if they may not be evicted.
     pub fn charge_for(&self, machine: &MachineId, job: &JobId) -> Option<&Charge> {
         let mut charges = self.charges.iter();
         charges.find(|c| c.machine == *machine && c.job == *job)
     }
 
-    /// The record with as many of the tasks charged as the budget has left for, at least one; or what it
-    /// lacks. Tasks charged before are not charged again.
+    /// Charges as many of the requested tasks as the budget allows, at least one, and returns the new ledger.
+    /// Tasks that are charged already are not charged again.
+    ///
+    /// # Errors
+    /// The limit that allows none.
     pub fn charge(
         &self,
         default: &Budget,
-        ask: &Ask,
-        facts: &Facts,
-        picture: &Picture,
+        request: &EvictionRequest,
+        state: &DisruptionState,
+        records: &RecordView,
         now: WallClockMillis,
         skew_ms: u64,
-    ) -> Result<Ledger, Short> {
+    ) -> Result<Ledger, Shortfall> {
         let budget = self.budget(default);
         let mut next = self.clone();
-        // What has left its machine is away by the records; the same machine's may be charged on.
-        if picture.seen < next.settled {
-            return Err(Short::Behind);
+        if records.revision < next.settled_revision {
+            return Err(Shortfall::StaleRecords);
         }
-        next.settle(default, |c| !picture.open(c), picture, now, skew_ms);
-        let before = next.charges.iter().position(|c| {
-            // Stops underway there go first: then it is known how many are left.
-            c.machine == ask.machine && c.job == ask.job
+        // The records show the tasks of settled charges as unavailable. More tasks of the same machine may then
+        // be charged.
+        next.settle(default, |c| !records.is_open(c), records, now, skew_ms);
+        let existing = next.charges.iter().position(|c| {
+            // An open charge has to finish first: only then is it known how many tasks are left.
+            c.machine == request.machine && c.job == request.job
         });
-        if before.is_some() && !ask.force {
-            return Err(Short::Full);
+        if existing.is_some() && !request.forced {
+            return Err(Shortfall::LedgerFull);
         }
-        if before.is_none() && next.charges.len() >= MOST_CHARGES {
-            return Err(Short::Full);
+        if existing.is_none() && next.charges.len() >= MAX_CHARGES {
+            return Err(Shortfall::LedgerFull);
         }
-        let open = next.open(picture);
-        let lately = next.lately(&budget, now, skew_ms);
-        let left = |most: f64, used: f64| match ask.cpus > 0.0 {
-            true => ((most - used + EPS) / ask.cpus).floor().max(0.0) as u32,
+        let open = next.open_charges(records);
+        let recent = next.recent_evictions(&budget, now, skew_ms);
+        let allowed_by_cpus = |max: f64, used: f64| match request.cpus_per_task > 0.0 {
+            true => ((max - used + ROUNDING_TOLERANCE) / request.cpus_per_task)
+                .floor()
+                .max(0.0) as u32,
             false => u32::MAX,
         };
-        let mine = next.charges.iter().filter(|c| c.job == ask.job);
-        let mine: u32 = mine.map(|c| c.tasks).sum();
-        let share = (budget.job_share * f64::from(facts.job_tasks)).floor();
+        let job_charges = next.charges.iter().filter(|c| c.job == request.job);
+        let job_charged: u32 = job_charges.map(|c| c.tasks).sum();
+        let share = (budget.job_share * f64::from(state.job_tasks)).floor();
         let share = (share as u32).max(1);
-        let floor = (budget.replicas_up * f64::from(facts.job_tasks)).ceil() as u32;
-        let away = (
-            open.tasks.saturating_add(facts.away.tasks),
-            open.cpus + facts.away.cpus,
+        let min_replicas = (budget.replicas_up * f64::from(state.job_tasks)).ceil() as u32;
+        let unavailable = (
+            open.tasks.saturating_add(state.unavailable.tasks),
+            open.cpus + state.unavailable.cpus,
         );
-        let bounds = [
-            (Short::AtOnce, left(budget.cpus, away.1)),
-            (Short::AtOnce, budget.tasks.saturating_sub(away.0)),
-            (Short::Stretch, left(budget.stretch_cpus, lately.cpus)),
+        let limits = [
+            (
+                Shortfall::Concurrency,
+                allowed_by_cpus(budget.cpus, unavailable.1),
+            ),
+            (
+                Shortfall::Concurrency,
+                budget.tasks.saturating_sub(unavailable.0),
+            ),
+            (
+                Shortfall::Rate,
+                allowed_by_cpus(budget.stretch_cpus, recent.cpus),
+            ),
             (
-                Short::Stretch,
-                budget.stretch_tasks.saturating_sub(lately.tasks),
+                Shortfall::Rate,
+                budget.stretch_tasks.saturating_sub(recent.tasks),
             ),
             (
-                Short::Job,
-                share.saturating_sub(mine.saturating_add(facts.job_away)),
+                Shortfall::JobShare,
+                share.saturating_sub(job_charged.saturating_add(state.job_unavailable)),
             ),
             (
-                Short::Replicas,
-                match facts.standing {
-                    true => facts.job_up.saturating_sub(mine.saturating_add(floor)),
+                Shortfall::Replicas,
+                match state.is_service {
+                    true => state
+                        .job_up
+                        .saturating_sub(job_charged.saturating_add(min_replicas)),
                     false => u32::MAX,
                 },
             ),
         ];
-        let (short, most) = bounds
+        let (shortfall, limit) = limits
             .into_iter()
             .min_by_key(|(_, n)| *n)
-            .unwrap_or((Short::AtOnce, 0));
-        let there = ask.there.len() as u32;
-        let lawful = most.min(there);
-        let tasks = if ask.force { there } else { lawful };
-        // The last of them go: in their order they are found again whoever owns the part.
-        let first = there.saturating_sub(tasks) as usize;
-        let Some(from) = ask.there.get(first).copied() else {
-            return Err(short);
+            .unwrap_or((Shortfall::Concurrency, 0));
+        let requested = request.tasks.len() as u32;
+        let allowed = limit.min(requested);
+        let tasks = if request.forced { requested } else { allowed };
+        // The last tasks are evicted. Their order is fixed, so that a new shard leader finds the same ones.
+        let first = requested.saturating_sub(tasks) as usize;
+        let Some(first_task) = request.tasks.get(first).copied() else {
+            return Err(shortfall);
         };
-        if tasks > lawful {
-            next.breach += f64::from(tasks - lawful) * ask.cpus;
+        if tasks > allowed {
+            next.excess_cpus += f64::from(tasks - allowed) * request.cpus_per_task;
         }
         let charge = Charge {
-            machine: ask.machine.clone(),
-            job: ask.job.clone(),
+            machine: request.machine.clone(),
+            job: request.job.clone(),
             tasks,
-            from,
-            cpus: ask.cpus,
-            // Its owner knows its own share before the feed has brought it.
-            seen: picture.seen.max(ask.version),
+            first_task,
+            cpus_per_task: request.cpus_per_task,
+            // The shard leader knows its own allocation before the watch delivers it.
+            min_revision: records.revision.max(request.allocation_version),
         };
-        match before {
+        match existing {
             Some(at) => next.charges[at] = charge,
             None => next.charges.push(charge),
         }
         Ok(next)
     }
 
-    fn remember(
+    /// Adds finished evictions to the history.
+    fn record_evictions(
         &mut self,
         budget: &Budget,
         tasks: u32,
@@ -354,51 +395,51 @@
         skew_ms: u64,
     ) {
         let stretch_ms = budget.stretch_ms();
-        let piece = (stretch_ms / PIECES).max(1);
-        // A piece is as old as its last stop can be.
-        let until = WallClockMillis((now.0 / piece + 1) * piece);
+        let interval_ms = (stretch_ms / HISTORY_INTERVALS).max(1);
+        // An interval is dated by its end, the latest time of its evictions.
+        let end = WallClockMillis((now.0 / interval_ms + 1) * interval_ms);
         let oldest = now.0.saturating_sub(2 * stretch_ms + 4 * skew_ms);
-        self.past.retain(|p| p.0.0 > oldest);
-        match self.past.iter_mut().find(|p| p.0 == until) {
+        self.history.retain(|p| p.0.0 > oldest);
+        match self.history.iter_mut().find(|p| p.0 == end) {
             Some(past) => {
                 past.1 += cpus;
                 past.2 = past.2.saturating_add(tasks);
             }
-            None => self.past.push(Past(until, cpus, tasks)),
+            None => self.history.push(PastEvictions(end, cpus, tasks)),
         }
-        // Guards the record's size: the two oldest pieces become one, as old as the younger of them.
-        self.past.sort_by_key(|p| p.0);
-        while self.past.len() as u64 > PIECES + 4 {
-            let first = self.past.remove(0);
-            self.past[0].1 += first.1;
-            self.past[0].2 = self.past[0].2.saturating_add(first.2);
+        // Bounds the size of the record: the two oldest intervals are merged, dated by the later one.
+        self.history.sort_by_key(|p| p.0);
+        while self.history.len() as u64 > HISTORY_INTERVALS + 4 {
+            let first = self.history.remove(0);
+            self.history[0].1 += first.1;
+            self.history[0].2 = self.history[0].2.saturating_add(first.2);
         }
     }
 
-    /// Has charges that are over count as stopped by now: their tasks have left, or can be stopped under
-    /// them no more. Whether there were any.
+    /// Moves finished charges to the history, as evictions that happened by `now`. A charge is finished once its
+    /// tasks have left the machine or can no longer be evicted under it. Returns whether there were any.
     pub fn settle(
         &mut self,
         default: &Budget,
-        over: impl Fn(&Charge) -> bool,
-        picture: &Picture,
+        is_finished: impl Fn(&Charge) -> bool,
+        records: &RecordView,
         now: WallClockMillis,
         skew_ms: u64,
     ) -> bool {
         let budget = self.budget(default);
-        let (over, open) = std::mem::take(&mut self.charges)
+        let (finished, open) = std::mem::take(&mut self.charges)
             .into_iter()
-            .partition(over);
+            .partition(is_finished);
         self.charges = open;
-        let over: Vec<Charge> = over;
-        for charge in &over {
-            let version = (picture.version)(&charge.machine, &charge.job);
-            self.settled = self.settled.max(picture.seen).max(version);
+        let finished: Vec<Charge> = finished;
+        for charge in &finished {
+            let version = (records.allocation_version)(&charge.machine, &charge.job);
+            self.settled_revision = self.settled_revision.max(records.revision).max(version);
         }
-        for charge in &over {
-            let cpus = f64::from(charge.tasks) * charge.cpus;
-            self.remember(&budget, charge.tasks, cpus, now, skew_ms);
+        for charge in &finished {
+            let cpus = f64::from(charge.tasks) * charge.cpus_per_task;
+            self.record_evictions(&budget, charge.tasks, cpus, now, skew_ms);
         }
-        !over.is_empty()
+        !finished.is_empty()
     }
 }
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,7 +1,7 @@
-//! Draining machines and replacing them in steps, within a budget of disruption for each team: what is
-//! asked, what stands, what each budget has left, and what comes next. Pure.
+//! Drains of machines, which are emptied and replaced in steps, and the disruption budget of each team that
+//! limits their evictions. Pure functions: requests, records and the leader's view in, the next record out.
 
 pub mod budget;
-pub mod door;
 pub mod entry;
+pub mod eviction;
 pub mod stepping;
--- a/crates/drain/src/stepping.rs
+++ b/crates/drain/src/stepping.rs
@@ -1,338 +1,385 @@
-//! What a drain does next: the leader asks for each drain that stands, by what it sees of the machines.
-//! Every answer that changes something is the drain's next record.
+//! Decides what a drain does next. The leader calls it for each drain in progress, with its view of the
+//! machines. An outcome that changes something is the next record of the drain.
 
-use crate::entry::{Drain, Late, MOST_AT_ONCE, Plan, Stage, State, Step, Then};
+use crate::entry::{Drain, Late, MAX_STEP_MACHINES, Plan, Stage, State, Step, Then};
 use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A machine as the leader sees it.
+/// A machine as the leader observes it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedMachine {
+    /// The zone of the machine.
     pub zone: String,
+    /// The machine type.
     pub model: String,
+    /// Whether it is a spot instance.
     pub spot: bool,
-    pub rented: WallClockMillis,
-    /// It is up, and some owner hears of it.
+    /// When it was rented.
+    pub rented_at: WallClockMillis,
+    /// Whether it runs and a shard leader receives its heartbeats.
     pub up: bool,
+    /// CPUs of the machine.
     pub cpus: f64,
-    /// CPUs of tasks that the records have there.
-    pub busy: f64,
-    /// CPU seconds that stopping these loses, as far as is known.
-    pub loses: f64,
+    /// CPUs of the tasks that the records place on it.
+    pub busy_cpus: f64,
+    /// Work that evicting these tasks would lose, in CPU seconds; an estimate.
+    pub unsaved_cpu_s: f64,
 }
 
-/// What the leader sees.
-pub struct View<'a> {
+/// What the leader observes of the cluster.
+pub struct ClusterView<'a> {
+    /// The current time.
     pub now: WallClockMillis,
-    /// All that the cloud lists and that are not returned.
-    pub machines: &'a BTreeMap<MachineId, Seen>,
-    /// Those that their owners say are empty, or have been returned a moment ago.
+    /// All machines that the cloud lists and that have not been released.
+    pub machines: &'a BTreeMap<MachineId, ObservedMachine>,
+    /// Machines that their shard leaders report as empty or have just released.
     pub empty: &'a BTreeSet<MachineId>,
-    /// Those that failed what they started.
-    pub sick: &'a BTreeSet<MachineId>,
-    /// Those in other drains' steps, or kept by them.
-    pub taken: &'a BTreeSet<MachineId>,
+    /// Machines on which the started tasks fail.
+    pub failing: &'a BTreeSet<MachineId>,
+    /// Machines in steps of other drains, or kept empty by them.
+    pub claimed: &'a BTreeSet<MachineId>,
     /// Zones in which other drains have a step.
-    pub zones: &'a BTreeSet<String>,
-    /// All parts have owners, and all controllers are heard.
-    pub whole: bool,
-    /// Machines that are missed: they died or were taken.
-    pub missed: usize,
-    /// The cloud had no more of something lately.
-    pub refused: bool,
-    /// How late the list may be, and how long the slowest type takes to be up.
-    pub lag_ms: u64,
-    pub ready_ms: u64,
+    pub claimed_zones: &'a BTreeSet<String>,
+    /// Whether all shards have leaders, and all of these report.
+    pub complete: bool,
+    /// Number of machines that failed or were interrupted and are still missing.
+    pub lost_machines: usize,
+    /// Whether the cloud has recently refused a request for lack of capacity.
+    pub capacity_refused: bool,
+    /// The longest time by which the cloud's list lags, in milliseconds.
+    pub list_lag_ms: u64,
+    /// The time in which the slowest machine type starts up, in milliseconds.
+    pub slowest_ready_ms: u64,
+    /// The interval between heartbeats, in milliseconds.
     pub report_ms: u64,
 }
 
 /// What a drain waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Waits {
-    /// An operator's word.
-    Word,
-    /// What was rented in its place to come up.
-    Replacement,
-    /// The cloud to have something to give in its place.
-    Capacity,
-    /// Tasks to end, or the teams' budgets to let them be stopped.
+pub enum WaitingFor {
+    /// An operator's action.
+    Operator,
+    /// Replacements to start up.
+    Replacements,
+    /// The cloud to have capacity for replacements.
+    CloudCapacity,
+    /// Tasks to end, or the disruption budgets to allow their eviction.
     Tasks,
-    /// The first step to prove itself.
-    Watching,
-    /// Parts without an owner, or controllers that are not heard.
-    Owners,
-    /// Too many machines are missed.
-    Losses,
-    /// Another drain has a step in another zone, or holds the machines.
-    Others,
-    /// Machines that are not up yet, or not listed.
+    /// The canary step to be watched for long enough.
+    Canary,
+    /// Shards without a leader, or leaders that do not report.
+    ShardLeaders,
+    /// Lost machines to be replaced.
+    LostMachines,
+    /// Another drain that has a step in another zone, or claims the machines.
+    OtherDrains,
+    /// Selected machines that are not up or not listed yet.
     Machines,
 }
 
-impl fmt::Display for Waits {
+impl fmt::Display for WaitingFor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Waits::Word => "an operator's word",
-            Waits::Replacement => "what was rented instead to be up",
-            Waits::Capacity => "the cloud to have machines to give instead",
-            Waits::Tasks => "tasks to end, or a budget to let them be stopped",
-            Waits::Watching => "the first step to prove itself",
-            Waits::Owners => "all parts to have owners that are heard",
-            Waits::Losses => "machines that are missed to be replaced",
-            Waits::Others => "the step of another drain",
-            Waits::Machines => "its machines to be up and listed",
+            WaitingFor::Operator => "an operator's word",
+            WaitingFor::Replacements => "what was rented instead to be up",
+            WaitingFor::CloudCapacity => "the cloud to have machines to give instead",
+            WaitingFor::Tasks => "tasks to end, or a budget to let them be stopped",
+            WaitingFor::Canary => "the first step to prove itself",
+            WaitingFor::ShardLeaders => "all parts to have owners that are heard",
+            WaitingFor::LostMachines => "machines that are missed to be replaced",
+            WaitingFor::OtherDrains => "the step of another drain",
+            WaitingFor::Machines => "its machines to be up and listed",
         })
     }
 }
 
-/// What comes next.
+/// What a drain does next.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Next {
-    Wait(Waits),
+pub enum NextAction {
+    /// Nothing, until the condition holds.
+    Wait(WaitingFor),
+    /// Replace the record of the drain by this one.
     Write(Box<Drain>),
 }
 
-/// What is rented within so long after a step's beginning is rented for it: the leader plans twice a second,
-/// and the cloud takes a few requests a second.
-const PLANNED_MS: u64 = 10_000;
-/// The next step's machines follow once one in so many of those that are emptied at a time is gone.
-const ROLL: usize = 4;
-/// Of the machines, one in so many may be missed while a step begins.
-const MISSED: usize = 20;
-/// Of the machines rented for a step, one in so many may come up late.
-const STRAY: usize = 10;
-/// The same once they should long be up.
-const LATE_STRAY: usize = 3;
-/// Of the new machines, one in so many may turn out sick.
-const SICK: usize = 10;
+/// Machines rented within this time after the start of a step count as its replacements, in milliseconds. The
+/// leader scales out twice a second, and the cloud accepts a few requests per second.
+const REPLACEMENT_WINDOW_MS: u64 = 10_000;
+/// Machines of the next step join the current one once 1/n of its size is emptied.
+const ROLLING_DIVISOR: usize = 4;
+/// No step begins while more than 1/n of all machines are lost.
+const LOST_DIVISOR: usize = 20;
+/// A step goes on while up to 1/n of its replacements are not up.
+const NOT_UP_DIVISOR: usize = 10;
+/// As `NOT_UP_DIVISOR`, once the replacements are overdue.
+const OVERDUE_DIVISOR: usize = 3;
+/// A drain is halted if 1/n of the new machines are failing; until the canary step is proven, if any is.
+const FAILING_DIVISOR: usize = 10;
 
 impl Drain {
-    /// Whether a machine is one of those that it concerns.
-    fn concerns(&self, name: &MachineId, m: &Seen) -> bool {
-        let which = &self.which;
-        let named = which.machines.is_empty() || which.machines.contains(name);
+    /// Whether the drain selects a machine.
+    fn selects(&self, name: &MachineId, m: &ObservedMachine) -> bool {
+        let selector = &self.selector;
+        let named = selector.machines.is_empty() || selector.machines.contains(name);
         named
-            && which.zone.as_ref().is_none_or(|z| *z == m.zone)
-            && which.model.as_ref().is_none_or(|t| *t == m.model)
-            && which.spot.is_none_or(|s| s == m.spot)
-            && m.rented < which.older_than
+            && selector.zone.as_ref().is_none_or(|z| *z == m.zone)
+            && selector.model.as_ref().is_none_or(|t| *t == m.model)
+            && selector.spot.is_none_or(|s| s == m.spot)
+            && m.rented_at < selector.older_than
     }
 
-    fn left<'a>(&'a self, view: &'a View) -> impl Iterator<Item = (&'a MachineId, &'a Seen)> + 'a {
-        let ours = view.machines.iter().filter(|(n, m)| self.concerns(n, m));
-        let stepped = |name: &MachineId| {
-            let ahead = self.ahead.iter().any(|s| s.machines.contains(name));
-            ahead && self.step.is_some()
+    /// Selected machines that are not emptied yet, without those of the next step.
+    fn remaining<'a>(
+        &'a self,
+        view: &'a ClusterView,
+    ) -> impl Iterator<Item = (&'a MachineId, &'a ObservedMachine)> + 'a {
+        let selected = view.machines.iter().filter(|(n, m)| self.selects(n, m));
+        let in_next_step = |name: &MachineId| {
+            let planned = self.next_step.iter().any(|s| s.machines.contains(name));
+            planned && self.step.is_some()
         };
-        ours.filter(move |(name, _)| !self.kept.contains(name) && !stepped(name))
+        selected.filter(move |(name, _)| !self.kept_machines.contains(name) && !in_next_step(name))
     }
 
-    /// Machines of a step.
-    fn size(&self, left: usize) -> usize {
-        let share = |s: f64| ((left + self.gone as usize) as f64 * s).floor() as usize;
-        let most = match (self.how.at_once, self.how.share) {
+    /// The number of machines in a step, with so many remaining.
+    fn step_size(&self, remaining: usize) -> usize {
+        let of_all =
+            |s: f64| ((remaining + self.emptied_machines as usize) as f64 * s).floor() as usize;
+        let size = match (self.options.at_once, self.options.share) {
             (Some(n), _) => n as usize,
-            (None, Some(s)) => share(s).max(1),
-            (None, None) => share(0.1).max(1),
+            (None, Some(s)) => of_all(s).max(1),
+            (None, None) => of_all(0.1).max(1),
         };
-        let most = most.min(MOST_AT_ONCE as usize);
-        match self.steps {
-            0 if self.how.canary > 0 => most.min(self.how.canary as usize),
-            _ => most,
+        let size = size.min(MAX_STEP_MACHINES as usize);
+        match self.finished_steps {
+            0 if self.options.canary > 0 => size.min(self.options.canary as usize),
+            _ => size,
         }
     }
 
-    fn plan(&self, view: &View) -> Plan {
-        let (mut machines, mut busy) = (0, 0.0);
-        let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        for (_, m) in self.left(view) {
+    /// Computes what remains of the drain.
+    fn plan(&self, view: &ClusterView) -> Plan {
+        let (mut machines, mut busy_cpus) = (0, 0.0);
+        let mut machines_by_zone: BTreeMap<String, u32> = BTreeMap::new();
+        for (_, m) in self.remaining(view) {
             machines += 1;
-            busy += m.busy;
-            *zones.entry(m.zone.clone()).or_default() += 1;
+            busy_cpus += m.busy_cpus;
+            *machines_by_zone.entry(m.zone.clone()).or_default() += 1;
         }
-        let first = self.size(machines).min(machines);
-        let begun = Drain {
-            steps: 1,
+        let first = self.step_size(machines).min(machines);
+        let after_canary = Drain {
+            finished_steps: 1,
             ..self.clone()
         };
-        let each = begun.size(machines).max(1);
-        // Each zone ends with a step of its own.
-        let mut steps: usize = match self.how.any_zone {
-            true => (machines - first).div_ceil(each),
-            false => zones.values().map(|n| (*n as usize).div_ceil(each)).sum(),
+        let step_size = after_canary.step_size(machines).max(1);
+        // The last step of a zone holds no machines of the next zone.
+        let mut steps: usize = match self.options.any_zone {
+            true => (machines - first).div_ceil(step_size),
+            false => machines_by_zone
+                .values()
+                .map(|n| (*n as usize).div_ceil(step_size))
+                .sum(),
         };
-        let canary = self.steps == 0 && self.how.canary > 0;
+        let canary = self.finished_steps == 0 && self.options.canary > 0;
         steps += usize::from(canary && machines > first);
-        let brings = match self.how.then {
-            Then::Replace => 2 * view.ready_ms,
+        let replacement_ms = match self.options.then {
+            Then::Replace => 2 * view.slowest_ready_ms,
             Then::Keep | Then::Return => 0,
         };
-        let step_ms = brings + self.how.patience_ms + 2 * view.report_ms + view.lag_ms;
-        let watch_ms = if canary { self.how.watch_ms } else { 0 };
+        let step_ms =
+            replacement_ms + self.options.patience_ms + 2 * view.report_ms + view.list_lag_ms;
+        let watch_ms = if canary { self.options.watch_ms } else { 0 };
         Plan {
             machines: machines as u32,
-            zones,
+            machines_by_zone,
             steps: steps as u32,
-            busy,
-            takes_ms: steps as u64 * step_ms + watch_ms,
+            busy_cpus,
+            max_duration_ms: steps as u64 * step_ms + watch_ms,
         }
     }
 
-    fn written(self) -> Next {
-        Next::Write(Box::new(self))
+    fn into_write(self) -> NextAction {
+        NextAction::Write(Box::new(self))
     }
 
-    fn ends(&self, state: State, why: Option<String>) -> Next {
+    /// Sets a state in which no step is in progress.
+    fn end_steps(&self, state: State, reason: Option<String>) -> NextAction {
         Drain {
             state,
-            why,
+            reason,
             step: None,
-            ahead: None,
+            next_step: None,
             ..self.clone()
         }
-        .written()
+        .into_write()
     }
 
-    /// A step that went wrong goes no further without an operator's word; its machines serve again.
-    fn halts(&self, why: String) -> Next {
-        self.ends(State::Halted, Some(why))
+    /// Halts the drain after a failed step, until an operator resumes it. The machines of the step are used
+    /// again.
+    fn halt(&self, reason: String) -> NextAction {
+        self.end_steps(State::Halted, Some(reason))
     }
 }
 
-fn names<'a>(list: impl Iterator<Item = &'a MachineId>) -> String {
+/// The first names of a list, for a message.
+fn join_names<'a>(list: impl Iterator<Item = &'a MachineId>) -> String {
     let names: Vec<&str> = list.take(8).map(|n| n.as_str()).collect();
     names.join(", ")
 }
 
-/// What a drain does next.
-pub fn next(drain: &Drain, view: &View) -> Next {
-    if drain.state.ended() {
-        return Next::Wait(Waits::Word);
+/// Decides what a drain does next.
+pub fn next_action(drain: &Drain, view: &ClusterView) -> NextAction {
+    if drain.state.has_ended() {
+        return NextAction::Wait(WaitingFor::Operator);
     }
     if drain.plan.is_none() {
-        // What it comes to is told before anything is done.
+        // The plan is published before the first step.
         let plan = Some(drain.plan(view));
         return Drain {
             plan,
             ..drain.clone()
         }
-        .written();
+        .into_write();
     }
     if drain.state == State::Halted {
-        return Next::Wait(Waits::Word);
+        return NextAction::Wait(WaitingFor::Operator);
     }
-    let late = drain.how.by.is_some_and(|by| by <= view.now);
+    let past_deadline = drain.options.by.is_some_and(|by| by <= view.now);
     match (&drain.step, drain.state) {
-        (Some(step), _) => go_on(drain, step, late, view),
-        (None, State::Paused) => Next::Wait(Waits::Word),
-        (None, _) => begin(drain, late, view),
+        (Some(step), _) => continue_step(drain, step, past_deadline, view),
+        (None, State::Paused) => NextAction::Wait(WaitingFor::Operator),
+        (None, _) => begin_step(drain, past_deadline, view),
     }
 }
 
-/// What becomes of the step that is underway.
-fn go_on(drain: &Drain, step: &Step, late: bool, view: &View) -> Next {
-    if late && step.stage != Stage::Forcing {
-        return match drain.how.late {
+/// Advances or finishes the step in progress.
+fn continue_step(
+    drain: &Drain,
+    step: &Step,
+    past_deadline: bool,
+    view: &ClusterView,
+) -> NextAction {
+    if past_deadline && step.stage != Stage::Forcing {
+        return match drain.options.late {
             Late::GiveUp => {
-                let left = names(step.machines.iter());
-                drain.ends(
+                let left = join_names(step.machines.iter());
+                drain.end_steps(
                     State::GivenUp,
                     Some(format!("not over in time; it was at {left}")),
                 )
             }
-            Late::Force => at(drain, step, Stage::Forcing, view),
+            Late::Force => with_stage(drain, step, Stage::Forcing, view),
         };
     }
-    if step.stage == Stage::Bringing {
-        return bring(drain, step, view);
+    if step.stage == Stage::AwaitingReplacements {
+        return await_replacements(drain, step, view);
     }
-    // Listed machines are there, unless their owner has just returned them; of those that are kept the owners
-    // say whether they are empty.
-    let still =
+    // A listed machine is still there unless its shard leader has just released it. Of machines that are kept,
+    // the shard leaders report whether they are empty.
+    let is_pending =
         |name: &&MachineId| view.machines.contains_key(*name) && !view.empty.contains(*name);
-    let left: Vec<MachineId> = step.machines.iter().filter(still).cloned().collect();
-    if !left.is_empty() {
-        return match roll(drain, step, &left, late, view) {
+    let pending: Vec<MachineId> = step.machines.iter().filter(is_pending).cloned().collect();
+    if !pending.is_empty() {
+        return match roll_forward(drain, step, &pending, past_deadline, view) {
             Some(next) => next,
-            None => ahead(drain, step, late, view),
+            None => prepare_next_step(drain, step, past_deadline, view),
         };
     }
     let mut next = drain.clone();
-    next.step = next.ahead.take();
-    next.steps += 1;
-    next.gone += step.machines.len() as u32;
-    next.stepped = Some(view.now);
-    if drain.how.then == Then::Keep {
-        next.kept.extend(step.machines.iter().cloned());
-        next.kept.sort();
+    next.step = next.next_step.take();
+    next.finished_steps += 1;
+    next.emptied_machines += step.machines.len() as u32;
+    next.last_step_at = Some(view.now);
+    if drain.options.then == Then::Keep {
+        next.kept_machines.extend(step.machines.iter().cloned());
+        next.kept_machines.sort();
     }
     next.plan = Some(next.plan(view));
     if next.step.is_some() {
-        return next.written();
+        return next.into_write();
     }
-    // The next step is written with the end of this one, if it may begin.
-    match (next.state, begin(&next, late, view)) {
-        (State::Running, Next::Write(both)) => Next::Write(both),
-        _ => next.written(),
+    // If the next step may begin, one write both ends this step and begins that one.
+    match (next.state, begin_step(&next, past_deadline, view)) {
+        (State::Running, NextAction::Write(both)) => NextAction::Write(both),
+        _ => next.into_write(),
     }
 }
 
-/// Machines of the next step take the place of those that are gone, where a good part of them is and what
-/// replaces these has come up.
-fn roll(drain: &Drain, step: &Step, left: &[MachineId], late: bool, view: &View) -> Option<Next> {
-    let ahead = drain
-        .ahead
+/// Moves machines of the next step into the current one, in place of those that are emptied. `None` unless
+/// enough machines are emptied and the replacements for the next step are up.
+fn roll_forward(
+    drain: &Drain,
+    step: &Step,
+    pending: &[MachineId],
+    past_deadline: bool,
+    view: &ClusterView,
+) -> Option<NextAction> {
+    let next_step = drain
+        .next_step
         .as_ref()
-        .filter(|_| !late && step.stage == Stage::Emptying)?;
-    let size = drain.size(drain.left(view).count());
-    let room = size.saturating_sub(left.len());
-    if drain.state != State::Running || room * ROLL < size || room == 0 {
+        .filter(|_| !past_deadline && step.stage == Stage::Emptying)?;
+    let size = drain.step_size(drain.remaining(view).count());
+    let vacant = size.saturating_sub(pending.len());
+    if drain.state != State::Running || vacant * ROLLING_DIVISOR < size || vacant == 0 {
         return None;
     }
-    if brought(ahead, view) != Brought::Ready {
+    if replacement_status(next_step, view) != ReplacementStatus::Ready {
         return None;
     }
-    let (now, later) = ahead.machines.split_at(room.min(ahead.machines.len()));
+    let (joining, later) = next_step
+        .machines
+        .split_at(vacant.min(next_step.machines.len()));
     let mut next = drain.clone();
-    next.steps += 1;
-    next.gone += (step.machines.len() - left.len()) as u32;
-    next.stepped = Some(view.now);
+    next.finished_steps += 1;
+    next.emptied_machines += (step.machines.len() - pending.len()) as u32;
+    next.last_step_at = Some(view.now);
     next.step = Some(Step {
-        machines: left.iter().chain(now).cloned().collect(),
+        machines: pending.iter().chain(joining).cloned().collect(),
         stage: Stage::Emptying,
         since: view.now,
     });
-    next.ahead = (!later.is_empty()).then(|| Step {
+    next.next_step = (!later.is_empty()).then(|| Step {
         machines: later.to_vec(),
-        ..ahead.clone()
+        ..next_step.clone()
     });
     next.plan = Some(next.plan(view));
-    Some(next.written())
+    Some(next.into_write())
 }
 
-/// While a step is emptied what takes the place of the next one comes up, once the first has proved itself.
-fn ahead(drain: &Drain, step: &Step, late: bool, view: &View) -> Next {
-    let replaces = drain.how.then == Then::Replace && drain.state == State::Running;
-    if late || !replaces || drain.ahead.is_some() || drain.steps == 0 && drain.how.canary > 0 {
-        return Next::Wait(Waits::Tasks);
-    }
-    let mut view = View { ..*view };
-    let mut taken = view.taken.clone();
-    taken.extend(step.machines.iter().cloned());
-    view.taken = &taken;
-    match begin(drain, false, &view) {
-        Next::Write(mut next) if next.state == State::Running => {
-            next.ahead = next.step.take();
+/// Chooses the next step while the current one is emptied, so that its replacements start up meanwhile. Not
+/// before the canary step has finished.
+fn prepare_next_step(
+    drain: &Drain,
+    step: &Step,
+    past_deadline: bool,
+    view: &ClusterView,
+) -> NextAction {
+    let replaces = drain.options.then == Then::Replace && drain.state == State::Running;
+    if past_deadline
+        || !replaces
+        || drain.next_step.is_some()
+        || drain.finished_steps == 0 && drain.options.canary > 0
+    {
+        return NextAction::Wait(WaitingFor::Tasks);
+    }
+    let mut view = ClusterView { ..*view };
+    let mut claimed = view.claimed.clone();
+    claimed.extend(step.machines.iter().cloned());
+    view.claimed = &claimed;
+    match begin_step(drain, false, &view) {
+        NextAction::Write(mut next) if next.state == State::Running => {
+            next.next_step = next.step.take();
             next.step = Some(step.clone());
-            Next::Write(next)
+            NextAction::Write(next)
         }
-        Next::Write(halts) if halts.state == State::Halted => Next::Write(halts),
-        _ => Next::Wait(Waits::Tasks),
+        NextAction::Write(halted) if halted.state == State::Halted => NextAction::Write(halted),
+        _ => NextAction::Wait(WaitingFor::Tasks),
     }
 }
 
-fn at(drain: &Drain, step: &Step, stage: Stage, view: &View) -> Next {
+/// Moves the step in progress to another stage.
+fn with_stage(drain: &Drain, step: &Step, stage: Stage, view: &ClusterView) -> NextAction {
     let step = Step {
         machines: step.machines.clone(),
         stage,
@@ -342,147 +389,171 @@
         step: Some(step),
         ..drain.clone()
     }
-    .written()
+    .into_write()
 }
 
+/// The replacements of a step.
 #[derive(PartialEq)]
-enum Brought {
+enum ReplacementStatus {
+    /// Enough are up, or none are needed.
     Ready,
-    Waits(Waits),
-    Astray(String),
+    Waiting(WaitingFor),
+    /// Most did not start up in time; with the message for operators.
+    Failed(String),
 }
 
-/// What a step's replacements have come to.
-fn bring(drain: &Drain, step: &Step, view: &View) -> Next {
-    match brought(step, view) {
-        Brought::Ready => at(drain, step, Stage::Emptying, view),
-        Brought::Waits(waits) => Next::Wait(waits),
-        Brought::Astray(why) => drain.halts(why),
+/// Begins to empty a step once its replacements are up; halts the drain if they fail to start.
+fn await_replacements(drain: &Drain, step: &Step, view: &ClusterView) -> NextAction {
+    match replacement_status(step, view) {
+        ReplacementStatus::Ready => with_stage(drain, step, Stage::Emptying, view),
+        ReplacementStatus::Waiting(waiting_for) => NextAction::Wait(waiting_for),
+        ReplacementStatus::Failed(reason) => drain.halt(reason),
     }
 }
 
-/// Whether what takes a step's place has come up, or nothing is needed in its place: what was rented soon after
-/// it began counts for it, as its machines are no capacity any more from then on.
-fn brought(step: &Step, view: &View) -> Brought {
-    let until = WallClockMillis(step.since.0 + PLANNED_MS);
-    let new = || {
+/// Checks whether a step's replacements are up, or none are needed. Machines that were rented soon after the step
+/// began count as replacements, as its machines do not count as capacity from then on.
+fn replacement_status(step: &Step, view: &ClusterView) -> ReplacementStatus {
+    let until = WallClockMillis(step.since.0 + REPLACEMENT_WINDOW_MS);
+    let replacements = || {
         let machines = view.machines.iter();
-        machines.filter(move |(_, m)| step.since <= m.rented && m.rented <= until)
+        machines.filter(move |(_, m)| step.since <= m.rented_at && m.rented_at <= until)
     };
     let waited = view.now.0.saturating_sub(step.since.0);
-    if waited < PLANNED_MS + view.lag_ms {
-        return Brought::Waits(Waits::Replacement);
-    }
-    let ours = || step.machines.iter().filter_map(|n| view.machines.get(n));
-    let leaves: f64 = ours().map(|m| m.cpus).sum();
-    let came: f64 = new().filter(|(_, m)| m.up).map(|(_, m)| m.cpus).sum();
-    let all = new().count();
-    let coming: Vec<&MachineId> = new().filter(|(_, m)| !m.up).map(|(n, _)| n).collect();
-    // A few that stay away do not keep the rest waiting, and more of them do not once they are late.
-    let late = waited > 3 * view.ready_ms / 2 + PLANNED_MS;
-    let stray = if late { LATE_STRAY } else { STRAY };
-    if came >= leaves || coming.len() * stray <= all {
-        // Nothing new: nothing is needed, or nothing is to be had. Then what is there must hold the work.
-        let elsewhere = view
+    if waited < REPLACEMENT_WINDOW_MS + view.list_lag_ms {
+        return ReplacementStatus::Waiting(WaitingFor::Replacements);
+    }
+    let step_machines = || step.machines.iter().filter_map(|n| view.machines.get(n));
+    let leaving_cpus: f64 = step_machines().map(|m| m.cpus).sum();
+    let up_cpus: f64 = replacements()
+        .filter(|(_, m)| m.up)
+        .map(|(_, m)| m.cpus)
+        .sum();
+    let all = replacements().count();
+    let not_up: Vec<&MachineId> = replacements()
+        .filter(|(_, m)| !m.up)
+        .map(|(n, _)| n)
+        .collect();
+    // A few replacements that do not start up do not delay the step; once overdue, more may be missing.
+    let overdue = waited > 3 * view.slowest_ready_ms / 2 + REPLACEMENT_WINDOW_MS;
+    let divisor = if overdue {
+        OVERDUE_DIVISOR
+    } else {
+        NOT_UP_DIVISOR
+    };
+    if up_cpus >= leaving_cpus || not_up.len() * divisor <= all {
+        // Without replacements, none are needed or the cloud has none. In the second case the other machines must
+        // have space for the step's tasks.
+        let others = view
             .machines
             .iter()
             .filter(|(n, m)| m.up && !step.machines.contains(n));
-        let free: f64 = elsewhere.map(|(_, m)| (m.cpus - m.busy).max(0.0)).sum();
-        let busy: f64 = ours().map(|m| m.busy).sum();
-        return match all == 0 && view.refused && free < busy {
-            true => Brought::Waits(Waits::Capacity),
-            false => Brought::Ready,
+        let free_cpus: f64 = others.map(|(_, m)| (m.cpus - m.busy_cpus).max(0.0)).sum();
+        let busy_cpus: f64 = step_machines().map(|m| m.busy_cpus).sum();
+        return match all == 0 && view.capacity_refused && free_cpus < busy_cpus {
+            true => ReplacementStatus::Waiting(WaitingFor::CloudCapacity),
+            false => ReplacementStatus::Ready,
         };
     }
-    let patience = 3 * view.ready_ms + 20_000;
-    if waited <= patience {
-        return Brought::Waits(Waits::Replacement);
+    let timeout_ms = 3 * view.slowest_ready_ms + 20_000;
+    if waited <= timeout_ms {
+        return ReplacementStatus::Waiting(WaitingFor::Replacements);
     }
-    if 2 * coming.len() <= all {
-        return Brought::Ready;
+    if 2 * not_up.len() <= all {
+        return ReplacementStatus::Ready;
     }
-    let which = names(coming.iter().copied());
-    Brought::Astray(format!(
+    let which = join_names(not_up.iter().copied());
+    ReplacementStatus::Failed(format!(
         "of {all} machines rented for its step {} are not up after {} s: {which}",
-        coming.len(),
+        not_up.len(),
         waited / 1000,
     ))
 }
 
-/// The next step, or the end.
-fn begin(drain: &Drain, late: bool, view: &View) -> Next {
-    let left: Vec<(&MachineId, &Seen)> = drain.left(view).collect();
-    if left.is_empty() {
-        // A list may be older than the drain, and lack what was rented a moment before it.
-        let seen = view.now.0 > drain.asked.0 + 4 * view.lag_ms;
-        return match seen {
-            true => drain.ends(State::Done, None),
-            false => Next::Wait(Waits::Machines),
+/// Begins the next step, or ends the drain if no machines remain.
+fn begin_step(drain: &Drain, past_deadline: bool, view: &ClusterView) -> NextAction {
+    let remaining: Vec<(&MachineId, &ObservedMachine)> = drain.remaining(view).collect();
+    if remaining.is_empty() {
+        // The list may be older than the drain and lack machines that were rented just before it.
+        let list_is_recent = view.now.0 > drain.requested_at.0 + 4 * view.list_lag_ms;
+        return match list_is_recent {
+            true => drain.end_steps(State::Done, None),
+            false => NextAction::Wait(WaitingFor::Machines),
         };
     }
-    if late && drain.how.late == Late::GiveUp {
-        return drain.ends(State::GivenUp, Some("not over in time".to_string()));
+    if past_deadline && drain.options.late == Late::GiveUp {
+        return drain.end_steps(State::GivenUp, Some("not over in time".to_string()));
     }
-    let new = || {
+    let new_machines = || {
         let machines = view.machines.iter();
-        machines.filter(|(_, m)| m.rented >= drain.watched)
+        machines.filter(|(_, m)| m.rented_at >= drain.watched_since)
     };
-    let sick: Vec<&MachineId> = new()
+    let failing: Vec<&MachineId> = new_machines()
         .map(|(n, _)| n)
-        .filter(|n| view.sick.contains(*n))
+        .filter(|n| view.failing.contains(*n))
         .collect();
-    let all = new().count();
-    let first = drain.steps <= 1 && drain.how.canary > 0;
-    if !sick.is_empty() && (first || sick.len() * SICK >= all) {
-        let which = names(sick.iter().copied());
-        return drain.halts(format!(
+    let all = new_machines().count();
+    let first = drain.finished_steps <= 1 && drain.options.canary > 0;
+    if !failing.is_empty() && (first || failing.len() * FAILING_DIVISOR >= all) {
+        let which = join_names(failing.iter().copied());
+        return drain.halt(format!(
             "of {all} new machines {} fail what they start: {which}",
-            sick.len()
+            failing.len()
         ));
     }
-    if !view.whole {
-        return Next::Wait(Waits::Owners);
+    if !view.complete {
+        return NextAction::Wait(WaitingFor::ShardLeaders);
     }
     let now = view.now;
-    let proved = |at: WallClockMillis| now.0 >= at.0 + drain.how.watch_ms;
-    let canary = drain.steps == 1 && drain.how.canary > 0;
-    if !late && canary && !drain.stepped.is_none_or(proved) {
-        return Next::Wait(Waits::Watching);
-    }
-    if !late && view.missed > 1 && view.missed * MISSED > view.machines.len() {
-        return Next::Wait(Waits::Losses);
-    }
-    let size = drain.size(left.len());
-    let mut free: Vec<(&MachineId, &Seen)> = left
+    let is_watched = |at: WallClockMillis| now.0 >= at.0 + drain.options.watch_ms;
+    let canary = drain.finished_steps == 1 && drain.options.canary > 0;
+    if !past_deadline && canary && !drain.last_step_at.is_none_or(is_watched) {
+        return NextAction::Wait(WaitingFor::Canary);
+    }
+    if !past_deadline
+        && view.lost_machines > 1
+        && view.lost_machines * LOST_DIVISOR > view.machines.len()
+    {
+        return NextAction::Wait(WaitingFor::LostMachines);
+    }
+    let size = drain.step_size(remaining.len());
+    let mut available: Vec<(&MachineId, &ObservedMachine)> = remaining
         .iter()
         .copied()
-        .filter(|(name, m)| m.up && !view.taken.contains(*name))
+        .filter(|(name, m)| m.up && !view.claimed.contains(*name))
         .collect();
-    if free.is_empty() {
-        let held = left.iter().any(|(name, _)| view.taken.contains(*name));
-        return Next::Wait(if held { Waits::Others } else { Waits::Machines });
-    }
-    if !drain.how.any_zone {
-        // One zone at a time, over all drains: of those open to it the one with fewest left.
+    if available.is_empty() {
+        let claimed = remaining
+            .iter()
+            .any(|(name, _)| view.claimed.contains(*name));
+        return NextAction::Wait(if claimed {
+            WaitingFor::OtherDrains
+        } else {
+            WaitingFor::Machines
+        });
+    }
+    if !drain.options.any_zone {
+        // All drains together work in one zone at a time: the one with the fewest machines, of those that no
+        // other drain excludes.
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        for (_, m) in &free {
+        for (_, m) in &available {
             *counts.entry(&m.zone).or_default() += 1;
         }
-        let open = |zone: &&str| view.zones.iter().all(|z| z == *zone);
-        let zone = counts.iter().filter(|(z, _)| open(z));
+        let is_open = |zone: &&str| view.claimed_zones.iter().all(|z| z == *zone);
+        let zone = counts.iter().filter(|(z, _)| is_open(z));
         let Some(zone) = zone.min_by_key(|(_, n)| **n).map(|(z, _)| z.to_string()) else {
-            return Next::Wait(Waits::Others);
+            return NextAction::Wait(WaitingFor::OtherDrains);
         };
-        free.retain(|(_, m)| m.zone == zone);
+        available.retain(|(_, m)| m.zone == zone);
     }
-    // What loses least goes first: idle ones, then by what stopping costs, then the oldest.
-    free.sort_by(|(a, m), (b, n)| m.loses.total_cmp(&n.loses).then(a.cmp(b)));
-    free.truncate(size);
-    let mut machines: Vec<MachineId> = free.into_iter().map(|(n, _)| n.clone()).collect();
+    // Machines whose tasks lose the least work go first, idle ones among them; the oldest first at a tie.
+    available.sort_by(|(a, m), (b, n)| m.unsaved_cpu_s.total_cmp(&n.unsaved_cpu_s).then(a.cmp(b)));
+    available.truncate(size);
+    let mut machines: Vec<MachineId> = available.into_iter().map(|(n, _)| n.clone()).collect();
     machines.sort();
-    let stage = match drain.how.then {
-        _ if late => Stage::Forcing,
-        Then::Replace => Stage::Bringing,
+    let stage = match drain.options.then {
+        _ if past_deadline => Stage::Forcing,
+        Then::Replace => Stage::AwaitingReplacements,
         Then::Keep | Then::Return => Stage::Emptying,
     };
     let mut next = drain.clone();
@@ -492,5 +563,5 @@
         stage,
         since: now,
     });
-    next.written()
+    next.into_write()
 }
--- a/crates/drain/tests/entry.rs
+++ b/crates/drain/tests/entry.rs
@@ -1,7 +1,7 @@
-//! Requests for drains: what is refused and where, and what is the same request.
+//! Requests for drains: validation, repeated requests, and operators' actions.
 
 use serde_json::{Value, json};
-use snowshelf_drain::entry::{Drain, Stage, State, Step, Word, parse_drain};
+use snowshelf_drain::entry::{Drain, DrainAction, Stage, State, Step, parse_drain};
 use snowshelf_model::ids::{MachineId, WallClockMillis};
 
 const NOW: WallClockMillis = WallClockMillis(1_800_000_000_000);
@@ -12,10 +12,11 @@
     read.map(|(_, drain)| drain).map_err(|m| m.field)
 }
 
+/// Guards against an invalid request that is accepted, or refused under another field than the invalid one.
 #[test]
-fn what_is_not_sound_is_refused_by_its_field() {
-    let whole = json!({"name": "d", "all": true, "then": "replace"});
-    assert!(parse(&whole).is_ok());
+fn request_with_invalid_field_is_refused_by_field() {
+    let valid = json!({"name": "d", "all": true, "then": "replace"});
+    assert!(parse(&valid).is_ok());
     let changes = [
         ("name", json!("a b"), "name"),
         ("then", json!("burn"), "then"),
@@ -30,12 +31,12 @@
         ("by", json!("soon"), "by"),
         ("zones", json!("a"), "zones"),
     ];
-    for (field, value, at) in changes {
-        let mut body = whole.clone();
+    for (field, value, refused) in changes {
+        let mut body = valid.clone();
         body[field] = value;
-        assert_eq!(parse(&body).err().as_deref(), Some(at), "{body}");
+        assert_eq!(parse(&body).err().as_deref(), Some(refused), "{body}");
     }
-    let mut both = whole.clone();
+    let mut both = valid.clone();
     (both["at_once"], both["share"]) = (json!(3), json!(0.1));
     assert_eq!(parse(&both).err().as_deref(), Some("share"));
     let named: Vec<String> = (0..49).map(|n| format!("n-{n}")).collect();
@@ -43,54 +44,64 @@
     assert_eq!(parse(&many).err().as_deref(), Some("machines"));
 }
 
-/// Guards against a repeated request that is taken for another one, as it came at a later time.
+/// Guards against a repeated request that is refused as a different one: without `older_than` each request
+/// defaults to its own time.
 #[test]
-fn the_same_request_at_another_time_is_the_same() {
+fn request_repeated_later_is_same_request() {
     let read = |body: &Value, now| {
         let text = body.to_string();
-        parse_drain(text.as_bytes(), now).expect("sound").1
+        parse_drain(text.as_bytes(), now)
+            .expect("a valid request")
+            .1
     };
     let body = json!({"name": "d", "zone": "a", "then": "replace"});
     let first = read(&body, NOW);
-    let again = read(&body, WallClockMillis(NOW.0 + 60_000));
-    assert!(first.answers(&again) && again.answers(&first));
+    let repeated = read(&body, WallClockMillis(NOW.0 + 60_000));
+    assert!(first.is_same_request(&repeated) && repeated.is_same_request(&first));
     let mut other = body.clone();
     other["zone"] = json!("b");
-    assert!(!first.answers(&read(&other, NOW)));
+    assert!(!first.is_same_request(&read(&other, NOW)));
     let mut older = body.clone();
     older["older_than"] = json!("2027-01-01T00:00:00Z");
-    assert!(!first.answers(&read(&older, NOW)));
+    assert!(!first.is_same_request(&read(&older, NOW)));
 }
 
+/// Guards against a cancelled drain that is resumed, and against a repeated action that is refused as a conflict.
 #[test]
-fn words_change_what_they_can() {
-    let drain = parse(&json!({"name": "d", "all": true, "then": "return"})).expect("sound");
-    let state = |d: &Drain, word| d.told(word, NOW).map(|next| next.map(|n| n.state));
-    assert_eq!(state(&drain, Word::Resume), Ok(None));
-    assert_eq!(state(&drain, Word::Pause), Ok(Some(State::Paused)));
-    assert_eq!(state(&drain, Word::Cancel), Ok(Some(State::Cancelled)));
+fn action_changes_state_unless_drain_has_ended() {
+    let drain =
+        parse(&json!({"name": "d", "all": true, "then": "return"})).expect("a valid request");
+    let state = |d: &Drain, action| d.apply(action, NOW).map(|next| next.map(|n| n.state));
+    assert_eq!(state(&drain, DrainAction::Resume), Ok(None));
+    assert_eq!(state(&drain, DrainAction::Pause), Ok(Some(State::Paused)));
+    assert_eq!(
+        state(&drain, DrainAction::Cancel),
+        Ok(Some(State::Cancelled))
+    );
     let cancelled = drain
-        .told(Word::Cancel, NOW)
-        .expect("lawful")
+        .apply(DrainAction::Cancel, NOW)
+        .expect("the drain has not ended")
         .expect("a change");
-    assert_eq!(state(&cancelled, Word::Cancel), Ok(None));
-    assert!(state(&cancelled, Word::Resume).is_err());
+    assert_eq!(state(&cancelled, DrainAction::Cancel), Ok(None));
+    assert!(state(&cancelled, DrainAction::Resume).is_err());
 }
 
-/// Guards against a paused drain that empties what was only being brought up for its next step.
+/// Guards against a paused drain that goes on to empty the machines of its next step, whose replacements were
+/// starting when it was paused.
 #[test]
-fn a_pause_begins_no_other_step() {
-    let mut drain = parse(&json!({"name": "d", "all": true, "then": "replace"})).expect("sound");
+fn pause_drops_next_step() {
+    let mut drain =
+        parse(&json!({"name": "d", "all": true, "then": "replace"})).expect("a valid request");
     let step = |machine: &str, stage| Step {
         machines: vec![MachineId::new(machine)],
         stage,
         since: NOW,
     };
     drain.step = Some(step("n-1", Stage::Emptying));
-    drain.ahead = Some(step("n-2", Stage::Bringing));
+    drain.next_step = Some(step("n-2", Stage::AwaitingReplacements));
     let paused = drain
-        .told(Word::Pause, NOW)
-        .expect("lawful")
+        .apply(DrainAction::Pause, NOW)
+        .expect("the drain has not ended")
         .expect("a change");
-    assert_eq!((paused.step, paused.ahead), (drain.step, None));
+    assert_eq!((paused.step, paused.next_step), (drain.step, None));
 }
--- a/crates/drain/tests/stepping.rs
+++ b/crates/drain/tests/stepping.rs
@@ -1,189 +1,213 @@
-//! Steps of drains against drawn fleets: no machine twice, one zone at a time, none that is another's, and an
-//! end once all are gone.
+//! Steps of drains on random fleets: each machine is in one step, a step stays in one zone and leaves out machines
+//! claimed by other drains, and the drain ends once all machines are emptied.
 
 use proptest::prelude::*;
 use serde_json::json;
-use snowshelf_drain::entry::{Drain, Stage, State, Word, parse_drain};
-use snowshelf_drain::stepping::{Next, Seen, View, Waits, next};
+use snowshelf_drain::entry::{Drain, DrainAction, Stage, State, parse_drain};
+use snowshelf_drain::stepping::{
+    ClusterView, NextAction, ObservedMachine, WaitingFor, next_action,
+};
 use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn drain(body: serde_json::Value, now: u64) -> Drain {
     let body = body.to_string();
     parse_drain(body.as_bytes(), WallClockMillis(now))
-        .expect("a sound drain")
+        .expect("a valid request")
         .1
 }
 
-fn fleet(zones: &[usize], rented: u64) -> BTreeMap<MachineId, Seen> {
+fn fleet(zones: &[usize], rented: u64) -> BTreeMap<MachineId, ObservedMachine> {
     let machine = |(i, zone): (usize, &usize)| {
-        let seen = Seen {
+        let observed = ObservedMachine {
             zone: ["a", "b", "c"][*zone].to_string(),
             model: "s".to_string(),
             spot: i % 2 == 0,
-            rented: WallClockMillis(rented),
+            rented_at: WallClockMillis(rented),
             up: true,
             cpus: 8.0,
-            busy: (i % 5) as f64,
-            loses: (i % 5) as f64,
+            busy_cpus: (i % 5) as f64,
+            unsaved_cpu_s: (i % 5) as f64,
         };
-        (MachineId::new(&format!("n-{i:06}")), seen)
+        (MachineId::new(&format!("n-{i:06}")), observed)
     };
     zones.iter().enumerate().map(machine).collect()
 }
 
-/// A leader's look in a world where steps go as they should, unless said otherwise.
-struct Look {
+/// The leader's view of a cluster in which steps succeed unless a test says otherwise.
+struct Cluster {
     now: u64,
-    machines: BTreeMap<MachineId, Seen>,
-    sick: BTreeSet<MachineId>,
-    taken: BTreeSet<MachineId>,
+    machines: BTreeMap<MachineId, ObservedMachine>,
+    failing: BTreeSet<MachineId>,
+    claimed: BTreeSet<MachineId>,
 }
 
-impl Look {
-    fn next(&self, drain: &Drain) -> Next {
+impl Cluster {
+    fn next_action(&self, drain: &Drain) -> NextAction {
         let none = BTreeSet::new();
-        let view = View {
+        let view = ClusterView {
             now: WallClockMillis(self.now),
             machines: &self.machines,
             empty: &none,
-            sick: &self.sick,
-            taken: &self.taken,
-            zones: &BTreeSet::new(),
-            whole: true,
-            missed: 0,
-            refused: false,
-            lag_ms: 3_000,
-            ready_ms: 20_000,
+            failing: &self.failing,
+            claimed: &self.claimed,
+            claimed_zones: &BTreeSet::new(),
+            complete: true,
+            lost_machines: 0,
+            capacity_refused: false,
+            list_lag_ms: 3_000,
+            slowest_ready_ms: 20_000,
             report_ms: 5_000,
         };
-        next(drain, &view)
+        next_action(drain, &view)
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
+    /// Guards against a machine that is left out or emptied twice, whatever the sizes of steps and zones and
+    /// the machines that other drains claim for some time.
     #[test]
-    fn every_machine_goes_once(
+    fn drain_empties_each_machine_once(
         zones in proptest::collection::vec(0..3usize, 1..60),
         at_once in 1..12u32,
         canary in 0..3u32,
         any_zone in any::<bool>(),
-        taken in proptest::collection::btree_set(0..60usize, 0..4),
+        claimed in proptest::collection::btree_set(0..60usize, 0..4),
     ) {
         let body = json!({"name": "d", "all": true, "then": "return", "at_once": at_once, "canary": canary,
             "any_zone": any_zone, "watch_s": 5.0});
         let mut d = drain(body, 1_000_000);
-        let mut look = Look {
+        let mut cluster = Cluster {
             now: 1_100_000,
             machines: fleet(&zones, 500_000),
-            sick: BTreeSet::new(),
-            taken: taken.iter().map(|i| MachineId::new(&format!("n-{i:06}"))).collect(),
+            failing: BTreeSet::new(),
+            claimed: claimed.iter().map(|i| MachineId::new(&format!("n-{i:06}"))).collect(),
         };
-        let mut gone: BTreeSet<MachineId> = BTreeSet::new();
+        let mut emptied: BTreeSet<MachineId> = BTreeSet::new();
         let mut steps = 0;
         for _ in 0..2_000 {
-            if d.state.ended() {
+            if d.state.has_ended() {
                 break;
             }
-            match look.next(&d) {
-                Next::Write(next) => {
+            match cluster.next_action(&d) {
+                NextAction::Write(next) => {
                     if let Some(step) = &next.step && d.step.as_ref() != Some(step) {
                         steps += 1;
                         prop_assert!(step.machines.len() <= at_once as usize);
-                        if canary > 0 && next.steps == 0 {
+                        if canary > 0 && next.finished_steps == 0 {
                             prop_assert!(step.machines.len() <= canary as usize);
                         }
                         let zones: BTreeSet<&String> =
-                            step.machines.iter().map(|m| &look.machines[m].zone).collect();
+                            step.machines.iter().map(|m| &cluster.machines[m].zone).collect();
                         prop_assert!(any_zone || zones.len() == 1);
                         for m in &step.machines {
-                            prop_assert!(!look.taken.contains(m) && gone.insert(m.clone()), "{m} twice");
+                            prop_assert!(!cluster.claimed.contains(m) && emptied.insert(m.clone()), "{m} twice");
                         }
                     }
                     d = *next;
                 }
-                Next::Wait(Waits::Others) => look.taken.clear(),
-                Next::Wait(_) => {
-                    // The step's machines go one after the other.
-                    let next = d.step.iter().flat_map(|s| &s.machines).find(|m| look.machines.contains_key(*m));
+                NextAction::Wait(WaitingFor::OtherDrains) => cluster.claimed.clear(),
+                NextAction::Wait(_) => {
+                    // The machines of the step are released one after the other.
+                    let next = d.step.iter().flat_map(|s| &s.machines).find(|m| cluster.machines.contains_key(*m));
                     if let Some(m) = next.cloned() {
-                        look.machines.remove(&m);
+                        cluster.machines.remove(&m);
                     }
-                    look.now += 1_000;
+                    cluster.now += 1_000;
                 }
             }
         }
         prop_assert_eq!(d.state, State::Done);
-        prop_assert_eq!(gone.len(), zones.len());
-        prop_assert_eq!(d.gone as usize, zones.len());
+        prop_assert_eq!(emptied.len(), zones.len());
+        prop_assert_eq!(d.emptied_machines as usize, zones.len());
         prop_assert!(steps >= zones.len().div_ceil(at_once as usize));
     }
 }
 
-fn written(next: Next) -> Drain {
-    match next {
-        Next::Write(drain) => *drain,
-        Next::Wait(why) => panic!("waits for {why}"),
+fn written(action: NextAction) -> Drain {
+    match action {
+        NextAction::Write(drain) => *drain,
+        NextAction::Wait(reason) => panic!("waits for {reason}"),
     }
 }
 
-/// A canary: its replacements stay away, or come up and fail what they start. Either halts the rest, which
-/// goes on only by an operator's word.
+/// Guards against a drain that goes on after its canary step failed. The replacements do not start up, or the
+/// tasks started on them fail. Either halts the drain until an operator resumes it.
 #[test]
-fn a_step_that_goes_wrong_goes_no_further() {
-    for sick in [false, true] {
+fn failed_canary_halts_drain_until_resumed() {
+    for starts_up in [false, true] {
         let body =
             json!({"name": "d", "all": true, "then": "replace", "at_once": 4, "watch_s": 0.0});
-        let mut look = Look {
+        let mut cluster = Cluster {
             now: 1_100_000,
             machines: fleet(&[0; 12], 500_000),
-            sick: BTreeSet::new(),
-            taken: BTreeSet::new(),
+            failing: BTreeSet::new(),
+            claimed: BTreeSet::new(),
         };
-        let planned = written(look.next(&drain(body, 1_000_000)));
+        let planned = written(cluster.next_action(&drain(body, 1_000_000)));
         assert_eq!(planned.plan.as_ref().map(|p| p.machines), Some(12));
-        let begun = written(look.next(&planned));
+        let begun = written(cluster.next_action(&planned));
         let step = begun.step.clone().expect("a step");
-        assert_eq!((step.stage, step.machines.len()), (Stage::Bringing, 1));
+        assert_eq!(
+            (step.stage, step.machines.len()),
+            (Stage::AwaitingReplacements, 1)
+        );
         let new = MachineId::new("n-100000");
-        let mut seen = look.machines.values().next().cloned().expect("a machine");
-        seen.rented = WallClockMillis(look.now + 1_000);
-        seen.up = sick;
-        look.machines.insert(new.clone(), seen);
-        look.now += 15_000;
-        let halted = if sick {
-            let emptying = written(look.next(&begun));
+        let mut observed = cluster
+            .machines
+            .values()
+            .next()
+            .cloned()
+            .expect("a machine");
+        observed.rented_at = WallClockMillis(cluster.now + 1_000);
+        observed.up = starts_up;
+        cluster.machines.insert(new.clone(), observed);
+        cluster.now += 15_000;
+        let halted = if starts_up {
+            let emptying = written(cluster.next_action(&begun));
             assert_eq!(
                 emptying.step.as_ref().map(|s| s.stage),
                 Some(Stage::Emptying)
             );
-            assert_eq!(look.next(&emptying), Next::Wait(Waits::Tasks));
-            look.machines.remove(&step.machines[0]);
-            look.sick.insert(new);
-            let over = written(look.next(&emptying));
-            match over.state {
-                State::Halted => over,
-                _ => written(look.next(&over)),
+            assert_eq!(
+                cluster.next_action(&emptying),
+                NextAction::Wait(WaitingFor::Tasks)
+            );
+            cluster.machines.remove(&step.machines[0]);
+            cluster.failing.insert(new);
+            let finished = written(cluster.next_action(&emptying));
+            match finished.state {
+                State::Halted => finished,
+                _ => written(cluster.next_action(&finished)),
             }
         } else {
-            assert_eq!(look.next(&begun), Next::Wait(Waits::Replacement));
-            look.now += 200_000;
-            written(look.next(&begun))
+            assert_eq!(
+                cluster.next_action(&begun),
+                NextAction::Wait(WaitingFor::Replacements)
+            );
+            cluster.now += 200_000;
+            written(cluster.next_action(&begun))
         };
         assert_eq!((halted.state, halted.step.is_none()), (State::Halted, true));
         assert!(
-            halted.why.as_ref().is_some_and(|w| w.contains("n-100000")),
+            halted
+                .reason
+                .as_ref()
+                .is_some_and(|r| r.contains("n-100000")),
             "{:?}",
-            halted.why
+            halted.reason
+        );
+        assert_eq!(
+            cluster.next_action(&halted),
+            NextAction::Wait(WaitingFor::Operator)
         );
-        assert_eq!(look.next(&halted), Next::Wait(Waits::Word));
-        look.now += 1_000;
+        cluster.now += 1_000;
         let resumed = halted
-            .told(Word::Resume, WallClockMillis(look.now))
-            .expect("lawful")
+            .apply(DrainAction::Resume, WallClockMillis(cluster.now))
+            .expect("the drain has not ended")
             .expect("a change");
-        assert!(written(look.next(&resumed)).step.is_some());
+        assert!(written(cluster.next_action(&resumed)).step.is_some());
     }
 }
--- a/src/coordination/autoscaler/drain_view.rs
+++ b/src/coordination/autoscaler/drain_view.rs
@@ -3,7 +3,7 @@
 use super::Autoscaler;
 use crate::coordination::context::Context;
 use crate::coordination::placement::estimate;
-use snowshelf_drain::stepping::Seen;
+use snowshelf_drain::stepping::ObservedMachine;
 use snowshelf_model::ids::{MachineId, MonotonicMillis, WallClockMillis, seconds_to_ms};
 use snowshelf_model::protocol::cloud::{ListedMachine, ListedMachineState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,10 @@
 impl Autoscaler {
     /// All machines that are listed and have not failed, with what they do; `None` before there is a list.
     #[must_use]
-    pub fn machines_for_drains(&self, context: &Context<'_>) -> Option<BTreeMap<MachineId, Seen>> {
+    pub fn machines_for_drains(
+        &self,
+        context: &Context<'_>,
+    ) -> Option<BTreeMap<MachineId, ObservedMachine>> {
         if !self.list.is_complete {
             return None;
         }
@@ -70,7 +73,7 @@
         listed: &ListedMachine,
         load: MachineLoad,
         context: &Context<'_>,
-    ) -> Seen {
+    ) -> ObservedMachine {
         let now: MonotonicMillis = context.effects.now;
         let heartbeat = self.heartbeats.get(listed.machine.as_str());
         let has_heartbeat = heartbeat.is_some_and(|at| now.since(*at) <= HEARTBEAT_MS);
@@ -78,15 +81,15 @@
         let list_lag_s = context.config.settings.deployment.cloud.list_lag_s;
         let age_ms = seconds_to_ms(listed.age_s) + seconds_to_ms(list_lag_s);
         let machine_type = context.types.get(&listed.model);
-        Seen {
+        ObservedMachine {
             zone: listed.zone.clone(),
             model: listed.model.clone(),
             spot: listed.spot,
-            rented: WallClockMillis(self.list.read_at_wall_ms.saturating_sub(age_ms)),
+            rented_at: WallClockMillis(self.list.read_at_wall_ms.saturating_sub(age_ms)),
             up: listed.state == ListedMachineState::Running && has_heartbeat,
             cpus: machine_type.map_or(0.0, |t| t.cpus),
-            busy: load.cpus,
-            loses: load.unsaved_cpu_s,
+            busy_cpus: load.cpus,
+            unsaved_cpu_s: load.unsaved_cpu_s,
         }
     }
 
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -5,7 +5,7 @@
 use super::config::Config;
 use super::dag_runs::DagRunsRequest;
 use super::dependencies::DependencyGraph;
-use super::drains::DrainState;
+use super::drains::DrainConstraints;
 use super::leases::LeaseRequest;
 use super::list_watch::ListWatchRequest;
 use super::reservations::ReservationsRequest;
@@ -71,7 +71,7 @@
     /// What placement and scaling must respect of the reservations.
     pub guard: &'a Guard,
     /// What placement and scaling must respect of the drains.
-    pub drains: &'a mut DrainState,
+    pub drains: &'a mut DrainConstraints,
     /// When this process started.
     pub started_at: MonotonicMillis,
     /// Jobs without a record when they were looked up one by one.
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -1,7 +1,7 @@
 //! Drains: what placement and scaling must respect of them, the leader's next step, and what shard leaders say of them.
 
 use super::Controller;
-use crate::coordination::drains::{DrainState, EvictionStatus};
+use crate::coordination::drains::{DrainConstraints, EvictionStatus};
 use snowshelf_drain::budget::Amount;
 use snowshelf_model::ids::{MachineId, MonotonicMillis, ShardId, Team};
 use snowshelf_model::protocol::peer::{DrainProgress, LostTasks, RestartedTasks, ShardStatus};
@@ -23,14 +23,14 @@
 /// What placement and scaling must respect of the drains, and as of when.
 #[derive(Default)]
 pub(super) struct DrainTracker {
-    constraints: DrainState,
+    constraints: DrainConstraints,
     /// The record cache's count of drain changes that the constraints reflect.
     drain_changes: u64,
     counted_at: MonotonicMillis,
 }
 
 impl DrainTracker {
-    pub(super) fn constraints_mut(&mut self) -> &mut DrainState {
+    pub(super) fn constraints_mut(&mut self) -> &mut DrainConstraints {
         &mut self.constraints
     }
 }
@@ -41,7 +41,7 @@
         let env = &mut self.env;
         if env.drains.drain_changes != env.records.drain_changes {
             env.drains.drain_changes = env.records.drain_changes;
-            env.drains.constraints = DrainState::of(&env.records.drains);
+            env.drains.constraints = DrainConstraints::of(&env.records.drains);
         }
         let is_due = env.now().since(env.drains.counted_at) >= COUNT_INTERVAL_MS;
         if !env.drains.constraints.is_idle() && is_due {
--- a/src/coordination/drains/cordons.rs
+++ b/src/coordination/drains/cordons.rs
@@ -1,4 +1,4 @@
-//! What drains change of placement, scale-out and scale-in, worked out from their records.
+//! The constraints that drains put on placement, scale-out and scale-in, computed from their records.
 
 use crate::storage::record_cache::VersionedRecord;
 use snowshelf_calendar::entry::Name;
@@ -7,69 +7,71 @@
 use snowshelf_model::ids::{JobId, MachineId, ShardId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A cordoned machine: nothing starts on it any more.
+/// The cordon of one machine: no task starts on it.
 #[derive(Clone, Debug)]
 pub struct Cordon {
-    /// The drain that cordons it.
+    /// The drain that cordons the machine.
     pub drain: Name,
-    /// What becomes of it once it is empty.
+    /// What becomes of the machine once it is empty.
     pub then: Then,
-    /// How long its tasks may run on before they are evicted, in milliseconds.
+    /// How long its tasks may keep running before they are evicted, in milliseconds.
     pub patience_ms: u64,
-    /// Whether its tasks are evicted whatever the disruption budgets allow.
+    /// Whether its tasks are evicted even beyond the disruption budgets.
     pub forced: bool,
 }
 
-/// All drains' effect on machines and disruption budgets.
+/// The effect of all drains on machines and disruption budgets.
 #[derive(Default)]
-pub struct DrainState {
+pub struct DrainConstraints {
     /// Cordoned machines.
     pub cordoned: BTreeMap<MachineId, Cordon>,
-    /// Machines that do not count as capacity any more: those of a step, and those that stay empty.
+    /// Machines that do not count as capacity: those in a step, and those that are kept empty.
     pub leaving: BTreeSet<MachineId>,
-    /// Whether some drain has not ended.
+    /// Whether any drain has not ended.
     pub active: bool,
-    /// Whether the records are recent enough to compute budgets from them.
+    /// Whether the records are recent enough to compute disruption budgets from them.
     pub records_fresh: bool,
-    /// How many of a job's tasks that were tried before are known to run again in a shard.
+    /// Tasks of a job that were attempted before and are known to run again, by shard and job.
     pub restarted_tasks: BTreeMap<(ShardId, JobId), u32>,
     /// Tasks on machines of other shards that are silent or about to be interrupted, by team.
     pub lost_tasks: BTreeMap<Team, Amount>,
 }
 
-impl DrainState {
-    /// The cordons of all drains.
+impl DrainConstraints {
+    /// Computes the constraints of all drains; the counts of tasks are still empty.
     #[must_use]
-    pub fn of(drains: &BTreeMap<Name, VersionedRecord<Drain>>) -> DrainState {
-        let mut state = DrainState::default();
+    pub fn of(drains: &BTreeMap<Name, VersionedRecord<Drain>>) -> DrainConstraints {
+        let mut constraints = DrainConstraints::default();
         for (name, v) in drains {
             let drain = &*v.value;
-            state.active |= !drain.state.ended();
-            for (machine, step) in drain.closed() {
+            constraints.active |= !drain.state.has_ended();
+            for (machine, step) in drain.cordoned_machines() {
                 let cordon = Cordon {
                     drain: name.clone(),
-                    then: drain.how.then,
-                    patience_ms: drain.how.patience_ms,
+                    then: drain.options.then,
+                    patience_ms: drain.options.patience_ms,
                     forced: step.stage == Stage::Forcing,
                 };
-                state.cordoned.insert(machine.clone(), cordon);
+                constraints.cordoned.insert(machine.clone(), cordon);
             }
-            state.leaving.extend(drain.leaving().cloned());
-            for machine in &drain.kept {
+            constraints
+                .leaving
+                .extend(drain.leaving_machines().cloned());
+            for machine in &drain.kept_machines {
                 let cordon = Cordon {
                     drain: name.clone(),
                     then: Then::Keep,
-                    patience_ms: drain.how.patience_ms,
+                    patience_ms: drain.options.patience_ms,
                     forced: false,
                 };
-                state.cordoned.insert(machine.clone(), cordon);
-                state.leaving.insert(machine.clone());
+                constraints.cordoned.insert(machine.clone(), cordon);
+                constraints.leaving.insert(machine.clone());
             }
         }
-        state
+        constraints
     }
 
-    /// Whether there is no drain in progress and no cordoned machine.
+    /// Whether no drain is in progress and no machine is cordoned.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         !self.active && self.cordoned.is_empty()
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's work on drains: the next step of one of them, written on condition that it leads.
+//! Advances drains on the leader. Each step is written on condition that the controller still leads.
 
 use super::{Drains, WaitReason};
 use crate::coordination::autoscaler::Autoscaler;
@@ -9,30 +9,33 @@
 use serde_json::Value;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::entry::{Drain, State, Then};
-use snowshelf_drain::stepping::{Next, Seen, View, Waits, next};
+use snowshelf_drain::stepping::{
+    ClusterView, NextAction, ObservedMachine, WaitingFor, next_action,
+};
 use snowshelf_model::ids::{MachineId, MonotonicMillis, Version, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::Capability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the leader works on the drains, in milliseconds.
+/// The time between two steps of the leader, in milliseconds.
 const STEP_INTERVAL_MS: u64 = 500;
-/// Longer than the cloud lists a machine whose release it has confirmed, in milliseconds.
+/// How long a released machine is left out of the cloud's list, in milliseconds. Longer than the cloud lists a
+/// machine after it has confirmed the release.
 const RELEASED_MS: u64 = 60_000;
 /// How long a drain's record is retained after its end, in milliseconds.
 const RETENTION_MS: u64 = 86_400_000;
 /// Time between two searches for expired drains, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 10_000;
-/// The least time for which the cloud's list may lag, in milliseconds.
+/// The least lag assumed of the cloud's list, in milliseconds.
 const MIN_LIST_LAG_MS: u64 = 2_000;
-/// Characters of a reason that are retained if the record is too large.
+/// The length to which a drain's reason is cut if the record is too large, in characters.
 const MAX_REASON_CHARS: usize = 60;
 
-/// The progress of evictions, as all shard leaders report it.
+/// The progress of evictions, as reported by all shard leaders.
 #[derive(Default)]
 pub struct EvictionStatus {
     /// Machines that are cordoned and empty.
     pub empty: BTreeSet<MachineId>,
-    /// Machines on which what they started has failed.
+    /// Machines on which the started tasks fail.
     pub failing: BTreeSet<MachineId>,
     /// Why evictions are delayed.
     pub blockers: Vec<String>,
@@ -40,14 +43,15 @@
     pub complete: bool,
 }
 
-/// The leader's state between two steps.
+/// The state that the leader keeps between steps.
 #[derive(Default)]
 pub(super) struct LeaderProgress {
     last_step_at: MonotonicMillis,
+    /// When this controller took its first step as the leader; absent while it does not lead.
     leader_since: Option<MonotonicMillis>,
     last_expiry_at: MonotonicMillis,
-    /// Machines of steps that their shard leaders have released, and when: the cloud lists them a while
-    /// longer.
+    /// When machines were last reported as released by their shard leaders. The cloud lists them for some time
+    /// afterwards.
     released: BTreeMap<MachineId, MonotonicMillis>,
 }
 
@@ -55,18 +59,18 @@
 struct DrainUpdate {
     name: Name,
     version: Version,
-    /// `None`: the record is deleted.
+    /// The new record; `None` deletes it.
     drain: Option<Drain>,
 }
 
 impl Drains {
-    /// Follows the leader, which has sent what drains wait for.
+    /// Takes over what drains wait for, as sent by the leader. This controller does not lead.
     pub fn follow(&mut self, waits: BTreeMap<Name, WaitReason>) {
         self.leader.leader_since = None;
         self.waits = waits;
     }
 
-    /// What drains wait for, which the leader sends to the others.
+    /// What each drain waits for; the leader sends it to the other controllers.
     pub fn wait_reasons(&self) -> impl Iterator<Item = (&Name, &WaitReason)> + '_ {
         self.waits.iter()
     }
@@ -81,7 +85,7 @@
         !is_idle && !must_wait && now.since(self.leader.last_step_at) >= STEP_INTERVAL_MS
     }
 
-    /// Takes the next step of one drain. That this controller leads has been checked before.
+    /// Takes the next step of one drain. The caller has checked that this controller leads.
     pub fn step(
         &mut self,
         autoscaler: &Autoscaler,
@@ -97,7 +101,7 @@
             return;
         }
         let mut drains = context.records.drains.values();
-        if drains.all(|v| v.value.state.ended()) {
+        if drains.all(|v| v.value.state.has_ended()) {
             self.remove_expired(leader_version, context);
             return;
         }
@@ -110,11 +114,11 @@
         }
     }
 
-    /// Takes machines that are being released out of the cloud's list. Guards against evicting from them
-    /// once more, and counting them twice.
+    /// Removes machines that are being released from the cloud's list. Guards against emptying them once more and
+    /// counting them twice.
     fn exclude_released(
         &mut self,
-        machines: &mut BTreeMap<MachineId, Seen>,
+        machines: &mut BTreeMap<MachineId, ObservedMachine>,
         status: &EvictionStatus,
         context: &Context<'_>,
     ) {
@@ -128,57 +132,57 @@
         machines.retain(|name, _| !released.contains_key(name));
     }
 
-    /// The next change of a drain, in the order in which they were requested; notes what those before it
-    /// wait for.
+    /// The first change of a drain, in the order in which drains were requested. Also records what the drains
+    /// before it wait for.
     fn next_update(
         &mut self,
         autoscaler: &Autoscaler,
-        machines: &BTreeMap<MachineId, Seen>,
+        machines: &BTreeMap<MachineId, ObservedMachine>,
         status: &EvictionStatus,
         context: &Context<'_>,
     ) -> Option<DrainUpdate> {
         let drains = context.records.drains.iter();
         let mut open: Vec<(&Name, Version, &Drain)> = drains
-            .filter(|(_, v)| !v.value.state.ended())
+            .filter(|(_, v)| !v.value.state.has_ended())
             .map(|(name, v)| (name, v.version, &*v.value))
             .collect();
-        open.sort_by_key(|(name, _, drain)| (drain.asked, *name));
+        open.sort_by_key(|(name, _, drain)| (drain.requested_at, *name));
         let ready_s = context.types.values().map(|t| t.ready_s);
         let slowest_ready_s = ready_s.fold(0.0, f64::max);
         let settings = &context.config.settings;
         let list_lag_ms = seconds_to_ms(settings.deployment.cloud.list_lag_s);
-        let missed = autoscaler.lost_machines(context);
+        let lost_machines = autoscaler.lost_machines(context);
         self.waits.clear();
         for (name, version, drain) in open {
             let others = OtherDrains::of(name, machines, context);
-            let view = View {
+            let view = ClusterView {
                 now: WallClockMillis(context.effects.wall_ms),
                 machines,
                 empty: &status.empty,
-                sick: &status.failing,
-                taken: &others.machines,
-                zones: &others.zones,
-                whole: status.complete,
-                missed,
-                refused: autoscaler.has_refusals(),
-                lag_ms: list_lag_ms.max(MIN_LIST_LAG_MS),
-                ready_ms: seconds_to_ms(slowest_ready_s),
+                failing: &status.failing,
+                claimed: &others.machines,
+                claimed_zones: &others.zones,
+                complete: status.complete,
+                lost_machines,
+                capacity_refused: autoscaler.has_refusals(),
+                list_lag_ms: list_lag_ms.max(MIN_LIST_LAG_MS),
+                slowest_ready_ms: seconds_to_ms(slowest_ready_s),
                 report_ms: settings.report_ms(),
             };
-            match next(drain, &view) {
-                Next::Wait(waits) => {
-                    let blockers = match waits {
-                        Waits::Tasks => status.blockers.clone(),
+            match next_action(drain, &view) {
+                NextAction::Wait(waiting_for) => {
+                    let blockers = match waiting_for {
+                        WaitingFor::Tasks => status.blockers.clone(),
                         _ => Vec::new(),
                     };
-                    let waits_for = waits.to_string();
+                    let waits_for = waiting_for.to_string();
                     let reason = WaitReason {
                         waits_for,
                         blockers,
                     };
                     self.waits.insert(name.clone(), reason);
                 }
-                Next::Write(next) => {
+                NextAction::Write(next) => {
                     return Some(DrainUpdate {
                         name: name.clone(),
                         version,
@@ -191,7 +195,7 @@
     }
 
     fn write(&mut self, update: DrainUpdate, leader_version: Version, context: &mut Context<'_>) {
-        // A step is a write in some seconds, and much waits for it.
+        // Steps are rare, one write in a few seconds, and much depends on them: hence the high priority.
         if !context
             .kv
             .has_budget(context.now(), RequestPriority::Admission, 1)
@@ -222,7 +226,7 @@
         self.send(write, None, Some(leader_version), context);
     }
 
-    /// Removes a drain whose retention is over.
+    /// Deletes the record of one ended drain whose retention has passed.
     fn remove_expired(&mut self, leader_version: Version, context: &mut Context<'_>) {
         let now = context.now();
         if now.since(self.leader.last_expiry_at) < EXPIRY_INTERVAL_MS
@@ -235,8 +239,11 @@
         let mut drains = context.records.drains.iter();
         let expired = drains.find(|(_, v)| {
             let drain = &v.value;
-            let last_change = drain.stepped.unwrap_or(drain.asked).max(drain.asked);
-            drain.state.ended() && drain.kept.is_empty() && last_change < limit
+            let last_change = drain
+                .last_step_at
+                .unwrap_or(drain.requested_at)
+                .max(drain.requested_at);
+            drain.state.has_ended() && drain.kept_machines.is_empty() && last_change < limit
         });
         if let Some((name, v)) = expired {
             let update = DrainUpdate {
@@ -251,14 +258,14 @@
 
 fn log_progress(name: &Name, drain: &Drain) {
     let step = drain.step.as_ref();
-    let ahead = drain.ahead.as_ref();
-    tracing::info!(drain = %name, state = drain.state.word(), steps = drain.steps,
-        emptied = drain.gone, why = drain.why, stage = ?step.map(|s| s.stage),
+    let next_step = drain.next_step.as_ref();
+    tracing::info!(drain = %name, state = drain.state.as_str(), steps = drain.finished_steps,
+        emptied = drain.emptied_machines, why = drain.reason, stage = ?step.map(|s| s.stage),
         machines = step.map_or(0, |s| s.machines.len()),
-        ahead = ahead.map_or(0, |s| s.machines.len()), "drain advanced");
+        ahead = next_step.map_or(0, |s| s.machines.len()), "drain advanced");
 }
 
-/// A drain that the operators' settings plan and of which there is no record.
+/// The first drain that is due by the operators' settings and has no record yet.
 fn planned_drain(leader_ms: u64, context: &Context<'_>) -> Option<DrainUpdate> {
     if !context.records.all_support(&Capability::drains()) {
         return None;
@@ -266,7 +273,7 @@
     let now = WallClockMillis(context.effects.wall_ms);
     let planned = context.config.ops.drains.planned.iter();
     let due = planned.filter(|p| seconds_to_ms(p.after_s) <= leader_ms);
-    let mut drains = due.filter_map(|p| p.drain.drain(now).ok());
+    let mut drains = due.filter_map(|p| p.drain.to_drain(now).ok());
     let (name, drain) = drains.find(|(name, _)| !context.records.drains.contains_key(name))?;
     Some(DrainUpdate {
         name,
@@ -275,29 +282,36 @@
     })
 }
 
-/// What other drains claim.
+/// What all drains but one claim for themselves.
 #[derive(Default)]
 struct OtherDrains {
+    /// Machines in their steps, or kept empty by them.
     machines: BTreeSet<MachineId>,
-    /// The zones of machines in their steps.
+    /// Zones of the machines in their steps.
     zones: BTreeSet<String>,
 }
 
 impl OtherDrains {
-    /// What all drains but the one of this name claim.
-    fn of(name: &Name, machines: &BTreeMap<MachineId, Seen>, context: &Context<'_>) -> OtherDrains {
+    /// Collects the claims of all drains but the one with this name.
+    fn of(
+        name: &Name,
+        machines: &BTreeMap<MachineId, ObservedMachine>,
+        context: &Context<'_>,
+    ) -> OtherDrains {
         let mut others = OtherDrains::default();
         for (_, v) in context.records.drains.iter().filter(|(n, _)| *n != name) {
             let drain = &*v.value;
-            others.machines.extend(drain.kept.iter().cloned());
-            if drain.state.ended() {
+            others.machines.extend(drain.kept_machines.iter().cloned());
+            if drain.state.has_ended() {
                 continue;
             }
-            // A machine that is named to stay empty is left to the drain that names it.
-            if drain.how.then == Then::Keep {
-                others.machines.extend(drain.which.machines.iter().cloned());
+            // A machine that is named to be kept empty is reserved for the drain that names it.
+            if drain.options.then == Then::Keep {
+                others
+                    .machines
+                    .extend(drain.selector.machines.iter().cloned());
             }
-            for machine in drain.leaving() {
+            for machine in drain.leaving_machines() {
                 others.machines.insert(machine.clone());
                 let zone = machines.get(machine).map(|m| m.zone.clone());
                 others.zones.extend(zone);
@@ -307,28 +321,29 @@
     }
 }
 
-/// A drain's value, with smaller steps if it would be too large.
+/// Encodes a drain's record. Shrinks its steps, then the reason of a halted drain, until the value is small
+/// enough; `None` if it never is.
 fn encode(mut drain: Drain, context: &Context<'_>) -> Option<Value> {
     loop {
         let value = serde_json::to_value(&drain).ok()?;
         if context.storage_limits.accepts(&value) {
             return Some(value);
         }
-        let steps = [&mut drain.ahead, &mut drain.step];
+        let steps = [&mut drain.next_step, &mut drain.step];
         let large_step = steps.into_iter().flatten().find(|s| s.machines.len() > 1);
         let is_reason_long = drain
-            .why
+            .reason
             .as_ref()
-            .is_some_and(|why| why.len() > MAX_REASON_CHARS);
+            .is_some_and(|reason| reason.len() > MAX_REASON_CHARS);
         match large_step {
             Some(step) => {
                 let half = step.machines.len() / 2;
                 step.machines.truncate(half);
             }
             None if drain.state == State::Halted && is_reason_long => {
-                drain.why = drain
-                    .why
-                    .map(|why| why.chars().take(MAX_REASON_CHARS).collect());
+                drain.reason = drain
+                    .reason
+                    .map(|reason| reason.chars().take(MAX_REASON_CHARS).collect());
             }
             None => return None,
         }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -1,6 +1,6 @@
-//! Drains (graceful evictions): operators' requests, made durable before they are answered, and the steps
-//! that the leader takes for each. Shard leaders read the records and evict what runs on the machines of a
-//! step.
+//! Drains: emptying machines in steps. Operators' requests are durable before they are answered. The leader
+//! advances each drain step by step. Shard leaders read the records, cordon the machines of a step and evict
+//! their tasks.
 
 mod cordons;
 mod decisions;
@@ -8,7 +8,7 @@
 mod leader;
 mod requests;
 
-pub use cordons::{Cordon, DrainState};
+pub use cordons::{Cordon, DrainConstraints};
 pub use leader::EvictionStatus;
 pub use requests::{DrainsRequest, parse_request};
 
@@ -26,37 +26,37 @@
 use snowshelf_model::records::{Capability, LEADER_KEY};
 use std::collections::BTreeMap;
 
-/// The pause after another change came first, in milliseconds.
+/// The time to the next attempt after a write conflict, in milliseconds.
 const CONFLICT_BACKOFF_MS: u64 = 50;
-/// The pause after a step of the leader's failed, in milliseconds.
+/// The time to the next attempt after a step of the leader failed, in milliseconds.
 const STEP_BACKOFF_MS: u64 = 500;
 /// Timeout of a transaction that only compares versions, in milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 1_500;
 
-/// A request, and its response once the write is durable.
+/// A request with its response, which is sent once the write is durable.
 struct DecidedRequest {
     pending: PendingRequest<DrainsRequest>,
     response: Response,
 }
 
-/// The write whose outcome is awaited.
+/// The write in flight.
 struct InFlightWrite {
     id: u64,
     write: ConditionalWrite,
-    /// The request that it serves; none if it is a step of the leader's.
+    /// The request that it serves; absent for a step of the leader.
     request: Option<DecidedRequest>,
 }
 
 /// What a drain waits for, as operators read it.
 #[derive(Clone, Default)]
 pub struct WaitReason {
-    /// What it waits for.
+    /// The condition for its next step.
     pub waits_for: String,
-    /// Why evictions of its step are delayed.
+    /// Why evictions from the machines of its step are delayed.
     pub blockers: Vec<String>,
 }
 
-/// The actor that serves requests on drains, and advances them while it is the leader's.
+/// Serves requests on drains, and advances the drains while this controller leads.
 #[derive(Default)]
 pub struct Drains {
     pending: PendingRequests<DrainsRequest>,
@@ -64,12 +64,12 @@
     last_request_id: u64,
     retry_at: MonotonicMillis,
     leader: LeaderProgress,
-    /// What each drain waits for: as found here by the leader, or as the leader has sent it.
+    /// What each drain waits for: computed here if this controller leads, otherwise received from the leader.
     waits: BTreeMap<Name, WaitReason>,
 }
 
 impl Drains {
-    /// Queues a request. That the key-value store serves has been checked before.
+    /// Queues a request. The caller has checked that the key-value store is available.
     pub fn handle(
         &mut self,
         connection: ConnectionId,
@@ -86,12 +86,12 @@
         self.pending.push(connection, request, refusal, context);
     }
 
-    /// Refuses all pending requests: the key-value store does not serve.
+    /// Refuses all pending requests, as the key-value store is unavailable.
     pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         self.pending.refuse_all(context);
     }
 
-    /// Decides the oldest request.
+    /// Decides pending requests, oldest first, until one needs a write.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         self.pending.expire(context);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Sends a write; one of the leader's is conditional on `leader_version` of its key.
+    /// Sends a write. A step of the leader is also conditional on the version of the leader's record.
     fn send(
         &mut self,
         write: ConditionalWrite,
@@ -169,7 +169,7 @@
                 }
             }
             (SwapOutcome::Conflict(_), request) => {
-                // The watch brings what was changed; then it is decided again.
+                // The watch delivers the conflicting change, and the request is decided again.
                 self.retry_at = now.plus(CONFLICT_BACKOFF_MS);
                 if let Some(DecidedRequest { pending, .. }) = request {
                     self.pending.put_back(vec![pending]);
--- a/src/coordination/drains/requests.rs
+++ b/src/coordination/drains/requests.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use snowshelf_calendar::entry::Name;
 use snowshelf_drain::budget::Budget;
-use snowshelf_drain::entry::{Drain, Word, parse_drain};
+use snowshelf_drain::entry::{Drain, DrainAction, parse_drain};
 use snowshelf_model::ids::{Team, WallClockMillis};
 
 /// A request on drains or disruption budgets.
@@ -17,19 +17,19 @@
     /// Shows a drain.
     Show(Name),
     /// Pauses, resumes or cancels a drain.
-    Control(Name, Word),
+    Control(Name, DrainAction),
     /// Lists drains.
     List(ListRequest),
     /// Shows a team's disruption budget.
     ShowBudget(Team),
-    /// Sets a team's disruption budget; none is the default of the settings.
+    /// Sets a team's disruption budget; `None` restores the default of the settings.
     SetBudget(Team, Option<Budget>),
 }
 
 const DRAINS: &str = "/api/drains";
 const BUDGETS: &str = "/api/budgets/";
 
-/// Parses a request; `None` if its path is none of the drains'.
+/// Parses a request; `None` if the path belongs to neither drains nor disruption budgets.
 pub fn parse_request(
     method: &str,
     path: &str,
@@ -55,28 +55,28 @@
     })
 }
 
-/// Parses a request on one drain; `rest` is the path behind its name.
+/// Parses a request on one drain; `rest` holds the path segments after its name.
 fn parse_drain_request(
     method: &str,
     name: &str,
     rest: &[&str],
 ) -> Result<DrainsRequest, RequestError> {
     let name = Name::parse(name).ok_or(RequestError::NoSuchEntry)?;
-    let word = match rest {
+    let action = match rest {
         [] if method == "GET" => return Ok(DrainsRequest::Show(name)),
-        ["pause"] => Word::Pause,
-        ["resume"] => Word::Resume,
-        ["cancel"] => Word::Cancel,
+        ["pause"] => DrainAction::Pause,
+        ["resume"] => DrainAction::Resume,
+        ["cancel"] => DrainAction::Cancel,
         [] => return Err(RequestError::WrongMethod),
         _ => return Err(RequestError::NoSuchPath),
     };
     match method {
-        "POST" => Ok(DrainsRequest::Control(name, word)),
+        "POST" => Ok(DrainsRequest::Control(name, action)),
         _ => Err(RequestError::WrongMethod),
     }
 }
 
-/// A budget as operators set it: none is the default of the settings.
+/// The body of a request that sets a budget; without one the default of the settings applies.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BudgetBody {
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -6,7 +6,7 @@
 use super::reconciling::{AttemptOnMachine, desired_state, task_traits};
 use crate::coordination::context::Context;
 use crate::effects::Response;
-use snowshelf_drain::door::{Cause, stops};
+use snowshelf_drain::eviction::{EvictionCause, eviction_cause};
 use snowshelf_model::ids::{Attempt, ConnectionId, MachineId};
 use snowshelf_model::protocol::worker::{Command, HeartbeatResponse, TaskRef};
 use snowshelf_reconciliation::decision_table::{
@@ -87,8 +87,8 @@
     ) -> MachineDisposition {
         let task = attempt.task;
         let grounds = self.eviction_grounds(attempt.machine, &task.job, task.task, context);
-        match stops(grounds) {
-            None | Some(Cause::Cancelled | Cause::Notice) => {
+        match eviction_cause(grounds) {
+            None | Some(EvictionCause::Cancelled | EvictionCause::Interruption) => {
                 let heartbeat_ms = context.config.settings.report_ms();
                 machine.disposition(context.now(), self.grace_s(task), heartbeat_ms)
             }
--- a/src/coordination/shard/disruption.rs
+++ b/src/coordination/shard/disruption.rs
@@ -8,7 +8,7 @@
 use crate::coordination::drains::disruption::{TeamDisruption, with_record_view};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::ledger_key;
-use snowshelf_drain::budget::{Amount, Ask, Charge, Ledger, Short};
+use snowshelf_drain::budget::{Amount, Charge, EvictionRequest, Ledger, Shortfall};
 use snowshelf_model::ids::{
     MachineId, MonotonicMillis, TaskIndex, Team, Version, WallClockMillis, shard_of,
 };
@@ -35,14 +35,14 @@
     unforced: bool,
     /// CPUs whose work since the start would be lost.
     lost_cpus: f64,
-    request: Ask,
+    request: EvictionRequest,
 }
 
 /// What the budget of a team allows in a round.
 struct ChargeRound {
     ledger: Ledger,
     charged: usize,
-    shortfall: Option<Short>,
+    shortfall: Option<Shortfall>,
 }
 
 /// How long a job's tasks are waited for on a cordoned machine: as long as they should take, if that is not too long. A
@@ -105,7 +105,7 @@
     }
 
     /// Tasks that are to be evicted by now, by team: those that lose least first.
-    fn eviction_candidates(&self, context: &Context<'_>) -> BTreeMap<Team, Vec<Ask>> {
+    fn eviction_candidates(&self, context: &Context<'_>) -> BTreeMap<Team, Vec<EvictionRequest>> {
         let mut found: BTreeMap<Team, Vec<EvictionCandidate>> = BTreeMap::new();
         for name in context.drains.cordoned.keys() {
             if shard_of(name.as_str(), context.config.shard_count) != self.id {
@@ -166,13 +166,13 @@
             let candidate = EvictionCandidate {
                 unforced: !drained.forced,
                 lost_cpus: lost_cpus_per_task * tasks.len() as f64,
-                request: Ask {
+                request: EvictionRequest {
                     machine: name.clone(),
                     job: id.clone(),
-                    there: tasks,
-                    version: job.allocation_version,
-                    cpus: spec.resources.cpus,
-                    force: drained.forced,
+                    tasks,
+                    allocation_version: job.allocation_version,
+                    cpus_per_task: spec.resources.cpus,
+                    forced: drained.forced,
                 },
             };
             Some((spec.team.clone(), candidate))
@@ -184,7 +184,7 @@
     fn charge_team(
         &self,
         team: &Team,
-        requests: &[Ask],
+        requests: &[EvictionRequest],
         at_risk: Amount,
         context: &Context<'_>,
     ) -> ChargeRound {
@@ -213,16 +213,16 @@
             if is_charged_already(&ledger, request) {
                 continue;
             }
-            let facts = work.facts(&request.job);
+            let facts = work.state_for(&request.job);
             let next = with_record_view(context, |records| {
                 ledger.charge(&default, request, &facts, records, wall, skew_ms)
             });
             match next {
                 Ok(next) => {
-                    log_breach(team, request, next.breach, ledger.breach);
+                    log_breach(team, request, next.excess_cpus, ledger.excess_cpus);
                     let value = serde_json::to_value(&next).unwrap_or_default();
                     if !context.storage_limits.accepts(&value) {
-                        shortfall = Some(Short::Full);
+                        shortfall = Some(Shortfall::LedgerFull);
                         break;
                     }
                     ledger = next;
@@ -267,8 +267,9 @@
         let found = context.records.ledgers.iter().find_map(|(team, v)| {
             let mut ledger = (*v.value).clone();
             let changed = with_record_view(context, |records| {
-                let is_over =
-                    |c: &Charge| is_ours(c) && (!records.open(c) || self.is_void(c, now, context));
+                let is_over = |c: &Charge| {
+                    is_ours(c) && (!records.is_open(c) || self.is_void(c, now, context))
+                };
                 ledger.settle(&default, is_over, records, wall, skew_ms)
             });
             changed.then(|| (team.clone(), v.version, ledger))
@@ -323,12 +324,12 @@
 }
 
 /// Whether tasks of a request are charged, and being evicted.
-fn is_charged_already(ledger: &Ledger, request: &Ask) -> bool {
+fn is_charged_already(ledger: &Ledger, request: &EvictionRequest) -> bool {
     let charge = ledger.charge_for(&request.machine, &request.job);
-    charge.is_some_and(|c| request.there.iter().any(|t| *t >= c.from))
+    charge.is_some_and(|c| request.tasks.iter().any(|t| *t >= c.first_task))
 }
 
-fn log_breach(team: &Team, request: &Ask, next_cpus: f64, cpus: f64) {
+fn log_breach(team: &Team, request: &EvictionRequest, next_cpus: f64, cpus: f64) {
     if next_cpus > cpus {
         tracing::error!(team = %team, machine = %request.machine, job = %request.job,
             cpus = next_cpus - cpus, "eviction exceeds the disruption budget: drain deadline passed");
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -7,8 +7,8 @@
 use crate::coordination::context::Context;
 use crate::coordination::drains::disruption::retried_tasks;
 use snowshelf_drain::budget::Amount;
-use snowshelf_drain::door::{Cause, Grounds, stops};
 use snowshelf_drain::entry::Then;
+use snowshelf_drain::eviction::{EvictionCause, EvictionReasons, eviction_cause};
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, TaskIndex, Team};
 use snowshelf_model::protocol::worker::TaskState;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
     /// Why evictions are blocked, as of the last round.
     pub blocked: Vec<String>,
     /// Tasks stopped on purpose since the shard was acquired, by cause.
-    pub counts: BTreeMap<Cause, u64>,
+    pub counts: BTreeMap<EvictionCause, u64>,
 }
 
 impl Shard {
@@ -131,7 +131,7 @@
         let Some(charge) = ledger.and_then(|v| v.value.charge_for(name, id)) else {
             return false;
         };
-        task >= charge.from && job.durable.started_on(name, task).is_some()
+        task >= charge.first_task && job.durable.started_on(name, task).is_some()
     }
 
     /// The reasons to stop a task on a machine.
@@ -141,21 +141,21 @@
         job: &JobId,
         task: TaskIndex,
         context: &Context<'_>,
-    ) -> Grounds {
+    ) -> EvictionReasons {
         let Some(m) = self.machines.get(name) else {
-            return Grounds::default();
+            return EvictionReasons::default();
         };
         let drained = context.drains.cordoned.get(name).filter(|_| m.cordoned);
-        Grounds {
+        EvictionReasons {
             cancelled: self
                 .jobs
                 .get(job)
                 .is_some_and(super::job::ShardJob::cancelled),
-            noticed: m.interruption_at.is_some(),
-            faulty: m.retirement == Some(RetirementReason::Fault),
-            window: m.retirement == Some(RetirementReason::Window),
-            overrun: self.is_preempted(name, job),
-            drained: drained.is_some(),
+            interrupted: m.interruption_at.is_some(),
+            quarantined: m.retirement == Some(RetirementReason::Fault),
+            maintenance: m.retirement == Some(RetirementReason::Window),
+            preempted: self.is_preempted(name, job),
+            cordoned: drained.is_some(),
             forced: drained.is_some_and(|c| c.forced),
             charged: drained.is_some() && self.is_charged(name, job, task, context),
         }
@@ -169,7 +169,7 @@
         task: TaskIndex,
         context: &Context<'_>,
     ) {
-        if let Some(cause) = stops(self.eviction_grounds(name, job, task, context)) {
+        if let Some(cause) = eviction_cause(self.eviction_grounds(name, job, task, context)) {
             *self.evictions.counts.entry(cause).or_default() += 1;
         }
     }
--- a/src/coordination/shard/status.rs
+++ b/src/coordination/shard/status.rs
@@ -4,7 +4,7 @@
 use super::{Shard, StealOffer};
 use crate::coordination::shard_capacity::ShardCapacity;
 use serde::Serialize;
-use snowshelf_drain::door::Cause;
+use snowshelf_drain::eviction::EvictionCause;
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_reconciliation::decision_table::ReconciliationCounts;
 use snowshelf_reconciliation::silence::HeartbeatSummary;
@@ -27,7 +27,7 @@
     #[serde(rename = "squared")]
     pub reconciliation: ReconciliationCounts,
     /// Tasks stopped on purpose, by cause.
-    pub stopped: BTreeMap<Cause, u64>,
+    pub stopped: BTreeMap<EvictionCause, u64>,
 }
 
 impl Shard {
