--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -74,7 +74,7 @@
             let now = self.env.now();
             let machines = self.shards.values();
             let machines: BTreeSet<MachineId> = machines
-                .flat_map(|shard| shard.machines_heard_since(now, RECENT_HEARTBEAT_MS))
+                .flat_map(|shard| shard.machines_with_recent_heartbeats(now, RECENT_HEARTBEAT_MS))
                 .cloned()
                 .collect();
             let names = &mut self.peer_status.heartbeat_names;
@@ -112,7 +112,7 @@
 
 /// A shard's status, but for its machines and what concerns drains.
 fn shard_status(shard: &Shard, is_reserved: bool) -> ShardStatus {
-    let failing = shard.failing().take(MAX_FAILING_JOBS);
+    let failing = shard.failing_jobs().take(MAX_FAILING_JOBS);
     let reserved = shard.reserved_for_teams().iter();
     ShardStatus {
         shard_id: shard.id.0,
@@ -132,10 +132,10 @@
         reserved: reserved
             .map(|(team, room)| ReservedCpus {
                 team: team.as_str().to_string(),
-                cpus: room.promised,
+                cpus: room.unused_by_team,
             })
             .collect(),
-        stranded: offered_jobs(shard, StealOffer::Stranded),
+        stranded: offered_jobs(shard, StealOffer::Unplaceable),
         overdue: offered_jobs(shard, StealOffer::Overdue),
         ..ShardStatus::default()
     }
@@ -143,12 +143,15 @@
 
 /// The jobs that a shard offers to be stolen for this reason.
 fn offered_jobs(shard: &Shard, reason: StealOffer) -> Vec<String> {
-    let offers = shard.offers().iter().filter(|(_, offer)| *offer == reason);
+    let offers = shard
+        .steal_offers()
+        .iter()
+        .filter(|(_, offer)| *offer == reason);
     offers.map(|(job, _)| job.as_str().to_string()).collect()
 }
 
 fn pool_sizes(shard: &Shard) -> Vec<PoolSize> {
-    let pools = shard.pools().into_iter();
+    let pools = shard.machines_by_pool().into_iter();
     pools
         .map(|(pool, (ordinary, spot))| PoolSize {
             zone: pool.zone.to_string(),
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -156,7 +156,7 @@
         self.pool_sizes_shared_at = now;
         let mut sizes = self.gossip.pool_sizes(now);
         for shard in self.shards.values() {
-            let own = shard.pools().into_iter();
+            let own = shard.machines_by_pool().into_iter();
             sizes.extend(own.map(|(pool, counts)| ((shard.id, pool), counts)));
         }
         let sizes = Rc::new(sizes);
@@ -175,7 +175,7 @@
         let may_respond = self.may_respond_to_workers();
         let mut offers = self.gossip.steal_offers(now);
         for shard in self.shards.values() {
-            let own = shard.offers().iter();
+            let own = shard.steal_offers().iter();
             offers.extend(own.map(|(job, offer)| ((shard.id, job.clone()), *offer)));
         }
         let offers = Rc::new(offers);
@@ -202,7 +202,11 @@
         }
         let mut failing: BTreeMap<JobId, u32> = self.gossip.failing_jobs(now);
         for shard in self.shards.values() {
-            failing.extend(shard.failing().map(|(job, errors)| (job.clone(), errors)));
+            failing.extend(
+                shard
+                    .failing_jobs()
+                    .map(|(job, errors)| (job.clone(), errors)),
+            );
         }
         let job_api = &mut self.job_api;
         self.dag_runs
@@ -223,7 +227,8 @@
         let mut reserved = self.gossip.reserved_cpus(now);
         for shard in self.shards.values() {
             let own = shard.reserved_for_teams().iter();
-            reserved.extend(own.map(|(team, room)| ((shard.id, team.clone()), room.promised)));
+            reserved
+                .extend(own.map(|(team, room)| ((shard.id, team.clone()), room.unused_by_team)));
         }
         self.job_api.set_capacity(capacities, reserved);
         self.job_api.check_polls(&mut self.env.context());
@@ -254,7 +259,7 @@
         if autoscaler.needs_heartbeats(now) {
             let mut machines = self.gossip.machines_with_heartbeats(now);
             for shard in self.shards.values() {
-                let own = shard.machines_heard_since(now, RECENT_HEARTBEAT_MS);
+                let own = shard.machines_with_recent_heartbeats(now, RECENT_HEARTBEAT_MS);
                 machines.extend(own.map(|machine| machine.as_str().to_string()));
             }
             autoscaler.record_heartbeats(now, machines.into_iter());
--- a/src/coordination/gossip/mod.rs
+++ b/src/coordination/gossip/mod.rs
@@ -143,7 +143,10 @@
     pub fn steal_offers(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, JobId), StealOffer> {
         let offers = self.recent_shards(now).flat_map(|shard| {
             let overdue = shard.overdue.iter().map(|job| (job, StealOffer::Overdue));
-            let stranded = shard.stranded.iter().map(|job| (job, StealOffer::Stranded));
+            let stranded = shard
+                .stranded
+                .iter()
+                .map(|job| (job, StealOffer::Unplaceable));
             overdue
                 .chain(stranded)
                 .map(|(job, offer)| ((ShardId(shard.shard_id), JobId::new(job)), offer))
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -1,5 +1,6 @@
-//! Backfill reservations: machines reserved for jobs that have waited for long with nothing on any machine. An exception
-//! to the order of the queue, which fills machines with whatever fits and so may never leave enough for a large task.
+//! Backfill reservations: machines reserved for jobs that have waited long without any task on a
+//! machine. They are an exception to the queue order. Placement fills machines with whatever fits,
+//! so a large task might otherwise never find enough free resources on one machine.
 
 use super::Shard;
 use super::capacity::CapacityIndex;
@@ -14,7 +15,7 @@
 use snowshelf_model::records::{Grant, JobKind, JobSpec, Resources};
 use std::collections::BTreeMap;
 
-/// A job with so many failures in a row gets no reservation.
+/// A job with this many consecutive failures gets no reservation.
 const MAX_FAILURES: u32 = 2;
 
 /// A machine reserved for a job.
@@ -24,44 +25,44 @@
 }
 
 impl BackfillReservation {
-    /// Whether it is in force; afterwards nothing is reserved for the job for a while.
+    /// Whether the reservation is in force. After that, a cooldown follows.
     fn is_in_force(&self, now: MonotonicMillis) -> bool {
         now.since(self.since) <= RESERVATION_MS
     }
 
-    /// Whether another one may be made for the job.
-    fn is_over(&self, now: MonotonicMillis) -> bool {
+    /// Whether the cooldown has ended too, so that the job may get a new reservation.
+    fn is_cooldown_over(&self, now: MonotonicMillis) -> bool {
         now.since(self.since) > RESERVATION_MS + COOLDOWN_MS
     }
 }
 
-/// Machines reserved for jobs that have found none for long.
+/// The backfill reservations of a shard, at most one for each job.
 #[derive(Default)]
 pub(super) struct BackfillReservations {
     by_job: BTreeMap<JobId, BackfillReservation>,
 }
 
 impl BackfillReservations {
-    /// The number of reservations in force.
+    /// Returns the number of reservations in force.
     fn count_in_force(&self, now: MonotonicMillis) -> usize {
         let reservations = self.by_job.values();
         reservations.filter(|r| r.is_in_force(now)).count()
     }
 
-    fn uses(&self, name: &MachineId) -> bool {
+    fn reserves(&self, name: &MachineId) -> bool {
         self.by_job.values().any(|r| r.machine == *name)
     }
 }
 
-/// A job that has waited for long, and whether anything of it has ever ended.
-struct LongWaiting<'a> {
-    has_begun: bool,
+/// A long-waiting job, and whether any of its tasks has finished in any shard.
+struct LongWaitingJob<'a> {
+    has_finished_tasks: bool,
     queued: &'a QueuedJob,
 }
 
 impl Shard {
-    /// Places the jobs that have a reserved machine there, and keeps these machines, and the teams' grants for them,
-    /// from all others in this pass.
+    /// Places the jobs that have a reserved machine there. For the rest of the pass, keeps these
+    /// machines, and the quota grants that the jobs need, from all other jobs.
     pub(super) fn reserve_for_backfill(
         &mut self,
         queue: &[QueuedJob],
@@ -71,17 +72,17 @@
         let now = context.now();
         let waiting = self.long_waiting(queue, context);
         self.backfill.by_job.retain(|id, reservation| {
-            waiting.iter().any(|w| w.queued.job == *id) && !reservation.is_over(now)
+            waiting.iter().any(|w| w.queued.job == *id) && !reservation.is_cooldown_over(now)
         });
-        let most = max_reservations(pass.capacity_index.entries().len());
+        let limit = max_reservations(pass.capacity_index.entries().len());
         let mut in_force = self.backfill.count_in_force(now);
-        for LongWaiting { queued, .. } in waiting {
+        for LongWaitingJob { queued, .. } in waiting {
             let reservation = self.backfill.by_job.get(&queued.job);
             match reservation.map(|r| r.is_in_force(now)) {
                 Some(true) => {
                     self.reserve_for_job(queued, pass, context);
                 }
-                None if in_force < most => {
+                None if in_force < limit => {
                     in_force += usize::from(self.reserve_for_job(queued, pass, context));
                 }
                 Some(false) | None => {}
@@ -89,48 +90,51 @@
         }
     }
 
-    /// The jobs that have waited for long: by the users' priorities, then those of which nothing has ever begun, the
-    /// oldest of them before the others.
+    /// Returns the long-waiting jobs in the order in which they get reservations: by user priority,
+    /// then jobs without a finished task before others, then by how long they have waited.
     fn long_waiting<'a>(
         &self,
         queue: &'a [QueuedJob],
         context: &Context<'_>,
-    ) -> Vec<LongWaiting<'a>> {
+    ) -> Vec<LongWaitingJob<'a>> {
         let wall_ms = context.effects.wall_ms;
-        let mut waiting: Vec<LongWaiting<'_>> = queue
+        let mut waiting: Vec<LongWaitingJob<'_>> = queue
             .iter()
-            .filter(|q| wall_ms.saturating_sub(q.since.0) >= MIN_WAIT_MS)
+            .filter(|q| wall_ms.saturating_sub(q.ready_since.0) >= MIN_WAIT_MS)
             .filter_map(|queued| {
-                Some(LongWaiting {
-                    has_begun: self.has_begun(&queued.job, context)?,
+                Some(LongWaitingJob {
+                    has_finished_tasks: self.has_finished_tasks(&queued.job, context)?,
                     queued,
                 })
             })
             .collect();
         waiting.sort_by(|a, b| {
-            let rank = |w: &LongWaiting<'_>| (w.queued.rank.1, w.has_begun, w.queued.since);
+            let rank = |w: &LongWaitingJob<'_>| {
+                (w.queued.rank.1, w.has_finished_tasks, w.queued.ready_since)
+            };
             (rank(a), &a.queued.job).cmp(&(rank(b), &b.queued.job))
         });
         waiting
     }
 
-    /// Whether anything of a job has ended, in any shard; `None` if something of it is on a machine, or if it fails.
-    fn has_begun(&self, id: &JobId, context: &Context<'_>) -> Option<bool> {
+    /// Whether any task of a job has finished, in any shard. `None` if a task is on a machine, or
+    /// if the job fails repeatedly.
+    fn has_finished_tasks(&self, id: &JobId, context: &Context<'_>) -> Option<bool> {
         let job = self.jobs.get(id);
         let job = job.filter(|j| j.started_tasks == 0 && j.consecutive_failures < MAX_FAILURES)?;
         let others = job.record.shards.iter().filter(|s| **s != self.id);
         let mut allocations =
             others.filter_map(|s| context.records.allocations.get(&(*s, id.clone())));
-        let mut begun = !job.desired.finished.is_empty();
-        let on_machine = allocations.any(|allocation| {
-            begun |= !allocation.value.finished.is_empty();
+        let mut any_finished = !job.desired.finished.is_empty();
+        let is_placed = allocations.any(|allocation| {
+            any_finished |= !allocation.value.finished.is_empty();
             !allocation.value.started.is_empty()
         });
-        (!on_machine).then_some(begun)
+        (!is_placed).then_some(any_finished)
     }
 
-    /// Reserves a machine for a job, or places the job on the one that is reserved for it. Returns whether a machine is
-    /// reserved afterwards.
+    /// Places a job on its reserved machine, or reserves one if it has none. Returns whether a
+    /// machine is reserved for the job afterwards.
     fn reserve_for_job(
         &mut self,
         queued: &QueuedJob,
@@ -144,25 +148,27 @@
         let previous = self.backfill.by_job.remove(&queued.job);
         let machine = previous.as_ref().map(|r| r.machine.clone());
         let machine = machine.filter(|m| self.is_still_reservable(m, &spec, pass, context));
-        // Where nothing here could ever run it, another shard has to.
+        // A job that no machine here could ever run is left to other shards.
         let Some(machine) = machine.or_else(|| self.nearest_machine(&spec, pass, context)) else {
             return false;
         };
-        // Asks for quota, too, if only that is missing.
+        // Also records the quota shortfall if quota is all that is missing.
         self.place_job(queued, &PlacementScope::On(machine.clone()), pass, context);
         let job = self.jobs.get(&queued.job);
         if job.is_some_and(|j| j.started_tasks > 0) {
             return false;
         }
-        let lacks_grant = self.set_grant_aside(&spec, pass, context);
+        let lacks_grant = self.reserve_grant(&spec, pass, context);
         let mut entries = pass.capacity_index.entries().iter();
         let free = entries.find(|e| e.machine.name == machine).map(|e| e.free);
         let fits_now = free.is_some_and(|free| spec.resources.fits_in(free));
-        // A machine with free resources is not kept from others while the team's quota does not allow the task.
+        // While the team's quota does not allow the task, a machine with enough free resources
+        // stays available to others.
         if !(fits_now && lacks_grant)
             || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus
         {
-            pass.backfill.insert(machine.clone(), queued.job.clone());
+            pass.backfill_machines
+                .insert(machine.clone(), queued.job.clone());
         }
         let since = previous.map_or(now, |r| r.since);
         if since == now {
@@ -173,9 +179,10 @@
         true
     }
 
-    /// Sets grant for one task aside in this pass: what ends of its team leaves grant to it. Returns whether the team's
-    /// grant does not cover the task now.
-    fn set_grant_aside(
+    /// Reserves one task's share of the team's grant for the rest of the pass, so that quota
+    /// released by the team's other tasks is kept for it. Returns whether the unused part of the
+    /// grant is too small for the task now.
+    fn reserve_grant(
         &self,
         spec: &JobSpec,
         pass: &mut PlacementPass,
@@ -190,24 +197,24 @@
         lacks_grant
     }
 
-    /// Whether one more machine may be reserved, of those that could run this job.
-    pub(super) fn could_reserve_backfill(
+    /// Whether one more reservation is allowed, and some machine could run this job.
+    pub(super) fn can_add_backfill_reservation(
         &self,
         spec: &JobSpec,
         index: &CapacityIndex,
         context: &Context<'_>,
     ) -> bool {
         let mut classes = index.classes();
-        let most = max_reservations(index.entries().len());
-        self.backfill.count_in_force(context.now()) < most
+        let limit = max_reservations(index.entries().len());
+        self.backfill.count_in_force(context.now()) < limit
             && classes.any(|(class, mut machines)| {
                 self.is_eligible(spec, class, context)
                     && machines
-                        .any(|e| !e.machine.faulty && spec.resources.fits_in(e.machine.total))
+                        .any(|e| !e.machine.has_failures && spec.resources.fits_in(e.machine.total))
             })
     }
 
-    /// CPUs of a team's quota that no shard has been granted.
+    /// Returns the CPUs of a team's quota that are not granted to any shard.
     fn ungranted_cpus(&self, team: &Team, context: &Context<'_>) -> f64 {
         let limits = &context.config.settings.deployment.teams;
         let limit = limits.iter().find(|t| t.name == team.as_str());
@@ -216,7 +223,7 @@
         limit.map_or(0.0, |l| l.cpus_max - granted)
     }
 
-    /// Whether a reserved machine may still be used and reserved for this job.
+    /// Whether a reserved machine may still be used by this job and stay reserved for it.
     fn is_still_reservable(
         &self,
         name: &MachineId,
@@ -227,21 +234,22 @@
         let mut entries = pass.capacity_index.entries().iter();
         let entry = entries.find(|e| e.machine.name == *name);
         entry.is_some_and(|e| {
-            !e.machine.faulty
-                && !pass.backfill.contains_key(name)
+            !e.machine.has_failures
+                && !pass.backfill_machines.contains_key(name)
                 && self.is_eligible(spec, pass.capacity_index.class(e), context)
         })
     }
 
-    /// The machine that has room for one of the job's tasks soonest.
+    /// Returns the machine that is closest to having room for one of the job's tasks.
     fn nearest_machine(
         &self,
         spec: &JobSpec,
         pass: &PlacementPass,
         context: &Context<'_>,
     ) -> Option<MachineId> {
-        let is_reserved =
-            |name: &MachineId| pass.backfill.contains_key(name) || self.backfill.uses(name);
+        let is_reserved = |name: &MachineId| {
+            pass.backfill_machines.contains_key(name) || self.backfill.reserves(name)
+        };
         let machines: Vec<(&MachineId, BackfillCandidate)> = pass
             .capacity_index
             .classes()
@@ -249,7 +257,7 @@
                 class.reservation.is_none() && self.is_eligible(spec, class, context)
             })
             .flat_map(|(_, machines)| machines)
-            .filter(|e| !e.machine.faulty && !is_reserved(&e.machine.name))
+            .filter(|e| !e.machine.has_failures && !is_reserved(&e.machine.name))
             .map(|e| {
                 let mut eventually_free = e.machine.total;
                 eventually_free.sub(self.used_by_services(&e.machine.name));
@@ -263,11 +271,11 @@
                 )
             })
             .collect();
-        let at = nearest(spec.resources, machines.iter().map(|(_, m)| *m))?;
-        Some(machines[at].0.clone())
+        let position = nearest(spec.resources, machines.iter().map(|(_, m)| *m))?;
+        Some(machines[position].0.clone())
     }
 
-    /// What services use of a machine: it does not become free by itself.
+    /// Returns the resources that services use on a machine; they are not released by themselves.
     fn used_by_services(&self, name: &MachineId) -> Resources {
         let mut used = Resources::default();
         for (_, job) in self.jobs.on_machine(name) {
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -1,4 +1,4 @@
-//! The machines of a shard as placement sees them: what they have free, and which jobs they may run.
+//! The machines of a shard as placement sees them: free resources, and which jobs may use them.
 
 use super::Shard;
 use super::placement::PlacementPass;
@@ -13,20 +13,23 @@
 use snowshelf_model::protocol::worker::TaskState;
 use snowshelf_model::records::{JobSpec, Resources};
 
-/// What an orphaned task of unknown size is taken to use: nothing is placed on its machine until it is gone.
+/// Assumed usage of an orphaned task whose job is unknown: nothing is placed on its machine until
+/// the task is gone.
 const UNKNOWN_USAGE: Resources = Resources {
     cpus: 1e9,
     gpus: 0.0,
     mem: 1e9,
 };
-/// A machine takes no tasks if its last heartbeat is older than two intervals and this.
+/// A machine is given no tasks if its last heartbeat is older than two heartbeat intervals plus
+/// this.
 const HEARTBEAT_SLACK_MS: u64 = 1_000;
-/// A candidate's delay is counted in this part of the heartbeat interval,
+/// Start delays are measured in steps of the heartbeat interval divided by this.
 const DELAY_STEPS_PER_HEARTBEAT: u64 = 4;
-/// and is at most so many of these.
+/// Upper bound of a start delay, in steps.
 const MAX_DELAY_STEPS: u64 = 1_000;
 
-/// What makes machines equal to every job, but for their free resources, images and failures.
+/// The properties that decide which jobs a machine may run. Machines of a class differ only in free
+/// resources, images and failures.
 pub(super) struct MachineClass {
     pub model: String,
     pub zone: usize,
@@ -35,16 +38,16 @@
     pub reservation: Option<MachineReservation>,
 }
 
-/// A machine class but for what it is reserved for: model, zone, spot or not.
+/// Model, zone, and whether it is a spot instance: a machine class regardless of reservations.
 pub(super) type MachineKind = (String, usize, bool);
 
 impl MachineClass {
-    /// The class but for what it is reserved for.
+    /// The class regardless of reservations.
     pub(super) fn kind(&self) -> MachineKind {
         (self.model.clone(), self.zone, self.spot)
     }
 
-    /// Whether the job may run on this type, in this zone and on spot or ordinary machines.
+    /// Whether the job allows this machine type, this zone, and spot instances if it is one.
     fn allowed_for(&self, spec: &JobSpec, zone: Option<&String>) -> bool {
         (!self.spot || spec.spot)
             && spec.types.as_ref().is_none_or(|t| t.contains(&self.model))
@@ -52,25 +55,26 @@
     }
 }
 
-/// A machine that may take tasks.
-pub(super) struct OpenMachine {
+/// A machine that accepts tasks.
+pub(super) struct SchedulableMachine {
     pub name: MachineId,
-    /// What it has free without any task.
+    /// Resources of the machine without any task.
     pub total: Resources,
-    /// It has failed a task and completed none since.
-    pub faulty: bool,
+    /// A task failed on it and none has completed since.
+    pub has_failures: bool,
     reported_tasks: u32,
     pub images: Images,
-    /// The time to its next heartbeat.
+    /// Time until its next heartbeat is expected; 0 if a response is deferred.
     next_heartbeat_ms: u64,
     fetch_gb_per_s: f64,
 }
 
-/// The machines that may take tasks, by class.
-pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, OpenMachine>;
+/// The machines that accept tasks, grouped by class.
+pub(super) type CapacityIndex = capacity_index::CapacityIndex<MachineClass, SchedulableMachine>;
 
 impl Shard {
-    /// Recomputes what is used on machines of which the desired state or the newest heartbeat has changed.
+    /// Recomputes the used resources of machines whose desired state or newest heartbeat has
+    /// changed.
     pub(super) fn refresh_usage(&mut self) {
         let jobs = &self.jobs;
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.usage_dirty) {
@@ -98,7 +102,7 @@
         }
     }
 
-    /// The machines that may take tasks now.
+    /// Builds the index of machines that accept tasks now.
     pub(super) fn capacity_index(&mut self, context: &Context<'_>) -> CapacityIndex {
         self.refresh_usage();
         let heartbeat_ms = context.config.settings.report_ms().max(1);
@@ -128,10 +132,10 @@
                 pool: m.pool.clone(),
                 reservation: reservation.cloned(),
             };
-            let machine = OpenMachine {
+            let machine = SchedulableMachine {
                 name: name.clone(),
                 total,
-                faulty: !m.failed_jobs.is_empty(),
+                has_failures: !m.failed_jobs.is_empty(),
                 reported_tasks: m.reported_tasks.len() as u32,
                 images: m.images.clone(),
                 next_heartbeat_ms: match m.deferred_response {
@@ -145,19 +149,20 @@
         index
     }
 
-    /// How many tasks of a job could start now on machines of the classes that count.
+    /// Returns how many tasks of a job could start now on machines of the classes accepted by
+    /// `is_usable`.
     pub(super) fn count_fitting(
         &self,
         spec: &JobSpec,
         index: &mut CapacityIndex,
-        counts: impl Fn(&MachineClass) -> bool,
+        is_usable: impl Fn(&MachineClass) -> bool,
         context: &Context<'_>,
     ) -> u32 {
         let allowed =
-            index.allowed(|class| counts(class) && self.is_eligible(spec, class, context));
+            index.allowed(|class| is_usable(class) && self.is_eligible(spec, class, context));
         let fitting = index.fitting(spec.resources, &allowed);
         let usable = fitting.iter().map(|at| &index.entries()[*at]);
-        let usable = usable.filter(|e| !e.machine.faulty);
+        let usable = usable.filter(|e| !e.machine.has_failures);
         usable.fold(0, |n, e| n.saturating_add(spec.resources.count_in(e.free)))
     }
 
@@ -175,22 +180,22 @@
     }
 }
 
-/// A machine of the index as a candidate for tasks of a job.
+/// Returns a machine of the index as a placement candidate for a job's tasks.
 pub(super) fn candidate(
     request: PlacementRequest<'_>,
-    at: usize,
+    entry_index: usize,
     pass: &PlacementPass,
     context: &Context<'_>,
 ) -> MachineCandidate {
     let PlacementRequest { job, spec, .. } = request;
-    let entry = &pass.capacity_index.entries()[at];
+    let entry = &pass.capacity_index.entries()[entry_index];
     let (machine, class) = (&entry.machine, pass.capacity_index.class(entry));
-    let max_tasks = if !machine.faulty {
+    let max_tasks = if !machine.has_failures {
         u32::MAX
     } else if job.failed_on.contains(&machine.name) {
         0
     } else {
-        // It failed a task and completed none since: one at a time.
+        // A task failed on it and none has completed since: it runs one task at a time.
         1u32.saturating_sub(machine.reported_tasks)
     };
     let image = machine.images.state(job.image_id);
@@ -209,12 +214,13 @@
     }
 }
 
-/// How soon a task could run on a machine, in quarters of the heartbeat interval: commands are part of the response to
-/// a heartbeat, and the image may have to be fetched, sharing bandwidth with other fetches.
+/// Returns the delay until a task could run on a machine, in quarters of the heartbeat interval.
+/// Commands are part of heartbeat responses, and the image may have to be fetched, sharing
+/// bandwidth with other fetches.
 fn start_delay(
     spec: &JobSpec,
     image: ImageState,
-    machine: &OpenMachine,
+    machine: &SchedulableMachine,
     context: &Context<'_>,
 ) -> u32 {
     let heartbeat_ms = context.config.settings.report_ms().max(1);
--- a/src/coordination/shard/commands.rs
+++ b/src/coordination/shard/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that the response to a heartbeat carries.
+//! The commands sent to a worker in the response to its heartbeat.
 
 use super::Shard;
 use super::heartbeats::redirect_worker;
@@ -14,11 +14,13 @@
 };
 use snowshelf_watermark::renewal::{LeaseRenewal, may_start};
 
-/// Most commands in one response: keeps it under the 64 KiB that a worker accepts.
+/// Maximum number of commands in a response. It keeps the response under the 64 KiB that a worker
+/// accepts.
 const MAX_COMMANDS: usize = 400;
 
 impl Shard {
-    /// Responds to a heartbeat, which renews the worker's lease. The halts that the renewal depends on go first.
+    /// Responds to a heartbeat, which renews the worker's lease. The halts that the renewal depends
+    /// on come first, so that truncation never drops them.
     pub(super) fn respond(
         &self,
         connection: ConnectionId,
@@ -52,13 +54,13 @@
             .respond(connection, Response::new(200, body));
     }
 
-    /// The commands for a machine, by its newest heartbeat and the desired state.
+    /// Returns the commands for a machine, from its newest heartbeat and the desired state.
     pub(super) fn commands(&self, name: &MachineId, context: &Context<'_>) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
         if !machine.token_acknowledged {
-            // An earlier leader might still command it: only the fencing token goes out.
+            // An earlier leader might still command this machine: send only the fencing token.
             return Vec::new();
         }
         let mut commands = Vec::new();
@@ -68,7 +70,7 @@
             let disposition = self.disposition_of_reported(machine, attempt, context);
             commands.extend(self.command(attempt, observed, disposition, context));
         }
-        // Eviction matters only to a task that is there.
+        // Unlike tasks that are present, absent tasks are not subject to eviction.
         let heartbeat_ms = context.config.settings.report_ms();
         let disposition = machine.disposition_of_unstarted(context.now(), heartbeat_ms);
         for (job, task, attempt) in self.unreported_tasks(name) {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// How long a task may take to save a checkpoint when it is stopped, in seconds.
+    /// Returns how long a task may take to write a checkpoint when it is stopped, in seconds.
     fn grace_s(&self, task: &TaskRef) -> f64 {
         let spec = self.jobs.get(&task.job).and_then(|j| j.spec());
         spec.map_or(0.0, |s| s.checkpoint_duration_s)
@@ -111,15 +113,16 @@
     ) -> Option<Command> {
         let job = self.jobs.get(&attempt.task.job);
         let mut desired = desired_state(job, attempt);
-        // Another controller has confirmed the cancellation: the task is halted at once, though the cancellation is
-        // written only once the record cache shows it.
+        // If another controller has confirmed the cancellation, the task is halted at once. The
+        // change of the allocation is written only after the record cache shows the cancellation.
         if context.peer_confirmed.contains_key(&attempt.task.job) {
             desired = desired.if_cancelled();
         }
         let traits = task_traits(job.and_then(|j| j.spec()));
         let evidence = HeartbeatEvidence::PLAIN;
         let action = reconcile(desired, observed, evidence, disposition, traits).action?;
-        // Guards against a task that begins long after a cancellation which this leader could not learn of.
+        // Prevents a task from starting long after a cancellation that this leader could not learn
+        // of.
         if action == ReconcileAction::Run && !may_start(context.watermark, context.now()) {
             return None;
         }
--- a/src/coordination/shard/demand.rs
+++ b/src/coordination/shard/demand.rs
@@ -1,4 +1,5 @@
-//! What waits in a shard compared with its machines: which jobs find none here, and which machines no job needs.
+//! Matches the waiting jobs of a shard with its machines: which jobs find no machine here, and
+//! which machines no job could use.
 
 use super::Shard;
 use super::capacity::{CapacityIndex, MachineClass, MachineKind};
@@ -8,51 +9,53 @@
 use snowshelf_model::records::{JobSpec, Resources};
 use std::collections::BTreeSet;
 
-/// Offers are updated this often: that looks at each job that waits.
+/// How often offers are updated; an update visits every waiting job.
 const OFFERS_INTERVAL_MS: u64 = 1_000;
-/// So many jobs are offered to the other shards at a time.
+/// Maximum number of jobs offered to other shards at a time.
 const MAX_OFFERS: usize = 20;
-/// A job that no machine here could run is offered after so long; machines may be on their way.
-const STRANDED_AFTER_MS: u64 = 10_000;
-/// A job of which nothing is on a machine here is offered after so long: half of the time for which the users let a job
-/// wait while there is capacity for it.
+/// A job that no machine here could run is offered after this time; suitable machines may be on
+/// their way.
+const UNPLACEABLE_AFTER_MS: u64 = 10_000;
+/// A job without any task on a machine here is offered after this time. It is half of the time that
+/// users let a job wait while there is capacity for it.
 const OVERDUE_AFTER_MS: u64 = 45_000;
 
-/// Why a job is offered to other shards, which steal it where it fits at once though others wait there: what is free
-/// after a placement pass is free because it fits none of them.
+/// Why a job is offered to other shards. A shard with room for an offered job steals it even if
+/// jobs wait there: resources that are free after a placement pass fit none of the jobs waiting
+/// there.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum StealOffer {
     /// No machine of its shard could run it.
-    Stranded,
-    /// Nothing of it is on a machine.
+    Unplaceable,
+    /// It has waited long without any task on a machine.
     Overdue,
 }
 
-/// What waits in a shard, matched with its machines.
+/// The result of matching waiting jobs with machines.
 #[derive(Default)]
 pub(super) struct DemandMatch {
-    /// Tasks wait that some machine here could run, were it empty.
-    pub any: bool,
-    /// Kinds of machines with free resources that nothing which waits here could use.
-    pub idle: BTreeSet<MachineKind>,
-    /// Jobs that other shards may steal from, those submitted first.
+    /// Some waiting job could run on a machine here if that machine were empty.
+    pub placeable: bool,
+    /// Kinds of machines with free resources that no job waiting here could use.
+    pub idle_kinds: BTreeSet<MachineKind>,
+    /// Jobs that other shards may steal from, in the order of submission.
     pub offers: Vec<(JobId, StealOffer)>,
 }
 
-/// A machine class of which some machines are not faulty.
+/// A machine class in which at least one machine has no recent task failure.
 struct ClassCapacity<'a> {
     class: &'a MachineClass,
-    /// What a machine has without tasks.
+    /// Resources of a machine without tasks.
     total: Resources,
-    /// Whether any machine has CPUs free.
+    /// Whether any machine has free CPUs.
     has_free: bool,
 }
 
-/// A job to offer, in the order of submission.
+/// An offered job; sorts by submission time.
 type Offer<'a> = (WallClockMillis, &'a JobId, StealOffer);
 
 impl Shard {
-    /// Matches what waits with the machines after a placement pass.
+    /// Updates the match of waiting jobs and machines after a placement pass.
     pub(super) fn update_demand(&mut self, index: &CapacityIndex, context: &Context<'_>) {
         let now = context.now();
         let offers_due = now.since(self.placement.offers_updated_at) >= OFFERS_INTERVAL_MS;
@@ -65,9 +68,9 @@
         }
     }
 
-    /// Finds the waiting jobs that some machine could run, were it empty, and the machines that none of them could
-    /// use. Guards against one job that is bound to a zone whose machines are full, and keeps the idle ones of another
-    /// zone from everybody.
+    /// Finds the waiting jobs that could run on some machine if it were empty, and the machines
+    /// that none of them could use. Each machine kind is matched separately, so that a job bound to
+    /// a zone with full machines does not keep idle machines of another zone from other jobs.
     fn match_demand(
         &self,
         index: &CapacityIndex,
@@ -86,13 +89,13 @@
             if unwanted.is_empty() && !offers_due {
                 break;
             }
-            let stranded = !classes.iter().any(|c| could_run(spec, c));
-            let offer = steal_offer(id, job, stranded, context);
-            // What has begun of a bound job keeps the rest here.
+            let unplaceable = !classes.iter().any(|c| could_run(spec, c));
+            let offer = steal_offer(id, job, unplaceable, context);
+            // Once tasks of a zone-bound job have started here, its other tasks stay here.
             if job.started_tasks == 0 || !spec.zones_bound() {
                 offers.extend(offer.map(|offer| (job.record.submitted, id, offer)));
             }
-            if stranded {
+            if unplaceable {
                 continue;
             }
             unwanted.retain(|c| {
@@ -108,8 +111,8 @@
         let free = unwanted.iter().filter(|c| c.has_free);
         let idle = free.map(|c| c.class.kind());
         DemandMatch {
-            idle: idle.filter(|kind| !wanted.contains(kind)).collect(),
-            any: !wanted.is_empty(),
+            idle_kinds: idle.filter(|kind| !wanted.contains(kind)).collect(),
+            placeable: !wanted.is_empty(),
             offers: offers.map(|(_, id, offer)| (id.clone(), offer)).collect(),
         }
     }
@@ -117,7 +120,7 @@
 
 fn class_capacities(index: &CapacityIndex) -> Vec<ClassCapacity<'_>> {
     let classes = index.classes().filter_map(|(class, machines)| {
-        let mut working = machines.filter(|e| !e.machine.faulty).peekable();
+        let mut working = machines.filter(|e| !e.machine.has_failures).peekable();
         let total = working.peek()?.machine.total;
         Some(ClassCapacity {
             class,
@@ -131,12 +134,12 @@
 fn steal_offer(
     id: &JobId,
     job: &ShardJob,
-    stranded: bool,
+    unplaceable: bool,
     context: &Context<'_>,
 ) -> Option<StealOffer> {
     let waited_ms = context.waited_ms(id, &job.record);
-    if stranded {
-        (waited_ms >= STRANDED_AFTER_MS).then_some(StealOffer::Stranded)
+    if unplaceable {
+        (waited_ms >= UNPLACEABLE_AFTER_MS).then_some(StealOffer::Unplaceable)
     } else {
         let overdue = waited_ms >= OVERDUE_AFTER_MS && job.started_tasks == 0;
         overdue.then_some(StealOffer::Overdue)
--- a/src/coordination/shard/disruption.rs
+++ b/src/coordination/shard/disruption.rs
@@ -1,7 +1,8 @@
-//! Charging evictions to the teams' disruption budgets, before any task is stopped for them.
+//! Charges evictions to the teams' disruption budgets. A charge is durable before any task is
+//! stopped under it.
 
 use super::machine::Machine;
-use super::persistence::REFUSED_BACKOFF_MS;
+use super::persistence::REJECTED_BACKOFF_MS;
 use super::reservations::expected_stay_ms;
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
@@ -16,38 +17,39 @@
 use snowshelf_model::records::{JobKind, JobSpec, shard_key};
 use std::collections::BTreeMap;
 
-/// The least time between two writes that only settle charges.
+/// Minimum time between two writes that only settle charges.
 const SETTLE_INTERVAL_MS: u64 = 1_000;
-/// The time to the next charge after a conflict: the watch brings what another shard has charged.
+/// Retry delay after a conflict; meanwhile the watch delivers the charge of the other shard.
 const CONFLICT_RETRY_MS: u64 = 100;
-/// The time to the next charge after a failed write; if it was carried out after all, the watch tells.
+/// Retry delay after a failed write. If the write was applied after all, the watch delivers it.
 const FAILURE_RETRY_MS: u64 = 500;
 
-/// A charge underway: whose, and the record as it would be.
+/// A charge being written: the team, and the new value of its budget ledger.
 pub(super) struct ChargeInFlight {
     team: Team,
     ledger: Ledger,
 }
 
-/// Tasks of a job on a machine that are to be evicted; in the order of `forced` machines first, then of what is lost.
+/// Tasks of a job on a machine that are due for eviction. Candidates on machines of forced drains
+/// come first, then those with the least lost work.
 struct EvictionCandidate {
-    /// Whether the drain's deadline has not passed yet.
+    /// Whether the drain's deadline has not passed, so that the budget still applies.
     unforced: bool,
-    /// CPUs whose work since the start would be lost.
+    /// CPUs of tasks without checkpoints, whose work since their start would be lost.
     lost_cpus: f64,
     request: Ask,
 }
 
-/// What the budget of a team allows in a round.
+/// What a team's budget allows in one round.
 struct ChargeRound {
     ledger: Ledger,
     charged: usize,
     shortfall: Option<Short>,
 }
 
-/// How long a job's tasks are waited for on a cordoned machine: as long as they should take, if that is not too long. A
-/// service would not end by itself.
-fn drain_patience_ms(spec: &JobSpec, patience_ms: u64, context: &Context<'_>) -> u64 {
+/// Returns how long to wait for a job's tasks to end on a cordoned machine: their expected run
+/// time, up to `patience_ms`. A service does not end by itself, so it is not waited for.
+fn drain_wait_ms(spec: &JobSpec, patience_ms: u64, context: &Context<'_>) -> u64 {
     match (spec.kind, expected_stay_ms(spec, context)) {
         (JobKind::Service, _) | (_, None) => 0,
         (JobKind::Batch, Some(stay)) => stay.min(patience_ms),
@@ -55,7 +57,7 @@
 }
 
 impl Shard {
-    /// Charges the budget of one team with what is to be evicted next, as far as it allows.
+    /// Charges the next due evictions to the budget of one team, as far as the budget allows.
     pub(super) fn charge_budgets(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if !self.may_charge(context) {
@@ -84,8 +86,9 @@
         }
     }
 
-    /// Whether a charge may be decided on. Records that may be old do not say what is disrupted; nor do they if an
-    /// allocation is newer than the rest: tasks that another shard stole from it would be nowhere.
+    /// Whether charges may be decided now. Stale records do not show which tasks are disrupted.
+    /// Neither do records that are older than a single allocation read since: tasks that another
+    /// shard stole from that allocation would be in neither shard.
     fn may_charge(&self, context: &Context<'_>) -> bool {
         self.evictions.charge_in_flight.is_none()
             && context.now() >= self.evictions.next_charge_at
@@ -95,7 +98,7 @@
             && context.records.revision >= context.records.newest_single_read
     }
 
-    /// Sets which of this shard's tasks run again to what is known now.
+    /// Updates the shared count of tasks that run again with those of this shard.
     fn update_restarted_tasks(&self, context: &mut Context<'_>) {
         let restarted = self.restarted_tasks(context).into_iter();
         let restarted = restarted.map(|(job, tasks)| ((self.id, job), tasks));
@@ -104,7 +107,7 @@
         all.extend(restarted);
     }
 
-    /// Tasks that are to be evicted by now, by team: those that lose least first.
+    /// Returns the evictions that are due, by team, in the order in which they are charged.
     fn eviction_candidates(&self, context: &Context<'_>) -> BTreeMap<Team, Vec<Ask>> {
         let mut found: BTreeMap<Team, Vec<EvictionCandidate>> = BTreeMap::new();
         for name in context.drains.cordoned.keys() {
@@ -128,7 +131,8 @@
         sorted.collect()
     }
 
-    /// Whether just what is charged can be stopped on a machine: it obeys this leader, and nothing is about to start.
+    /// Whether the tasks stopped on a machine would be exactly the charged ones: it obeys this
+    /// leader, and no start is pending.
     fn is_evictable(&self, name: &MachineId, m: &Machine) -> bool {
         m.token_acknowledged
             && !m.releasing
@@ -145,7 +149,8 @@
         let Some(drained) = context.drains.cordoned.get(name) else {
             return Vec::new();
         };
-        // Since this leader cordoned it: after a failover the wait begins anew, within the same bound.
+        // Counts from when this leader cordoned the machine. After a failover the wait restarts,
+        // with the same bound.
         let waited_ms = context.now().since(m.cordon_changed_at);
         let candidates = self.jobs.on_machine(name).filter_map(|(id, job)| {
             let spec = job.spec().filter(|_| !job.cancelled())?;
@@ -154,7 +159,7 @@
                 .started
                 .get(name)
                 .map_or(Vec::new(), |ranges| ranges.iter().map(|(t, _)| t).collect());
-            let due = waited_ms >= drain_patience_ms(spec, drained.patience_ms, context);
+            let due = waited_ms >= drain_wait_ms(spec, drained.patience_ms, context);
             if tasks.is_empty() || job.write_in_flight || !(drained.forced || due) {
                 return None;
             }
@@ -180,7 +185,8 @@
         candidates.collect()
     }
 
-    /// Works out what a team's budget allows of these evictions, with `at_risk` of this shard's tasks lost already.
+    /// Computes the charges that a team's budget allows. `at_risk` is the amount of this shard's
+    /// tasks that count as lost already.
     fn charge_team(
         &self,
         team: &Team,
@@ -255,8 +261,8 @@
         self.evictions.charge_in_flight = Some(ChargeInFlight { team, ledger });
     }
 
-    /// Settles this shard's charges that are over, so that they count from now on as what was evicted, with writes
-    /// that nobody else needs: until then they count as if they were still to come.
+    /// Settles this shard's finished charges with background writes. A settled charge counts as a
+    /// past eviction; until then, it counts as one still to come.
     fn settle_finished_charges(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let wall = WallClockMillis(context.effects.wall_ms);
@@ -281,8 +287,9 @@
         }
     }
 
-    /// Whether nothing can be evicted under a charge any more: its machine is this shard's, serves again, and has
-    /// learned so long ago. What was on a machine that is gone stays disrupted until the records say otherwise.
+    /// Whether no task can be evicted under a charge any more: its machine belongs to this shard,
+    /// is not cordoned, and has been so for longer than a lease. If the machine is gone, its tasks
+    /// count as disrupted until the records say otherwise.
     fn is_void(&self, charge: &Charge, now: MonotonicMillis, context: &Context<'_>) -> bool {
         let name = &charge.machine;
         let lease_ms = context.config.settings.lease_ms();
@@ -293,7 +300,7 @@
             && machine.is_some_and(|m| !m.cordoned && now.since(m.cordon_changed_at) > lease_ms)
     }
 
-    /// Takes the outcome of a charge over.
+    /// Handles the outcome of a charge.
     pub(super) fn on_charge_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some(charge) = self.evictions.charge_in_flight.take() else {
@@ -313,7 +320,7 @@
                 self.evictions.next_charge_at = now.plus(CONFLICT_RETRY_MS);
             }
             SwapOutcome::Rejected => {
-                self.evictions.next_charge_at = now.plus(REFUSED_BACKOFF_MS);
+                self.evictions.next_charge_at = now.plus(REJECTED_BACKOFF_MS);
             }
             SwapOutcome::NotApplied | SwapOutcome::LeaseExpired | SwapOutcome::Unknown => {
                 self.evictions.next_charge_at = now.plus(FAILURE_RETRY_MS);
@@ -322,7 +329,7 @@
     }
 }
 
-/// Whether tasks of a request are charged, and being evicted.
+/// Whether some of a request's tasks are charged already, and so being evicted.
 fn is_charged_already(ledger: &Ledger, request: &Ask) -> bool {
     let charge = ledger.charge_for(&request.machine, &request.job);
     charge.is_some_and(|c| request.there.iter().any(|t| *t >= c.from))
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -1,5 +1,6 @@
-//! Cordoned machines: nothing starts on them, what ends soon is waited for, and the rest is evicted as far as the
-//! disruption budgets allow. What may be evicted is durable before it is commanded.
+//! Cordoned machines: no task starts on them, tasks that end soon are waited for, and the others
+//! are evicted as far as the disruption budgets allow. The charge for an eviction is durable before
+//! the eviction is commanded.
 
 use super::Shard;
 use super::disruption::ChargeInFlight;
@@ -13,24 +14,25 @@
 use snowshelf_model::protocol::worker::TaskState;
 use std::collections::BTreeMap;
 
-/// A machine counts as silent if its last heartbeat is older than two intervals and this.
+/// A machine counts as silent if its last heartbeat is older than two heartbeat intervals plus
+/// this.
 const SILENCE_SLACK_MS: u64 = 1_000;
 
-/// Evictions from cordoned machines and their charges.
+/// Evictions from cordoned machines, and their charges.
 #[derive(Default)]
 pub(super) struct Evictions {
     pub charge_in_flight: Option<ChargeInFlight>,
-    /// No budget is charged before then.
+    /// No budget is charged before this time.
     pub next_charge_at: MonotonicMillis,
-    /// Why evictions are blocked, as of the last round.
+    /// Why evictions were blocked in the last round.
     pub blocked: Vec<String>,
     /// Tasks stopped on purpose since the shard was acquired, by cause.
     pub counts: BTreeMap<Cause, u64>,
 }
 
 impl Shard {
-    /// Cordons machines and lifts cordons, as the drains' records say, and charges the budgets with what has been
-    /// waited for long enough.
+    /// Cordons and uncordons machines according to the drains' records, and charges the budgets for
+    /// tasks that have been waited for long enough.
     pub(super) fn update_cordons(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         for (name, m) in &mut self.machines {
@@ -41,7 +43,7 @@
             }
             m.cordoned = cordoned;
             m.cordon_changed_at = now;
-            // Guards against releasing at once, as long idle, what was kept empty until now.
+            // Restart the idle time, so that a machine that was kept empty is not released at once.
             m.idle_since = m.idle_since.map(|_| now);
             self.placement.dirty = true;
             let drain = drained.map(|c| c.drain.as_str());
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Tasks on machines that are silent, or that the cloud is about to take, by team.
+    /// Returns the tasks on machines that are silent or about to be interrupted by the cloud, by
+    /// team.
     pub fn tasks_at_risk(
         &self,
         now: MonotonicMillis,
@@ -77,8 +80,8 @@
         at_risk
     }
 
-    /// How many of each job's tasks that were attempted before have been seen to run again, and are not to be evicted
-    /// once more.
+    /// Returns, by job, how many retried tasks are running again and are not about to be evicted
+    /// again.
     pub fn restarted_tasks(&self, context: &Context<'_>) -> BTreeMap<JobId, u32> {
         let mut restarted = BTreeMap::new();
         for (id, job) in self.jobs.iter() {
@@ -134,7 +137,7 @@
         task >= charge.from && job.durable.started_on(name, task).is_some()
     }
 
-    /// The reasons to stop a task on a machine.
+    /// Returns the reasons to stop a task on a machine.
     pub(super) fn eviction_grounds(
         &self,
         name: &MachineId,
@@ -152,8 +155,8 @@
                 .get(job)
                 .is_some_and(super::job::ShardJob::cancelled),
             noticed: m.interruption_at.is_some(),
-            faulty: m.retirement == Some(RetirementReason::Fault),
-            window: m.retirement == Some(RetirementReason::Window),
+            faulty: m.retirement == Some(RetirementReason::Quarantine),
+            window: m.retirement == Some(RetirementReason::MaintenanceWindow),
             overrun: self.is_preempted(name, job),
             drained: drained.is_some(),
             forced: drained.is_some_and(|c| c.forced),
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Cordoned machines without tasks, of those that a drain keeps, and those that were released, which the cloud
-    /// lists a while longer.
+    /// Returns the cordoned machines without tasks that a drain keeps, and the cordoned machines
+    /// that were released, which the cloud lists for a while longer.
     pub fn drained_machines(&self, context: &Context<'_>) -> Vec<MachineId> {
         let cordoned = context.drains.cordoned.iter();
         let drained = cordoned.filter(|(name, c)| match self.machines.get(*name) {
@@ -191,11 +194,11 @@
         drained.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Machines that failed what they started.
+    /// Returns the machines that are quarantined because tasks fail on them.
     pub fn quarantined_machines(&self) -> impl Iterator<Item = &MachineId> + '_ {
         let machines = self.machines.iter();
         machines
-            .filter(|(_, m)| m.retirement == Some(RetirementReason::Fault))
+            .filter(|(_, m)| m.retirement == Some(RetirementReason::Quarantine))
             .map(|(name, _)| name)
     }
 }
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: which of them are accepted, what they change, and when they are responded to.
+//! Heartbeats of workers: whether they are accepted, what they change, and when they are answered.
 
 use super::Shard;
 use super::machine::{DeferredResponse, Machine};
@@ -12,8 +12,9 @@
 use snowshelf_watermark::renewal::RenewalRefusal;
 
 impl Shard {
-    /// Handles a heartbeat that came at `received`. The caller has checked that this controller holds the shard's
-    /// lease. Hands the heartbeat back if it may not be responded to yet, because something is not known here.
+    /// Handles a heartbeat that was received at `received`. The caller has checked that this
+    /// controller holds the shard's lease. If the worker's lease may not be renewed yet, returns
+    /// the heartbeat with the reason.
     #[must_use]
     pub fn on_heartbeat(
         &mut self,
@@ -22,7 +23,7 @@
         received: MonotonicMillis,
         context: &mut Context<'_>,
     ) -> Option<(RenewalRefusal, Heartbeat)> {
-        if self.rejects(connection, &heartbeat, context) {
+        if self.reject_heartbeat(connection, &heartbeat, context) {
             return None;
         }
         let renewal = match context.authorize_renewal(self.id, &heartbeat.tasks, received) {
@@ -31,7 +32,8 @@
         };
         let now = context.now();
         if !self.ready {
-            // The worker's lease is renewed, and it learns the fencing token; the rest waits for the shard's state.
+            // Renew the worker's lease and tell it the fencing token; the rest waits for the
+            // shard's state.
             self.respond(connection, renewal, Vec::new(), context);
             self.store_early(heartbeat, now);
             return None;
@@ -60,8 +62,9 @@
         None
     }
 
-    /// Rejects a heartbeat that fences this leader, and one of a machine that has been released.
-    fn rejects(
+    /// Rejects a heartbeat that carries a higher fencing token, and one of a machine that has been
+    /// released. Returns whether it was rejected.
+    fn reject_heartbeat(
         &mut self,
         connection: ConnectionId,
         heartbeat: &Heartbeat,
@@ -74,7 +77,7 @@
             redirect_worker(connection, context);
             return true;
         }
-        // Guards against a late heartbeat of a machine whose release was confirmed.
+        // A heartbeat may arrive late, after the release of its machine was confirmed.
         let released = self.scale_in.released.contains(&heartbeat.machine);
         if released {
             let response = Response::later(503, "this machine was returned", 5);
@@ -83,7 +86,7 @@
         released
     }
 
-    /// Keeps a heartbeat until the shard is ready, unless a newer one is there.
+    /// Keeps the newest heartbeat of a machine until the shard is ready.
     fn store_early(&mut self, heartbeat: Heartbeat, now: MonotonicMillis) {
         let newest = self.early_heartbeats.get(&heartbeat.machine);
         let newer = newest.is_none_or(|(_, stored)| {
@@ -95,16 +98,16 @@
         }
     }
 
-    /// Processes the heartbeats from before the shard was ready. This leader has started nothing since, so they prove
-    /// what they would have proved then.
+    /// Processes the heartbeats received before the shard was ready. This leader has not started
+    /// anything since, so they are as conclusive now as on arrival.
     pub(super) fn process_early_heartbeats(&mut self, context: &mut Context<'_>) {
         for (received_at, heartbeat) in std::mem::take(&mut self.early_heartbeats).into_values() {
             self.record_heartbeat(heartbeat, received_at, context);
         }
     }
 
-    /// Takes the contents of a heartbeat over. Returns `false` if it is late or repeated, so that a newer one has
-    /// settled what it says.
+    /// Applies the contents of a heartbeat. Returns `false` if the heartbeat is late or repeated; a
+    /// newer one has been applied then.
     fn record_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -117,15 +120,15 @@
             .machines
             .entry(name.clone())
             .or_insert_with(|| Machine::unknown(now));
-        let known = machine.heartbeat_received;
-        if known
+        let known_before = machine.heartbeat_received;
+        if known_before
             && (heartbeat.incarnation, heartbeat.sequence)
                 <= (machine.incarnation, machine.sequence)
         {
             return false;
         }
-        let new_incarnation = known && heartbeat.incarnation > machine.incarnation;
-        if !known {
+        let new_incarnation = known_before && heartbeat.incarnation > machine.incarnation;
+        if !known_before {
             tracing::info!(machine = %name, shard = %self.id, model = %heartbeat.model,
                 incarnation = heartbeat.incarnation.0, "first heartbeat of machine received");
             self.placement.dirty = true;
@@ -152,8 +155,8 @@
         true
     }
 
-    /// Whether a response should wait: a start is about to be durable, or a placement pass that may use this machine
-    /// is due.
+    /// Whether a response should be deferred: a start on the machine is not durable yet, or a
+    /// placement pass that may use the machine is due.
     fn should_defer(
         &self,
         name: &MachineId,
@@ -168,13 +171,13 @@
         }
         let pass_due = self.placement.dirty
             && self.placement.last_pass_at <= deferred.since
-            && self.placement.demand.any;
+            && self.placement.demand.placeable;
         let usable =
             machine.interruption_at.is_none() && machine.retirement.is_none() && !machine.cordoned;
         self.jobs.awaits_durable_start(name) || (pass_due && usable)
     }
 
-    /// Sends the deferred responses whose start is durable, and those that cannot wait any longer.
+    /// Sends the deferred responses that no longer need to wait, or must not wait any longer.
     pub(super) fn send_deferred_responses(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let deferred: Vec<(MachineId, DeferredResponse)> = self
@@ -200,7 +203,8 @@
         }
     }
 
-    /// Ends the request of a machine's earlier heartbeat, which the worker has given up.
+    /// Redirects the pending request of a machine's previous heartbeat, which the worker has given
+    /// up.
     fn redirect_previous_request(&mut self, name: &MachineId, context: &mut Context<'_>) {
         let machine = self.machines.get_mut(name);
         if let Some(previous) = machine.and_then(|m| m.deferred_response.take()) {
@@ -208,7 +212,8 @@
         }
     }
 
-    /// Redirects every worker that waits for a response: this leader may not respond any more.
+    /// Redirects all workers that wait for a response, because this leader may not answer them any
+    /// more.
     pub fn redirect_deferred_requests(&mut self, context: &mut Context<'_>) {
         for machine in self.machines.values_mut() {
             if let Some(deferred) = machine.deferred_response.take() {
@@ -242,7 +247,7 @@
     machine.usage_dirty = true;
 }
 
-/// Lets a worker look for the leader elsewhere; its lease is not renewed.
+/// Redirects a worker, which then looks for the leader elsewhere. Its lease is not renewed.
 pub(super) fn redirect_worker(connection: ConnectionId, context: &mut Context<'_>) {
     let response = Response::new(421, redirect_body(None));
     context.effects.respond(connection, response);
--- a/src/coordination/shard/job.rs
+++ b/src/coordination/shard/job.rs
@@ -1,4 +1,5 @@
-//! A shard's allocation of one job: its durable state, its desired state, and the pending changes between them.
+//! A shard's allocation of one job: durable state, desired state, and the pending changes between
+//! them.
 
 use crate::storage::record_cache::VersionedRecord;
 use snowshelf_model::ids::{MachineId, MonotonicMillis, TaskIndex, Version};
@@ -10,9 +11,9 @@
 
 /// A change of an allocation that is not durable yet.
 pub(super) struct PendingChange {
-    /// Increases with each change of the shard.
+    /// Change number, increasing within the shard.
     pub id: u64,
-    /// When it was applied to the desired state.
+    /// When the change was applied to the desired state.
     pub applied_at: MonotonicMillis,
     pub change: AllocationChange,
 }
@@ -28,9 +29,10 @@
 pub(super) enum WritePriority {
     /// The allocation is finished, or the outcome of a write is unknown.
     Settle,
-    /// Tasks wait for their start to be durable.
+    /// Tasks wait for their start to become durable.
     Starts,
-    /// Ends of tasks: their resources are free already, and heartbeats repeat them until they are reaped.
+    /// Ends of tasks. They are least urgent: their resources are free already, and heartbeats
+    /// repeat them until they are reaped.
     Ends,
 }
 
@@ -38,39 +40,39 @@
 pub(super) struct ShardJob {
     pub record: Rc<JobRecord>,
     pub record_version: Version,
-    /// The allocation as the record cache has it.
+    /// The allocation as stored, from the record cache.
     pub durable: Rc<ShardAllocation>,
     pub allocation_version: Version,
     /// `durable` with all pending changes applied.
     pub desired: ShardAllocation,
-    /// The number of tasks started in `desired`.
+    /// Number of tasks started in `desired`.
     pub started_tasks: u32,
     pub pending_changes: Vec<PendingChange>,
     /// When the oldest pending change was applied.
     pub pending_since: MonotonicMillis,
-    /// A write went unanswered and may still be applied: the key must be written once more.
+    /// A write got no response and may still be applied; the key must be written again.
     pub outcome_unknown: bool,
     /// The allocation is being read back; nothing is written meanwhile.
     pub read_in_flight: bool,
     pub write_in_flight: bool,
-    /// Every job that this one depends on is done; once so, for good.
+    /// All dependencies of the job are done. Once true, it stays true.
     pub dependencies_satisfied: bool,
-    /// The key-value store refused a write of this allocation alone: nothing is written until then.
+    /// No write before this time: the key-value store rejected a write of this allocation alone.
     pub write_backoff_until: MonotonicMillis,
-    /// The number that stands for the job's image in this shard.
+    /// Number that identifies the job's image within this shard.
     pub image_id: u32,
-    /// Machines on which a task of the job failed.
+    /// Machines on which a task of the job has failed.
     pub failed_on: BTreeSet<MachineId>,
     /// Failures since a task last completed.
     pub consecutive_failures: u32,
-    /// For jobs of DAG runs: how often each task has failed, as far as this leader knows.
+    /// For jobs of DAG runs: failures of each task known to this leader.
     pub task_failures: BTreeMap<TaskIndex, u32>,
-    /// No task is placed until then.
+    /// No task is placed before this time.
     pub placement_backoff_until: MonotonicMillis,
 }
 
 impl ShardJob {
-    /// An allocation just read, before its state is taken over.
+    /// Creates the entry of an allocation that has just been read; `desired` is still empty.
     pub(super) fn new(
         record: &VersionedRecord<JobRecord>,
         allocation: &VersionedRecord<ShardAllocation>,
@@ -100,7 +102,8 @@
         }
     }
 
-    /// The job's specification; `None` once the record has been reduced to its end.
+    /// Returns the job's specification; `None` once the job has ended and its record has been
+    /// reduced.
     pub(super) fn spec(&self) -> Option<&JobSpec> {
         self.record.spec.as_ref()
     }
@@ -110,23 +113,23 @@
         self.record.state == JobState::Cancelled
     }
 
-    /// Whether tasks of the job wait for machines, and for nothing else.
+    /// Whether tasks of the job wait for machines and for nothing else.
     pub(super) fn is_waiting(&self) -> bool {
         self.dependencies_satisfied && !self.cancelled() && !self.desired.waiting.is_empty()
     }
 
-    /// Whether nothing of the job is left in this shard once all pending changes are durable.
-    pub(super) fn is_over_here(&self) -> bool {
+    /// Whether no task of the job is left in this shard once all pending changes are durable.
+    pub(super) fn is_finished_here(&self) -> bool {
         self.desired.started.is_empty() && (self.cancelled() || self.desired.waiting.is_empty())
     }
 
-    /// Works `desired` out anew from `durable`; pending changes that no longer apply are dropped.
+    /// Recomputes `desired` from `durable`, dropping pending changes that no longer apply.
     pub(super) fn reapply_pending_changes(&mut self) {
         let mut desired = (*self.durable).clone();
         let cancelled = self.cancelled();
         self.pending_changes.retain(|pending| {
             let change = &pending.change;
-            // A start that is not durable when the job is cancelled must never become so.
+            // A start that is not durable when the job is cancelled must never become durable.
             if cancelled && pending.is_start() {
                 let started = desired.started_on(&change.machine, change.task);
                 return started == Some(change.attempt);
@@ -137,8 +140,8 @@
         self.desired = desired;
     }
 
-    /// For how long the pending starts have waited to be durable, summed over all: when writes are scarce, the
-    /// allocation goes first that keeps most tasks waiting.
+    /// Returns how long the pending starts have waited to become durable, summed over all of them.
+    /// When writes are scarce, the allocation with the largest sum is written first.
     pub(super) fn start_wait_ms(&self, now: MonotonicMillis) -> u64 {
         let starts = self.pending_changes.iter().filter(|p| p.is_start());
         starts.map(|p| now.since(p.applied_at).max(1)).sum()
@@ -149,11 +152,11 @@
         self.pending_changes.iter().any(PendingChange::is_start)
     }
 
-    /// How soon the allocation should be written; `None` if there is nothing to write.
+    /// Returns how soon the allocation should be written; `None` if there is nothing to write.
     pub(super) fn write_priority(&self) -> Option<WritePriority> {
         if self.write_in_flight || self.read_in_flight {
             None
-        } else if self.outcome_unknown || self.is_over_here() {
+        } else if self.outcome_unknown || self.is_finished_here() {
             Some(WritePriority::Settle)
         } else if self.has_pending_start() {
             Some(WritePriority::Starts)
--- a/src/coordination/shard/job_table.rs
+++ b/src/coordination/shard/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs of which a shard has an allocation, and an index of them by machine.
+//! The jobs that have an allocation in a shard, with an index by machine.
 
 use super::job::{PendingChange, ShardJob};
 use crate::coordination::context::Context;
@@ -6,7 +6,7 @@
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A started task of a job on a machine.
+/// A started task of a job, with its attempt.
 pub(super) type StartedTask = (JobId, TaskIndex, Attempt);
 
 /// The jobs of a shard.
@@ -15,13 +15,13 @@
     jobs: BTreeMap<JobId, ShardJob>,
     /// Jobs with started tasks in their desired state, by machine.
     by_machine: BTreeMap<MachineId, BTreeSet<JobId>>,
-    /// Numbers that stand for the names of images.
+    /// Numbers of images, by name.
     image_ids: HashMap<String, u32>,
     last_change_id: u64,
 }
 
 impl JobTable {
-    /// The number of jobs.
+    /// Returns the number of jobs.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -31,32 +31,32 @@
         self.jobs.contains_key(job)
     }
 
-    /// The allocation of a job.
+    /// Returns the allocation of a job.
     pub(super) fn get(&self, job: &JobId) -> Option<&ShardJob> {
         self.jobs.get(job)
     }
 
-    /// The allocation of a job, to be changed.
+    /// Returns the allocation of a job for modification.
     pub(super) fn get_mut(&mut self, job: &JobId) -> Option<&mut ShardJob> {
         self.jobs.get_mut(job)
     }
 
-    /// All allocations, in the order of their jobs' ids.
+    /// Iterates over all allocations in the order of job ids.
     pub(super) fn values(&self) -> impl Iterator<Item = &ShardJob> + '_ {
         self.jobs.values()
     }
 
-    /// All jobs with their allocations, in the order of their ids.
+    /// Iterates over all jobs and their allocations in the order of job ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&JobId, &ShardJob)> + '_ {
         self.jobs.iter()
     }
 
-    /// The same, to be changed.
+    /// Iterates over all jobs and their mutable allocations in the order of job ids.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&JobId, &mut ShardJob)> + '_ {
         self.jobs.iter_mut()
     }
 
-    /// Jobs with started tasks on a machine, in their desired state.
+    /// Iterates over the jobs that have started tasks on a machine in their desired state.
     pub(super) fn on_machine(
         &self,
         name: &MachineId,
@@ -65,12 +65,12 @@
         jobs.filter_map(|id| Some((id, self.jobs.get(id)?)))
     }
 
-    /// Whether any task is started on a machine, in the desired state.
+    /// Whether any task is started on a machine in the desired state.
     pub(super) fn has_tasks_on(&self, name: &MachineId) -> bool {
         self.by_machine.contains_key(name)
     }
 
-    /// The tasks started on a machine, in the desired state.
+    /// Returns the tasks that are started on a machine in the desired state.
     pub(super) fn tasks_on(&self, name: &MachineId) -> Vec<StartedTask> {
         let jobs = self.on_machine(name);
         let tasks = jobs.flat_map(|(id, j)| {
@@ -82,7 +82,7 @@
         tasks.collect()
     }
 
-    /// The machines on which tasks are started, in the desired state.
+    /// Returns the machines that have started tasks in the desired state.
     pub(super) fn machines_in_use(&self) -> BTreeSet<MachineId> {
         self.jobs
             .values()
@@ -90,8 +90,8 @@
             .collect()
     }
 
-    /// Takes the record cache's state of a job over. Returns the machines on which the job has or had started tasks,
-    /// or `None` if nothing changed.
+    /// Refreshes a job from the record cache. Returns the machines on which the job has started
+    /// tasks now or had them before, or `None` if nothing changed.
     pub(super) fn refresh(
         &mut self,
         shard_id: ShardId,
@@ -126,13 +126,13 @@
                 before
             }
             (None, _) => self.jobs.remove(job)?.desired.started.into_keys().collect(),
-            // The allocation is known and the job's record not yet: its change follows.
+            // The job's record is not in the cache yet; its arrival triggers another refresh.
             (Some(_), None) => return None,
         };
         Some(self.reindex(job, &before))
     }
 
-    /// The number that stands for an image.
+    /// Returns the number of an image, assigning the next one to a new image.
     fn image_id(&mut self, image: &str) -> u32 {
         if let Some(id) = self.image_ids.get(image) {
             return *id;
@@ -142,8 +142,9 @@
         id
     }
 
-    /// Updates the index after the desired state of a job, which had started tasks on the machines `before`, was
-    /// replaced or removed. Returns all machines concerned.
+    /// Updates the index after the desired state of a job was replaced or removed. `before` names
+    /// the machines on which it had started tasks. Returns all machines with started tasks of the
+    /// job before or after.
     fn reindex(&mut self, job: &JobId, before: &BTreeSet<MachineId>) -> BTreeSet<MachineId> {
         let desired = self.jobs.get(job).map(|j| &j.desired);
         let after: BTreeSet<MachineId> = desired
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Applies a change to a job's desired state and queues it to be written. Returns whether it applies.
+    /// Applies a change to a job's desired state and queues it for writing. Returns whether the
+    /// change applies.
     pub(super) fn apply(
         &mut self,
         now: MonotonicMillis,
@@ -206,7 +208,7 @@
         true
     }
 
-    /// Whether starts on this machine are pending, and not durable yet.
+    /// Whether a start on this machine is not durable yet.
     pub(super) fn awaits_durable_start(&self, name: &MachineId) -> bool {
         self.on_machine(name).any(|(_, job)| {
             let Some(desired) = job.desired.started.get(name) else {
--- a/src/coordination/shard/load.rs
+++ b/src/coordination/shard/load.rs
@@ -1,4 +1,4 @@
-//! What a shard has and uses of CPUs, for its peers and for the log.
+//! CPU usage and capacity of a shard, for peers and for the log.
 
 use super::Shard;
 use super::job_table::JobTable;
@@ -8,10 +8,10 @@
 use snowshelf_model::protocol::worker::TaskState;
 use std::collections::BTreeMap;
 
-/// The time between two log events on the load.
+/// Interval between log events about the load.
 const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// The load of a shard, as of the last placement pass.
+/// The load of a shard as of the last placement pass.
 #[derive(Default)]
 pub(super) struct LoadStatistics {
     /// Free CPUs that are not reserved for a team.
@@ -20,7 +20,8 @@
     pub capacity_cpus: f64,
     /// CPUs of waiting tasks.
     pub waiting_cpus: f64,
-    /// Tasks placed since the last log event: with the image cached, while it was fetched, and without it.
+    /// Tasks placed since the last log event, indexed by the state of their image on the machine:
+    /// cached, being fetched, absent.
     pub placements_by_image: [u64; 3],
     last_logged_at: MonotonicMillis,
 }
@@ -47,7 +48,7 @@
     }
 }
 
-/// CPUs of the tasks that machines report, by the tasks' state.
+/// Returns the CPUs of the tasks that machines report, by task state.
 fn cpus_by_state(
     machines: &BTreeMap<MachineId, Machine>,
     jobs: &JobTable,
@@ -68,7 +69,7 @@
 }
 
 impl Shard {
-    /// Logs the load and the counts of reconciliation, if it is time to.
+    /// Logs the load and the reconciliation counts once every `LOG_INTERVAL_MS`.
     pub(super) fn log_load(&mut self, context: &Context<'_>) {
         let now = context.effects.now;
         if now.since(self.load.last_logged_at) < LOG_INTERVAL_MS {
--- a/src/coordination/shard/machine.rs
+++ b/src/coordination/shard/machine.rs
@@ -1,4 +1,4 @@
-//! What a shard's leader knows of a machine.
+//! A machine as its shard's leader sees it.
 
 use crate::coordination::images::Images;
 use crate::coordination::placement::UNKNOWN_ZONE;
@@ -10,68 +10,73 @@
 use snowshelf_model::records::Resources;
 use snowshelf_reconciliation::decision_table::MachineDisposition;
 
-/// Why a machine is to be evicted from and scaled in.
+/// Why the tasks of a machine are evicted and the machine is then released.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum RetirementReason {
-    /// It is quarantined: tasks of several jobs fail on it.
-    Fault,
+    /// Tasks of several jobs fail on it, so that it is quarantined.
+    Quarantine,
     /// A maintenance window closes its pool.
-    Window,
+    MaintenanceWindow,
 }
 
-/// A heartbeat whose response waits for a start to be durable.
+/// A heartbeat whose response waits for starts that are not durable yet, or for a placement pass.
 #[derive(Clone, Copy)]
 pub(super) struct DeferredResponse {
     pub connection: ConnectionId,
     /// When the heartbeat was processed.
     pub since: MonotonicMillis,
-    /// When the response is sent at the latest.
+    /// The response is sent by this time.
     pub deadline: MonotonicMillis,
 }
 
 /// A machine of the shard.
 pub(super) struct Machine {
-    /// The name of its machine type.
+    /// Name of its machine type.
     pub model: String,
-    /// The index of its zone in the settings; [`UNKNOWN_ZONE`] if unknown.
+    /// Index of its zone in the settings, or [`UNKNOWN_ZONE`].
     pub zone: usize,
-    /// Its zone and type, once a heartbeat has named them.
+    /// Its zone and type; `None` until the first heartbeat.
     pub pool: Option<Pool>,
     pub spot: bool,
     pub incarnation: AgentIncarnation,
     pub sequence: HeartbeatSequence,
-    /// It has acknowledged this leader's fencing token: no earlier leader can command it any more.
+    /// The machine has acknowledged this leader's fencing token, so that no earlier leader can
+    /// command it.
     pub token_acknowledged: bool,
     pub last_heartbeat_at: MonotonicMillis,
-    /// Whether a heartbeat of it has reached this leader.
+    /// Whether this leader has received a heartbeat of the machine.
     pub heartbeat_received: bool,
-    /// Its started tasks are an earlier leader's, and it has not acknowledged this one's fencing token yet.
+    /// The machine has tasks that an earlier leader started, and has not acknowledged this leader's
+    /// fencing token yet.
     pub inherited: bool,
-    /// When the cloud takes it away, if it has announced that.
+    /// When the cloud takes the machine away, if it has given notice.
     pub interruption_at: Option<MonotonicMillis>,
-    /// The tasks that its newest heartbeat lists.
+    /// Tasks listed in its newest heartbeat.
     pub reported_tasks: Vec<TaskStatus>,
-    /// The newest heartbeat's response, if it is deferred.
+    /// The deferred response to its newest heartbeat, if any.
     pub deferred_response: Option<DeferredResponse>,
-    /// Since when nothing runs on it, as far as heartbeats say.
+    /// Since when its heartbeats have shown no task on it.
     pub idle_since: Option<MonotonicMillis>,
-    /// By the shard's image numbers.
+    /// Images on the machine, by their numbers in the shard.
     pub images: Images,
-    /// Jobs whose tasks failed here since a task last completed here.
+    /// Jobs whose tasks have failed here since a task last completed here, one entry per failure.
     pub failed_jobs: Vec<JobId>,
-    /// Whether it is being evicted from to be scaled in, and why.
+    /// Why its tasks are evicted so that it can be released, if they are.
     pub retirement: Option<RetirementReason>,
-    /// A drain has cordoned it: nothing starts here, and its tasks end or are evicted within the disruption budgets.
+    /// A drain has cordoned the machine: nothing starts here, and its tasks end or are evicted
+    /// within the disruption budgets.
     pub cordoned: bool,
     /// When `cordoned` last changed.
     pub cordon_changed_at: MonotonicMillis,
-    /// Its release to the cloud has been decided on.
+    /// Its release to the cloud has been decided.
     pub releasing: bool,
-    /// It had no room for a task that was started here: nothing is placed on it until then.
+    /// Nothing is placed here before this time: the machine had no room for a task that was started
+    /// on it.
     pub backoff_until: MonotonicMillis,
-    /// Resources of started and of reported tasks; valid unless `usage_dirty`.
+    /// Resources of started tasks and of orphaned tasks; valid unless `usage_dirty`.
     pub used: Resources,
-    /// Jobs of reported tasks that are not started here in the desired state, one entry per task.
+    /// Jobs of the reported tasks that are not started here in the desired state, one entry per
+    /// task.
     pub orphaned_tasks: Vec<JobId>,
     /// `used` and `orphaned_tasks` must be recomputed.
     pub usage_dirty: bool,
@@ -89,7 +94,7 @@
             && now.since(self.last_heartbeat_at) <= max_silence_ms
     }
 
-    /// What is to become of it, for a task that may take `grace_s` seconds to save a checkpoint.
+    /// Returns the disposition for a task that may take `grace_s` seconds to write a checkpoint.
     pub(super) fn disposition(
         &self,
         now: MonotonicMillis,
@@ -109,8 +114,8 @@
         }
     }
 
-    /// The same for a task that is started here in the desired state and absent from the newest heartbeat: it has not
-    /// begun, and does not on a cordoned machine.
+    /// Returns the disposition for a task that is started here in the desired state but absent from
+    /// the newest heartbeat. The task has not begun, and must not begin on a cordoned machine.
     pub(super) fn disposition_of_unstarted(
         &self,
         now: MonotonicMillis,
@@ -129,7 +134,7 @@
             .any(|t| t.state != TaskState::Exited)
     }
 
-    /// A machine of which nothing is known but its name.
+    /// Creates a machine of which only the name is known.
     pub(super) fn unknown(now: MonotonicMillis) -> Machine {
         Machine {
             model: String::new(),
--- a/src/coordination/shard/mod.rs
+++ b/src/coordination/shard/mod.rs
@@ -1,9 +1,10 @@
-//! The leader of one shard: its machines, its allocations of jobs, and every start on its machines.
+//! The leader of one shard: it tracks the shard's machines and its allocations of jobs, and decides
+//! every task start on those machines.
 //!
-//! [`Shard`] is an actor that routes: requests, responses and ticks go to the modules beside this one, each of which
-//! owns its part of the state. All that a leader writes is conditional on its fencing token, so that the late writes of
-//! a fenced leader fail. A command is sent only after the change it follows from is durable, and only in the response
-//! to a heartbeat.
+//! [`Shard`] is an actor that dispatches requests, responses and ticks to its submodules; each
+//! submodule owns part of the state. Every write is conditional on the leader's fencing token, so
+//! late writes of a fenced leader fail. A command is sent only once the change behind it is
+//! durable, and only in the response to a heartbeat.
 
 mod backfill;
 mod capacity;
@@ -53,58 +54,63 @@
 use std::rc::Rc;
 use work_stealing::WorkStealing;
 
-/// The time between two rounds of maintenance of machines and quota grants.
+/// Interval between maintenance rounds, which move quota grants, update cordons and scale in
+/// machines.
 const MAINTENANCE_INTERVAL_MS: u64 = 200;
-/// A placement pass runs at least this often, whether or not anything changed.
+/// Longest time between two placement passes, even if nothing changed.
 const MAX_PASS_INTERVAL_MS: u64 = 500;
-/// For so long after the shard was acquired, failed reads are not repeated.
+/// Failed reads are not retried within this time after the shard was acquired.
 const RETRY_READS_AFTER_MS: u64 = 1_000;
 
-/// What a shard's leader asks of the key-value store.
+/// A request of a shard leader to the key-value store.
 #[derive(Clone, Debug)]
 pub enum ShardRequest {
-    /// Writes changes of allocations.
+    /// Writes changed allocations.
     WriteAllocations,
-    /// Reads an allocation back whose write has no known outcome, or was in conflict.
+    /// Reads back an allocation whose write conflicted or has an unknown outcome.
     ReadAllocation {
-        /// The key to read.
+        /// Key of the allocation or of its job.
         key: String,
     },
-    /// Moves a team's quota grant.
+    /// Writes a changed quota grant of a team.
     RegrantQuota,
-    /// Reads a team's quota record back.
+    /// Reads back a team's quota record.
     ReadQuota {
-        /// The key to read.
+        /// Key of the quota record.
         key: String,
     },
-    /// Takes waiting tasks of a job over from another shard.
+    /// Moves waiting tasks of a job from another shard to this one.
     Steal {
-        /// The job whose tasks move.
+        /// Job whose tasks move.
         job: JobId,
-        /// The transaction, whose mutations go into the record cache once it is carried out.
+        /// The transaction; its mutations go into the record cache once it has been applied.
         swap: CompareAndSwap,
     },
     /// Charges evictions to a team's disruption budget.
     ChargeBudget,
 }
 
-/// The leader of a shard.
+/// The leader of a shard: an actor that holds the shard's lease and all in-memory state of the
+/// shard.
 pub struct Shard {
-    /// The shard's number.
+    /// Number of the shard.
     pub id: ShardId,
-    /// The fencing token that this leader holds.
+    /// Fencing token under which this leader acquired the shard.
     pub fencing_token: FencingToken,
-    /// Whether the state of the shard has been rebuilt from the records; until then only leases are renewed.
+    /// Whether the shard's state has been rebuilt from the records. Until then, the leader renews
+    /// worker leases and does nothing else.
     pub ready: bool,
-    /// Whether a later leader is known to hold a higher fencing token: this one must not act any more.
+    /// Whether a later leader is known to hold a higher fencing token. A fenced leader must not
+    /// act.
     pub fenced: bool,
-    /// When the shard was acquired.
+    /// Time at which the shard was acquired.
     pub acquired_at: MonotonicMillis,
     jobs: JobTable,
     machines: BTreeMap<MachineId, Machine>,
-    /// The newest heartbeat of each machine from before the shard was ready, and when it was received.
+    /// The newest heartbeat of each machine received before the shard was ready, and its arrival
+    /// time.
     early_heartbeats: BTreeMap<MachineId, (MonotonicMillis, Heartbeat)>,
-    /// What heartbeats have proved since the shard was acquired.
+    /// Counts of what heartbeats have shown since the shard was acquired.
     reconciliation: ReconciliationCounts,
     writes: WriteState,
     quotas: QuotaGrants,
@@ -119,7 +125,7 @@
 }
 
 impl Shard {
-    /// A leader that has just acquired the shard, and knows nothing of it yet.
+    /// Creates the leader of a shard that has just been acquired; its state is still to be rebuilt.
     pub fn new(shard_id: ShardId, fencing_token: FencingToken, now: MonotonicMillis) -> Shard {
         Shard {
             id: shard_id,
@@ -148,8 +154,8 @@
         KvRequest::Shard(self.id, self.fencing_token, request)
     }
 
-    /// Takes a response of the key-value store in. Responses to [`ShardRequest::ReadQuota`] concern the record cache
-    /// alone, and do not come here.
+    /// Handles a response of the key-value store. Responses to [`ShardRequest::ReadQuota`] only
+    /// update the record cache and are not passed to the shard.
     pub fn on_response(
         &mut self,
         request: ShardRequest,
@@ -176,18 +182,19 @@
         }
     }
 
-    /// Sets what the other shards offer to be stolen, as far as their leaders say.
+    /// Sets the jobs that other shards offer for work stealing, as reported by their leaders.
     pub fn set_foreign_offers(&mut self, offers: Rc<BTreeMap<(ShardId, JobId), StealOffer>>) {
         self.stealing.foreign_offers = offers;
     }
 
-    /// Sets how many ordinary and spot machines the other shards have, by pool.
+    /// Sets the numbers of on-demand and spot machines that other shards have in each pool.
     pub fn set_machines_elsewhere(&mut self, machines: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>) {
         self.reservations.machines_elsewhere = machines;
     }
 
-    /// Rebuilds the shard's state once the record cache has everything up to the fencing token: from then on no write
-    /// of an earlier leader can succeed, and those that did are in the cache.
+    /// Rebuilds the shard's state once the record cache has reached the revision of the fencing
+    /// token. From that revision on, writes of earlier leaders fail, and the cache holds all that
+    /// succeeded.
     fn activate(&mut self, context: &mut Context<'_>) {
         if self.ready
             || !context.records.loaded
@@ -217,7 +224,7 @@
         self.process_early_heartbeats(context);
     }
 
-    /// Takes the record cache's state of a job and of the shard's allocation of it over.
+    /// Refreshes a job, and the shard's allocation of it, from the record cache.
     pub fn refresh_job(&mut self, job: &JobId, context: &Context<'_>) {
         if !self.ready {
             return;
@@ -228,7 +235,8 @@
         for name in &machines {
             self.mark_usage_dirty(name);
         }
-        // A job that comes or goes changes what is known of orphaned tasks.
+        // A job that is added or removed changes the resources that orphaned tasks are known to
+        // use.
         let with_orphans = self.machines.values_mut();
         for m in with_orphans.filter(|m| !m.orphaned_tasks.is_empty()) {
             m.usage_dirty = true;
@@ -242,8 +250,8 @@
         }
     }
 
-    /// Applies a change to the desired state of a job; it becomes durable with a later write. Returns whether the
-    /// change applies.
+    /// Applies a change to the desired state of a job; a later write makes it durable. Returns
+    /// whether the change applies.
     fn apply_change(
         &mut self,
         now: MonotonicMillis,
@@ -270,13 +278,14 @@
         }
     }
 
-    /// The regular work. `lease_valid` says whether this leader's lease is known to hold, `others_short` names teams
-    /// for which other shards lack quota, `missing` machines that the cloud does not list.
+    /// Runs the periodic work. `lease_valid` tells whether this leader's lease is known to be
+    /// valid, `teams_short_elsewhere` names the teams for which other shards lack quota, and
+    /// `missing_machines` the machines that the cloud does not list.
     pub fn tick(
         &mut self,
         lease_valid: bool,
-        others_short: &BTreeSet<Team>,
-        missing: &BTreeSet<MachineId>,
+        teams_short_elsewhere: &BTreeSet<Team>,
+        missing_machines: &BTreeSet<MachineId>,
         context: &mut Context<'_>,
     ) {
         self.activate(context);
@@ -299,8 +308,8 @@
         self.steal(context);
         if now.since(self.last_maintenance_at) >= MAINTENANCE_INTERVAL_MS {
             self.last_maintenance_at = now;
-            self.regrant_quota(others_short, context);
-            self.scale_in_machines(missing, context);
+            self.regrant_quota(teams_short_elsewhere, context);
+            self.scale_in_machines(missing_machines, context);
         }
         self.log_load(context);
         if now.since(self.acquired_at) > RETRY_READS_AFTER_MS {
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -1,4 +1,4 @@
-//! How changes of allocations become durable: batched transactions, and what follows from their outcome.
+//! Makes changes of allocations durable: batches them into transactions and handles the outcomes.
 
 use super::job::{ShardJob, WritePriority};
 use super::{Shard, ShardRequest};
@@ -12,51 +12,52 @@
 
 /// How long starts are batched before they are written, so that several share a transaction.
 const STARTS_BATCH_MS: u64 = 60;
-/// How long ends of tasks are batched: nobody waits for them until the allocation's last one, and a start of the same
-/// allocation takes them along.
+/// How long ends of tasks are batched. Nothing waits for them before the allocation's last one, and
+/// a write for a start of the same allocation includes them.
 const ENDS_BATCH_MS: u64 = 2_000;
-/// After so long ends are written even if that keeps starts waiting.
+/// Ends that have waited this long are written even if starts have to wait for it.
 const ENDS_DEADLINE_MS: u64 = 15_000;
-/// Most bytes of a transaction's body.
+/// Maximum size of a transaction's body, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
-/// Bytes reserved for what a transaction holds beside its changes.
+/// Bytes reserved for the parts of a transaction other than its changes.
 const TRANSACTION_OVERHEAD_BYTES: usize = 200;
-/// Bytes reserved for what a transaction holds of each changed allocation beside its value.
+/// Bytes reserved for each changed allocation in addition to its value.
 const CHANGE_OVERHEAD_BYTES: usize = 400;
-/// How long a record is left alone of which a write without others was refused.
-pub(super) const REFUSED_BACKOFF_MS: u64 = 5_000;
-/// The time to the next attempt while the request budget is exhausted.
+/// Backoff of a record after the key-value store rejected a transaction that wrote it alone.
+pub(super) const REJECTED_BACKOFF_MS: u64 = 5_000;
+/// Retry delay while the request budget is exhausted.
 const BUDGET_RETRY_MS: u64 = 50;
-/// The time to the next attempt after a write that was not carried out; doubles with each further one.
+/// Retry delay after a write that was not applied; doubles with each further failure.
 const FAILURE_RETRY_MS: u64 = 150;
-/// The time to the next attempt doubles at most so many times.
+/// Maximum number of times that the retry delay doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// The writes of a shard's allocations.
+/// State of the writes of a shard's allocations.
 #[derive(Default)]
 pub(super) struct WriteState {
-    /// The transaction underway, allocation by allocation.
+    /// The writes of the transaction in flight.
     in_flight: Option<Vec<AllocationWrite>>,
-    /// Writes in a row that were not carried out.
+    /// Consecutive writes that were not applied.
     consecutive_failures: u32,
-    /// Nothing is written before then.
+    /// Nothing is written before this time.
     retry_at: MonotonicMillis,
-    /// So many of the next writes hold a single allocation, to isolate the one that the key-value store refuses.
+    /// How many of the next writes hold a single allocation, to isolate the one that the key-value
+    /// store rejects.
     isolated_writes_left: usize,
 }
 
 /// A write of one allocation.
 struct AllocationWrite {
     job: JobId,
-    /// The newest change that it holds.
+    /// Number of the newest change that the write includes.
     last_change_id: u64,
     /// The allocation's new value; `None` if it is deleted.
     allocation: Option<Value>,
-    /// The job's new value, if it changes.
+    /// The new value of the job's record, if the write changes it.
     record: Option<Value>,
 }
 
-/// An allocation that is due to be written; the least goes first.
+/// An allocation that is due to be written. Sorts in the order of writing.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueWrite {
     priority: WritePriority,
@@ -66,7 +67,7 @@
 }
 
 impl DueWrite {
-    /// The priority that a transaction has which begins with this write.
+    /// Returns the priority of a transaction that begins with this write.
     fn request_priority(&self, now: MonotonicMillis) -> RequestPriority {
         match self.priority {
             WritePriority::Settle => RequestPriority::TaskEnds,
@@ -79,7 +80,7 @@
     }
 }
 
-/// A transaction being put together.
+/// A transaction being assembled.
 struct Batch {
     swap: CompareAndSwap,
     writes: Vec<AllocationWrite>,
@@ -87,7 +88,8 @@
 }
 
 impl Batch {
-    /// Adds the write of an allocation. Returns `false` if there is no space left for it.
+    /// Adds the write of an allocation. Returns `false` if the transaction has no space left for
+    /// it.
     fn add(&mut self, key: String, job: &ShardJob, write: AllocationWrite) -> bool {
         let mutation = match &write.allocation {
             None => Mutation::Delete { key: key.clone() },
@@ -107,7 +109,7 @@
                 .compare(job_key.clone(), job.record_version)
                 .mutate(Mutation::put(job_key, value));
         } else if job.has_pending_start() {
-            // A cancellation changes the job's key, so it wins over a start underway.
+            // A cancellation changes the job's key, so it wins over a start in flight.
             swap = swap.compare(job_key, job.record_version);
         }
         self.swap = swap;
@@ -128,11 +130,11 @@
             return;
         };
         let priority = first.request_priority(now);
-        // A transaction beyond the budget would wait until the token bucket is full, and keep everything after it
-        // waiting.
+        // A transaction larger than the budget would wait until the token bucket is full, and
+        // everything after it would wait too.
         let max_ops = context.storage_limits.txn_ops;
         let max_ops = context.kv.write_budget(now, priority).min(max_ops);
-        let batch = self.batch(&due, max_ops, context);
+        let batch = self.build_batch(&due, max_ops, context);
         let ops = batch.swap.mutations.len();
         if batch.writes.is_empty() || !context.kv.has_budget(now, priority, ops) {
             self.writes.retry_at = now.plus(BUDGET_RETRY_MS);
@@ -150,7 +152,8 @@
         self.writes.in_flight = Some(batch.writes);
     }
 
-    /// The allocations whose changes have been batched for long enough, in the order of writing.
+    /// Returns the allocations whose changes have been batched for long enough, in the order of
+    /// writing.
     fn due_writes(&self, now: MonotonicMillis) -> Vec<DueWrite> {
         let ready = self
             .jobs
@@ -177,8 +180,8 @@
         due
     }
 
-    /// Puts a transaction of at most `max_ops` operations together.
-    fn batch(&mut self, due: &[DueWrite], max_ops: usize, context: &Context<'_>) -> Batch {
+    /// Assembles a transaction of at most `max_ops` operations.
+    fn build_batch(&mut self, due: &[DueWrite], max_ops: usize, context: &Context<'_>) -> Batch {
         let fencing = Version(self.fencing_token.0);
         let mut batch = Batch {
             swap: CompareAndSwap::default().compare(shard_key(self.id), fencing),
@@ -189,7 +192,7 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let ops = if job.is_over_here() { 2 } else { 1 };
+            let ops = if job.is_finished_here() { 2 } else { 1 };
             if batch.swap.mutations.len() + ops > max_ops {
                 break;
             }
@@ -207,15 +210,16 @@
         batch
     }
 
-    /// The write of an allocation; `None` if it is too large. Then it is written once enough of its tasks have ended:
-    /// until then their machines repeat the ends, and nothing more of it is started.
+    /// Returns the write of an allocation; `None` if its value is too large. It is written once
+    /// enough of its tasks have ended. Until then, machines repeat the ends in their heartbeats,
+    /// and no further task of the allocation starts.
     fn allocation_write(
         &self,
         id: &JobId,
         job: &ShardJob,
         context: &Context<'_>,
     ) -> Option<AllocationWrite> {
-        let (allocation, record) = if job.is_over_here() {
+        let (allocation, record) = if job.is_finished_here() {
             let wall = WallClockMillis(context.effects.wall_ms);
             let format = context.storage_limits.format;
             let record = job.record.without_shard(self.id, wall, format);
@@ -232,7 +236,7 @@
         })
     }
 
-    /// Takes the outcome of a transaction over.
+    /// Handles the outcome of a transaction.
     pub(super) fn on_write_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some(writes) = self.writes.in_flight.take() else {
@@ -261,7 +265,7 @@
                 self.writes.retry_at = context.effects.retry_at(FAILURE_RETRY_MS, doublings);
                 self.writes.consecutive_failures += 1;
             }
-            SwapOutcome::Rejected => self.on_write_refused(&writes, now),
+            SwapOutcome::Rejected => self.on_write_rejected(&writes, now),
             SwapOutcome::Unknown => self.on_write_unknown(writes, context),
         }
         self.send_deferred_responses(context);
@@ -296,14 +300,15 @@
         self.placement.dirty = true;
     }
 
-    /// Guards against the same refused write again and again, and against all others of the shard waiting behind it.
-    fn on_write_refused(&mut self, writes: &[AllocationWrite], now: MonotonicMillis) {
+    /// Backs off after a rejected transaction. Without it, the same transaction would be sent again
+    /// and again, and all other writes of the shard would wait behind it.
+    fn on_write_rejected(&mut self, writes: &[AllocationWrite], now: MonotonicMillis) {
         self.writes.retry_at = now.plus(FAILURE_RETRY_MS);
         match writes {
             [only] => {
                 tracing::info!(job = %only.job, shard = %self.id, "allocation write rejected");
                 if let Some(job) = self.jobs.get_mut(&only.job) {
-                    job.write_backoff_until = now.plus(REFUSED_BACKOFF_MS);
+                    job.write_backoff_until = now.plus(REJECTED_BACKOFF_MS);
                 }
             }
             several => self.writes.isolated_writes_left = 2 * several.len(),
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -1,4 +1,4 @@
-//! Placement passes over the shard's waiting jobs and open machines.
+//! Placement passes over the shard's waiting jobs and the machines that accept tasks.
 
 use super::Shard;
 use super::capacity::CapacityIndex;
@@ -15,18 +15,18 @@
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, Grant, JobSpec, Resources};
 use std::collections::{BTreeMap, HashMap};
 
-/// The least time between two passes: heartbeats that come in between share one.
+/// Minimum time between two passes; heartbeats that arrive in between share one.
 const PASS_INTERVAL_MS: u64 = 50;
-/// Stands for memory, which no quota limits.
-pub(super) const UNLIMITED: f64 = f64::MAX / 4.0;
+/// Stands for an unlimited amount of memory, since quotas do not limit memory.
+pub(super) const UNLIMITED_MEMORY: f64 = f64::MAX / 4.0;
 
-/// When placement ran and what came of it.
+/// When placement last ran, and its results.
 pub(super) struct PlacementState {
-    /// Something changed that placement may use.
+    /// Something has changed that may allow further placements.
     pub dirty: bool,
     pub last_pass_at: MonotonicMillis,
     pub offers_updated_at: MonotonicMillis,
-    /// What waits matched with the machines, as of the last pass.
+    /// The match of waiting jobs and machines as of the last pass.
     pub demand: DemandMatch,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// What a pass has used of the machines and of the teams' grants so far.
+/// A placement pass: what it has used of machines and quota grants so far.
 pub(super) struct PlacementPass {
     pub capacity_index: CapacityIndex,
-    /// Machines reserved for backfill, and for which job.
-    pub backfill: BTreeMap<MachineId, JobId>,
-    /// The length of the longest machine name.
+    /// Machines reserved for backfill, each with its job.
+    pub backfill_machines: BTreeMap<MachineId, JobId>,
+    /// Length of the longest machine name.
     max_name_len: usize,
     weights: Resources,
     pub used: HashMap<Team, Grant>,
@@ -55,7 +55,7 @@
 
 /// The machines chosen for tasks of a job.
 struct Selection {
-    /// What one task needs.
+    /// Resources of one task.
     resources: Resources,
     team: Team,
     image_id: u32,
@@ -63,19 +63,19 @@
 }
 
 struct SelectedMachine {
-    /// Its place in the capacity index.
-    at: usize,
+    /// Index into the entries of the capacity index.
+    entry_index: usize,
     image: ImageState,
     tasks: u32,
 }
 
 impl Shard {
-    /// One placement pass over the waiting jobs, if it is due.
+    /// Runs a placement pass over the waiting jobs if one is due.
     pub(super) fn place(&mut self, context: &mut Context<'_>) {
         let now = context.now();
-        let due =
+        let is_due =
             self.placement.dirty && now.since(self.placement.last_pass_at) >= PASS_INTERVAL_MS;
-        if !due || !self.ready || self.fenced {
+        if !is_due || !self.ready || self.fenced {
             return;
         }
         self.placement.last_pass_at = now;
@@ -85,8 +85,8 @@
         self.quotas.shortfalls.clear();
         let queue = self.queue_order(now, context);
         self.reserve_for_backfill(&queue, &mut pass, context);
-        for equals in queue.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
-            self.place_equals(equals, &mut pass, context);
+        for same_rank in queue.chunk_by(|a, b| (a.rank.0, a.rank.1) == (b.rank.0, b.rank.1)) {
+            self.place_same_rank(same_rank, &mut pass, context);
         }
         self.placement.dirty = false;
         self.find_preemptible(context);
@@ -112,7 +112,7 @@
         let name_lens = machines.map(|e| e.machine.name.as_str().len());
         PlacementPass {
             max_name_len: name_lens.max().unwrap_or(0),
-            backfill: BTreeMap::new(),
+            backfill_machines: BTreeMap::new(),
             capacity_index,
             weights,
             used: self.used_quota(),
@@ -120,23 +120,24 @@
         }
     }
 
-    /// Places jobs of the same rank. Fetching an image often takes longer than the task: jobs that can still wait
-    /// leave machines without their image to those that need no fetch there, and come again afterwards.
-    fn place_equals(
+    /// Places jobs of the same rank. Fetching an image often takes longer than running the task.
+    /// Jobs that can still wait are therefore first placed only where their image is present, and
+    /// get the remaining machines after the other jobs.
+    fn place_same_rank(
         &mut self,
-        equals: &[QueuedJob],
+        same_rank: &[QueuedJob],
         pass: &mut PlacementPass,
         context: &Context<'_>,
     ) {
-        for queued in equals {
-            let scope = if queued.patient {
+        for queued in same_rank {
+            let scope = if queued.can_wait_for_image {
                 PlacementScope::WithImage
             } else {
                 PlacementScope::Anywhere
             };
             self.place_job(queued, &scope, pass, context);
         }
-        for queued in equals.iter().filter(|q| q.patient) {
+        for queued in same_rank.iter().filter(|q| q.can_wait_for_image) {
             self.place_job(queued, &PlacementScope::Anywhere, pass, context);
         }
     }
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Chooses machines for a job's waiting tasks; `None` if no machine may take any.
+    /// Chooses machines for a job's waiting tasks; `None` if no machine can take any of them.
     fn select_machines(
         &self,
         queued: &QueuedJob,
@@ -202,7 +203,8 @@
         }
         let (entries, candidates) = request.candidates(&allowed, pass, context);
         if candidates.is_empty() {
-            // The job may be barred from machines that are open to others.
+            // A job barred from machines where its tasks failed says nothing about other jobs of
+            // this shape.
             if job.failed_on.is_empty() && !request.on_reserved_machine() {
                 pass.unplaceable.insert(shape);
             }
@@ -213,7 +215,7 @@
         let chosen =
             placement::choose_machines(spec.resources, wanted, &candidates, weights, &mut zones);
         let machines = chosen.into_iter().map(|(i, tasks)| SelectedMachine {
-            at: entries[i],
+            entry_index: entries[i],
             image: candidates[i].image,
             tasks,
         });
@@ -225,7 +227,8 @@
         })
     }
 
-    /// The classes whose machines a job may use. Where zones matter, they must be known.
+    /// Returns the classes whose machines a job may use. If the job has zone constraints, machines
+    /// of unknown zone are excluded.
     fn allowed_classes(
         &self,
         spec: &JobSpec,
@@ -239,7 +242,8 @@
         })
     }
 
-    /// The rule for the zones of a job's tasks, with those that are on machines already.
+    /// Returns the zone constraints of a job's tasks, taking into account the tasks that are on
+    /// machines already.
     fn zone_rule(&self, job: &ShardJob, spec: &JobSpec) -> ZoneRule {
         let mut zones = ZoneRule {
             gang: spec.gang,
@@ -255,8 +259,9 @@
         zones
     }
 
-    /// Cuts a selection down to what the team's grant covers. What would fit beyond that is asked for; a grant without
-    /// free machines would only be moved to and fro.
+    /// Reduces a selection to what the team's grant covers, and records the rest as shortfall. Only
+    /// tasks that a machine has room for count as shortfall: a grant without free machines would be
+    /// moved back and forth between shards.
     fn limit_to_grant(
         &mut self,
         selection: &mut Selection,
@@ -269,7 +274,7 @@
         let headroom = Resources {
             cpus: granted.cpus - used.cpus,
             gpus: granted.gpus - used.gpus,
-            mem: UNLIMITED,
+            mem: UNLIMITED_MEMORY,
         };
         let covered = Resources { mem: 0.0, ..task }.count_in(headroom);
         let selected: u32 = selection.machines.iter().map(|m| m.tasks).sum();
@@ -303,7 +308,7 @@
         let used = pass.used.entry(selection.team).or_default();
         for machine in selection.machines.into_iter().filter(|m| m.tasks > 0) {
             self.load.placements_by_image[machine.image as usize] += u64::from(machine.tasks);
-            let name = pass.capacity_index.entries()[machine.at]
+            let name = pass.capacity_index.entries()[machine.entry_index]
                 .machine
                 .name
                 .clone();
@@ -322,7 +327,7 @@
                     break;
                 }
                 pass.capacity_index
-                    .allocate(machine.at, selection.resources);
+                    .allocate(machine.entry_index, selection.resources);
                 used.add(Grant::from(selection.resources));
             }
             let Some(m) = self.machines.get_mut(&name) else {
@@ -331,7 +336,7 @@
             m.idle_since = None;
             if !m.images.has(selection.image_id) {
                 m.images.coming.insert(selection.image_id);
-                let indexed = pass.capacity_index.machine_mut(machine.at);
+                let indexed = pass.capacity_index.machine_mut(machine.entry_index);
                 indexed.images.coming.insert(selection.image_id);
                 pass.unplaceable.image_fetched(selection.image_id);
             }
--- a/src/coordination/shard/placement_request.rs
+++ b/src/coordination/shard/placement_request.rs
@@ -10,21 +10,22 @@
 use snowshelf_model::ids::MachineId;
 use snowshelf_model::records::JobSpec;
 
-/// After so many failures in a row with nothing completed, a job's tasks are tried one at a time.
+/// After this many consecutive failures without a completed task, a job's tasks are tried one at a
+/// time.
 const FAILURES_BEFORE_SINGLE_TASKS: u32 = 2;
 
 /// Where a job's tasks may be placed.
 #[derive(Clone, PartialEq)]
 pub(super) enum PlacementScope {
-    /// On any machine that is not reserved for others.
+    /// On any machine that is not reserved for another job.
     Anywhere,
-    /// Only where its image is or is being fetched.
+    /// Only on machines that have the job's image or are fetching it.
     WithImage,
-    /// On the machine that is reserved for it.
+    /// On the machine that is reserved for the job.
     On(MachineId),
 }
 
-/// A job to be placed.
+/// A job to be placed, and where.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest<'a> {
     pub queued: &'a QueuedJob,
@@ -34,17 +35,17 @@
 }
 
 impl PlacementRequest<'_> {
-    /// Whether only machines count that have the job's image, or are fetching it.
+    /// Whether the job may only use machines that have its image or are fetching it.
     pub(super) fn only_with_image(&self) -> bool {
         *self.scope == PlacementScope::WithImage
     }
 
-    /// Whether the job is placed on the machine that is reserved for it.
+    /// Whether the job may only use the machine that is reserved for it.
     pub(super) fn on_reserved_machine(&self) -> bool {
         matches!(self.scope, PlacementScope::On(_))
     }
 
-    /// How many tasks may be started at once.
+    /// Returns how many tasks may be started now.
     pub(super) fn wanted_tasks(&self) -> u32 {
         let waiting = self.job.desired.waiting.len();
         if self.job.consecutive_failures >= FAILURES_BEFORE_SINGLE_TASKS
@@ -56,19 +57,19 @@
         }
     }
 
-    /// Whether a machine may be used, as far as backfill reservations go.
+    /// Whether backfill reservations allow the job to use a machine.
     fn may_use(&self, name: &MachineId, pass: &PlacementPass) -> bool {
         match self.scope {
             PlacementScope::On(machine) => machine == name,
             PlacementScope::Anywhere | PlacementScope::WithImage => {
-                let reserved_for = pass.backfill.get(name);
+                let reserved_for = pass.backfill_machines.get(name);
                 reserved_for.is_none_or(|job| *job == self.queued.job)
             }
         }
     }
 
-    /// The machines with free resources for a task that may take one now: their places in the index, and what
-    /// placement weighs of them.
+    /// Returns the machines that could take a task now, as indexes into the capacity index and as
+    /// the matching placement candidates.
     pub(super) fn candidates(
         &self,
         allowed: &AllowedClasses,
@@ -77,11 +78,11 @@
     ) -> (Vec<usize>, Vec<MachineCandidate>) {
         let mut fitting = pass.capacity_index.fitting(self.spec.resources, allowed);
         let mut candidates = Vec::with_capacity(fitting.len());
-        fitting.retain(|at| {
-            if !self.may_use(&pass.capacity_index.entries()[*at].machine.name, pass) {
+        fitting.retain(|index| {
+            if !self.may_use(&pass.capacity_index.entries()[*index].machine.name, pass) {
                 return false;
             }
-            let candidate = candidate(*self, *at, pass, context);
+            let candidate = candidate(*self, *index, pass, context);
             let without_image = self.only_with_image() && candidate.image == ImageState::Absent;
             let usable = candidate.max_tasks > 0 && !without_image;
             if usable {
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -1,5 +1,5 @@
-//! What is stopped for the calendar: tasks that have overrun their estimates on reserved machines, and all tasks of pools
-//! that a maintenance window closes.
+//! Preemption for the calendar: stops tasks that have overrun their estimates on reserved machines,
+//! and all tasks in pools that a maintenance window closes.
 
 use super::Shard;
 use super::machine::RetirementReason;
@@ -8,11 +8,11 @@
 use snowshelf_model::ids::{JobId, MachineId, Team, WallClockMillis, seconds_to_ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longer than a worker takes to receive a command and to confirm that it was carried out, beside two heartbeat
-/// intervals.
+/// Upper bound of the time that a worker takes to receive a command and confirm its execution, in
+/// addition to two heartbeat intervals.
 const COMMAND_LATENCY_MS: u64 = 1_000;
 
-/// What waits for the capacity reserved for a team.
+/// What a team with reserved capacity waits for.
 #[derive(Default)]
 struct ReservedDemand<'a> {
     /// CPUs of waiting tasks for which nothing is preempted yet.
@@ -21,10 +21,11 @@
 }
 
 impl Shard {
-    /// Finds the tasks of other teams that have overrun their estimates on machines reserved now, and that may be
-    /// preempted for jobs of the reservation's team which wait here: to give these their team's quota, where theirs is
-    /// not concerned, or for their priority. As many as the waiting tasks need, and none where only the team's quota
-    /// keeps these waiting.
+    /// Finds the tasks to preempt on machines that are reserved now: tasks of other teams that have
+    /// overrun their estimates. They are preempted for waiting jobs of the reservation's team that
+    /// have a higher priority, or that are within their team's quota while the preempted job is
+    /// not. At most as many are preempted as the waiting tasks need, and none if only quota keeps
+    /// these waiting.
     pub(super) fn find_preemptible(&mut self, context: &Context<'_>) {
         self.reservations.preemptible.clear();
         let mut demand = self.reserved_demand(context);
@@ -35,7 +36,7 @@
         let priority = |id: &JobId| self.jobs.get(id)?.spec().map(|s| s.priority);
         let mut preemptible: BTreeMap<MachineId, BTreeSet<JobId>> = BTreeMap::new();
         let reserved = self.reservations.by_machine.iter();
-        for (name, reservation) in reserved.filter(|(_, r)| r.is_open(context)) {
+        for (name, reservation) in reserved.filter(|(_, r)| r.is_active(context)) {
             let Some(demand) = demand.get_mut(&reservation.team) else {
                 continue;
             };
@@ -44,11 +45,11 @@
                 let Some(spec) = spec.filter(|_| demand.cpus > 0.0) else {
                     continue;
                 };
-                let yields = demand.jobs.iter().any(|waiting| {
+                let is_preemptible = demand.jobs.iter().any(|waiting| {
                     let for_quota = within_quota.contains(*waiting) && !within_quota.contains(id);
                     for_quota || priority(waiting) > Some(spec.priority)
                 });
-                if yields {
+                if is_preemptible {
                     let tasks = job
                         .desired
                         .started
@@ -65,11 +66,12 @@
         self.reservations.preemptible = preemptible;
     }
 
-    /// What waits here, by team, of teams that have machines reserved now and do not lack quota.
+    /// Returns the waiting demand of each team that has machines reserved now and does not lack
+    /// quota.
     fn reserved_demand(&self, context: &Context<'_>) -> BTreeMap<&Team, ReservedDemand<'_>> {
         let mut demand: BTreeMap<&Team, ReservedDemand<'_>> = BTreeMap::new();
         let reserved = self.reservations.by_machine.values();
-        for reservation in reserved.filter(|r| r.is_open(context)) {
+        for reservation in reserved.filter(|r| r.is_active(context)) {
             if !self.quotas.shortfalls.contains_key(&reservation.team) {
                 demand.entry(&reservation.team).or_default();
             }
@@ -94,8 +96,8 @@
         jobs.is_some_and(|jobs| jobs.contains(job))
     }
 
-    /// Begins to evict from machines whose pool closes as soon as a task, with its checkpoint, can just be stopped in
-    /// time. They are released once nothing is on them.
+    /// Starts evicting from the machines of a closing pool, just early enough for every task to
+    /// write a checkpoint and stop in time. The machines are released once they are empty.
     pub(super) fn drain_closing_pools(&mut self, context: &Context<'_>) {
         if context.guard.closings.is_empty() {
             return;
@@ -115,7 +117,7 @@
             if let Some(closing) = context.guard.empties(pool, now, lead_ms) {
                 tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
                     "machine cordoned: maintenance window");
-                m.retirement = Some(RetirementReason::Window);
+                m.retirement = Some(RetirementReason::MaintenanceWindow);
                 self.placement.dirty = true;
             }
         }
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -1,7 +1,7 @@
-//! The order in which a shard's waiting jobs are served.
+//! The order in which a shard's waiting jobs are placed.
 
 use super::Shard;
-use super::placement::UNLIMITED;
+use super::placement::UNLIMITED_MEMORY;
 use crate::coordination::context::Context;
 use crate::coordination::placement;
 use snowshelf_fair_share::shortage::Shortage;
@@ -12,48 +12,50 @@
 
 /// A waiting job in the queue.
 pub(super) struct QueuedJob {
-    /// Outside of its team's quota; priority; objectives missed: the least goes first.
+    /// Whether it is outside its team's quota, its priority, and its missed objectives. The lowest
+    /// rank goes first.
     pub rank: (bool, Reverse<Priority>, usize),
-    /// When its tasks should start at the latest.
-    pub due: WallClockMillis,
-    /// Since when it waits for machines, and for nothing else.
-    pub since: WallClockMillis,
+    /// Latest time at which its tasks should start.
+    pub latest_start: WallClockMillis,
+    /// Since when it has waited for machines and for nothing else.
+    pub ready_since: WallClockMillis,
     pub job: JobId,
     /// Whether it can wait for machines that have its image.
-    pub patient: bool,
-    /// Whether every second counts: it is within its team's quota, or other jobs depend on it.
+    pub can_wait_for_image: bool,
+    /// Whether start delays count in choosing machines: the job is within its team's quota, or it
+    /// or a job that depends on it has a deadline.
     pub urgent: bool,
 }
 
-/// A waiting job, before its place among the others is known.
+/// A waiting job before its place in the queue is computed.
 struct WaitingJob<'a> {
     id: &'a JobId,
     spec: &'a JobSpec,
-    since: WallClockMillis,
+    ready_since: WallClockMillis,
     age_s: f64,
     missed_objectives: usize,
     patience_s: f64,
     /// CPU seconds of all its tasks.
-    work: f64,
+    work_cpu_s: f64,
 }
 
 impl<'a> WaitingJob<'a> {
     fn new(id: &'a JobId, record: &JobRecord, spec: &'a JobSpec, context: &Context<'_>) -> Self {
         let objectives = &context.config.settings.deployment.objectives;
-        // Objectives on starting and finishing count from when the last dependency was done, the deadline from the
-        // submission.
-        let since = context.dependency_graph.ready_since(id, record);
-        let age_s = context.effects.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
+        // Objectives on waiting and finishing count from the end of the last dependency, deadlines
+        // from the submission.
+        let ready_since = context.dependency_graph.ready_since(id, record);
+        let age_s = context.effects.wall_ms.saturating_sub(ready_since.0) as f64 / 1000.0;
         let blocked_s = context.dependency_graph.blocked_s(id, record);
         let estimate_s = placement::estimate(spec, context.config.ops.default_run_s);
         WaitingJob {
             id,
             spec,
-            since,
+            ready_since,
             age_s,
             missed_objectives: placement::missed_objectives(spec, objectives, age_s, blocked_s),
             patience_s: placement::patience_s(spec, objectives, blocked_s),
-            work: f64::from(spec.tasks) * spec.resources.cpus * estimate_s,
+            work_cpu_s: f64::from(spec.tasks) * spec.resources.cpus * estimate_s,
         }
     }
 
@@ -64,8 +66,8 @@
         context: &Context<'_>,
     ) -> QueuedJob {
         let urgency = context.dependency_graph.urgency(self.id, self.spec);
-        let slack = shortage.slack(&self.spec.class, self.work);
-        let due = WallClockMillis(self.since.0 + seconds_to_ms(slack * self.patience_s));
+        let slack = shortage.slack(&self.spec.class, self.work_cpu_s);
+        let due = WallClockMillis(self.ready_since.0 + seconds_to_ms(slack * self.patience_s));
         let within_quota = within_quota.contains(self.id);
         let image_patience_s = context.config.ops.image_patience * self.patience_s;
         QueuedJob {
@@ -74,19 +76,19 @@
                 Reverse(urgency.priority),
                 self.missed_objectives,
             ),
-            due: urgency
+            latest_start: urgency
                 .latest_start
                 .map_or(due, |latest_start| due.min(latest_start)),
-            since: self.since,
+            ready_since: self.ready_since,
             job: self.id.clone(),
             urgent: within_quota || urgency.latest_start.is_some(),
-            patient: self.missed_objectives > 0 || self.age_s < image_patience_s,
+            can_wait_for_image: self.missed_objectives > 0 || self.age_s < image_patience_s,
         }
     }
 }
 
 impl Shard {
-    /// The waiting jobs in the order in which they are served.
+    /// Returns the waiting jobs in the order in which they are placed.
     pub(super) fn queue_order(
         &self,
         now: MonotonicMillis,
@@ -101,18 +103,21 @@
             .filter_map(|(id, j)| Some(WaitingJob::new(id, &j.record, j.spec()?, context)))
             .collect();
         for job in &waiting {
-            shortage.add_job(&job.spec.class, job.missed_objectives > 0, job.work);
+            shortage.add_job(&job.spec.class, job.missed_objectives > 0, job.work_cpu_s);
         }
         let mut queue: Vec<QueuedJob> = waiting
             .into_iter()
             .map(|job| job.queued(&within_quota, &shortage, context))
             .collect();
-        queue.sort_by(|a, b| (a.rank, a.due, &a.job).cmp(&(b.rank, b.due, &b.job)));
+        queue.sort_by(|a, b| {
+            (a.rank, a.latest_start, &a.job).cmp(&(b.rank, b.latest_start, &b.job))
+        });
         queue
     }
 }
 
-/// The jobs that fit into their team's quota together with the team's earlier unfinished ones.
+/// Returns the jobs that fit into their team's quota together with all unfinished jobs that the
+/// team submitted earlier.
 pub(super) fn jobs_within_quota(context: &Context<'_>) -> HashSet<JobId> {
     let jobs = context.records.jobs.iter();
     let open = jobs.filter(|(id, r)| {
@@ -128,7 +133,7 @@
             let quota = Resources {
                 cpus: t.cpus,
                 gpus: t.gpus,
-                mem: UNLIMITED,
+                mem: UNLIMITED_MEMORY,
             };
             (t.name.as_str(), quota)
         })
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -1,6 +1,7 @@
-//! The shard's grants of the teams' quotas: asked for, given up, and never overdrawn.
+//! The shard's grants of the teams' quotas: requesting more, giving up the surplus, and never using
+//! more than is granted.
 
-use super::persistence::REFUSED_BACKOFF_MS;
+use super::persistence::REJECTED_BACKOFF_MS;
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
 use crate::settings::TeamLimits;
@@ -11,49 +12,51 @@
 use snowshelf_model::records::{Grant, JobState, QuotaRecord, quota_key, shard_key};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The least time between two moves of a team's grant by one shard: every move is a write.
+/// Minimum time between two moves of a team's grant by one shard, since every move is a write.
 const REGRANT_INTERVAL_MS: u64 = 1_000;
-/// In so many steps a shard's even share of a team's quota is granted.
+/// A shard's even share of a team's quota is granted in this many steps.
 const STEPS_PER_EVEN_SHARE: f64 = 40.0;
-/// Grants that differ by less are equal.
-const MIN_MOVE: f64 = 0.5;
-/// The time to the next move after a conflict.
+/// Smallest change of a grant that is worth a write.
+const MIN_GRANT_CHANGE: f64 = 0.5;
+/// Delay of the next move after a conflict.
 const CONFLICT_RETRY_MS: u64 = 100;
-/// The time to the next move after a failed write, or one without a known outcome.
+/// Delay of the next move after a failed write or one with an unknown outcome.
 const FAILURE_RETRY_MS: u64 = 500;
-/// How long a read may take.
+/// Timeout of a read.
 const READ_TIMEOUT_MS: u64 = 1_500;
 
 /// The shard's grants of the teams' quotas.
 #[derive(Default)]
 pub(super) struct QuotaGrants {
     by_team: HashMap<Team, QuotaState>,
-    /// A write underway: the team's record as it would be.
+    /// The write in flight: the team and the new value of its record.
     in_flight: Option<(Team, QuotaRecord)>,
     /// What the last placement pass lacked, by team.
     pub shortfalls: BTreeMap<Team, QuotaShortfall>,
 }
 
-/// What is known of a team's grant beside its record.
+/// What is known of a team's grant in addition to its record.
 #[derive(Default)]
 struct QuotaState {
-    /// A lowered grant that a write may have made durable.
+    /// Upper bound of the grant while a write that lowers it has not been settled: it may have
+    /// become durable.
     ceiling: Option<Grant>,
     retry_at: MonotonicMillis,
 }
 
-/// A move of a team's grant.
+/// A change of a team's grant.
 struct Regrant {
     version: Version,
     record: QuotaRecord,
-    /// What the shard is granted by it.
+    /// The shard's grant after the change.
     granted: Grant,
-    /// Whether the shard gives something up, or may have done so by an earlier write.
+    /// Whether the change lowers the shard's grant, or an unsettled earlier write may have done so.
     lowers: bool,
 }
 
 impl Shard {
-    /// What the teams use here, as far as it is not proven to be gone.
+    /// Returns the usage of each team in this shard, including tasks that are not proven to be
+    /// gone.
     pub(super) fn used_quota(&mut self) -> HashMap<Team, Grant> {
         self.refresh_usage();
         let mut used: HashMap<Team, Grant> = HashMap::new();
@@ -72,21 +75,22 @@
         used
     }
 
-    /// What the shard may use of a team's quota.
+    /// Returns what the shard may use of a team's quota.
     pub(super) fn granted(&self, team: &Team, context: &Context<'_>) -> Grant {
         let record = context.records.quotas.get(team);
         let durable = record.and_then(|q| q.value.grants.get(&self.id).copied());
         let durable = durable.unwrap_or_default();
         match self.quotas.by_team.get(team).and_then(|q| q.ceiling) {
-            Some(ceiling) => lesser(durable, ceiling),
+            Some(ceiling) => componentwise_min(durable, ceiling),
             None => durable,
         }
     }
 
-    /// Moves the grant of one team, if any is due. `others_short` names teams for which other shards lack quota.
+    /// Moves the grant of at most one team. `teams_short_elsewhere` names the teams for which other
+    /// shards lack quota.
     pub(super) fn regrant_quota(
         &mut self,
-        others_short: &BTreeSet<Team>,
+        teams_short_elsewhere: &BTreeSet<Team>,
         context: &mut Context<'_>,
     ) {
         let now = context.now();
@@ -101,7 +105,7 @@
                 continue;
             }
             let used = used.get(&team).copied().unwrap_or_default();
-            let contended = others_short.contains(&team);
+            let contended = teams_short_elsewhere.contains(&team);
             let demand = self.demand(&team, settings, used, contended, context);
             let Some(regrant) = self.regrant(&team, &demand, context) else {
                 continue;
@@ -113,7 +117,7 @@
         }
     }
 
-    /// What the shard asks for of a team's quota.
+    /// Returns the shard's demand of a team's quota.
     fn demand(
         &self,
         team: &Team,
@@ -148,7 +152,7 @@
         }
     }
 
-    /// The move of a team's grant that the demand calls for; `None` if the grant stays.
+    /// Returns the change of a team's grant that the demand calls for; `None` if the grant stays.
     fn regrant(&self, team: &Team, demand: &ShardDemand, context: &Context<'_>) -> Option<Regrant> {
         let (version, record) = match context.records.quotas.get(team) {
             Some(stored) => (stored.version, (*stored.value).clone()),
@@ -159,13 +163,13 @@
         let outcome_unknown = state.is_some_and(|q| q.ceiling.is_some());
         let next = regrant_fairly(&record, demand);
         let granted = next.grants.get(&self.id).copied().unwrap_or_default();
-        // What a shard lacks is never too little to be asked for; what it gives up may be.
-        let is_near = |granted: f64, durable: f64, step: f64| {
+        // An increase may be smaller than a step; a decrease must be at least one step.
+        let is_negligible = |granted: f64, durable: f64, step: f64| {
             let least = if granted < durable { step } else { 0.0 };
-            (granted - durable).abs() < least.max(MIN_MOVE)
+            (granted - durable).abs() < least.max(MIN_GRANT_CHANGE)
         };
-        let unchanged = is_near(granted.cpus, durable.cpus, demand.step.cpus)
-            && is_near(granted.gpus, durable.gpus, demand.step.gpus);
+        let unchanged = is_negligible(granted.cpus, durable.cpus, demand.step.cpus)
+            && is_negligible(granted.gpus, durable.gpus, demand.step.gpus);
         if unchanged && !outcome_unknown {
             return None;
         }
@@ -185,16 +189,17 @@
             .mutate(Mutation::put(key, &regrant.record));
         let state = self.quotas.by_team.entry(team.clone()).or_default();
         if regrant.lowers {
-            // From here on no more than this is used, whatever becomes of the write.
+            // From here on, no more than this is used, whatever the outcome of the write.
             let ceiling = state.ceiling;
-            state.ceiling = Some(ceiling.map_or(regrant.granted, |c| lesser(c, regrant.granted)));
+            state.ceiling =
+                Some(ceiling.map_or(regrant.granted, |c| componentwise_min(c, regrant.granted)));
         }
         let request = self.kv_request(ShardRequest::RegrantQuota);
         context.kv.compare_and_swap(context.effects, request, &swap);
         self.quotas.in_flight = Some((team, regrant.record));
     }
 
-    /// Takes the outcome of a move over.
+    /// Handles the outcome of a move.
     pub(super) fn on_regrant_outcome(&mut self, outcome: SwapOutcome, context: &mut Context<'_>) {
         let now = context.now();
         let Some((team, record)) = self.quotas.in_flight.take() else {
@@ -218,13 +223,13 @@
                 state.retry_at = now.plus(CONFLICT_RETRY_MS);
                 self.read_quota(&key, context);
             }
-            // The same write would be refused again.
-            SwapOutcome::Rejected => state.retry_at = now.plus(REFUSED_BACKOFF_MS),
+            // The same write would be rejected again.
+            SwapOutcome::Rejected => state.retry_at = now.plus(REJECTED_BACKOFF_MS),
             SwapOutcome::NotApplied | SwapOutcome::LeaseExpired => {
                 state.retry_at = now.plus(FAILURE_RETRY_MS);
             }
             SwapOutcome::Unknown => {
-                // A lowered grant stays lowered until a later write settles the key.
+                // A lowered grant stays in force until a later write of the key succeeds.
                 state.retry_at = now.plus(FAILURE_RETRY_MS);
                 self.read_quota(&key, context);
             }
@@ -241,14 +246,14 @@
     }
 }
 
-fn lesser(a: Grant, b: Grant) -> Grant {
+fn componentwise_min(a: Grant, b: Grant) -> Grant {
     Grant {
         cpus: a.cpus.min(b.cpus),
         gpus: a.gpus.min(b.gpus),
     }
 }
 
-/// A shard's part of what a team's jobs have unfinished, over all shards.
+/// Returns this shard's fraction of the CPUs that a team's unfinished tasks need in all shards.
 fn demand_share(team: &Team, shard_id: ShardId, context: &Context<'_>) -> f64 {
     let (mut ours, mut all) = (0.0, 0.0);
     for ((other, id), allocation) in &context.records.allocations {
--- a/src/coordination/shard/read_back.rs
+++ b/src/coordination/shard/read_back.rs
@@ -1,4 +1,4 @@
-//! Reading allocations back whose write is in conflict or has no known outcome.
+//! Reads back allocations whose write conflicted or has an unknown outcome.
 
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
@@ -6,17 +6,17 @@
 use snowshelf_model::ids::JobId;
 use snowshelf_model::records::allocation_key;
 
-/// How long a read may take.
+/// Timeout of a read.
 const READ_TIMEOUT_MS: u64 = 1_500;
-/// Failed reads are repeated once in this time,
+/// Failed reads are retried once in each interval of this length,
 const RETRY_INTERVAL_MS: u64 = 500;
-/// in a tick that falls into this first part of it.
+/// by a tick within this time of its beginning.
 const RETRY_WINDOW_MS: u64 = 60;
-/// Most reads repeated at a time.
+/// Maximum number of reads retried at a time.
 const MAX_RETRIES: usize = 8;
 
 impl Shard {
-    /// Reads a key back. Nothing of its job is written until its value is known.
+    /// Reads a key back. Nothing of its job is written until the value is known.
     pub(super) fn read_back(&mut self, key: &str, context: &mut Context<'_>) {
         if let Some(job) = self.job_of_key(key)
             && let Some(job) = self.jobs.get_mut(&job)
@@ -35,7 +35,7 @@
             .get(context.effects, request, key, READ_TIMEOUT_MS);
     }
 
-    /// Takes the value of a key that was read back over. A failed read is repeated by the tick.
+    /// Handles the value of a key that was read back. A failed read is retried by a later tick.
     pub(super) fn on_allocation_read(
         &mut self,
         key: &str,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Repeats failed reads, a few times a second.
+    /// Retries failed reads, once every `RETRY_INTERVAL_MS`.
     pub(super) fn retry_reads(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if now.0 % RETRY_INTERVAL_MS >= RETRY_WINDOW_MS {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// The job that a key of a job's record, or of this shard's allocation of it, belongs to.
+    /// Returns the job of a key that is either a job's key or the key of an allocation of this
+    /// shard.
     fn job_of_key(&self, key: &str) -> Option<JobId> {
         if let Some(job) = key.strip_prefix("job/") {
             return Some(JobId::new(job));
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -1,4 +1,5 @@
-//! What a heartbeat proves of tasks, and what follows for their jobs and their machine.
+//! Reconciles heartbeats with the desired state, and applies the consequences for tasks, jobs and
+//! machines.
 
 use super::Shard;
 use super::job::ShardJob;
@@ -14,11 +15,11 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a job backs off after its first failures on several machines; doubles with each further failure.
+/// Backoff of a job whose tasks fail on several machines; doubles with each further failure.
 const FAILURE_BACKOFF_MS: u64 = 1_000;
-/// The backoff doubles at most so many times.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// How long a job backs off after a worker had no description of it.
+/// Backoff of a job after a worker did not have its description.
 const NO_DESCRIPTION_BACKOFF_MS: u64 = 2_000;
 
 /// An attempt of a task on a machine.
@@ -30,7 +31,7 @@
 }
 
 impl<'a> AttemptOnMachine<'a> {
-    /// An attempt of `task` on `machine`.
+    /// Creates a reference to an attempt of `task` on `machine`.
     pub(super) fn new(machine: &'a MachineId, task: &'a TaskRef, attempt: Attempt) -> Self {
         AttemptOnMachine {
             machine,
@@ -40,15 +41,15 @@
     }
 }
 
-/// The desired state of an attempt, by the shard's allocation of its job.
-pub(super) fn desired_state(job: Option<&ShardJob>, at: AttemptOnMachine<'_>) -> DesiredState {
+/// Returns the desired state of an attempt according to the shard's allocation of its job.
+pub(super) fn desired_state(job: Option<&ShardJob>, attempt: AttemptOnMachine<'_>) -> DesiredState {
     let Some(job) = job else {
         return DesiredState::NotOurs;
     };
-    let task = at.task.task;
-    let started = job.desired.started_on(at.machine, task);
-    let desired = started == Some(at.attempt);
-    let durable = job.durable.started_on(at.machine, task) == Some(at.attempt);
+    let task = attempt.task.task;
+    let started = job.desired.started_on(attempt.machine, task);
+    let desired = started == Some(attempt.attempt);
+    let durable = job.durable.started_on(attempt.machine, task) == Some(attempt.attempt);
     match (desired, durable, job.cancelled()) {
         (true, false, _) => DesiredState::Starting,
         (true, true, false) => DesiredState::Here,
@@ -58,12 +59,12 @@
         (false, false, _) if started.is_some() => DesiredState::OtherAttempt,
         (false, false, _) if job.desired.waiting.get(task).is_some() => DesiredState::Waiting,
         (false, false, _) if job.desired.finished.get(task).is_some() => DesiredState::Finished,
-        // On another machine, or in another shard's allocation.
+        // The task is on another machine, or belongs to another shard's allocation.
         (false, false, _) => DesiredState::Elsewhere,
     }
 }
 
-/// What reconciliation needs to know of a task, by its job's specification.
+/// Returns the task properties that reconciliation depends on.
 pub(super) fn task_traits(spec: Option<&JobSpec>) -> TaskTraits {
     spec.map_or(TaskTraits::default(), |s| TaskTraits {
         is_service: s.kind == JobKind::Service,
@@ -71,8 +72,8 @@
     })
 }
 
-/// What a heartbeat proves of one attempt.
-struct Proof {
+/// The result of reconciling one attempt.
+struct AttemptResult {
     task: TaskRef,
     attempt: Attempt,
     outcome: Reconciliation,
@@ -81,7 +82,8 @@
 }
 
 impl Shard {
-    /// Reconciles the newest heartbeat of a machine, which has acknowledged the fencing token, with the desired state.
+    /// Reconciles the newest heartbeat of a machine with the desired state. The machine has
+    /// acknowledged this leader's fencing token.
     pub(super) fn reconcile_heartbeat(
         &mut self,
         name: &MachineId,
@@ -89,51 +91,51 @@
         context: &Context<'_>,
     ) {
         let now = context.now();
-        let proofs = self.proofs(name, evidence, context);
-        for proof in proofs.iter().filter(|p| p.evicted) {
-            self.count_eviction(name, &proof.task.job, proof.task.task, context);
+        let results = self.reconcile_attempts(name, evidence, context);
+        for result in results.iter().filter(|r| r.evicted) {
+            self.count_eviction(name, &result.task.job, result.task.task, context);
         }
         self.update_images(name, context);
-        for proof in proofs {
-            self.reconciliation.count(proof.outcome.finding);
-            let Some(kind) = proof.outcome.change else {
+        for result in results {
+            self.reconciliation.count(result.outcome.finding);
+            let Some(kind) = result.outcome.change else {
                 continue;
             };
             let change = AllocationChange {
-                task: proof.task.task,
-                attempt: proof.attempt,
+                task: result.task.task,
+                attempt: result.attempt,
                 machine: name.clone(),
                 kind,
             };
-            self.apply_change(now, &proof.task.job, change);
-            self.apply_outcome_signal(name, &proof.task, proof.outcome.signal, context);
+            self.apply_change(now, &result.task.job, change);
+            self.apply_outcome_signal(name, &result.task, result.outcome.signal, context);
         }
         self.track_idle(name, now);
     }
 
-    fn proofs(
+    fn reconcile_attempts(
         &self,
         name: &MachineId,
         evidence: HeartbeatEvidence,
         context: &Context<'_>,
-    ) -> Vec<Proof> {
+    ) -> Vec<AttemptResult> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
         let (now, heartbeat_ms) = (context.now(), context.config.settings.report_ms());
-        let prove = |task: &TaskRef, attempt: Attempt, observed, disposition| {
+        let reconcile_attempt = |task: &TaskRef, attempt: Attempt, observed, disposition| {
             let job = self.jobs.get(&task.job);
             let desired = desired_state(job, AttemptOnMachine::new(name, task, attempt));
             let traits = task_traits(job.and_then(|j| j.spec()));
             reconcile(desired, observed, evidence, disposition, traits)
         };
-        let mut proofs = Vec::new();
+        let mut results = Vec::new();
         let disposition = machine.disposition(now, 0.0, heartbeat_ms);
         for item in &machine.reported_tasks {
             let observed = ObservedState::Listed(item.state, item.exit_reason);
-            let outcome = prove(&item.task, item.attempt, observed, disposition);
+            let outcome = reconcile_attempt(&item.task, item.attempt, observed, disposition);
             let requeued = outcome.change == Some(AllocationChangeKind::Requeue);
-            proofs.push(Proof {
+            results.push(AttemptResult {
                 task: item.task.clone(),
                 attempt: item.attempt,
                 evicted: requeued && item.exit_reason == Some(ExitReason::Stopped),
@@ -143,18 +145,18 @@
         let disposition = machine.disposition_of_unstarted(now, heartbeat_ms);
         for (job, task, attempt) in self.unreported_tasks(name) {
             let task = TaskRef { job, task };
-            let outcome = prove(&task, attempt, ObservedState::Absent, disposition);
-            proofs.push(Proof {
+            let outcome = reconcile_attempt(&task, attempt, ObservedState::Absent, disposition);
+            results.push(AttemptResult {
                 task,
                 attempt,
                 outcome,
                 evicted: false,
             });
         }
-        proofs
+        results
     }
 
-    /// Takes what the end of a task says of its job and its machine over.
+    /// Applies what the end of a task says about its job and its machine.
     fn apply_outcome_signal(
         &mut self,
         name: &MachineId,
@@ -175,7 +177,7 @@
             }
             OutcomeSignal::Failure => {
                 self.record_failure_on_machine(name, &task.job, now);
-                self.record_failure_of_run(&task.job, task.task, now);
+                self.record_dag_task_failure(&task.job, task.task, now);
             }
             OutcomeSignal::CapacityExceeded => {
                 if let Some(m) = self.machines.get_mut(name) {
@@ -190,8 +192,9 @@
         }
     }
 
-    /// Counts a failed task. Its machine is quarantined when different jobs fail on it, or when one fails that works
-    /// elsewhere; a job that fails on several machines backs off instead.
+    /// Counts a failed task. Its machine is quarantined if tasks of different jobs fail on it, or
+    /// if tasks of a job that works elsewhere fail on it repeatedly. A job that fails on several
+    /// machines backs off instead.
     fn record_failure_on_machine(&mut self, name: &MachineId, id: &JobId, now: MonotonicMillis) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -211,15 +214,16 @@
         };
         m.failed_jobs.push(id.clone());
         let distinct = m.failed_jobs.iter().collect::<BTreeSet<_>>().len();
-        let faulty = distinct >= 2 || (works_elsewhere && m.failed_jobs.len() >= 2);
-        if faulty && m.retirement.is_none() {
-            m.retirement = Some(RetirementReason::Fault);
+        let should_quarantine = distinct >= 2 || (works_elsewhere && m.failed_jobs.len() >= 2);
+        if should_quarantine && m.retirement.is_none() {
+            m.retirement = Some(RetirementReason::Quarantine);
             tracing::info!(machine = %name, jobs = distinct, "machine quarantined: tasks fail");
         }
     }
 
-    /// Counts a failed task of a DAG run, whose definition may ask for a pause before the next attempt.
-    fn record_failure_of_run(&mut self, id: &JobId, task: TaskIndex, now: MonotonicMillis) {
+    /// Counts a failed task of a DAG run. The run's definition may require a pause before the next
+    /// attempt.
+    fn record_dag_task_failure(&mut self, id: &JobId, task: TaskIndex, now: MonotonicMillis) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.run) else {
             return;
         };
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Updates which images a machine has and which it fetches, by its newest heartbeat.
+    /// Updates which images a machine has or fetches, from its newest heartbeat.
     fn update_images(&mut self, name: &MachineId, context: &Context<'_>) {
         let unreported = self.unreported_tasks(name);
         let Some(m) = self.machines.get_mut(name) else {
@@ -272,7 +276,8 @@
         }
     }
 
-    /// Tasks that are started on a machine in the desired state and absent from its newest heartbeat.
+    /// Returns the tasks that are started on a machine in the desired state but absent from its
+    /// newest heartbeat.
     pub(super) fn unreported_tasks(&self, name: &MachineId) -> Vec<StartedTask> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -1,5 +1,5 @@
-//! What a shard sets aside for reservations of the calendar: machines on which no task of another team starts that would
-//! still be there.
+//! Capacity reservations from the calendar: machines on which no task of another team starts if it
+//! might still run when the reservation begins.
 
 use super::Shard;
 use super::capacity::CapacityIndex;
@@ -16,10 +16,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Time allowed for an image to be fetched before a reservation begins.
+/// Time allowed for fetching an image before a reservation begins.
 const IMAGE_FETCH_ALLOWANCE_S: f64 = 30.0;
 
-/// What a machine is reserved for.
+/// The reservation that a machine is set aside for.
 #[derive(Clone, PartialEq)]
 pub(super) struct MachineReservation {
     pub team: Team,
@@ -33,39 +33,41 @@
     }
 
     /// Whether the reservation has begun and not ended.
-    pub(super) fn is_open(&self, context: &Context<'_>) -> bool {
+    pub(super) fn is_active(&self, context: &Context<'_>) -> bool {
         self.has_begun(context) && context.effects.wall_ms < self.until.0
     }
 
-    /// The team that the machine is reserved for, once the reservation has begun.
+    /// Returns the team that the machine is reserved for, once the reservation has begun.
     pub(super) fn current_team(&self, context: &Context<'_>) -> Option<&Team> {
         self.has_begun(context).then_some(&self.team)
     }
 }
 
-/// What is set aside for reservations of the calendar.
+/// The capacity that a shard sets aside for reservations.
 #[derive(Default)]
 pub(super) struct CapacityReservations {
     /// Reserved machines.
     pub by_machine: BTreeMap<MachineId, MachineReservation>,
     /// Jobs whose tasks on a machine are preempted for a reservation, as of the last pass.
     pub preemptible: BTreeMap<MachineId, BTreeSet<JobId>>,
-    /// The other shards' machines by pool, ordinary and spot ones, while something is reserved.
+    /// Numbers of on-demand and spot machines in other shards' pools; updated only while
+    /// reservations exist.
     pub machines_elsewhere: Rc<BTreeMap<(ShardId, Pool), (u32, u32)>>,
     /// Capacity reserved for teams now, as of the last pass.
     pub capacity: BTreeMap<Team, ReservedCapacity>,
 }
 
-/// CPUs of machines that are reserved for a team.
+/// CPUs of the machines that are reserved for a team.
 #[derive(Clone, Copy, Default)]
 pub struct ReservedCapacity {
-    /// CPUs that are free.
+    /// Free CPUs.
     pub free: f64,
-    /// CPUs that are free, or used by other teams.
-    pub promised: f64,
+    /// CPUs that are free or used by other teams.
+    pub unused_by_team: f64,
 }
 
-/// How long a task is expected to be on its machine if it starts now, in milliseconds; `None`: until it is stopped.
+/// Returns how long a task is expected to stay on its machine if it starts now, in milliseconds;
+/// `None` for a service, which runs until it is stopped.
 pub fn expected_stay_ms(spec: &JobSpec, context: &Context<'_>) -> Option<u64> {
     if spec.kind == JobKind::Service {
         return None;
@@ -76,8 +78,8 @@
     Some(seconds_to_ms(run_s + fetch_s) + 2 * context.config.settings.report_ms())
 }
 
-/// How long before a reservation begins its machines are provisioned, in milliseconds: what the slowest type takes to be
-/// up and to fetch an image.
+/// Returns how long before a reservation begins its machines are provisioned, in milliseconds: the
+/// time that the slowest machine type needs to become ready and to fetch an image.
 pub fn provisioning_lead_ms(context: &Context<'_>) -> u64 {
     let types = context.types.values();
     let ready_s = types.map(|t| t.ready_s).fold(0.0, f64::max);
@@ -85,7 +87,7 @@
 }
 
 impl Shard {
-    /// Whether the calendar keeps a job from starting on a machine now.
+    /// Whether the calendar prevents a job from starting on a machine now.
     pub(super) fn is_reserved_for_others(
         &self,
         spec: &JobSpec,
@@ -112,7 +114,7 @@
         })
     }
 
-    /// Whether a machine is reserved and the reservation has begun, or begins within `lead_ms`.
+    /// Whether a machine is reserved, and the reservation has begun or begins within `lead_ms`.
     pub(super) fn is_reserved_soon(
         &self,
         name: &MachineId,
@@ -124,9 +126,9 @@
         reservation.is_some_and(|r| now < r.until.0 && now.saturating_add(lead_ms) >= r.from.0)
     }
 
-    /// Chooses anew which machines are reserved for what: of each reservation, this shard takes its part. Machines' names
-    /// decide before a reservation begins, so that the choice lasts; from then on what is free there, or its team's
-    /// already.
+    /// Recomputes which machines are reserved: this shard's part of each reservation. Before a
+    /// reservation begins, machines are chosen by name, so that the choice is stable. After that,
+    /// machines with the most CPUs that are free or used by the reservation's team come first.
     pub(super) fn reserve_machines(&mut self, context: &Context<'_>) {
         self.reservations.by_machine.clear();
         if context.guard.holds.is_empty() {
@@ -160,8 +162,9 @@
         self.reservations.by_machine = reserved;
     }
 
-    /// Reservations that begin later need no machines yet: nothing that waits would run into them, and their machines
-    /// are not provisioned yet.
+    /// Returns the wall-clock time up to which reservations need machines, in milliseconds. A
+    /// reservation that begins later does not collide with any waiting task, and its machines are
+    /// not provisioned yet.
     fn reservation_horizon(&self, now: WallClockMillis, context: &Context<'_>) -> u64 {
         let waiting = self.jobs.values().filter(|j| j.is_waiting());
         let stays = waiting
@@ -174,35 +177,36 @@
             .saturating_add(context.guard.skew_ms)
     }
 
-    /// The machines that may be reserved and what each has for it, in the order in which they are taken.
+    /// Returns the machines that may be reserved, in the order in which they are taken, and the
+    /// amount that each provides.
     fn reservable_machines(
         &self,
         hold: &Hold,
         reserved: &BTreeMap<MachineId, MachineReservation>,
         context: &Context<'_>,
     ) -> Vec<(Amount, MachineId)> {
-        let open = hold.from.0 <= context.effects.wall_ms;
+        let is_active = hold.from.0 <= context.effects.wall_ms;
         let machines = self.machines.iter();
         let machines =
-            machines.filter(|(name, m)| !reserved.contains_key(*name) && may_reserve(hold, m));
+            machines.filter(|(name, m)| !reserved.contains_key(*name) && is_reservable(hold, m));
         let mut available: Vec<(Amount, MachineId)> = machines
             .filter_map(|(name, m)| {
                 let mut resources = context.types.get(&m.model)?.room();
-                if open {
+                if is_active {
                     resources.sub(m.used);
-                    let theirs = self.used_by_team(&hold.team, name);
-                    theirs.for_each(|used| resources.add(used));
+                    let team_usage = self.used_by_team(&hold.team, name);
+                    team_usage.for_each(|used| resources.add(used));
                 }
                 Some((Amount::of(resources), name.clone()))
             })
             .collect();
-        if open {
+        if is_active {
             available.sort_by(|a, b| b.0.cpus.cmp(&a.0.cpus).then(a.1.cmp(&b.1)));
         }
         available
     }
 
-    /// What a team's jobs use of a machine, job by job.
+    /// Iterates over the resources that a team's jobs use on a machine, one item per job.
     fn used_by_team(&self, team: &Team, name: &MachineId) -> impl Iterator<Item = Resources> {
         self.jobs.on_machine(name).filter_map(move |(_, job)| {
             let spec = job.spec().filter(|s| s.team == *team)?;
@@ -211,8 +215,9 @@
         })
     }
 
-    /// What of a reservation this shard takes: shards take it one after the other, each as much as it has, beginning
-    /// with one that the reservation's name tells, so that small ones are not splintered and many are spread.
+    /// Returns this shard's part of a reservation. Shards take as much as they have, one after
+    /// another, starting with a shard derived from the reservation's name. This keeps small
+    /// reservations in one shard, and spreads many reservations over all shards.
     fn reserved_amount(&self, hold: &Hold, context: &Context<'_>) -> Amount {
         let shard_count = context.config.shard_count.max(1);
         let first = shard_of(hold.reservation.as_str(), shard_count).0;
@@ -232,33 +237,34 @@
         Amount::ZERO
     }
 
-    /// How many machines a shard has that may be taken for a reservation.
+    /// Returns the number of a shard's machines that may be used for a reservation.
     fn machines_for(&self, hold: &Hold, shard_id: ShardId) -> u32 {
         if shard_id == self.id {
             let machines = self.machines.values();
-            return machines.filter(|m| may_reserve(hold, m)).count() as u32;
+            return machines.filter(|m| is_reservable(hold, m)).count() as u32;
         }
         let elsewhere = &self.reservations.machines_elsewhere;
         let counts = elsewhere.get(&(shard_id, hold.pool.clone()));
-        let (ordinary, spot) = counts.copied().unwrap_or_default();
-        ordinary + if hold.spot { spot } else { 0 }
+        let (on_demand, spot) = counts.copied().unwrap_or_default();
+        on_demand + if hold.spot { spot } else { 0 }
     }
 
-    /// This shard's machines by pool, ordinary ones and spot ones.
-    pub fn pools(&self) -> BTreeMap<Pool, (u32, u32)> {
+    /// Returns the numbers of this shard's on-demand and spot machines, by pool.
+    pub fn machines_by_pool(&self) -> BTreeMap<Pool, (u32, u32)> {
         let mut pools: BTreeMap<Pool, (u32, u32)> = BTreeMap::new();
         let machines = self.machines.values();
         for m in machines.filter(|m| m.retirement.is_none() && !m.cordoned && !m.releasing) {
             if let Some(pool) = &m.pool {
-                let (ordinary, spot) = pools.entry(pool.clone()).or_default();
-                *(if m.spot { spot } else { ordinary }) += 1;
+                let (on_demand, spot) = pools.entry(pool.clone()).or_default();
+                *(if m.spot { spot } else { on_demand }) += 1;
             }
         }
         pools
     }
 
-    /// What is reserved for teams now: what of it is free, and what is not their own use, which is theirs as soon as it
-    /// falls free.
+    /// Returns the capacity reserved for teams now: what is free, and what is not used by the team
+    /// itself. The latter includes resources used by other teams, which become available to the
+    /// team when they are released.
     pub(super) fn reserved_capacity(
         &self,
         index: &CapacityIndex,
@@ -270,17 +276,18 @@
             let Some(team) = reservation.and_then(|r| r.current_team(context)) else {
                 continue;
             };
-            let theirs = self.used_by_team(team, &machine.machine.name);
-            let theirs = theirs.map(|used| used.cpus);
+            let team_usage = self.used_by_team(team, &machine.machine.name);
+            let team_cpus = team_usage.map(|used| used.cpus);
             let reserved = capacity.entry(team.clone()).or_default();
             reserved.free += machine.free.cpus.max(0.0);
-            reserved.promised += (machine.machine.total.cpus - theirs.sum::<f64>()).max(0.0);
+            reserved.unused_by_team +=
+                (machine.machine.total.cpus - team_cpus.sum::<f64>()).max(0.0);
         }
         capacity
     }
 }
 
-fn may_reserve(hold: &Hold, m: &Machine) -> bool {
+fn is_reservable(hold: &Hold, m: &Machine) -> bool {
     m.pool.as_ref() == Some(&hold.pool)
         && (hold.spot || !m.spot)
         && m.retirement.is_none()
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale-in: machines that are idle, silent, interrupted, drained or faulty are released to the cloud.
+//! Scale-in: releases machines that are idle, silent, interrupted, drained or quarantined to the
+//! cloud.
 
 use super::Shard;
 use super::machine::Machine;
@@ -14,34 +15,34 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// The number of released machines that are remembered.
+/// Number of released machines that are remembered.
 const MAX_REMEMBERED_MACHINES: usize = 4_000;
 
-/// Most machines released by one request.
+/// Maximum number of machines released by one request.
 const MAX_RELEASES: usize = 100;
 
-/// The state of releasing machines to the cloud.
+/// State of the release of machines to the cloud.
 #[derive(Default)]
 pub(super) struct ScaleIn {
     request_in_flight: bool,
     pub released: ReleasedMachines,
 }
 
-/// The names of the machines released last, to recognize late heartbeats by.
+/// Names of the most recently released machines, used to recognize late heartbeats.
 #[derive(Default)]
 pub(super) struct ReleasedMachines {
     names: HashSet<MachineId>,
-    /// The oldest first.
+    /// Oldest first.
     order: VecDeque<MachineId>,
 }
 
 impl ReleasedMachines {
-    /// Whether a machine is one of these.
+    /// Whether a machine was released recently.
     pub(super) fn contains(&self, name: &MachineId) -> bool {
         self.names.contains(name)
     }
 
-    /// Remembers a machine, and forgets the oldest if there are too many.
+    /// Remembers a machine, and forgets the oldest one if there are too many.
     fn insert(&mut self, name: &MachineId) {
         if !self.names.insert(name.clone()) {
             return;
@@ -55,43 +56,43 @@
     }
 }
 
-/// What one round of scale-in is decided by, beside the machines themselves.
+/// Inputs of a scale-in round other than the state of each machine.
 struct ScaleInRound<'a> {
     /// Machines that the cloud does not list.
-    missing: &'a BTreeSet<MachineId>,
+    missing_machines: &'a BTreeSet<MachineId>,
     zones: BTreeMap<usize, ZoneSilence>,
-    /// How long before a reservation begins its machines are kept.
-    lead_ms: u64,
+    /// How long before a reservation begins its machines are kept, in milliseconds.
+    reservation_lead_ms: u64,
 }
 
-/// Why a machine is to be released, if it is.
+/// The reasons to release a machine, each of which suffices.
 struct ScaleInDecision {
     silent_ms: u64,
     overdue: bool,
-    frozen: bool,
-    spent: bool,
+    cancellation_overdue: bool,
+    vacated: bool,
     idle: bool,
 }
 
 impl ScaleInDecision {
     fn releases(&self) -> bool {
-        self.overdue || self.frozen || self.spent || self.idle
+        self.overdue || self.cancellation_overdue || self.vacated || self.idle
     }
 }
 
 impl Shard {
-    /// Updates cordons and releases the machines that are not needed, or presumed gone.
+    /// Updates cordons, and releases machines that are not needed or presumed gone.
     pub(super) fn scale_in_machines(
         &mut self,
-        missing: &BTreeSet<MachineId>,
+        missing_machines: &BTreeSet<MachineId>,
         context: &mut Context<'_>,
     ) {
         self.drain_closing_pools(context);
         self.update_cordons(context);
         let round = ScaleInRound {
-            missing,
+            missing_machines,
             zones: self.zone_silence(context),
-            lead_ms: provisioning_lead_ms(context),
+            reservation_lead_ms: provisioning_lead_ms(context),
         };
         let mut releases: Vec<MachineId> = Vec::new();
         let names: Vec<MachineId> = self.machines.keys().cloned().collect();
@@ -103,7 +104,7 @@
         self.request_release(releases, context);
     }
 
-    /// Whether a machine is to be released. Once decided on, that stays so.
+    /// Decides whether a machine is released. The decision is final.
     fn decide_release(
         &mut self,
         name: &MachineId,
@@ -120,8 +121,8 @@
         if !decision.releases() {
             return false;
         }
-        tracing::info!(machine = %name, shard = %self.id, silent_ms = decision.silent_ms, frozen = decision.frozen,
-            spent = decision.spent, idle = decision.idle, "machine scaled in");
+        tracing::info!(machine = %name, shard = %self.id, silent_ms = decision.silent_ms, frozen = decision.cancellation_overdue,
+            spent = decision.vacated, idle = decision.idle, "machine scaled in");
         if let Some(m) = self.machines.get_mut(name) {
             m.releasing = true;
         }
@@ -138,25 +139,26 @@
         let now = context.now();
         let heartbeat_ms = context.config.settings.report_ms();
         let idle_ms = seconds_to_ms(context.config.ops.idle_release_s);
-        // A machine that a drain keeps empty is not released; one that it releases goes when it is empty.
+        // A machine that a drain keeps empty is never released as idle or drained; other drained
+        // machines are released when they are empty.
         let after_drain = context.drains.cordoned.get(name).map(|c| c.then);
         let has_tasks = self.jobs.has_tasks_on(name);
         let reports_tasks = m.reports_live_tasks();
-        let busy = has_tasks || self.is_reserved_soon(name, round.lead_ms, context);
+        let busy = has_tasks || self.is_reserved_soon(name, round.reservation_lead_ms, context);
         let drained = m.cordoned && m.token_acknowledged && !has_tasks && !reports_tasks;
         let silent_ms = now.since(m.last_heartbeat_at);
         let idle_for_long = m.idle_since.is_some_and(|since| now.since(since) > idle_ms);
         ScaleInDecision {
             silent_ms,
             overdue: silent_ms > silence_limit_ms(name, m, round, context),
-            frozen: self.may_be_frozen(name, context)
+            cancellation_overdue: self.has_long_cancelled_tasks(name, context)
                 && silent_ms > heartbeat_overdue_ms(heartbeat_ms),
-            spent: (m.retirement.is_some() && !busy && !reports_tasks)
+            vacated: (m.retirement.is_some() && !busy && !reports_tasks)
                 || (drained && after_drain.is_some_and(|then| then != Then::Keep)),
             idle: !busy
                 && after_drain.is_none()
                 && !reports_tasks
-                && !self.placement.demand.any
+                && !self.placement.demand.placeable
                 && idle_for_long,
         }
     }
@@ -174,10 +176,11 @@
         context.cloud.release(context.effects, tag, &releases);
     }
 
-    /// Whether a machine has, by the records, tasks that were cancelled so long ago that it must be released unless its
-    /// heartbeats come. Guards against one that hangs for longer than cancelled tasks may stay, while leaders change:
-    /// each begins anew to count its silence, the cancellation's record does not.
-    fn may_be_frozen(&self, name: &MachineId, context: &Context<'_>) -> bool {
+    /// Whether the records show tasks on a machine that were cancelled so long ago that an overdue
+    /// heartbeat suffices to release it. Guards against a machine that hangs for longer than
+    /// cancelled tasks may stay, across leader changes: each new leader restarts the count of its
+    /// silence, but the time of the cancellation is recorded.
+    fn has_long_cancelled_tasks(&self, name: &MachineId, context: &Context<'_>) -> bool {
         let limit_ms = release_after_cancellation_ms(context.config.settings.cancel_ms());
         let jobs = self.jobs.on_machine(name);
         let cancelled = jobs.filter(|(_, j)| j.cancelled());
@@ -185,7 +188,7 @@
         cancelled_at.any(|at| context.effects.wall_ms.saturating_sub(at.0) > limit_ms)
     }
 
-    /// How many of the machines of each zone are silent.
+    /// Counts the machines and the silent machines of each zone.
     fn zone_silence(&self, context: &Context<'_>) -> BTreeMap<usize, ZoneSilence> {
         let now = context.now();
         let silent_ms = 2 * context.config.settings.report_ms();
@@ -198,8 +201,8 @@
         zones
     }
 
-    /// Takes the outcome of a release over: if the cloud has confirmed it, the machines and all that was on them are
-    /// gone, and their tasks are queued again.
+    /// Handles the outcome of a release. If the cloud has confirmed it, the machines are gone with
+    /// everything on them, and their tasks are requeued.
     pub fn on_machines_released(
         &mut self,
         machines: &[MachineId],
@@ -231,9 +234,9 @@
     }
 }
 
-/// For how long a machine may be silent. Silence alone is no proof that it is gone, nor is a name that the cloud does
-/// not list; both together make it likely enough to release the machine, and only the confirmed release frees its
-/// tasks.
+/// Returns how long a machine may be silent before it is released, in milliseconds. Neither silence
+/// nor absence from the cloud's list proves that a machine is gone. Together they make it likely
+/// enough to release the machine, but its tasks are requeued only once the release is confirmed.
 fn silence_limit_ms(
     name: &MachineId,
     m: &Machine,
@@ -243,7 +246,7 @@
     let settings = &context.config.settings;
     let heartbeat_ms = settings.report_ms();
     let interrupted = m.interruption_at.is_some_and(|at| at < context.now());
-    if interrupted || round.missing.contains(name) {
+    if interrupted || round.missing_machines.contains(name) {
         return 2 * heartbeat_ms;
     }
     let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.is_cut_off());
--- a/src/coordination/shard/status.rs
+++ b/src/coordination/shard/status.rs
@@ -1,4 +1,4 @@
-//! What the controller, its peers and operators read of a shard.
+//! The state of a shard that the controller, its peers and operators read.
 
 use super::reservations::ReservedCapacity;
 use super::{Shard, StealOffer};
@@ -10,20 +10,21 @@
 use snowshelf_reconciliation::silence::HeartbeatSummary;
 use std::collections::BTreeMap;
 
-/// The state of a shard, for operators.
+/// Status of a shard for operators.
 #[derive(Serialize)]
 pub struct ShardProgress {
-    /// The shard's number.
+    /// Number of the shard.
     #[serde(rename = "part")]
     pub shard_id: u32,
-    /// Whether the shard's state has been rebuilt, so that more than leases is renewed.
+    /// Whether the shard's state has been rebuilt. Until then, the leader only renews worker
+    /// leases.
     pub served: bool,
-    /// Machines known, by heartbeats or by records.
+    /// Machines known from heartbeats or from records.
     pub machines: usize,
     /// Machines that have acknowledged this leader's fencing token.
     #[serde(rename = "shown")]
     pub token_acknowledged: usize,
-    /// What heartbeats have proved since the shard was acquired.
+    /// Counts of what heartbeats have shown since the shard was acquired.
     #[serde(rename = "squared")]
     pub reconciliation: ReconciliationCounts,
     /// Tasks stopped on purpose, by cause.
@@ -31,7 +32,7 @@
 }
 
 impl Shard {
-    /// CPUs of the shard, as of the last placement pass.
+    /// Returns the shard's CPU capacity and load as of the last placement pass.
     pub fn capacity(&self) -> ShardCapacity {
         ShardCapacity {
             free: self.load.free_cpus,
@@ -45,8 +46,9 @@
         self.jobs.contains_key(job)
     }
 
-    /// Jobs of DAG runs of which tasks fail here, and how often the worst of these has.
-    pub fn failing(&self) -> impl Iterator<Item = (&JobId, u32)> + '_ {
+    /// Iterates over the jobs of DAG runs with failed tasks in this shard, each with the highest
+    /// number of failures of any of its tasks.
+    pub fn failing_jobs(&self) -> impl Iterator<Item = (&JobId, u32)> + '_ {
         let failing = self
             .jobs
             .iter()
@@ -54,29 +56,29 @@
         failing.filter_map(|(id, j)| Some((id, *j.task_failures.values().max()?)))
     }
 
-    /// Jobs that other shards may steal from.
-    pub fn offers(&self) -> &[(JobId, StealOffer)] {
+    /// Returns the jobs that other shards may steal from.
+    pub fn steal_offers(&self) -> &[(JobId, StealOffer)] {
         &self.placement.demand.offers
     }
 
-    /// Teams for which the last placement pass lacked quota.
+    /// Iterates over the teams for which the last placement pass lacked quota.
     pub fn teams_short_of_quota(&self) -> impl Iterator<Item = &Team> + '_ {
         self.quotas.shortfalls.keys()
     }
 
-    /// Capacity reserved for teams now, as of the last placement pass.
+    /// Returns the capacity reserved for teams now, as of the last placement pass.
     pub fn reserved_for_teams(&self) -> &BTreeMap<Team, ReservedCapacity> {
         &self.reservations.capacity
     }
 
-    /// Why evictions are blocked, as of the last round.
+    /// Returns why evictions were blocked in the last round.
     pub fn blocked_evictions(&self) -> &[String] {
         &self.evictions.blocked
     }
 
-    /// How many machines are known, and when the last heartbeat came. A machine known from records alone counts as
-    /// heard from when the shard was acquired: otherwise a controller that no worker can reach, and that acquired the
-    /// shard before it knew, would never miss them.
+    /// Returns the number of known machines and the time of the last heartbeat. For machines known
+    /// only from records, the acquisition of the shard counts as a heartbeat. Otherwise a
+    /// controller that no worker can reach would never notice that their heartbeats are missing.
     pub fn heartbeat_summary(&self) -> HeartbeatSummary {
         let machines = self.machines.values();
         let known = machines.filter(|m| (m.heartbeat_received || m.inherited) && !m.releasing);
@@ -86,7 +88,7 @@
         })
     }
 
-    /// The state of the shard, for operators.
+    /// Returns the status of the shard for operators.
     pub fn progress(&self) -> ShardProgress {
         let machines = self.machines.values();
         ShardProgress {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Machines whose last heartbeat is at most `within_ms` old.
-    pub fn machines_heard_since(
+    /// Iterates over the machines whose last heartbeat is at most `within_ms` old.
+    pub fn machines_with_recent_heartbeats(
         &self,
         now: MonotonicMillis,
         within_ms: u64,
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -1,4 +1,4 @@
-//! Work stealing: a shard with idle machines takes over tasks that wait in another one.
+//! Work stealing: a shard with spare capacity takes over tasks that wait in another shard.
 
 use super::capacity::{CapacityIndex, MachineClass};
 use super::{Shard, ShardRequest, StealOffer};
@@ -14,54 +14,56 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// A job younger than this is left to the shard that has it.
+/// Minimum age of a job that may be stolen; a younger one is left to its shard.
 const MIN_STEAL_AGE_MS: u64 = 1_500;
-/// The same where capacity is reserved for its team.
+/// Minimum age of a job for whose team capacity is reserved in the stealing shard.
 const MIN_STEAL_AGE_RESERVED_MS: u64 = 250;
-/// The least time between two attempts to steal what others offer while tasks wait here: each costs three writes.
+/// Minimum time between two attempts to steal offered jobs while tasks wait here. Each steal costs
+/// three writes.
 const STEAL_INTERVAL_MS: u64 = 1_000;
-/// The time to the next attempt after one that found nothing, or no request budget.
+/// Retry delay after an attempt that found nothing to steal, or no request budget.
 const RETRY_MS: u64 = 250;
-/// The time to the next attempt when one of the records would be too large: not before some of its tasks have ended.
+/// Retry delay if one of the records would be too large: some of its tasks have to end first.
 const TOO_LARGE_RETRY_MS: u64 = 1_000;
-/// The time to the next attempt after one that succeeded, while nothing waits here.
-const NEXT_MS: u64 = 100;
-/// The time to the next attempt after one that failed.
+/// Delay of the next attempt after a successful one, while no task waits here.
+const NEXT_STEAL_DELAY_MS: u64 = 100;
+/// Retry delay after a failed attempt.
 const FAILURE_RETRY_MS: u64 = 500;
-/// The time to the next attempt after one without a known outcome, which the watch tells meanwhile.
+/// Retry delay after an attempt with an unknown outcome, which the watch delivers in the meantime.
 const UNKNOWN_RETRY_MS: u64 = 3_000;
 
-/// A shard's allocation of a job, as in the record cache.
+/// Key of an allocation in the record cache.
 type AllocationId = (ShardId, JobId);
 
-/// The state of taking tasks over from other shards.
+/// State of stealing tasks from other shards.
 #[derive(Default)]
 pub(super) struct WorkStealing {
     in_flight: bool,
     next_attempt_at: MonotonicMillis,
     last_attempt_at: MonotonicMillis,
-    /// What the other shards offer, as far as their leaders say.
+    /// Jobs that other shards offer, as reported by their leaders.
     pub foreign_offers: Rc<BTreeMap<AllocationId, StealOffer>>,
 }
 
-/// What a shard has for tasks of other shards.
+/// Capacity of a shard for tasks of other shards.
 struct SpareCapacity {
     index: CapacityIndex,
-    /// Machines are idle which nothing that waits here could use.
+    /// Whether some machines are idle that no job waiting here could use.
     idle: bool,
-    /// Reserved capacity is free; it is of no use to what waits here.
+    /// Whether reserved capacity is free; jobs waiting here cannot use it.
     reserved: bool,
     used_quota: HashMap<Team, Grant>,
 }
 
 impl SpareCapacity {
-    /// Whether all jobs are considered. That costs too much to be done for what is offered alone.
+    /// Whether all jobs are considered instead of only the offered ones. Considering all is too
+    /// expensive to be done for offers alone.
     fn considers_all(&self) -> bool {
         self.idle || self.reserved
     }
 }
 
-/// Waiting tasks of another shard that this one could run.
+/// Waiting tasks of another shard that this shard could run.
 struct StealCandidate<'a> {
     from: ShardId,
     job: &'a JobId,
@@ -71,7 +73,8 @@
 }
 
 impl Shard {
-    /// Takes over tasks that wait in another shard, in one compare-and-swap, if this one could run them.
+    /// Takes over waiting tasks of another shard that this shard could run, in a single
+    /// compare-and-swap.
     pub(super) fn steal(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.stealing.in_flight || now < self.stealing.next_attempt_at {
@@ -99,7 +102,7 @@
             self.stealing.next_attempt_at = now.plus(RETRY_MS);
             return;
         }
-        tracing::info!(job = %job, from = %from, shard = %self.id, tasks, "waiting tasks stolen from shard");
+        tracing::info!(job = %job, from = %from, shard = %self.id, tasks, "stealing waiting tasks from shard");
         self.stealing.in_flight = true;
         self.stealing.last_attempt_at = now;
         let request = self.kv_request(ShardRequest::Steal {
@@ -109,11 +112,11 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// What this shard could run tasks of others with; `None` if nothing is to be stolen.
+    /// Returns the capacity for tasks of other shards; `None` if nothing is to be stolen.
     fn spare_capacity(&mut self, context: &Context<'_>) -> Option<SpareCapacity> {
         let mut reserved = self.reservations.capacity.values();
         let reserved = reserved.any(|capacity| capacity.free > 0.0);
-        let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle.is_empty();
+        let idle = self.load.free_cpus > 0.0 && !self.placement.demand.idle_kinds.is_empty();
         let offered = !self.stealing.foreign_offers.is_empty();
         if !idle && !reserved && !offered {
             return None;
@@ -132,7 +135,8 @@
         })
     }
 
-    /// The job that was submitted first of those that this shard could run tasks of, and how many tasks.
+    /// Returns the earliest submitted job of which this shard could run tasks, and the number of
+    /// tasks.
     fn find_stealable<'a>(
         &self,
         spare: &mut SpareCapacity,
@@ -167,7 +171,7 @@
         best
     }
 
-    /// The waiting tasks of an allocation, if they may be stolen.
+    /// Returns the waiting tasks of an allocation as a candidate, if they may be stolen.
     fn steal_candidate<'a>(
         &self,
         (from, job): &'a AllocationId,
@@ -184,11 +188,11 @@
         {
             return None;
         }
-        // A job whose zones are bound moves whole, before anything of it is started.
+        // A job with zone constraints is moved as a whole, before any of its tasks starts.
         if spec.zones_bound() && !allocation.value.started.is_empty() {
             return None;
         }
-        // A young one may be about to start there.
+        // A young job may be about to start in its own shard.
         let min_age_ms = if self.reservations.capacity.contains_key(&spec.team) {
             MIN_STEAL_AGE_RESERVED_MS
         } else {
@@ -210,7 +214,7 @@
         })
     }
 
-    /// How many of a candidate's tasks this shard should take over.
+    /// Returns how many of a candidate's tasks this shard should take over.
     fn stealable_tasks(
         &self,
         candidate: &StealCandidate<'_>,
@@ -220,20 +224,22 @@
         let spec = candidate.spec;
         let id = (candidate.from, candidate.job.clone());
         let offer = self.stealing.foreign_offers.get(&id).copied();
-        // Taken though others wait here, but not to wait here for the team's quota.
+        // An offered job is taken even if other jobs wait here, but not if it would then wait for
+        // the team's quota.
         let offered = offer.is_some() && self.has_grant(spec, &spare.used_quota, context);
         let idle = spare.idle;
-        let counts = |class: &MachineClass| match self.team_reserved_for(class, context) {
+        let is_usable = |class: &MachineClass| match self.team_reserved_for(class, context) {
             Some(team) => *team == spec.team,
-            None => offered || (idle && self.placement.demand.idle.contains(&class.kind())),
+            None => offered || (idle && self.placement.demand.idle_kinds.contains(&class.kind())),
         };
-        let mut fitting = self.count_fitting(spec, &mut spare.index, counts, context);
+        let mut fitting = self.count_fitting(spec, &mut spare.index, is_usable, context);
         if fitting == 0
-            && offer == Some(StealOffer::Stranded)
+            && offer == Some(StealOffer::Unplaceable)
             && context.waited_ms(candidate.job, &candidate.record.value) >= MIN_WAIT_MS
         {
-            // The machines with room now are for smaller tasks: one is reserved for it here.
-            fitting = u32::from(self.could_reserve_backfill(spec, &spare.index, context));
+            // No machine has enough free resources now: a backfill reservation can be made for the
+            // job here.
+            fitting = u32::from(self.can_add_backfill_reservation(spec, &spare.index, context));
         }
         let waiting = candidate.allocation.value.waiting.len();
         if fitting > 0 && spec.zones_bound() {
@@ -243,7 +249,7 @@
         }
     }
 
-    /// The team that machines of a class are reserved for now.
+    /// Returns the team that machines of a class are reserved for now.
     fn team_reserved_for<'a>(
         &self,
         class: &'a MachineClass,
@@ -256,7 +262,8 @@
             .then_some(team)
     }
 
-    /// The compare-and-swap that takes tasks over; `None` if one of the records would be too large.
+    /// Builds the compare-and-swap that moves tasks here; `None` if one of the records would be too
+    /// large.
     fn steal_swap(
         &self,
         candidate: &StealCandidate<'_>,
@@ -311,8 +318,8 @@
         granted.covers(next)
     }
 
-    /// Takes the outcome of stealing over. The caller refreshes the job in every shard, since all of its allocations
-    /// may have changed in the record cache.
+    /// Handles the outcome of a steal. The caller then refreshes the job in every shard, because
+    /// any of its allocations may have changed in the record cache.
     pub(super) fn on_steal_outcome(
         &mut self,
         swap: &CompareAndSwap,
@@ -323,10 +330,10 @@
         self.stealing.in_flight = false;
         match outcome {
             SwapOutcome::Applied(revision) => {
-                self.stealing.next_attempt_at = if self.placement.demand.any {
+                self.stealing.next_attempt_at = if self.placement.demand.placeable {
                     now.max(self.stealing.last_attempt_at.plus(STEAL_INTERVAL_MS))
                 } else {
-                    now.plus(NEXT_MS)
+                    now.plus(NEXT_STEAL_DELAY_MS)
                 };
                 for mutation in &swap.mutations {
                     if let Mutation::Put { key, value, .. } = mutation {
@@ -334,7 +341,7 @@
                     }
                 }
             }
-            // The watch shows what became of it; nothing is commanded before that.
+            // The watch delivers the outcome. No command is sent before that.
             SwapOutcome::Unknown => {
                 self.stealing.next_attempt_at = now.plus(UNKNOWN_RETRY_MS);
             }
