--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud's API, which keeps to this controller's share of the common request rate.
+//! The rate-limited client of the cloud API. All controllers share one request rate; each client gets a fraction of it.
 
 use crate::effects::{CallOutcome, Effects, Method, Target};
 use crate::storage::kv_client::TokenBucket;
@@ -7,33 +7,33 @@
 use std::collections::HashMap;
 
 const CALL_TIMEOUT_MS: u64 = 4_000;
-/// How many seconds' worth of calls may be made at once.
+/// Largest burst of calls, in seconds of the sustained rate.
 const BURST_S: f64 = 2.0;
 const HTTP_TOO_MANY_REQUESTS: u16 = 429;
 
-/// A request to the cloud, by which its response finds the actor that sent it.
+/// A request to the cloud. It is kept until the response arrives and identifies the actor that sent it.
 #[derive(Clone, Debug)]
 pub enum CloudRequest {
-    /// Lists the machine types that there are.
+    /// Lists the machine types that can be rented.
     ListMachineTypes,
-    /// Lists this cluster's machines, one page of them.
+    /// Lists one page of this cluster's machines.
     ListMachines,
-    /// Scales out: the order of this name.
+    /// Rents machines; the name identifies the order.
     ScaleOut(String),
-    /// Scales in machines of a shard, by the leader with this fencing token.
+    /// Releases machines of a shard. Sent by the shard leader that holds this fencing token.
     ShardScaleIn(ShardId, FencingToken, Vec<MachineId>),
-    /// Scales in machines by the cluster leader.
+    /// Releases machines. Sent by the cluster leader.
     LeaderScaleIn(Vec<MachineId>),
 }
 
-/// The client of the cloud's API.
+/// A rate-limited client of the cloud API that matches responses with their requests.
 pub struct CloudClient {
     bucket: TokenBucket,
     in_flight: HashMap<CallId, CloudRequest>,
 }
 
 impl CloudClient {
-    /// A client for so many requests a second.
+    /// Creates a client that sends up to `requests_per_s` requests a second on average.
     #[must_use]
     pub fn new(requests_per_s: f64) -> CloudClient {
         CloudClient {
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether the request rate allows one more call now.
+    /// Whether the rate limit allows a call now.
     #[must_use]
     pub fn may_call(&mut self, now: MonotonicMillis) -> bool {
         self.bucket.has_tokens(now, 1.0, 0.0)
     }
 
-    /// Calls the cloud. Whether the rate allows it has been checked before.
+    /// Calls the cloud API. The caller has checked [`CloudClient::may_call`].
     pub fn call(
         &mut self,
         effects: &mut Effects,
@@ -74,7 +74,7 @@
         self.call(effects, request, Method::Post, path, body);
     }
 
-    /// Matches the outcome of a call with its request; `None`: another client's call.
+    /// Returns the request that a call's outcome belongs to; `None` if another client made the call.
     #[must_use]
     pub fn on_response(&mut self, id: CallId, outcome: &CallOutcome) -> Option<CloudRequest> {
         let request = self.in_flight.remove(&id)?;
--- a/src/coordination/conditional_write.rs
+++ b/src/coordination/conditional_write.rs
@@ -1,39 +1,39 @@
-//! A change of one record on condition that it still has the version on which the decision rests.
+//! Optimistic concurrency: writes that apply only if a record still has the version that the decision was based on.
 
 use serde_json::Value;
 use snowshelf_model::ids::Version;
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 
-/// What becomes of a record.
+/// What a conditional write does to its record.
 #[derive(Clone, PartialEq, Debug)]
 pub(super) enum RecordUpdate {
-    /// It stays: only its version is checked.
+    /// Leaves the record unchanged and only checks its version.
     Unchanged,
-    /// It gets this value.
+    /// Replaces the record's value, or creates the record.
     Put(Value),
-    /// It is deleted.
+    /// Deletes the record.
     Delete,
 }
 
-/// An update of one record, on condition of its version.
+/// An update of one record that applies only if the record has the expected version.
 #[derive(Clone, PartialEq, Debug)]
 pub(super) struct ConditionalWrite {
-    /// The key of the record.
+    /// The record's key.
     pub key: String,
-    /// The version on which the decision rests; 0 if the record must not exist.
+    /// The expected version; 0 if the record must not exist.
     pub version: Version,
-    /// What becomes of the record.
+    /// The update to apply.
     pub update: RecordUpdate,
 }
 
 impl ConditionalWrite {
-    /// Whether the record changes.
+    /// Whether the write changes the record, rather than only checking its version.
     #[must_use]
     pub(super) fn changes_record(&self) -> bool {
         self.update != RecordUpdate::Unchanged
     }
 
-    /// The record's value after the write; none if it is deleted or unchanged.
+    /// The record's new value; `None` if it is deleted or unchanged.
     #[must_use]
     pub(super) fn value(&self) -> Option<&Value> {
         match &self.update {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The mutation that makes the update, if there is one.
+    /// The mutation for the key-value store; `None` if only the version is checked.
     #[must_use]
     pub(super) fn mutation(&self) -> Option<Mutation> {
         match &self.update {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// `swap` with the comparison and the mutation of this write.
+    /// Adds this write's version comparison and mutation to `swap`.
     #[must_use]
     pub(super) fn add_to(&self, swap: CompareAndSwap) -> CompareAndSwap {
         let mut swap = swap.compare(self.key.clone(), self.version);
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -1,7 +1,7 @@
-//! The graph of jobs that depend on other jobs: which are ready to start, which can never start, and how urgent each is
-//! by itself and through the jobs that depend on it.
+//! The dependency graph of jobs: which jobs are ready to start, which can never start, and how urgent each job is,
+//! given the jobs that depend on it.
 //!
-//! The graph follows from the records of jobs alone, but for when a ready job was first seen to be ready.
+//! The graph is derived from job records alone, except for the time at which a job was first seen to be ready.
 
 use crate::storage::record_cache::{FinishedJob, VersionedRecord};
 use snowshelf_model::ids::{JobId, WallClockMillis, seconds_to_ms};
@@ -10,17 +10,18 @@
 
 const MS_PER_S: f64 = 1000.0;
 
-/// How urgent a job is, by itself and through the jobs that depend on it.
+/// How urgent a job is. It includes the urgency of the jobs that depend on it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Urgency {
-    /// The highest priority among them.
+    /// The highest priority of the job and its dependents.
     pub priority: Priority,
-    /// When the job must start so that every deadline among them can be met; `None`: no deadline.
+    /// The latest start of the job with which its own deadline and those of its dependents can be met; `None` without a
+    /// deadline.
     pub latest_start: Option<WallClockMillis>,
 }
 
 impl Urgency {
-    /// The more urgent of both, in each respect.
+    /// Combines both urgencies: the higher priority and the earlier latest start.
     #[must_use]
     pub fn max(self, other: Urgency) -> Urgency {
         let latest_start = match (self.latest_start, other.latest_start) {
@@ -34,15 +35,15 @@
     }
 }
 
-/// What the graph is built from.
+/// The input from which a graph is built.
 pub struct GraphSource<'a, 's> {
-    /// The records of jobs that have not ended, and maybe of some that have.
+    /// The records of all open jobs, and possibly of some finished ones.
     pub jobs: &'a BTreeMap<JobId, VersionedRecord<JobRecord>>,
-    /// The dependencies of a job; `None` if they are not all known.
+    /// Returns a job's dependencies; `None` if they are not all known.
     pub dependencies_of: &'s dyn Fn(&JobId, &'a JobRecord) -> Option<Vec<&'a JobId>>,
-    /// How a job has ended; `None` if it has not, or is not known.
+    /// Returns how a job ended; `None` if it is open or unknown.
     pub finished_job: &'s dyn Fn(&JobId) -> Option<FinishedJob>,
-    /// How long a job is expected to take, in milliseconds.
+    /// Returns a job's expected duration in milliseconds.
     pub duration_ms: &'s dyn Fn(&JobSpec) -> u64,
 }
 
@@ -52,7 +53,7 @@
         record.filter(|record| record.state == JobState::Open)
     }
 
-    /// A job's urgency by itself; `None` without a specification.
+    /// A job's urgency without its dependents; `None` if its record has no specification.
     fn own_urgency(&self, record: &JobRecord) -> Option<Urgency> {
         let spec = record.spec.as_ref()?;
         let latest_start = spec.deadline_s.map(|deadline_s| {
@@ -66,39 +67,40 @@
     }
 }
 
-/// The graph of jobs that depend on other jobs.
+/// The dependency graph of jobs.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// Open jobs all of whose dependencies are done, and since when.
+    /// Open jobs whose dependencies are all done, and since when.
     ready: HashMap<JobId, WallClockMillis>,
-    /// Open jobs that depend on a cancelled one, directly or through others.
+    /// Open jobs that depend on a cancelled job, directly or transitively.
     pub unsatisfiable: BTreeSet<JobId>,
-    /// Dependencies without a record in the cache.
+    /// Dependencies that have no record in the cache.
     pub unknown: BTreeSet<JobId>,
     urgency: HashMap<JobId, Urgency>,
 }
 
 impl DependencyGraph {
-    /// Whether every dependency of a job is done. A job that the graph has not seen yet is not ready.
+    /// Whether every dependency of a job is done. A job with dependencies that is not in the graph yet is not ready.
     #[must_use]
     pub fn is_ready(&self, id: &JobId, record: &JobRecord) -> bool {
         !record.has_dependencies() || self.ready.contains_key(id)
     }
 
-    /// Since when a job could have started: its submission, or the end of its last dependency.
+    /// The time since when a job could have started: its submission or the end of its last dependency, whichever is
+    /// later.
     #[must_use]
     pub fn ready_since(&self, id: &JobId, record: &JobRecord) -> WallClockMillis {
         let ready = self.ready.get(id).copied();
         ready.map_or(record.submitted, |at| at.max(record.submitted))
     }
 
-    /// How long a job has waited for its dependencies after its submission, in seconds.
+    /// How long a job waited for its dependencies after its submission, in seconds.
     #[must_use]
     pub fn blocked_s(&self, id: &JobId, record: &JobRecord) -> f64 {
         (self.ready_since(id, record).0 - record.submitted.0) as f64 / MS_PER_S
     }
 
-    /// How urgent a job is, by itself and through the jobs that depend on it.
+    /// A job's urgency, including that of its dependents; without a deadline if the job is not in the graph.
     #[must_use]
     pub fn urgency(&self, id: &JobId, spec: &JobSpec) -> Urgency {
         self.urgency.get(id).copied().unwrap_or(Urgency {
@@ -107,7 +109,8 @@
         })
     }
 
-    /// Builds the graph. `previous` says since when jobs have been ready where the records do not.
+    /// Builds the graph. Where records do not say when a job became ready, the time in `previous` is kept; a job that
+    /// was not ready there counts as ready from `now` on.
     #[must_use]
     pub fn build(
         source: &GraphSource<'_, '_>,
@@ -133,13 +136,13 @@
     /// The known dependencies of each open job that has any.
     dependencies: HashMap<&'a JobId, Vec<&'a JobId>>,
     dependents: HashMap<&'a JobId, Vec<&'a JobId>>,
-    /// Cancelled jobs that others depend on.
+    /// Cancelled jobs that open jobs depend on.
     cancelled: Vec<&'a JobId>,
     graph: DependencyGraph,
 }
 
 impl<'a> GraphBuilder<'a, '_> {
-    /// Links the open jobs with their dependencies, and notes which of them are ready.
+    /// Links the open jobs with their dependencies, and records which of them are ready.
     fn link_all(&mut self, now: WallClockMillis, previous: &DependencyGraph) {
         for (id, versioned) in self.source.jobs {
             let record = &*versioned.value;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The end of a dependency that is done; notes one that is cancelled or unknown.
+    /// Returns the end of a dependency that is done. Records dependencies that are cancelled or unknown.
     fn ended_dependency(&mut self, dependency: &'a JobId) -> Option<FinishedJob> {
         match (self.source.finished_job)(dependency) {
             Some(end) if end.state == JobState::Done => return Some(end),
@@ -183,7 +186,7 @@
         None
     }
 
-    /// Finds the jobs that depend on a cancelled one, each visited once.
+    /// Finds the jobs that depend on a cancelled job, by breadth-first search.
     fn find_unsatisfiable(&mut self) -> HashSet<&'a JobId> {
         let mut unsatisfiable: HashSet<&JobId> = HashSet::new();
         let mut queue: VecDeque<&JobId> = std::mem::take(&mut self.cancelled).into();
@@ -198,8 +201,8 @@
         unsatisfiable
     }
 
-    /// Passes each job's urgency on to its dependencies, from the jobs that nobody depends on. Jobs of a cycle, which
-    /// only corrupt records have, are never reached.
+    /// Propagates each job's urgency to its dependencies, in topological order from the jobs without dependents. Jobs
+    /// in a cycle, which only corrupt records can have, are never visited.
     fn propagate_urgency(&mut self, unsatisfiable: &HashSet<&'a JobId>) {
         let mut unvisited = self.count_dependents(unsatisfiable);
         let mut queue = self.jobs_without_dependents(&unvisited);
@@ -231,9 +234,9 @@
                     .entry(dependency.clone())
                     .or_insert(passed);
                 *entry = entry.max(passed);
-                if let Some(left) = unvisited.get_mut(dependency) {
-                    *left = left.saturating_sub(1);
-                    if *left == 0 {
+                if let Some(remaining) = unvisited.get_mut(dependency) {
+                    *remaining = remaining.saturating_sub(1);
+                    if *remaining == 0 {
                         queue.push_back(dependency);
                     }
                 }
@@ -241,7 +244,7 @@
         }
     }
 
-    /// How many satisfiable jobs depend on each open job that is a dependency.
+    /// The number of satisfiable dependents of each open job that others depend on.
     fn count_dependents(&self, unsatisfiable: &HashSet<&'a JobId>) -> HashMap<&'a JobId, usize> {
         let open = self
             .dependents
@@ -254,6 +257,7 @@
         .collect()
     }
 
+    /// The jobs from which urgency is propagated: those without satisfiable dependents.
     fn jobs_without_dependents(
         &self,
         dependent_counts: &HashMap<&'a JobId, usize>,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -1,5 +1,4 @@
-//! Whether the response to a heartbeat may renew the worker's lease: what this controller knows of the jobs that the
-//! heartbeat lists.
+//! Authorization of worker lease renewals, based on what this controller knows about the jobs that a heartbeat lists.
 
 use super::context::Context;
 use snowshelf_model::ids::{Attempt, JobId, MonotonicMillis, ShardId};
@@ -10,10 +9,11 @@
 };
 
 impl Context<'_> {
-    /// Authorizes the response to a heartbeat to a shard's leader that was received at this time and lists these tasks.
+    /// Decides whether a shard leader may respond to a heartbeat, which renews the lease of the worker's tasks. The
+    /// heartbeat was received at `received` and lists `tasks`.
     ///
     /// # Errors
-    /// Why the lease must not be renewed.
+    /// The reason if the lease must not be renewed.
     pub fn authorize_renewal(
         &self,
         shard_id: ShardId,
@@ -33,7 +33,7 @@
         authorize_renewal(source, received, answering_ms, alive)
     }
 
-    /// The jobs that a heartbeat lists and of which no record has been read.
+    /// The jobs that a heartbeat lists and whose records have not been read.
     pub fn unread_jobs<'a>(
         &'a self,
         shard_id: ShardId,
@@ -58,14 +58,15 @@
         }
     }
 
-    /// What is known of a job without a record in the cache.
+    /// What is known about a job that has no record in the cache.
     fn uncached_job_knowledge(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
         let allocation = (shard_id, job.clone());
-        // An allocation without a job that can be read: it must not be taken for one that nobody has cancelled.
+        // The job has an allocation but no readable record. It may have been cancelled, so it does not count as open.
         if self.records.allocations.contains_key(&allocation) {
             return JobKnowledge::Unread;
         }
-        // No allocation of it is open, so that nothing of it ran when this was read; or it has begun since.
+        // The job has no allocation in this shard: none of its tasks ran here when the records were read, or it was
+        // allocated afterwards.
         match self.records.loaded || self.absent_jobs.contains(job) {
             true => JobKnowledge::Open,
             false => JobKnowledge::Unread,
--- a/src/coordination/list_request.rs
+++ b/src/coordination/list_request.rs
@@ -1,20 +1,20 @@
-//! The parameters of a request for a list of entries, page by page.
+//! Query parameters of paginated list requests.
 
 use super::query::param;
 use super::request_error::RequestError;
 use snowshelf_calendar::entry::Name;
 
-/// Entries in one page at most.
+/// Largest page size that a request may ask for.
 const MAX_PAGE_SIZE: usize = 200;
-/// Entries in one page if the request has no limit.
+/// Page size of a request without a limit.
 const DEFAULT_PAGE_SIZE: usize = 100;
 
-/// Which page of a list is asked for.
+/// The page of a list that a request asks for.
 #[derive(Clone, Debug)]
 pub struct ListRequest {
-    /// The page begins after this name.
+    /// The page begins after this name; `None` for the first page.
     pub after: Option<Name>,
-    /// Entries in the page at most.
+    /// Largest number of entries in the page.
     pub limit: usize,
 }
 
@@ -22,7 +22,7 @@
     /// Parses the query of a request.
     ///
     /// # Errors
-    /// A parameter that is malformed.
+    /// The first malformed parameter.
     pub fn parse(query: &str) -> Result<ListRequest, RequestError> {
         let after = match param(query, "after").map(Name::parse) {
             Some(None) => return Err(RequestError::malformed("after", "is no name")),
@@ -36,7 +36,7 @@
         Ok(ListRequest { after, limit })
     }
 
-    /// Whether an entry comes after the place where the page begins.
+    /// Whether an entry's name comes after the start of the page.
     #[must_use]
     pub fn includes(&self, name: &Name) -> bool {
         self.after.as_ref().is_none_or(|after| name > after)
--- a/src/coordination/list_watch/mod.rs
+++ b/src/coordination/list_watch/mod.rs
@@ -1,16 +1,16 @@
-//! Keeps the record cache current: one startup read, and a watch from the revision of its first page on.
+//! List-and-watch: keeps the record cache current by a startup read and a watch from the revision of its first page.
 //!
-//! The protocol of a startup read:
-//! 1. `snowshelf_reconciliation::startup_read` decides which keys are listed, in which order. Its first page
-//!    says at which revision it was read, and the watch is followed from that revision while the read goes
-//!    on: a read that takes longer than the store retains events still ends with a complete cache.
-//! 2. Keys that were cached before are unconfirmed. Each page confirms the keys that it lists; an
-//!    unconfirmed key in the range of a page that does not list it has been deleted.
-//! 3. Jobs that allocations or dependencies name are looked for in recent changes, then by pages.
-//! 4. Once everything open is cached, the cache is loaded, and the watch goes on from the cache's revision.
-//!    Finished jobs are read afterwards, if open runs of graphs need them.
+//! A startup read works as follows:
+//! 1. `snowshelf_reconciliation::startup_read` decides which keys are listed, and in which order. The watch is
+//!    followed from the revision of the first page while the read continues, so the cache ends up complete even if
+//!    the read takes longer than the store retains events.
+//! 2. Keys that were cached before the read are unconfirmed. A page confirms the keys that it lists. An unconfirmed
+//!    key in the range of a page that does not list it has been deleted.
+//! 3. Jobs named by allocations or dependencies are looked for in the recent changes, then by pages.
+//! 4. The cache is loaded once all open jobs are cached, and the watch continues from the cache's revision. Finished
+//!    jobs are read afterwards if open DAG runs need them.
 //!
-//! Where the store no longer retains the events from the watched revision on, everything is read again.
+//! If the store no longer retains the events since the watched revision, all records are read again.
 
 mod startup;
 
@@ -23,54 +23,54 @@
 use snowshelf_reconciliation::startup_read::{ReadRequest, Stage};
 use startup::{RequestSlot, StartupRead};
 
-/// Least time between two watch requests, so that a burst of changes comes in one response.
+/// Shortest time between two watch requests, so that a burst of changes arrives in one response.
 const WATCH_GAP_MS: u64 = 150;
-/// Longest time that the store may hold a watch request open. One sent before a connection was lost may
-/// hang; it is replaced this often.
+/// Longest time that the store may hold a watch request open. It bounds how long a request that hangs after a lost
+/// connection delays the watch.
 const WATCH_WAIT_MS: u64 = 2_000;
-/// Failed attempts after which recent changes are no longer asked for.
+/// Failed attempts after which recent changes are no longer requested.
 const RECENT_CHANGES_TRIES: u32 = 2;
-/// First pause after a failed list request, doubled by each further failure up to [`LIST_RETRY_DOUBLINGS`].
+/// First pause after a failed list request. Each further failure doubles it, up to [`LIST_RETRY_DOUBLINGS`] times.
 const LIST_RETRY_MS: u64 = 150;
 const LIST_RETRY_DOUBLINGS: u32 = 3;
-/// The same for watch requests.
+/// First pause after a failed watch request, doubled up to [`WATCH_RETRY_DOUBLINGS`] times.
 const WATCH_RETRY_MS: u64 = 200;
 const WATCH_RETRY_DOUBLINGS: u32 = 2;
 
 /// A request to the key-value store that keeps the record cache current.
 #[derive(Clone, Copy, Debug)]
 pub enum ListWatchRequest {
-    /// A page of keys.
+    /// Lists a page of keys with their records.
     List,
-    /// The changes of jobs' records before the watch began.
+    /// Reads the changes of job records before the watch began.
     RecentChanges,
-    /// The changes since the watched revision.
+    /// Waits for changes after the watched revision.
     Watch,
 }
 
-/// The list-and-watch of all records.
+/// The actor that lists and watches all records.
 #[derive(Default)]
 pub struct ListWatch {
     list_slot: RequestSlot,
     watch_slot: RequestSlot,
     startup: Option<StartupRead>,
-    /// A startup read has been completed, and the watch has followed since.
+    /// Whether a startup read has completed and the watch has not lost events since.
     complete: bool,
-    /// Number of the newest startup read; responses to requests of earlier ones are ignored.
+    /// Number of the newest startup read. Responses to requests of earlier ones are ignored.
     generation: u64,
     list_generation: u64,
     watch_generation: u64,
-    /// When the watch last responded while the cache was loaded.
+    /// When the watch last delivered a response while the cache was loaded.
     pub last_watch_at: MonotonicMillis,
     /// When the watch request in flight was sent.
     watch_sent_at: MonotonicMillis,
-    /// The cache holds every change up to this time: when the newest request was sent whose response left
-    /// no gap.
+    /// The cache holds every change up to this time. It is the send time of the newest request whose response left no
+    /// gap.
     pub synced_up_to: Option<MonotonicMillis>,
 }
 
 impl ListWatch {
-    /// What is being read, as `GET /ready` shows it; `None` once everything has been read.
+    /// What is being read, as shown by `GET /ready`; `None` once the startup read has completed.
     pub fn stage_label(&self) -> Option<&'static str> {
         let startup = self.startup.as_ref()?;
         Some(match startup.plan.stage() {
@@ -82,8 +82,8 @@
         })
     }
 
-    /// A job's record has been read by itself, by a request sent at `sent_at`. The startup read need not
-    /// look for it if the watch had begun by then.
+    /// Handles the lookup of a single job, sent at `sent_at`. If the watch had begun by then, the startup read no
+    /// longer needs to look for the job.
     pub fn on_single_read(&mut self, job: &JobId, sent_at: MonotonicMillis) {
         if let Some(startup) = &mut self.startup
             && startup.watching_since.is_some_and(|at| sent_at >= at)
@@ -97,7 +97,7 @@
         self.startup.as_ref().is_some_and(|s| s.open_loaded)
     }
 
-    /// Sends the requests that are due.
+    /// Starts a startup read if one is needed, and sends the requests that are due.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         if !self.complete && self.startup.is_none() {
             self.generation += 1;
@@ -119,7 +119,8 @@
         let Some(request) = startup.plan.next_request() else {
             return;
         };
-        // Lists leave a reserve to leases and the watch; those of finished jobs, to all other requests.
+        // List requests leave a reserve for leases and the watch. Those of finished jobs leave one for all other
+        // requests.
         let priority = if startup.open_loaded {
             RequestPriority::Reads
         } else {
@@ -173,7 +174,7 @@
         self.watch_slot.next_at = now.plus(WATCH_GAP_MS);
         self.watch_generation = self.generation;
         self.watch_sent_at = now;
-        // Short enough that the cancellation watermark never falls behind.
+        // Short enough to keep the cancellation watermark from falling behind.
         let longest_ms = (context.config.settings.answering_ms() / 4).max(WATCH_GAP_MS);
         let wait_ms = WATCH_WAIT_MS.min(longest_ms);
         let tag = KvRequest::ListWatch(ListWatchRequest::Watch);
@@ -182,7 +183,7 @@
             .watch(context.effects, tag, "", watched_to, wait_ms);
     }
 
-    /// Takes a response of the key-value store in.
+    /// Handles a response of the key-value store. Returns the records that have changed.
     pub fn on_response(
         &mut self,
         request: ListWatchRequest,
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Frees the list slot; the startup read and the request that the response answers, unless that was of
-    /// an earlier startup read.
+    /// Frees the list slot. Returns the startup read and the request that the response belongs to; `None` if it
+    /// belongs to an earlier startup read.
     fn complete_list_request(&mut self) -> Option<(&mut StartupRead, ReadRequest)> {
         self.list_slot.in_flight = false;
         let startup = self.startup.as_mut()?;
@@ -257,7 +258,8 @@
         outcome: WatchOutcome,
         context: &mut Context<'_>,
     ) -> Vec<RecordChange> {
-        // After some failures the read goes on without: such a response may never come in time.
+        // After several failures the read continues without recent changes, since the response may never arrive in
+        // time.
         let failures = self.list_slot.failures;
         let retry = matches!(outcome, WatchOutcome::Failed) && failures < RECENT_CHANGES_TRIES;
         if retry {
@@ -295,7 +297,7 @@
         changes
     }
 
-    /// Passes the read's stage on to the cache, and ends the read once it is complete.
+    /// Updates the cache's state from the stage of the startup read, and ends the read once it is complete.
     fn advance_startup(&mut self, context: &mut Context<'_>) {
         let Some(startup) = &mut self.startup else {
             return;
--- a/src/coordination/list_watch/startup.rs
+++ b/src/coordination/list_watch/startup.rs
@@ -1,4 +1,4 @@
-//! The state of a startup read, and the slots of requests.
+//! The state of a startup read, and the request slots of the list-and-watch.
 
 use crate::coordination::context::Context;
 use snowshelf_model::ids::{JobId, MonotonicMillis, Version};
@@ -6,28 +6,28 @@
 use snowshelf_reconciliation::startup_read::{CoveredRange, ReadPlan, ReadRequest};
 use std::collections::BTreeSet;
 
-/// A startup read underway.
+/// A startup read in progress.
 #[derive(Default)]
 pub(super) struct StartupRead {
     pub(super) plan: ReadPlan,
-    /// Keys that were cached when the first page came and that no page has covered yet.
+    /// Keys that were cached when the first page arrived and that no page has covered yet.
     pub(super) unconfirmed: BTreeSet<String>,
     /// The list request in flight.
     pub(super) request: Option<ReadRequest>,
-    /// The revision up to which the watch has been followed, once the first page has said from where. Unused
-    /// once everything open is cached.
+    /// The revision up to which the watch has been followed; `None` before the first page. Unused once all open jobs
+    /// are cached.
     pub(super) watched_to: Option<Version>,
-    /// When the watch began.
+    /// When the first page arrived, from whose revision the watch is followed.
     pub(super) watching_since: Option<MonotonicMillis>,
-    /// Everything open is cached; finished jobs are still read.
+    /// Whether all open jobs are cached and only finished jobs are still being read.
     pub(super) open_loaded: bool,
-    /// Keys that have been listed.
+    /// Number of keys listed so far.
     pub(super) keys_listed: u64,
     /// When the request for the first page was sent.
     pub(super) first_sent_at: MonotonicMillis,
 }
 
-/// Whether a request may be sent: at most one of its kind is in flight, and failures delay the next one.
+/// Limits requests of one kind to one in flight, and delays the next one after failures.
 #[derive(Default)]
 pub(super) struct RequestSlot {
     pub(super) in_flight: bool,
@@ -47,14 +47,15 @@
 }
 
 impl StartupRead {
-    /// A key's newest state has been applied: if it is a job's, the job need not be looked for.
+    /// Notes that the newest state of a key has been applied. If it is a job's key, the read no longer looks for the
+    /// job.
     pub(super) fn mark_read(&mut self, key: &str) {
         if let Some(job) = key.strip_prefix(JOB_PREFIX) {
             self.plan.mark_read(&JobId::new(job));
         }
     }
 
-    /// Removes the unconfirmed keys in a range that has been listed: they have been deleted.
+    /// Removes and returns the unconfirmed keys in a listed range. Their records have been deleted.
     pub(super) fn take_unconfirmed(&mut self, covered: &CoveredRange) -> Vec<String> {
         let deleted: Vec<String> = self
             .unconfirmed
@@ -69,11 +70,11 @@
         deleted
     }
 
-    /// Once no job is missing: requires those that have become known to be needed meanwhile.
+    /// Requires the jobs that have become known to be needed during the read. Called once no required job is missing.
     pub(super) fn require_jobs(&mut self, context: &Context<'_>) {
         self.plan
             .require_jobs(context.records.missing_jobs().iter());
-        // Jobs cached before may have changed while the watch was interrupted.
+        // Jobs that were cached before the read may have changed while the watch was interrupted.
         let unconfirmed = self.unconfirmed.iter();
         let jobs = unconfirmed.filter_map(|key| key.strip_prefix(JOB_PREFIX));
         let jobs: Vec<JobId> = jobs.map(JobId::new).collect();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! The actors of one controller: leases and shard leadership, a shard's scheduler, the job API, the cluster leader's
-//! autoscaler and drains, and what they use in common.
+//! The actors of a controller (leases, shard schedulers, job API, reservations, DAG runs, drains, autoscaler) and the
+//! modules that they share.
 
 pub mod api;
 pub mod autoscaler;
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an actor's decision, oldest first: a bounded queue with a deadline for each.
+//! A bounded FIFO queue of user requests that wait for an actor's decision, with a deadline for each request.
 
 use super::context::Context;
 use super::unavailable::Unavailable;
@@ -6,24 +6,24 @@
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::collections::VecDeque;
 
-/// Requests that wait at most; more are refused at once.
+/// Capacity of the queue. Further requests are refused immediately.
 const MAX_PENDING: usize = 200;
-/// How long a request waits for the record cache to catch up or the key-value store to have room, in
+/// How long a request may wait for the record cache to catch up or for the rate limits of the key-value store, in
 /// milliseconds.
 const DEADLINE_MS: u64 = 2_000;
-/// Seconds after which a request that is refused at once should be repeated.
+/// Seconds after which a client should repeat a request that was refused immediately.
 const RETRY_AFTER_S: u64 = 2;
 
-/// A request that waits for a decision.
+/// A queued request.
 pub(super) struct PendingRequest<R> {
-    /// Who waits for the response.
+    /// The connection on which the client waits for the response.
     pub(super) connection: ConnectionId,
-    /// What is asked.
+    /// The parsed request.
     pub(super) request: R,
     received_at: MonotonicMillis,
 }
 
-/// A queue of requests.
+/// A bounded queue of requests, oldest first.
 pub(super) struct PendingRequests<R>(VecDeque<PendingRequest<R>>);
 
 impl<R> Default for PendingRequests<R> {
@@ -33,7 +33,7 @@
 }
 
 impl<R> PendingRequests<R> {
-    /// Queues a request, unless there is a reason to refuse it now.
+    /// Queues a request. If there is a `refusal` or the queue is full, responds with status 503 instead.
     pub(super) fn push(
         &mut self,
         connection: ConnectionId,
@@ -42,8 +42,8 @@
         context: &mut Context<'_>,
     ) {
         let is_full = self.0.len() >= MAX_PENDING;
-        if let Some(why) = refusal.or(is_full.then_some("too many requests")) {
-            let refused = Response::later(503, why, RETRY_AFTER_S);
+        if let Some(reason) = refusal.or(is_full.then_some("too many requests")) {
+            let refused = Response::later(503, reason, RETRY_AFTER_S);
             context.effects.respond(connection, refused);
             return;
         }
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Refuses all requests: the key-value store does not serve.
+    /// Refuses all queued requests because the key-value store is unavailable.
     pub(super) fn refuse_all(&mut self, context: &mut Context<'_>) {
         for pending in self.0.drain(..) {
             let unavailable = Unavailable::StoreDown.into();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -84,12 +84,12 @@
         self.0.front()
     }
 
-    /// Takes the oldest request.
+    /// Removes and returns the oldest request.
     pub(super) fn pop(&mut self) -> Option<PendingRequest<R>> {
         self.0.pop_front()
     }
 
-    /// Puts requests back that are to be decided again, in the order in which they were taken.
+    /// Puts requests back at the front of the queue, in the order in which they were removed, to be decided again.
     pub(super) fn put_back(&mut self, requests: Vec<PendingRequest<R>>) {
         for pending in requests.into_iter().rev() {
             self.0.push_front(pending);
--- a/src/coordination/reachability.rs
+++ b/src/coordination/reachability.rs
@@ -1,7 +1,8 @@
-//! Whether workers reach this controller.
+//! Detects whether workers can reach this controller.
 //!
-//! Heartbeats of machines of other leaders' shards are counted: they show that those leaders are unreachable. A leader
-//! that receives no heartbeat itself hands its shard over, and probes workers until one of them answers.
+//! Heartbeats from machines of shards that are led elsewhere are counted, since they show that the workers cannot
+//! reach those leaders. A shard leader that receives no heartbeats itself hands its shard over, and probes workers
+//! until one of them answers.
 
 use super::context::Context;
 use crate::effects::{CallOutcome, Method, Target};
@@ -10,21 +11,21 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
-/// How many addresses of workers are remembered for probes.
+/// How many worker addresses are kept for probes.
 const MAX_ADDRESSES: usize = 16;
-/// The least time between two probes.
+/// Shortest time between two probes.
 const PROBE_INTERVAL_MS: u64 = 1_000;
 const PROBE_TIMEOUT_MS: u64 = 1_500;
-/// The least time between two handovers.
+/// Shortest time between two handovers of shards.
 const HANDOVER_INTERVAL_MS: u64 = 2_000;
 
-/// Whether workers reach this controller.
+/// Tracks whether workers can reach this controller.
 #[derive(Default)]
 pub struct Reachability {
-    /// Machines of shards led elsewhere whose heartbeats came here, and when.
+    /// Machines of shards led elsewhere that sent heartbeats to this controller, and when they last did.
     foreign_heartbeats: BTreeMap<ShardId, BTreeMap<MachineId, MonotonicMillis>>,
     unreachable_by_workers: bool,
-    /// Addresses of workers whose heartbeats came here, the one that is probed next first.
+    /// Addresses of workers that sent heartbeats to this controller; the front one is probed next.
     addresses: VecDeque<SocketAddrV4>,
     probe: Option<CallId>,
     last_probe_at: MonotonicMillis,
@@ -32,13 +33,13 @@
 }
 
 impl Reachability {
-    /// No worker reaches this controller although others are reached.
+    /// Whether workers cannot reach this controller but reach others.
     #[must_use]
     pub fn unreachable_by_workers(&self) -> bool {
         self.unreachable_by_workers
     }
 
-    /// A heartbeat has come, of a machine of this shard, which this controller leads or not.
+    /// Handles a heartbeat from a machine of `shard_id`. `is_led_here` says whether this controller leads the shard.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// How many machines of each shard led elsewhere have sent heartbeats here within this time.
+    /// Counts the machines of each shard led elsewhere that sent heartbeats to this controller within the last
+    /// `within_ms`.
     pub fn foreign_heartbeats(
         &mut self,
         now: MonotonicMillis,
@@ -85,7 +87,7 @@
             .collect()
     }
 
-    /// Chooses the shard that is handed over now, among those that should be.
+    /// Chooses the next of `shards` to hand over; `None` if there is none or the last handover was too recent.
     #[must_use]
     pub fn choose_handover(
         &mut self,
@@ -101,7 +103,7 @@
         Some(shard_id)
     }
 
-    /// Probes a worker while none reaches this controller.
+    /// Probes a worker if a probe is due and this controller is unreachable by workers.
     pub fn probe(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let due = self.probe.is_none() && now.since(self.last_probe_at) >= PROBE_INTERVAL_MS;
@@ -121,7 +123,7 @@
         self.probe = Some(id);
     }
 
-    /// Handles the outcome of a probe; false if the call is another actor's.
+    /// Handles the outcome of a probe. Returns false if another actor made the call.
     #[must_use]
     pub fn on_response(&mut self, id: CallId, outcome: &CallOutcome) -> bool {
         if self.probe != Some(id) {
--- a/src/coordination/request_error.rs
+++ b/src/coordination/request_error.rs
@@ -1,36 +1,36 @@
-//! Errors of the API's requests that are found before anything is decided on them.
+//! Errors found while parsing or routing API requests.
 
 use super::dag_runs::InvalidDagBody;
 use crate::effects::Response;
 use serde_json::json;
 use snowshelf_calendar::entry::Malformed;
 
-/// Why a request is not taken; its `Display` is the text that the client reads.
+/// Why a request is rejected. Its `Display` is the text sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// A field of the body or a parameter of the query is wrong or missing.
+    /// A field of the body or a query parameter is invalid or missing.
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// The body has no valid definition of a DAG or a run.
+    /// The body is not a valid definition of a DAG or a run.
     #[error(transparent)]
     InvalidDag(#[from] InvalidDagBody),
     /// The API has no such path.
     #[error("no such path")]
     NoSuchPath,
-    /// The path names no possible entry.
+    /// The entry's name in the path is invalid, so the entry cannot exist.
     #[error("no such entry")]
     NoSuchEntry,
-    /// The path is served, but not with this method.
+    /// The path does not support the request's method.
     #[error("this path does not take that method")]
     WrongMethod,
 }
 
 impl RequestError {
-    /// A wrong or missing field.
-    pub fn malformed(field: &str, why: &str) -> RequestError {
+    /// An error for an invalid or missing field or parameter.
+    pub fn malformed(field: &str, reason: &str) -> RequestError {
         RequestError::Malformed(Malformed {
             field: field.to_string(),
-            why: why.to_string(),
+            why: reason.to_string(),
         })
     }
 }
--- a/src/coordination/storage_budget.rs
+++ b/src/coordination/storage_budget.rs
@@ -1,28 +1,30 @@
-//! What this controller may write to the key-value store, and how often it may call it.
+//! This controller's share of the key-value store's request rates, and the limits for what it writes there.
 
 use crate::settings::StateLimits;
 use snowshelf_model::records::{RecordFormat, StorageLimits};
 
-/// Fraction of the store's request rate that the controllers use together: it counts requests when they arrive.
+/// Fraction of the store's request rate that all controllers use together. The rest is headroom, since the store counts
+/// requests when they arrive, not when they are sent.
 const REQUESTS_FRACTION: f64 = 0.92;
-/// Fraction of the store's write rate that the controllers use together: few requests carry writes.
+/// Fraction of the store's write rate that all controllers use together. Little headroom suffices, since few requests
+/// carry writes.
 const WRITES_FRACTION: f64 = 0.97;
-/// Fraction of the budget that is divided equally, for admitting jobs and starting up. The rest goes with the shards,
-/// whose leaders write most of what is written: a controller that leads all shards may use all of that.
+/// Fraction of the budget that is divided equally among the controllers, for admission and startup. The rest is divided
+/// by led shards, since shard leaders make most of the writes; a controller that leads all shards gets all of it.
 const EQUAL_FRACTION: f64 = 0.6;
 
-/// How often a controller may call the key-value store.
+/// The rates at which a controller may call the key-value store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct RequestRates {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: f64,
 }
 
 impl RequestRates {
-    /// The rates of a controller that leads so many shards, in a cluster of so many controllers. Those of all
-    /// controllers together are the whole budget, since no shard has two leaders.
+    /// The rates of a controller that leads `led_shards` shards, in a cluster of `controllers`. The rates of all
+    /// controllers add up to the whole budget, since no shard has two leaders.
     #[must_use]
     pub fn of_controller(limits: &StorageLimits, controllers: u32, led_shards: usize) -> Self {
         let controllers = f64::from(controllers);
@@ -35,15 +37,15 @@
     }
 }
 
-/// What may be written: the limits in force until the new format is agreed on. From then on, or once the store has
-/// refused a write by its size, the smaller of those and the limits to come.
+/// The limits for writes: those in force until format V2 is agreed on. From then on, or once the store has rejected a
+/// write as too large or malformed, each is the smaller of the current and the announced limit.
 #[must_use]
 pub fn storage_limits(
     format: RecordFormat,
-    write_refused: bool,
+    write_rejected: bool,
     state: &StateLimits,
 ) -> StorageLimits {
-    let limits = if format == RecordFormat::V2 || write_refused {
+    let limits = if format == RecordFormat::V2 || write_rejected {
         state.effective()
     } else {
         state.clone()
