--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -297,7 +297,7 @@
         spec,
         dependencies,
     } = submission;
-    if context.types.is_empty() || !context.records.allocations_read {
+    if context.machine_types.is_empty() || !context.records.allocations_read {
         return Err(Unavailable::NotReady.into());
     }
     if context.records.jobs.contains_key(job) {
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -6,7 +6,7 @@
 use super::partitioning::{ShardAssignment, partition};
 use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
-use crate::coordination::placement::slowest_fetch;
+use crate::coordination::placement::slowest_fetch_gb_per_s;
 use crate::coordination::shard_capacity::ShardCapacity;
 use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
@@ -156,7 +156,7 @@
         context: &Context<'_>,
     ) -> Vec<ShardAssignment> {
         let spec = &submission.spec;
-        let fetch_s = spec.pull_gb / slowest_fetch(context.types.values());
+        let fetch_s = spec.pull_gb / slowest_fetch_gb_per_s(context.machine_types.values());
         let capacity = self.capacity.with_reserved(capacity, &spec.team);
         let shard_count = context.config.shard_count;
         let assignments = partition(&submission.job, spec, fetch_s, shard_count, &capacity);
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -2,7 +2,7 @@
 
 use super::planning::{TaskDemand, ZoneModel};
 use crate::coordination::context::Context;
-use crate::coordination::placement::{estimate, patience_s};
+use crate::coordination::placement::{estimated_run_s, wait_limit_s};
 use crate::coordination::shard::reservations::{expected_stay_ms, provisioning_lead_ms};
 use snowshelf_calendar::guard::Hold;
 use snowshelf_model::ids::{JobId, Team, WallClockMillis, seconds_to_ms};
@@ -98,7 +98,7 @@
 ) -> TaskDemand {
     let settings = &context.config.ops;
     let objectives = &context.config.settings.deployment.objectives;
-    let estimate_s = estimate(spec, settings.default_run_s);
+    let estimate_s = estimated_run_s(spec, settings.default_run_s);
     let tasks = f64::from(counts.within_quota) * settings.capacity_factor;
     TaskDemand {
         resources: spec.resources,
@@ -108,7 +108,7 @@
         zone: spec.zone.clone(),
         spot: spec.spot,
         estimate_s,
-        patience_s: settings.dear_patience * patience_s(spec, objectives, blocked_s),
+        patience_s: settings.dear_patience * wait_limit_s(spec, objectives, blocked_s),
         closed_pools: closed_pools(expected_stay_ms(spec, context), context),
     }
 }
@@ -119,7 +119,10 @@
     let pools = context.guard.closings.keys();
     pools
         .filter(|pool| {
-            let ready_s = context.types.get(&*pool.model).map_or(0.0, |t| t.ready_s);
+            let ready_s = context
+                .machine_types
+                .get(&*pool.model)
+                .map_or(0.0, |t| t.ready_s);
             let stay = expected_stay_ms.map(|ms| ms.saturating_add(seconds_to_ms(ready_s)));
             context.guard.forbids(pool, stay, now).is_some()
         })
@@ -138,7 +141,7 @@
     let mut demand = Vec::new();
     for hold in &context.guard.holds {
         let opens = hold.from.0.saturating_sub(ahead_ms);
-        let Some(machine_type) = context.types.get(&*hold.pool.model) else {
+        let Some(machine_type) = context.machine_types.get(&*hold.pool.model) else {
             continue;
         };
         if now.0 < opens || now >= hold.until || context.guard.empties(&hold.pool, now, 0).is_some()
--- a/src/coordination/autoscaler/drain_view.rs
+++ b/src/coordination/autoscaler/drain_view.rs
@@ -2,7 +2,7 @@
 
 use super::Autoscaler;
 use crate::coordination::context::Context;
-use crate::coordination::placement::estimate;
+use crate::coordination::placement::estimated_run_s;
 use snowshelf_drain::stepping::Seen;
 use snowshelf_model::ids::{MachineId, MonotonicMillis, WallClockMillis, seconds_to_ms};
 use snowshelf_model::protocol::cloud::{ListedMachine, ListedMachineState};
@@ -31,9 +31,10 @@
         };
         // A task with checkpoints loses what it did since the last one.
         let unsaved_s = if spec.checkpoint_interval_s > 0.0 {
-            spec.checkpoint_interval_s.min(estimate(spec, default_s))
+            spec.checkpoint_interval_s
+                .min(estimated_run_s(spec, default_s))
         } else {
-            estimate(spec, default_s)
+            estimated_run_s(spec, default_s)
         };
         for (machine, tasks) in &allocation.value.started {
             let cpus = spec.resources.cpus * f64::from(tasks.len());
@@ -77,7 +78,7 @@
         // The list is some time old, and its ages are as of then.
         let list_lag_s = context.config.settings.deployment.cloud.list_lag_s;
         let age_ms = seconds_to_ms(listed.age_s) + seconds_to_ms(list_lag_s);
-        let machine_type = context.types.get(&listed.model);
+        let machine_type = context.machine_types.get(&listed.model);
         Seen {
             zone: listed.zone.clone(),
             model: listed.model.clone(),
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -93,7 +93,7 @@
         self.request_list(context);
         self.retry_scale_out(context);
         let is_due = now.since(self.planned_at) >= PLAN_INTERVAL_MS;
-        if self.list.is_complete && is_due && !context.types.is_empty() {
+        if self.list.is_complete && is_due && !context.machine_types.is_empty() {
             self.planned_at = now;
             if self.cloud.may_call(now) {
                 self.scale_out(context);
@@ -110,7 +110,7 @@
                 .is_none_or(|at| now.since(at) > age_ms)
         };
         let is_due = is_older_than(TYPES_INTERVAL_MS)
-            || (context.types.is_empty() && is_older_than(RESPONSE_WAIT_MS));
+            || (context.machine_types.is_empty() && is_older_than(RESPONSE_WAIT_MS));
         if is_due && self.cloud.may_call(now) {
             self.types_requested_at = Some(now);
             let path = "/machine_types".to_string();
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -46,7 +46,7 @@
     ) -> bool {
         let now = context.now();
         let lease_s = context.config.settings.deployment.workers.lease_s;
-        let machine_type = context.types.get(&listed.model);
+        let machine_type = context.machine_types.get(&listed.model);
         let ready_s = machine_type.map_or(DEFAULT_READY_S, |t| t.ready_s);
         let heartbeat = self.heartbeats.get(listed.machine.as_str()).copied();
         match listed.state {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -173,10 +173,10 @@
         let supply = self.supply(context);
         let excluded = self.scale_out.excluded_pools(now);
         let cpus = |order: &PlannedOrder| {
-            let machine_type = context.types.get(&order.pool.model);
+            let machine_type = context.machine_types.get(&order.pool.model);
             machine_type.map_or(0.0, |t| t.cpus) * f64::from(order.machines)
         };
-        let mut orders: Vec<PlannedOrder> = plan(&demand, supply, context.types, &excluded)
+        let mut orders: Vec<PlannedOrder> = plan(&demand, supply, context.machine_types, &excluded)
             .into_iter()
             .map(|(pool, machines)| PlannedOrder {
                 pool,
@@ -211,7 +211,7 @@
     fn supply(&self, context: &Context<'_>) -> Vec<MachineSupply> {
         let mut supply = Vec::new();
         let mut add = |pool: Pool| {
-            if let Some(machine_type) = context.types.get(&pool.model) {
+            if let Some(machine_type) = context.machine_types.get(&pool.model) {
                 let free = machine_type.room();
                 supply.push(MachineSupply { pool, free });
             }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,4 +1,4 @@
-//! The settings of one controller, in the form in which the actors read them.
+//! A controller's configuration, derived from the deployment's and the operators' settings.
 
 use crate::operator::OperatorSettings;
 use crate::settings::Settings;
@@ -6,28 +6,28 @@
 use snowshelf_model::records::Capability;
 use std::collections::BTreeSet;
 
-/// The settings of one controller. They do not change while the process runs.
+/// A controller's configuration. It does not change while the process runs.
 pub struct Config {
-    /// The settings of the deployment.
+    /// The deployment's settings.
     pub settings: Settings,
     /// The operators' settings.
     pub ops: OperatorSettings,
-    /// This controller.
-    pub me: Member,
-    /// All controllers, this one among them, in the same order everywhere.
+    /// This controller's member name.
+    pub local_member: Member,
+    /// All controllers, including this one, in the same order on every controller.
     pub members: Vec<Member>,
-    /// The features that the operators have enabled on this controller.
+    /// The optional features that operators have enabled on this controller.
     pub capabilities: BTreeSet<Capability>,
-    /// How many shards there are: as many as controllers.
+    /// The number of shards, which equals the number of controllers.
     pub shard_count: u32,
 }
 
 impl Config {
-    /// Reads the settings into the form that the actors use.
+    /// Derives the configuration from the settings.
     #[must_use]
     pub fn new(settings: Settings, ops: OperatorSettings) -> Config {
         Config {
-            me: Member::new(&settings.member),
+            local_member: Member::new(&settings.member),
             members: settings.members(),
             shard_count: settings.deployment.nodes,
             capabilities: ops.capabilities(),
@@ -36,14 +36,16 @@
         }
     }
 
-    /// The home member of a shard, which leads it whenever it can.
+    /// The home member of a shard: the controller that leads it whenever it is available.
     #[must_use]
     pub fn home(&self, shard_id: ShardId) -> &Member {
         &self.members[shard_id.0 as usize % self.members.len()]
     }
 
-    /// The other controllers.
+    /// All controllers except this one.
     pub fn other_members(&self) -> impl Iterator<Item = &Member> + '_ {
-        self.members.iter().filter(|member| **member != self.me)
+        self.members
+            .iter()
+            .filter(|member| **member != self.local_member)
     }
 }
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -1,4 +1,4 @@
-//! What an actor may use while it handles a message.
+//! The shared state that an actor borrows while it handles a message.
 
 use super::api::JobApiRequest;
 use super::cloud_client::CloudClient;
@@ -20,83 +20,85 @@
 use snowshelf_model::records::{JobRecord, StorageLimits};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request to the key-value store: the actor that its response is for, and what that actor asked.
+/// A request to the key-value store, tagged with the actor that the response is routed to.
 #[derive(Clone, Debug)]
 pub enum KvRequest {
-    /// Of the leases.
+    /// A request of the leases.
     Leases(LeaseRequest),
-    /// Of the list and watch of records.
+    /// A request of the list-and-watch.
     ListWatch(ListWatchRequest),
-    /// Of the shard's leader that holds this fencing token; a later leader ignores the response.
+    /// A request of the shard leader with this fencing token. A later leader of the shard ignores the response.
     Shard(ShardId, FencingToken, ShardRequest),
-    /// Of the job API.
+    /// A request of the job API.
     JobApi(JobApiRequest),
-    /// Reads the record of a job that jobs depend on, or that a heartbeat lists.
+    /// Reads the record of one job, because another job depends on it or a heartbeat lists it.
     JobLookup(JobId),
-    /// Of the reservations.
+    /// A request of the reservations.
     Reservations(ReservationsRequest),
-    /// Of the runs of graphs.
+    /// A request of the DAG runs.
     DagRuns(DagRunsRequest),
-    /// A request on drains or budgets, or a step of the leader's, by its number.
+    /// A write of the drains actor, identified by its sequence number: a user's request or the leader's next step.
     Drains(u64),
-    /// Declares what this controller, or every controller, can read and do.
+    /// Declares the record format and capabilities of this controller, or those agreed on by all controllers.
     FormatMigration {
-        /// The key that is written.
+        /// The key written.
         key: String,
         /// Its new value.
         value: Value,
     },
-    /// Stores the machine types for all controllers.
+    /// Publishes the machine types to all controllers.
     PublishMachineTypes(Vec<MachineType>),
 }
 
-/// What an actor may use while it handles a message.
+/// The shared state that an actor borrows while it handles a message.
 pub struct Context<'a> {
-    /// Collects what the controller sends, and tells the time.
+    /// Collects the effects of handling the message, and holds the current time.
     pub effects: &'a mut Effects,
     /// The client of the key-value store.
     pub kv: &'a mut KvClient<KvRequest>,
-    /// The cloud client of the shards' leaders.
+    /// The cloud client of the shard leaders.
     pub cloud: &'a mut CloudClient,
-    /// The cached records of the key-value store.
+    /// The record cache.
     pub records: &'a mut RecordCache,
-    /// The settings.
+    /// This controller's configuration.
     pub config: &'a Config,
-    /// The machine types, by name; empty until they are known.
-    pub types: &'a BTreeMap<String, MachineType>,
-    /// What may be written to the key-value store now.
+    /// The machine types by name; empty until they have been read.
+    pub machine_types: &'a BTreeMap<String, MachineType>,
+    /// The record format and the limits of the key-value store that are in force.
     pub storage_limits: &'a StorageLimits,
-    /// Which jobs are ready, as of the last computation.
+    /// The dependency graph, as of its last build.
     pub dependency_graph: &'a DependencyGraph,
-    /// What placement and scaling must respect of the reservations.
+    /// The reservations that placement and scaling must respect.
     pub guard: &'a Guard,
-    /// What placement and scaling must respect of the drains.
+    /// The cordons and other drain state that placement and scaling must respect.
     pub drains: &'a mut DrainState,
     /// When this process started.
     pub started_at: MonotonicMillis,
-    /// Jobs without a record when they were looked up one by one.
+    /// Jobs for which a single lookup found no record.
     pub absent_jobs: &'a BTreeSet<JobId>,
-    /// The cancellation watermark: every cancellation that was confirmed to a user before then is known.
+    /// The cancellation watermark: every cancellation confirmed to a user before this time is known. `None` until the
+    /// records have been read.
     pub watermark: Option<MonotonicMillis>,
-    /// Jobs whose cancellation a peer has confirmed and the record cache may not have yet, and when it said so.
+    /// Jobs whose cancellation a peer has confirmed but the record cache may not show yet, with the time of the peer's
+    /// answer.
     pub peer_confirmed: &'a BTreeMap<JobId, MonotonicMillis>,
 }
 
 impl Context<'_> {
-    /// The time of the input that is handled.
+    /// The time of the event being handled.
     #[must_use]
     pub fn now(&self) -> MonotonicMillis {
         self.effects.now
     }
 
-    /// For how long a job has waited for capacity since its last dependency ended.
+    /// How long a job has waited for capacity since its submission or the end of its last dependency, in milliseconds.
     #[must_use]
     pub fn waited_ms(&self, id: &JobId, record: &JobRecord) -> u64 {
         let since = self.dependency_graph.ready_since(id, record);
         self.effects.wall_ms.saturating_sub(since.0)
     }
 
-    /// A job's record after a cancellation that is written now.
+    /// The job's record after a cancellation at the current time.
     #[must_use]
     pub fn cancelled(&self, record: &JobRecord) -> JobRecord {
         record.cancelled(
@@ -105,10 +107,10 @@
         )
     }
 
-    /// A job's value as it may be written now; `None` if it is too large.
+    /// Encodes a job's record in the format in force; `None` if it exceeds the size limit.
     #[must_use]
     pub fn job_value(&self, record: &JobRecord) -> Option<Value> {
-        let exists = |label: &str| self.types.contains_key(label);
+        let exists = |label: &str| self.machine_types.contains_key(label);
         self.storage_limits.encode_job(record, exists)
     }
 }
--- a/src/coordination/controller/dependency_tracker.rs
+++ b/src/coordination/controller/dependency_tracker.rs
@@ -1,26 +1,26 @@
-//! Keeps the graph of dependencies up to date with the record cache, and looks unknown dependencies up.
+//! Keeps the dependency graph current with the record cache, and looks up unknown dependencies.
 
 use super::Controller;
 use crate::coordination::context::KvRequest;
 use crate::coordination::dependencies::{DependencyGraph, GraphSource};
-use crate::coordination::placement::{estimate, slowest_fetch};
+use crate::coordination::placement::{estimated_run_s, slowest_fetch_gb_per_s};
 use crate::storage::kv_client::RequestPriority;
 use snowshelf_model::ids::{MonotonicMillis, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobSpec, job_key};
 
-/// The least time between two builds of the graph.
+/// Shortest time between two builds of the graph.
 const BUILD_INTERVAL_MS: u64 = 50;
-/// Most unknown dependencies that are looked up at once.
+/// Largest number of unknown dependencies looked up in one round.
 const MAX_LOOKUPS: usize = 4;
-/// The least time between two rounds of lookups.
+/// Shortest time between two rounds of lookups.
 const LOOKUP_INTERVAL_MS: u64 = 500;
 const LOOKUP_TIMEOUT_MS: u64 = 1_500;
 
-/// The graph of dependencies, and as of when.
+/// The dependency graph and the state of the record cache that it reflects.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
     graph: DependencyGraph,
-    /// The record cache's count of job changes that the graph reflects.
+    /// The record cache's job change counter at the time of the build.
     job_changes: u64,
     built_at: MonotonicMillis,
     last_lookup_at: MonotonicMillis,
@@ -33,7 +33,7 @@
 }
 
 impl Controller {
-    /// Builds the graph anew if a job has changed, and looks unknown dependencies up.
+    /// Rebuilds the graph if a job has changed, and looks up unknown dependencies.
     pub(super) fn tick_dependencies(&mut self) {
         let tracker = &self.env.dependencies;
         let is_stale = tracker.job_changes != self.env.records.job_changes;
@@ -46,14 +46,14 @@
     fn build_dependency_graph(&mut self) {
         let env = &mut self.env;
         let records = &env.records;
-        let slowest_fetch = slowest_fetch(env.machine_types.by_name().values());
+        let fetch_gb_per_s = slowest_fetch_gb_per_s(env.machine_types.by_name().values());
         let default_run_s = env.config.ops.default_run_s;
         let source = GraphSource {
             jobs: &records.jobs,
             dependencies_of: &|id, record| records.dependencies_of(id, record),
             finished_job: &|id| records.finished_job(id),
             duration_ms: &|spec: &JobSpec| {
-                seconds_to_ms(estimate(spec, default_run_s) + spec.pull_gb / slowest_fetch)
+                seconds_to_ms(estimated_run_s(spec, default_run_s) + spec.pull_gb / fetch_gb_per_s)
             },
         };
         let wall_time = WallClockMillis(env.effects.wall_ms);
@@ -63,7 +63,7 @@
         env.dependencies.built_at = env.effects.now;
     }
 
-    /// Looks dependencies up that have been dropped from the record cache, or have not come yet.
+    /// Looks up dependencies that have been dropped from the record cache or have not been received yet.
     fn look_up_unknown_dependencies(&mut self) {
         let env = &mut self.env;
         let now = env.effects.now;
--- a/src/coordination/controller/drains.rs
+++ b/src/coordination/controller/drains.rs
@@ -1,4 +1,4 @@
-//! Drains: what placement and scaling must respect of them, the leader's next step, and what shard leaders say of them.
+//! Drains: constraints on placement and scaling, steps of the cluster leader, and observations shared with peers.
 
 use super::Controller;
 use crate::coordination::drains::{DrainState, EvictionStatus};
@@ -7,24 +7,25 @@
 use snowshelf_model::protocol::peer::{DrainProgress, LostTasks, RestartedTasks, ShardStatus};
 use std::collections::BTreeSet;
 
-/// Disruption budgets are not computed from a record cache whose watch lags by more than this.
+/// Largest watch lag at which the record cache is fresh enough to compute disruption budgets from.
 const MAX_WATCH_LAG_MS: u64 = 3_000;
-/// Most names in one shard's status.
+/// Largest number of machine names in one shard's status, and of drains in the cluster leader's status.
 const MAX_NAMES: usize = 50;
-/// Most names of empty machines in one shard's status.
+/// Largest number of names of empty machines in one shard's status.
 const MAX_EMPTY_MACHINES: usize = 3 * MAX_NAMES;
-/// Most reasons for which evictions wait in one status.
+/// Largest number of reasons for blocked evictions in one status.
 const MAX_REASONS: usize = 5;
-/// Most jobs in one shard's status of which it says how many tasks run again; of others all count as disrupted.
+/// Largest number of jobs whose restarted tasks are listed in one shard's status. All disrupted tasks of jobs left out
+/// still count as disrupted.
 const MAX_RESTARTED_JOBS: usize = 200;
-/// How often lost and restarted tasks are counted.
+/// Interval between counts of lost and restarted tasks.
 const COUNT_INTERVAL_MS: u64 = 100;
 
-/// What placement and scaling must respect of the drains, and as of when.
+/// The constraints that drains put on placement and scaling, and the state of the record cache that they reflect.
 #[derive(Default)]
 pub(super) struct DrainTracker {
     constraints: DrainState,
-    /// The record cache's count of drain changes that the constraints reflect.
+    /// The record cache's drain change counter when the constraints were derived.
     drain_changes: u64,
     counted_at: MonotonicMillis,
 }
@@ -36,7 +37,7 @@
 }
 
 impl Controller {
-    /// Follows the records of drains, and decides requests on drains.
+    /// Updates the constraints from the records of drains, and decides users' requests on drains.
     pub(super) fn tick_drains(&mut self) {
         let env = &mut self.env;
         if env.drains.drain_changes != env.records.drain_changes {
@@ -47,13 +48,13 @@
         if !env.drains.constraints.is_idle() && is_due {
             self.count_disrupted_tasks();
         }
-        match self.env.is_served() {
+        match self.env.is_kv_available() {
             true => self.drains.tick(&mut self.env.context()),
             false => self.drains.refuse_all(&mut self.env.context()),
         }
     }
 
-    /// Counts the tasks that are lost, and those that run again, in all shards.
+    /// Counts lost and restarted tasks in all shards.
     fn count_disrupted_tasks(&mut self) {
         let now = self.env.now();
         let watch_lags = now.since(self.list_watch.last_watch_at) > MAX_WATCH_LAG_MS;
@@ -70,7 +71,7 @@
         });
     }
 
-    /// Takes the next step of the drains, where this controller leads the cluster.
+    /// Takes the next step of the drains if this controller leads the cluster; otherwise follows the leader's progress.
     pub(super) fn tick_drain_leader(&mut self) {
         let now = self.env.now();
         let is_active = self.env.drains.constraints.active;
@@ -82,7 +83,8 @@
             self.drains.follow(progress);
             return;
         }
-        let may_lead = self.leases.is_valid(now) && self.env.records.loaded && self.env.is_served();
+        let may_lead =
+            self.leases.is_valid(now) && self.env.records.loaded && self.env.is_kv_available();
         if !may_lead || !self.drains.is_step_due(&self.env.context()) {
             return;
         }
@@ -96,7 +98,7 @@
         }
     }
 
-    /// What all shard leaders observe of the drains, this controller among them.
+    /// Collects what all shard leaders, including this controller, observe about the drains.
     fn observe_drains(&mut self) -> EvictionStatus {
         let now = self.env.now();
         let mut observations = self.gossip.drain_observations(now);
@@ -116,7 +118,7 @@
         observations
     }
 
-    /// What drains wait for, as the cluster leader tells the others.
+    /// What each drain waits for, for the cluster leader's status; empty on other controllers.
     pub(super) fn drain_progress(&self) -> Vec<DrainProgress> {
         if self.autoscaler.is_none() || !self.env.drains.constraints.active {
             return Vec::new();
@@ -131,7 +133,7 @@
             .collect()
     }
 
-    /// Adds to the statuses of the shards led here what concerns drains, while there are any.
+    /// Adds drain observations to the statuses of the shards led here, while there are drains.
     pub(super) fn add_drain_status(&mut self, statuses: &mut [ShardStatus]) {
         if self.env.drains.constraints.is_idle() {
             return;
--- a/src/coordination/controller/environment.rs
+++ b/src/coordination/controller/environment.rs
@@ -1,10 +1,10 @@
-//! What the actors of a controller have in common, beside which each of them owns its own state.
+//! State shared by the actors of a controller. All other state is owned by a single actor.
 
 use super::dependency_tracker::DependencyTracker;
 use super::drains::DrainTracker;
 use super::job_lookups::JobLookups;
 use super::machine_types::MachineTypes;
-use super::watermark::CancellationKnowledge;
+use super::watermark::CancellationTracker;
 use crate::coordination::cloud_client::CloudClient;
 use crate::coordination::config::Config;
 use crate::coordination::context::{Context, KvRequest};
@@ -16,12 +16,12 @@
 use snowshelf_model::ids::MonotonicMillis;
 use snowshelf_model::records::{RecordFormat, StorageLimits};
 
-/// After this time without a response of the key-value store, it does not serve this controller.
-pub(super) const UNSERVED_MS: u64 = 1_500;
-/// Fraction of the cloud's request rate for each shard leader; the cluster leader uses the rest.
+/// The key-value store counts as unavailable to this controller after this time without serving it.
+pub(super) const KV_OUTAGE_MS: u64 = 1_500;
+/// Fraction of the cloud's request rate that each controller's shard leaders use; the cluster leader uses the rest.
 pub(super) const SHARD_LEADER_CLOUD_FRACTION: f64 = 0.12;
 
-/// What the actors of a controller have in common. Each borrows it as a [`Context`] while it handles a message.
+/// State shared by the actors of a controller. An actor borrows it as a [`Context`] while it handles a message.
 pub(super) struct Environment {
     pub(super) effects: Effects,
     pub(super) kv: KvClient<KvRequest>,
@@ -32,11 +32,11 @@
     pub(super) machine_types: MachineTypes,
     pub(super) storage_limits: StorageLimits,
     pub(super) dependencies: DependencyTracker,
-    /// What placement and scaling must respect of the reservations.
+    /// The reservations that placement and scaling must respect.
     pub(super) guard: Guard,
     pub(super) drains: DrainTracker,
     pub(super) job_lookups: JobLookups,
-    pub(super) cancellations: CancellationKnowledge,
+    pub(super) cancellations: CancellationTracker,
     pub(super) started_at: MonotonicMillis,
 }
 
@@ -60,12 +60,12 @@
             guard: Guard::default(),
             drains: DrainTracker::default(),
             job_lookups: JobLookups::default(),
-            cancellations: CancellationKnowledge::default(),
+            cancellations: CancellationTracker::default(),
             started_at: now,
         }
     }
 
-    /// What one actor may use while it handles a message.
+    /// Borrows the shared state for an actor that handles a message.
     pub(super) fn context(&mut self) -> Context<'_> {
         Context {
             effects: &mut self.effects,
@@ -73,7 +73,7 @@
             cloud: &mut self.cloud,
             records: &mut self.records,
             config: &self.config,
-            types: self.machine_types.by_name(),
+            machine_types: self.machine_types.by_name(),
             storage_limits: &self.storage_limits,
             dependency_graph: self.dependencies.graph(),
             guard: &self.guard,
@@ -89,14 +89,14 @@
         self.effects.now
     }
 
-    /// For how long the key-value store has not served this controller.
-    pub(super) fn unserved_ms(&self) -> u64 {
+    /// Milliseconds since the key-value store last served this controller.
+    pub(super) fn kv_outage_ms(&self) -> u64 {
         let last_served = self.kv.last_served_at.unwrap_or(self.started_at);
         self.now().since(last_served)
     }
 
-    /// Whether the key-value store serves this controller.
-    pub(super) fn is_served(&self) -> bool {
-        self.unserved_ms() < UNSERVED_MS
+    /// Whether the key-value store has served this controller recently.
+    pub(super) fn is_kv_available(&self) -> bool {
+        self.kv_outage_ms() < KV_OUTAGE_MS
     }
 }
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Admission of heartbeats: each goes to the leader of its machine's shard if that is here, is deferred until that leader
-//! is elected or the jobs that it lists are read, or is redirected.
+//! Admission of heartbeats. A heartbeat is passed to the leader of its machine's shard if this controller leads it,
+//! deferred until the shard is led here or the listed jobs have been read, or redirected.
 
 use super::Controller;
 use crate::effects::Response;
@@ -7,31 +7,31 @@
 use snowshelf_model::protocol::worker::{Heartbeat, redirect_body};
 use snowshelf_watermark::renewal::RenewalRefusal;
 
-/// For so long after its start a controller defers heartbeats for shards that it is about to lead.
+/// Time after its start during which a controller defers heartbeats for shards that it is about to lead.
 const STARTING_MS: u64 = 5_000;
-/// For so long a heartbeat is deferred until its shard is led here: a worker waits 4 s for a response.
+/// Longest time for which a heartbeat is deferred until its shard is led here. A worker waits 4 s for a response.
 const MAX_WAIT_FOR_LEADERSHIP_MS: u64 = 1_000;
-/// For so long a heartbeat is deferred until the jobs that it lists have been read.
+/// Longest time for which a heartbeat is deferred until the jobs that it lists have been read.
 const MAX_WAIT_FOR_JOBS_MS: u64 = 3_000;
 /// The status of a response that redirects a worker to the leader of its shard.
 const HTTP_MISDIRECTED_REQUEST: u16 = 421;
 
-/// A heartbeat that has not been responded to.
+/// A heartbeat without a response yet.
 pub(super) struct ReceivedHeartbeat {
     conn: ConnectionId,
     heartbeat: Heartbeat,
     received_at: MonotonicMillis,
 }
 
-/// A heartbeat to which the leader of its shard does not respond, since that must not renew the worker's lease.
+/// A heartbeat that the shard leader does not respond to, because a response would renew the worker's lease.
 struct RefusedHeartbeat {
     refusal: RenewalRefusal,
     received: ReceivedHeartbeat,
 }
 
 impl Controller {
-    /// Handles a heartbeat that has just come.
-    pub(super) fn check_in(&mut self, conn: ConnectionId, body: &[u8]) {
+    /// Parses and admits a new heartbeat.
+    pub(super) fn receive_heartbeat(&mut self, conn: ConnectionId, body: &[u8]) {
         let heartbeat = match Heartbeat::parse(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Handles the deferred heartbeats again.
+    /// Tries again to admit the deferred heartbeats.
     pub(super) fn retry_deferred_heartbeats(&mut self) {
         for received in std::mem::take(&mut self.deferred_heartbeats) {
             self.admit_heartbeat(received);
@@ -76,8 +76,8 @@
                 return;
             }
         }
-        // A worker redirected a moment before its shard is led here would search for the leader, a second at a time, while
-        // its lease runs out.
+        // A worker that is redirected just before its shard is led here would search for the leader, one controller a
+        // second, while its lease runs out.
         let defers = !is_led_here && waited_ms < MAX_WAIT_FOR_LEADERSHIP_MS;
         if defers && self.will_lead(shard_id) {
             self.deferred_heartbeats.push(received);
@@ -86,7 +86,8 @@
         self.redirect(received.conn, shard_id, is_led_here);
     }
 
-    /// Passes a heartbeat to the leader of its shard, which responds to it, or refuses to renew the worker's lease.
+    /// Passes a heartbeat to the shard leader, which responds to it. Returns the heartbeat if the leader refuses to
+    /// renew the worker's lease.
     fn pass_to_shard(
         &mut self,
         shard_id: ShardId,
@@ -110,31 +111,32 @@
         Some(RefusedHeartbeat { refusal, received })
     }
 
-    /// Whether this controller is about to lead a shard: it has just started, and the shard's key names it, or nobody
-    /// and it is the home member.
+    /// Whether this controller is about to lead a shard: it has just started and the shard's key names it, or the
+    /// shard is vacant and this controller is its home member.
     fn will_lead(&self, shard_id: ShardId) -> bool {
         let config = &self.env.config;
         let holder = self.shard_holder(shard_id);
-        let is_expected = *holder.unwrap_or(config.home(shard_id)) == config.me;
+        let is_expected = *holder.unwrap_or(config.home(shard_id)) == config.local_member;
         let is_starting = self.env.now().since(self.env.started_at) <= STARTING_MS;
         is_expected
             && is_starting
             && !self.reachability.unreachable_by_workers()
-            && self.env.is_served()
+            && self.env.is_kv_available()
     }
 
-    /// The holder of a shard's lease, as far as the record cache knows.
+    /// The holder of a shard's lease according to the record cache.
     fn shard_holder(&self, shard_id: ShardId) -> Option<&Member> {
         let holder = self.env.records.shard_owners.get(&shard_id);
         holder.map(|v| &v.value.owner)
     }
 
-    /// Redirects a worker to the leader of its shard, or to any other controller.
+    /// Redirects a worker to the leader of its shard, or to any other controller if the leader is unknown or
+    /// unreachable.
     fn redirect(&mut self, conn: ConnectionId, shard_id: ShardId, is_led_here: bool) {
         let now = self.env.now();
-        // A worker redirected to a leader that no worker reaches waits there for 4 s, and comes back.
+        // A worker redirected to a leader that workers cannot reach would wait 4 s for a response and then come back.
         let leader = self.shard_holder(shard_id).filter(|holder| {
-            **holder != self.env.config.me
+            **holder != self.env.config.local_member
                 && !is_led_here
                 && !self.gossip.is_unreachable_by_workers(now, holder)
         });
--- a/src/coordination/controller/job_lookups.rs
+++ b/src/coordination/controller/job_lookups.rs
@@ -1,4 +1,5 @@
-//! Records of jobs that are read one by one: those that deferred heartbeats list, where listing all records takes long.
+//! Lookups of single job records. They let deferred heartbeats be answered before the startup read has listed all
+//! records.
 
 use super::Controller;
 use crate::coordination::context::KvRequest;
@@ -9,16 +10,16 @@
 use snowshelf_model::records::job_key;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many lookups are under way at once, which leaves the listing its budget.
+/// Largest number of concurrent lookups. It leaves request budget for the startup read's list requests.
 const MAX_IN_FLIGHT: usize = 8;
 const LOOKUP_TIMEOUT_MS: u64 = 1_500;
 
-/// Lookups of jobs that heartbeats list.
+/// The lookups of jobs that heartbeats list.
 #[derive(Default)]
 pub(super) struct JobLookups {
-    /// The lookups under way, and when they were sent.
+    /// The lookups in flight, and when each was sent.
     in_flight: BTreeMap<JobId, MonotonicMillis>,
-    /// Jobs without a record.
+    /// Jobs for which a lookup found no record.
     absent: BTreeSet<JobId>,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl Controller {
-    /// Looks the jobs up that a deferred heartbeat lists and of which nothing has been read.
+    /// Looks up the jobs that a deferred heartbeat lists and whose records have not been read.
     pub(super) fn look_up_listed_jobs(&mut self, shard_id: ShardId, heartbeat: &Heartbeat) {
         let env = &mut self.env;
         let context = env.context();
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The response to the lookup of a job that jobs depend on, or that a heartbeat lists.
+    /// Handles the response to a lookup of a dependency or of a job that a heartbeat lists.
     pub(super) fn on_job_lookup(&mut self, job: JobId, response: KvResponse) {
         let KvResponse::Get(outcome) = response else {
             unexpected_response(&KvRequest::JobLookup(job));
--- a/src/coordination/controller/machine_types.rs
+++ b/src/coordination/controller/machine_types.rs
@@ -1,5 +1,5 @@
-//! The machine types that there are: the cluster leader reads them from the cloud and publishes them to all controllers
-//! by the key-value store.
+//! The machine types that can be rented. The cluster leader reads them from the cloud and publishes them to all
+//! controllers through the key-value store.
 
 use super::Controller;
 use crate::coordination::context::KvRequest;
@@ -11,11 +11,11 @@
 use snowshelf_model::records::LEADER_KEY;
 use std::collections::BTreeMap;
 
-/// The machine types, as published.
+/// The published machine types.
 #[derive(Default)]
 pub(super) struct MachineTypes {
     by_name: BTreeMap<String, MachineType>,
-    /// A write of the published types is under way.
+    /// Whether a write of the published types is in flight.
     publishing: bool,
 }
 
@@ -24,12 +24,12 @@
         &self.by_name
     }
 
-    /// Whether the types are known.
+    /// Whether the machine types have been read.
     pub(super) fn are_known(&self) -> bool {
         !self.by_name.is_empty()
     }
 
-    /// Takes the types over from the record cache.
+    /// Updates the types from the record cache.
     pub(super) fn refresh(&mut self, records: &RecordCache) {
         if let Some(types) = &records.machine_types {
             let types = types.value.iter();
@@ -39,7 +39,7 @@
 }
 
 impl Controller {
-    /// Stores the machine types for all controllers, if they have changed and this controller leads the cluster.
+    /// Publishes the machine types to all controllers if they have changed and this controller leads the cluster.
     pub(super) fn publish_machine_types(&mut self, types: Vec<MachineType>) {
         let env = &mut self.env;
         let published = env.records.machine_types.as_ref();
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,7 +1,7 @@
-//! One controller: routes each event to the actor that owns the matter.
+//! The controller: routes each event to the actor that handles it.
 //!
-//! Each actor owns its own state. The one that handles a message borrows what all have in common as a [`Context`]: an
-//! actor never reaches into another one.
+//! Each actor owns its state and borrows the shared state as a [`Context`] while it handles a message. Actors never
+//! access each other's state.
 
 mod dependency_tracker;
 mod drains;
@@ -33,17 +33,17 @@
 use crate::effects::{ControllerEvent, Effect};
 use crate::operator::OperatorSettings;
 use crate::settings::Settings;
-use environment::{Environment, UNSERVED_MS};
+use environment::{Environment, KV_OUTAGE_MS};
 use heartbeats::ReceivedHeartbeat;
 use peer_status::PeerStatusSender;
 use snowshelf_connections::table::ConnectionStats;
 use snowshelf_model::ids::{MonotonicMillis, ShardId};
 use std::collections::BTreeMap;
 
-/// How often the controller expects [`ControllerEvent::Tick`].
+/// The interval at which the controller expects [`ControllerEvent::Tick`].
 pub const TICK_MS: u64 = 25;
 
-/// One controller, without its I/O: a function of events that returns effects.
+/// A controller without I/O: a state machine that takes events and returns effects.
 pub struct Controller {
     env: Environment,
     leases: Leases,
@@ -54,21 +54,21 @@
     reservations: Reservations,
     dag_runs: DagRuns,
     drains: Drains,
-    /// Present while this controller leads the cluster.
+    /// `Some` while this controller leads the cluster.
     autoscaler: Option<Autoscaler>,
     gossip: Gossip,
     peer_status: PeerStatusSender,
     reachability: Reachability,
     format_migration: FormatMigration,
     connections: ConnectionStats,
-    /// Heartbeats that wait until their shard is led here, or until the jobs that they list are read.
+    /// Heartbeats that wait until their shard is led here or the jobs that they list have been read.
     deferred_heartbeats: Vec<ReceivedHeartbeat>,
-    /// When the sizes of the others' pools were last shared with the shards.
+    /// When the pool sizes of the other shards were last passed to the shards led here.
     pool_sizes_shared_at: MonotonicMillis,
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// Creates a controller that starts at `now`.
     #[must_use]
     pub fn new(settings: Settings, ops: OperatorSettings, now: MonotonicMillis) -> Controller {
         let controller = Controller {
@@ -93,8 +93,8 @@
         controller
     }
 
-    /// Handles one event and returns what must be done about it, in order. `wall_ms` is the wall clock's time in
-    /// milliseconds since 1970.
+    /// Handles an event and returns the resulting effects, in order. `wall_ms` is the wall clock time in milliseconds
+    /// since the Unix epoch.
     #[must_use]
     pub fn handle(
         &mut self,
@@ -118,19 +118,22 @@
         std::mem::take(&mut self.env.effects.outputs)
     }
 
-    /// Whether the key-value store serves hardly any controller, as far as they say.
-    fn is_store_outage(&self) -> bool {
-        let unserved = 1 + self.gossip.count_unserved(self.env.now(), UNSERVED_MS);
-        !self.env.is_served() && 2 * unserved > self.env.config.members.len()
+    /// Whether the key-value store is unavailable to this controller and, by their statuses, to more than half of all
+    /// controllers.
+    fn is_cluster_wide_kv_outage(&self) -> bool {
+        let unserved = 1 + self.gossip.count_without_kv(self.env.now(), KV_OUTAGE_MS);
+        !self.env.is_kv_available() && 2 * unserved > self.env.config.members.len()
     }
 
-    /// Whether responding to workers is of use: where the key-value store serves hardly any controller, none can have
-    /// been elected in place of this one. That a response is safe follows from the renewal that each of them needs.
+    /// Whether this controller should respond to workers. It does so with an expired lease only in a cluster-wide
+    /// outage of the key-value store, in which no other controller can have been elected instead. Responses are safe
+    /// in either case, since each needs an authorized lease renewal.
     fn may_respond_to_workers(&self) -> bool {
-        self.leases.is_valid(self.env.now()) || (self.leases.has_lease() && self.is_store_outage())
+        self.leases.is_valid(self.env.now())
+            || (self.leases.has_lease() && self.is_cluster_wide_kv_outage())
     }
 
-    /// Runs `f` on a shard that this controller leads. A shard that finds itself fenced is dropped.
+    /// Runs `f` on a shard that this controller leads. Drops the shard if it turns out to be fenced.
     fn with_shard(&mut self, shard_id: ShardId, f: impl FnOnce(&mut Shard, &mut Context<'_>)) {
         let Some(shard) = self.shards.get_mut(&shard_id) else {
             return;
@@ -142,7 +145,7 @@
         let fencing_token = shard.fencing_token;
         self.drop_shard(shard_id);
         if self.leases.fencing_token(shard_id) == Some(fencing_token) {
-            tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "shard released");
+            tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "fenced shard dropped");
             let role = Role::ShardLeader(shard_id);
             self.leases.drop_role(role, self.env.now());
         }
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Stops leading a shard, and redirects the workers that wait for its responses.
+    /// Stops leading a shard and redirects the workers that wait for its responses.
     fn drop_shard(&mut self, shard_id: ShardId) {
         if let Some(mut shard) = self.shards.remove(&shard_id) {
             shard.redirect_deferred_requests(&mut self.env.context());
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -1,4 +1,4 @@
-//! The status that this controller sends to the others a few times a second.
+//! The status that this controller sends to its peers a few times a second.
 
 use super::Controller;
 use super::tick::RECENT_HEARTBEAT_MS;
@@ -12,12 +12,12 @@
 use std::collections::BTreeSet;
 
 const SEND_INTERVAL_MS: u64 = 400;
-/// For so many heartbeat intervals a heartbeat counts that came to a controller that does not lead its shard.
+/// For how many heartbeat intervals a heartbeat counts as recent on a controller that does not lead its shard.
 const FOREIGN_HEARTBEAT_INTERVALS: u64 = 2;
-/// Most failing jobs in one shard's status.
+/// Largest number of failing jobs in one shard's status.
 const MAX_FAILING_JOBS: usize = 100;
 
-/// When the status was last sent, and which names of machines are next.
+/// When the status was last sent, and which machine names to send next.
 #[derive(Default)]
 pub(super) struct PeerStatusSender {
     sent_at: MonotonicMillis,
@@ -26,7 +26,7 @@
 }
 
 impl Controller {
-    /// Sends this controller's status to the others, if it is due.
+    /// Sends this controller's status to its peers if it is due.
     pub(super) fn tick_peer_status(&mut self) {
         let now = self.env.now();
         if now.since(self.peer_status.sent_at) < SEND_INTERVAL_MS {
@@ -47,8 +47,8 @@
         let teams: BTreeSet<String> = teams.map(|team| team.as_str().to_string()).collect();
         let shards = self.shard_statuses();
         PeerStatus {
-            member: self.env.config.me.as_str().to_string(),
-            state_silent_ms: self.env.unserved_ms(),
+            member: self.env.config.local_member.as_str().to_string(),
+            state_silent_ms: self.env.kv_outage_ms(),
             up_ms: now.since(self.env.started_at),
             shards,
             quota_limited_teams: teams.into_iter().collect(),
@@ -63,13 +63,14 @@
 
     /// The statuses of the shards led here.
     fn shard_statuses(&mut self) -> Vec<ShardStatus> {
-        let is_reserved = !self.env.guard.holds.is_empty();
+        let has_reservations = !self.env.guard.holds.is_empty();
         let shards = self.shards.values();
         let mut statuses: Vec<ShardStatus> = shards
-            .map(|shard| shard_status(shard, is_reserved))
+            .map(|shard| shard_status(shard, has_reservations))
             .collect();
         self.add_drain_status(&mut statuses);
-        // Machines of all shards are in the first one's status: the cluster leader reads those of all together.
+        // The first shard's status carries the machines of all shards led here, since the cluster leader merges the
+        // lists.
         if let Some(first) = statuses.first_mut() {
             let now = self.env.now();
             let machines = self.shards.values();
@@ -83,7 +84,7 @@
         statuses
     }
 
-    /// Machines that this controller, as the cluster leader, misses in the cloud's list.
+    /// Machines that the cloud's list lacks or shows as failed; empty unless this controller leads the cluster.
     fn missing_machines(&mut self) -> Vec<String> {
         let missing: BTreeSet<MachineId> = self
             .autoscaler
@@ -110,8 +111,8 @@
     }
 }
 
-/// A shard's status, but for its machines and what concerns drains.
-fn shard_status(shard: &Shard, is_reserved: bool) -> ShardStatus {
+/// A shard's status without its machines and drain observations.
+fn shard_status(shard: &Shard, has_reservations: bool) -> ShardStatus {
     let failing = shard.failing().take(MAX_FAILING_JOBS);
     let reserved = shard.reserved_for_teams().iter();
     ShardStatus {
@@ -119,7 +120,7 @@
         free_cpus: shard.capacity().free,
         capacity_cpus: shard.capacity().capacity,
         waiting_cpus: shard.capacity().waiting,
-        pools: match is_reserved {
+        pools: match has_reservations {
             true => pool_sizes(shard),
             false => Vec::new(),
         },
@@ -130,9 +131,9 @@
             })
             .collect(),
         reserved: reserved
-            .map(|(team, room)| ReservedCpus {
+            .map(|(team, capacity)| ReservedCpus {
                 team: team.as_str().to_string(),
-                cpus: room.promised,
+                cpus: capacity.promised,
             })
             .collect(),
         stranded: offered_jobs(shard, StealOffer::Stranded),
@@ -141,7 +142,7 @@
     }
 }
 
-/// The jobs that a shard offers to be stolen for this reason.
+/// The jobs that a shard offers to other shards for work stealing, for this reason.
 fn offered_jobs(shard: &Shard, reason: StealOffer) -> Vec<String> {
     let offers = shard.offers().iter().filter(|(_, offer)| *offer == reason);
     offers.map(|(job, _)| job.as_str().to_string()).collect()
--- a/src/coordination/controller/record_changes.rs
+++ b/src/coordination/controller/record_changes.rs
@@ -1,4 +1,4 @@
-//! Tells the actors that records in the cache have changed.
+//! Notifies the actors of changed records in the cache.
 
 use super::Controller;
 use crate::storage::record_cache::RecordChange;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Has every actor take changed records over from the cache.
+    /// Makes the actors update their state from the changed records.
     pub(super) fn on_record_changes(&mut self, changes: Vec<RecordChange>) {
         if self.reservations.is_built() {
             self.reservations.on_changes(&changes, &self.env.context());
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Has the shards take allocations over that the job API of this controller has just written.
+    /// Makes the shards take over allocations that this controller's job API has just written.
     pub(super) fn refresh_new_allocations(&mut self) {
         self.for_each_shard(|shard, context| {
             let new: Vec<JobId> = context
--- a/src/coordination/controller/responses.rs
+++ b/src/coordination/controller/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the key-value store and the cloud, each routed to the actor that asked.
+//! Routes responses of the key-value store and the cloud to the actors that sent the requests.
 
 use super::Controller;
 use super::environment::SHARD_LEADER_CLOUD_FRACTION;
@@ -14,10 +14,10 @@
 use crate::storage::record_cache::RecordChange;
 use snowshelf_model::ids::{CallId, FencingToken, ShardId};
 
-/// The least fraction of the cloud's request rate that the cluster leader uses.
+/// Smallest fraction of the cloud's request rate for the cluster leader.
 const MIN_CLUSTER_LEADER_CLOUD_FRACTION: f64 = 0.3;
-/// Of its request rate, the cluster leader leaves so much unused.
-const CLOUD_RATE_MARGIN: f64 = 0.95;
+/// Fraction of its request rate that the cluster leader uses; the rest is a safety margin.
+const CLOUD_RATE_USED_FRACTION: f64 = 0.95;
 
 impl Controller {
     /// Routes the outcome of an HTTP call.
@@ -26,7 +26,7 @@
         if let Some((request, response)) = self.env.kv.on_outcome(now, id, outcome) {
             self.on_kv_response(request, response);
         } else if self.reachability.on_response(id, outcome) {
-            // The probe has no other effect.
+            // A probe has no effect on other actors.
         } else if let Some(request) = self.env.cloud.on_response(id, outcome) {
             self.on_cloud_response(request, outcome);
         } else if let Some(autoscaler) = &mut self.autoscaler {
@@ -118,7 +118,11 @@
         let fraction = (1.0 - shard_leaders * SHARD_LEADER_CLOUD_FRACTION)
             .max(MIN_CLUSTER_LEADER_CLOUD_FRACTION);
         let rps = fraction * config.settings.deployment.cloud.rps;
-        let autoscaler = Autoscaler::new(fencing_token, CLOUD_RATE_MARGIN * rps, self.env.now());
+        let autoscaler = Autoscaler::new(
+            fencing_token,
+            CLOUD_RATE_USED_FRACTION * rps,
+            self.env.now(),
+        );
         self.autoscaler = Some(autoscaler);
     }
 
@@ -142,7 +146,7 @@
                 shard.on_response(request, response, context);
             }
         });
-        // Every allocation of the job has changed hands in the record cache, whoever leads the shard by now.
+        // The job's allocations in the record cache have changed, whether or not the shard has a new leader.
         if let Some(job) = stolen {
             self.on_record_changes(vec![RecordChange::Job(job)]);
         }
@@ -158,7 +162,7 @@
         self.on_record_changes(changes);
     }
 
-    /// Passes a response on to the list and watch of records, which continues at once.
+    /// Passes a response to the list-and-watch and lets it send its next request immediately.
     fn on_list_watch_response(&mut self, request: ListWatchRequest, response: KvResponse) {
         let context = &mut self.env.context();
         let changes = self.list_watch.on_response(request, response, context);
--- a/src/coordination/controller/routes.rs
+++ b/src/coordination/controller/routes.rs
@@ -1,4 +1,4 @@
-//! Requests of users, workers and health checks, routed by path.
+//! Routes requests of users, workers and health checks by path.
 
 use super::Controller;
 use crate::coordination::api::JobReadPurpose;
@@ -28,7 +28,7 @@
         let (path, _) = query::split(&request.path);
         match (request.method.as_str(), path) {
             ("GET", "/ready") => self.respond_ready(conn),
-            ("POST", "/checkin") => self.check_in(conn, &request.body),
+            ("POST", "/checkin") => self.receive_heartbeat(conn, &request.body),
             ("POST", JOBS_PATH) => self.submit_job(conn, &request.body),
             (_, "/ready" | "/checkin" | JOBS_PATH) => {
                 self.env.effects.respond(conn, wrong_method());
@@ -42,7 +42,7 @@
     }
 
     fn submit_job(&mut self, conn: ConnectionId, body: &[u8]) {
-        if !self.env.is_served() && user::submitted_job(body).is_some() {
+        if !self.env.is_kv_available() && user::submitted_job(body).is_some() {
             let response = Unavailable::StoreDown.into();
             self.env.effects.respond(conn, response);
         } else {
@@ -50,42 +50,44 @@
         }
     }
 
-    /// Routes a request to the features that the operators have enabled; false if its path is of none of them.
+    /// Routes a request to a feature that the operators have enabled. Returns false if the path belongs to none of
+    /// them.
     fn route_to_feature(&mut self, conn: ConnectionId, request: &Request) -> bool {
         let Request { method, path, body } = request;
         let ops = &self.env.config.ops;
         if ops.calendar.enabled
-            && let Some(read) = reservations::parse_request(method, path, body)
+            && let Some(parsed) = reservations::parse_request(method, path, body)
         {
-            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
-                self.reservations.handle(conn, ask, &mut self.env.context());
+            if let Some(request) = self.accept_parsed(conn, parsed.map_err(Response::from)) {
+                self.reservations
+                    .handle(conn, request, &mut self.env.context());
             }
             return true;
         }
         let wall_time = WallClockMillis(self.env.effects.wall_ms);
         if ops.drains.enabled
-            && let Some(read) = drains::parse_request(method, path, body, wall_time)
+            && let Some(parsed) = drains::parse_request(method, path, body, wall_time)
         {
-            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
-                self.drains.handle(conn, ask, &mut self.env.context());
+            if let Some(request) = self.accept_parsed(conn, parsed.map_err(Response::from)) {
+                self.drains.handle(conn, request, &mut self.env.context());
             }
             return true;
         }
         if ops.graphs.enabled
-            && let Some(read) = dag_runs::parse_request(method, path, body)
+            && let Some(parsed) = dag_runs::parse_request(method, path, body)
         {
-            if let Some(ask) = self.accept_read(conn, read.map_err(Response::from)) {
-                self.dag_runs.handle(conn, ask, &mut self.env.context());
+            if let Some(request) = self.accept_parsed(conn, parsed.map_err(Response::from)) {
+                self.dag_runs.handle(conn, request, &mut self.env.context());
             }
             return true;
         }
         false
     }
 
-    /// The request if it can be decided; otherwise responds.
-    fn accept_read<R>(&mut self, conn: ConnectionId, read: Result<R, Response>) -> Option<R> {
-        let response = match read {
-            Ok(request) if self.env.is_served() => return Some(request),
+    /// Returns the parsed request if it can be decided now. Otherwise responds with the reason.
+    fn accept_parsed<R>(&mut self, conn: ConnectionId, parsed: Result<R, Response>) -> Option<R> {
+        let response = match parsed {
+            Ok(request) if self.env.is_kv_available() => return Some(request),
             Ok(_) => Unavailable::StoreDown.into(),
             Err(response) => response,
         };
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic work: one function for each actor, in an order that matters.
+//! Periodic work: one function per actor. Their order matters, since later ones depend on what earlier ones update.
 
 use super::Controller;
 use crate::coordination::leases::Role;
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How often the sizes of the others' pools are shared with the shards.
+/// Interval at which the pool sizes of the other shards are passed to the shards led here.
 const POOL_SIZES_INTERVAL_MS: u64 = 400;
-/// A heartbeat no older than this proves to the cluster leader that its machine runs.
+/// Largest age of a heartbeat that proves to the cluster leader that the machine is running.
 pub(super) const RECENT_HEARTBEAT_MS: u64 = 10_000;
 
 impl Controller {
@@ -35,7 +35,7 @@
         self.tick_peer_status();
     }
 
-    /// Applies the limits of the record format that is agreed on, and this controller's fraction of the request budget.
+    /// Applies the storage limits of the agreed record format, and this controller's share of the request budget.
     fn tick_storage_limits(&mut self) {
         let env = &mut self.env;
         let state = &env.config.settings.deployment.state;
@@ -45,7 +45,8 @@
                 rps = limits.rps, write_rps = limits.write_rps, "storage limits changed");
             env.storage_limits = limits;
         }
-        // A controller that starts counts as the leader of a shard: it is about to be one, and reads most now.
+        // A starting controller counts as the leader of a shard: it is about to lead one, and its startup read needs
+        // many requests.
         let is_starting = usize::from(!env.records.loaded);
         let led_shards = self.leases.led_shards().len().max(is_starting);
         let shard_count = env.config.shard_count;
@@ -55,7 +56,7 @@
 
     fn tick_reservations(&mut self) {
         let leads_cluster = self.autoscaler.is_some() && self.leases.is_valid(self.env.now());
-        if !self.env.is_served() {
+        if !self.env.is_kv_available() {
             self.reservations.refuse_all(&mut self.env.context());
         }
         let guard = self
@@ -73,7 +74,7 @@
         self.leases.tick(&homes, &mut self.env.context());
     }
 
-    /// Drops the roles that another controller holds, as far as the record cache shows.
+    /// Drops the roles that another controller holds according to the record cache.
     fn drop_lost_roles(&mut self) {
         if !self.env.records.loaded {
             return;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Hands a shard over whose workers reach other controllers and not this one.
+    /// Hands over a shard whose workers reach other controllers but not this one.
     fn tick_reachability(&mut self) {
         let now = self.env.now();
         let heartbeat_interval_ms = self.env.config.settings.report_ms();
@@ -135,8 +136,8 @@
             })
             .map(|shard| shard.id)
             .collect();
-        // While the key-value store does not serve this controller, no other one can acquire the shard.
-        let may_hand_over = self.leases.is_valid(now) && self.env.is_served();
+        // A handover needs a write: without the key-value store no other controller could acquire the shard.
+        let may_hand_over = self.leases.is_valid(now) && self.env.is_kv_available();
         if may_hand_over
             && let Some(shard_id) = self.reachability.choose_handover(&unreachable, now)
         {
@@ -146,7 +147,8 @@
         self.reachability.probe(&mut self.env.context());
     }
 
-    /// Shares with the shards led here how many machines the others have: a reservation is divided by that.
+    /// Passes the pool sizes of all shards to the shards led here. A reservation is divided among the shards by pool
+    /// size.
     fn tick_pool_sizes(&mut self) {
         let now = self.env.now();
         let is_due = now.since(self.pool_sizes_shared_at) >= POOL_SIZES_INTERVAL_MS;
@@ -190,10 +192,10 @@
 
     fn tick_dag_runs(&mut self) {
         let now = self.env.now();
-        if !self.env.is_served() || !self.leases.is_valid(now) {
+        if !self.env.is_kv_available() || !self.leases.is_valid(now) {
             return;
         }
-        // It must be known which of a run's jobs have ended, or they would be submitted again.
+        // Jobs of a run that have ended would be submitted again if their ends were not known.
         let can_decide = self.env.records.loaded
             && !self.list_watch.is_reading_finished_jobs()
             && self.env.machine_types.are_known();
@@ -223,13 +225,14 @@
         let mut reserved = self.gossip.reserved_cpus(now);
         for shard in self.shards.values() {
             let own = shard.reserved_for_teams().iter();
-            reserved.extend(own.map(|(team, room)| ((shard.id, team.clone()), room.promised)));
+            reserved
+                .extend(own.map(|(team, capacity)| ((shard.id, team.clone()), capacity.promised)));
         }
         self.job_api.set_capacity(capacities, reserved);
         self.job_api.check_polls(&mut self.env.context());
         self.job_api
             .write_dependency_chunks(&mut self.env.context());
-        if !self.env.is_served() {
+        if !self.env.is_kv_available() {
             self.dag_runs.refuse_all(&mut self.env.context());
             self.job_api.refuse_pending(&mut self.env.context());
             return;
@@ -262,7 +265,7 @@
         autoscaler.tick(all_shards_led, &mut self.env.context());
     }
 
-    /// Whether no worker of any shard led here reaches this controller.
+    /// Whether no worker of any shard led here has reached this controller recently.
     pub(super) fn receives_no_heartbeats(&self) -> bool {
         let now = self.env.now();
         let heartbeat_interval_ms = self.env.config.settings.report_ms();
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -1,5 +1,6 @@
-//! The cancellation watermark: up to when this controller knows every cancellation that was confirmed to a user, by the
-//! record cache or by the confirmations of all peers. Workers' leases are renewed for a while after that only.
+//! The cancellation watermark: the time up to which this controller knows every cancellation that was confirmed to a
+//! user, from the record cache or from the confirmations of all peers. Worker leases are renewed only for a limited
+//! time after the watermark.
 
 use super::Controller;
 use crate::coordination::config::Config;
@@ -11,25 +12,27 @@
 use snowshelf_watermark::renewal::{WATCH_LATE_MS, is_covered};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With less time for renewals than this, a watch that is only slow makes workers end their tasks.
+/// With less time than this for renewals after the watermark, a watch that is merely slow makes workers stop their
+/// tasks.
 const SMALL_MARGIN_MS: u64 = 4_000;
-/// Most jobs in one confirmation, so that it stays within its frame; with more it is incomplete.
+/// Largest number of jobs in one confirmation, to stay within the frame size. With more jobs the confirmation is sent
+/// as incomplete.
 const MAX_CONFIRMED_JOBS: usize = 2_000;
 
-/// What this controller knows of cancellations that were confirmed to users.
-pub(super) struct CancellationKnowledge {
+/// Tracks the cancellations that were confirmed to users.
+pub(super) struct CancellationTracker {
     watermark: CancellationWatermark,
-    /// Rounds of confirmation requests. Their incarnation is 0 until the first event tells the time of day.
+    /// Rounds of confirmation requests. Their incarnation is 0 until the first event brings the wall clock time.
     rounds: ConfirmationRounds,
-    /// Jobs whose cancellation a peer has confirmed, and when it said so.
+    /// Jobs whose cancellation a peer has confirmed, with the time of its answer.
     peer_confirmed: BTreeMap<JobId, MonotonicMillis>,
-    /// The watermark is too old for workers' leases to be renewed.
+    /// Whether the watermark is too old to renew worker leases.
     renewal_suspended: bool,
 }
 
-impl Default for CancellationKnowledge {
-    fn default() -> CancellationKnowledge {
-        CancellationKnowledge {
+impl Default for CancellationTracker {
+    fn default() -> CancellationTracker {
+        CancellationTracker {
             watermark: CancellationWatermark::default(),
             rounds: ConfirmationRounds::new(0),
             peer_confirmed: BTreeMap::new(),
@@ -38,7 +41,7 @@
     }
 }
 
-impl CancellationKnowledge {
+impl CancellationTracker {
     pub(super) fn watermark(&self) -> CancellationWatermark {
         self.watermark
     }
@@ -47,28 +50,28 @@
         &self.peer_confirmed
     }
 
-    /// Gives this process its incarnation, by which peers tell it from the one before a restart.
+    /// Sets this process's incarnation on the first event. It distinguishes the process from the one before a restart.
     pub(super) fn begin_incarnation(&mut self, wall_ms: u64) {
         if self.rounds.incarnation() == 0 {
             self.rounds = ConfirmationRounds::new(wall_ms.max(1));
         }
     }
 
-    /// The record cache has every record as of this time.
+    /// Advances the watermark: the record cache holds every change up to `at`.
     pub(super) fn on_records_current(&mut self, at: MonotonicMillis) {
         self.watermark.advance_by_watch(at);
-        // What peers confirmed before is in the record cache.
+        // Cancellations that peers confirmed before then are in the record cache.
         self.peer_confirmed
             .retain(|_, confirmed_at| *confirmed_at >= at);
     }
 
-    /// Whether the watch of records advances the watermark too late.
+    /// Whether the watch is late: it has not advanced the watermark for longer than [`WATCH_LATE_MS`].
     fn is_watch_late(&self, now: MonotonicMillis) -> bool {
-        let read_at = self.watermark.watch();
-        read_at.is_none_or(|at| now.since(at) > WATCH_LATE_MS)
+        let synced_at = self.watermark.watch();
+        synced_at.is_none_or(|at| now.since(at) > WATCH_LATE_MS)
     }
 
-    /// Logs when workers' leases are no longer renewed, and when they are again.
+    /// Logs when worker lease renewal is suspended and when it resumes.
     fn log_suspension(&mut self, now: MonotonicMillis, answering_ms: u64) {
         let watermark = self.watermark.at();
         let is_suspended = watermark.is_some_and(|at| !is_covered(Some(at), now, answering_ms));
@@ -80,9 +83,9 @@
         match is_suspended {
             true => tracing::info!(
                 behind_ms,
-                "lease renewal suspended: cancellation watermark too old"
+                "worker lease renewal suspended: cancellation watermark too old"
             ),
-            false => tracing::info!(behind_ms, "lease renewal resumed"),
+            false => tracing::info!(behind_ms, "worker lease renewal resumed"),
         }
     }
 
@@ -98,13 +101,13 @@
         };
         let completed_round = match self.rounds.on_confirmation(now, &confirmation) {
             Ok(completed_round) => completed_round,
-            Err(why) => {
-                tracing::info!(member = %confirmation.from, sequence = confirmation.sequence, ?why,
+            Err(reason) => {
+                tracing::info!(member = %confirmation.from, sequence = confirmation.sequence, why = ?reason,
                     "peer confirmation ignored");
                 return;
             }
         };
-        // Their tasks are stopped at once, whether or not the other peers have answered yet.
+        // The jobs' tasks are stopped immediately, whether or not the other peers have answered yet.
         for job in confirmation.cancelled {
             if self.peer_confirmed.insert(job.clone(), now).is_none() {
                 tracing::info!(job = %job, by = %confirmation.from, "job cancellation confirmed by peer");
@@ -116,7 +119,7 @@
     }
 }
 
-/// Logs at the start that the settings leave little time for renewals without the key-value store.
+/// Logs an error at startup if the settings leave little time for lease renewals without the key-value store.
 pub(super) fn log_small_margin(config: &Config) {
     let answering_ms = config.settings.answering_ms();
     if answering_ms < SMALL_MARGIN_MS {
@@ -131,7 +134,7 @@
 }
 
 impl Controller {
-    /// Asks the peers which cancellations they have confirmed while the key-value store does not say it.
+    /// Requests the peers' confirmed cancellations while the key-value store is unavailable or the watch is late.
     pub(super) fn tick_watermark(&mut self) {
         let now = self.env.now();
         let answering_ms = self.env.config.settings.answering_ms();
@@ -141,7 +144,7 @@
             return;
         };
         let watch_late = cancellations.is_watch_late(now);
-        if self.shards.is_empty() || (self.env.is_served() && !watch_late) {
+        if self.shards.is_empty() || (self.env.is_kv_available() && !watch_late) {
             return;
         }
         self.request_confirmations(watermark);
@@ -153,7 +156,7 @@
         let now = env.effects.now;
         let peers: BTreeSet<Member> = env.config.other_members().cloned().collect();
         if peers.is_empty() {
-            // Nobody else confirms cancellations.
+            // Without peers, no other controller confirms cancellations.
             env.cancellations.watermark.advance_by_confirmation(now);
             return;
         }
@@ -161,7 +164,7 @@
             return;
         };
         let request = ConfirmationRequest {
-            member: env.config.me.as_str().to_string(),
+            member: env.config.local_member.as_str().to_string(),
             incarnation: round.incarnation,
             sequence: round.sequence,
             window_ms: round.window_ms,
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Handles a message of a peer that safety depends on.
+    /// Handles a peer's confirmation request or confirmation. Unlike statuses, safety depends on them.
     pub(super) fn on_peer_message(&mut self, message: PeerMessage) {
         if let Some(request) = message.request {
             self.confirm_cancellations(&request);
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Answers a peer which cancellations this controller has confirmed to users lately.
+    /// Sends a peer the cancellations that this controller has confirmed to users within the requested window.
     fn confirm_cancellations(&mut self, request: &ConfirmationRequest) {
         let env = &mut self.env;
         let peer = Member::new(&request.member);
@@ -200,7 +203,7 @@
             .within(env.effects.now, request.window_ms)
             .filter(|jobs| jobs.len() <= MAX_CONFIRMED_JOBS);
         let confirmation = Confirmation {
-            member: env.config.me.as_str().to_string(),
+            member: env.config.local_member.as_str().to_string(),
             incarnation: env.cancellations.rounds.incarnation(),
             asker_incarnation: request.incarnation,
             sequence: request.sequence,
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -122,7 +122,7 @@
             context.effects.respond(connection, later);
             return;
         }
-        if !context.records.loaded || context.types.is_empty() {
+        if !context.records.loaded || context.machine_types.is_empty() {
             let unavailable = Unavailable::NotReady.into();
             context.effects.respond(connection, unavailable);
             return;
--- a/src/coordination/drains/decisions.rs
+++ b/src/coordination/drains/decisions.rs
@@ -255,7 +255,7 @@
         return Response::error(422, "unknown zone").into();
     }
     let model = drain.which.model.as_ref();
-    if model.is_some_and(|model| !context.types.contains_key(model)) {
+    if model.is_some_and(|model| !context.machine_types.contains_key(model)) {
         return Response::error(422, "unknown machine type").into();
     }
     if let Some(why) = contradiction(drain, context) {
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -143,7 +143,7 @@
             .map(|(name, v)| (name, v.version, &*v.value))
             .collect();
         open.sort_by_key(|(name, _, drain)| (drain.asked, *name));
-        let ready_s = context.types.values().map(|t| t.ready_s);
+        let ready_s = context.machine_types.values().map(|t| t.ready_s);
         let slowest_ready_s = ready_s.fold(0.0, f64::max);
         let settings = &context.config.settings;
         let list_lag_ms = seconds_to_ms(settings.deployment.cloud.list_lag_s);
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -1,7 +1,8 @@
-//! The migration of the record format, and the activation of features whose records every controller must know.
+//! Migration of the record format, and activation of features whose records every controller must be able to read.
 //!
-//! Each controller declares durably what it can read. What all controllers have declared is agreed on for good, in a
-//! record that each controller acts on only after reading it.
+//! Each controller writes a declaration of the format and capabilities that it supports. What all
+//! controllers have declared is added to the agreement record, permanently. A controller uses a format or feature only
+//! after it has read the agreement.
 
 use super::context::{Context, KvRequest};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
@@ -14,44 +15,44 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The pause after a write that was not carried out.
+/// The pause after a write that was not applied.
 const RETRY_MS: u64 = 700;
 
-/// A record that is to be written.
+/// A declaration or agreement to be written.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Declaration {
-    /// The key of this controller's own declaration, or of the agreement.
+    /// The key of this controller's declaration, or of the agreement.
     pub key: String,
-    /// The version that the key must have.
+    /// The key's expected version; 0 if it must not exist.
     pub version: Version,
     /// The new value.
     pub record: FormatRecord,
 }
 
-/// Declares what this controller can read, and agrees on what all can.
+/// The actor that writes this controller's declaration and the agreement.
 #[derive(Default)]
 pub struct FormatMigration {
     in_flight: bool,
     retry_at: MonotonicMillis,
 }
 
-/// What is to be written next, if anything: this controller's own declaration first, then the agreement that follows
-/// from the declarations of all members. Nothing that is agreed on is ever taken back.
+/// Returns the next record to write: this controller's declaration first, then the agreement that follows from the
+/// declarations of all members; `None` if both are up to date. Nothing is ever removed from the agreement.
 #[must_use]
 pub fn next_declaration(
-    me: &Member,
+    local_member: &Member,
     capabilities: &BTreeSet<Capability>,
     members: &[Member],
     declared: &BTreeMap<Member, VersionedRecord<FormatRecord>>,
     agreed: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<Declaration> {
-    own_declaration(me, capabilities, declared.get(me))
+    own_declaration(local_member, capabilities, declared.get(local_member))
         .or_else(|| next_agreement(capabilities, members, declared, agreed))
 }
 
-/// This controller's declaration, if it is not yet written.
+/// This controller's declaration, unless it is already written.
 fn own_declaration(
-    me: &Member,
+    local_member: &Member,
     capabilities: &BTreeSet<Capability>,
     declared: Option<&VersionedRecord<FormatRecord>>,
 ) -> Option<Declaration> {
@@ -61,13 +62,14 @@
     };
     let is_written = declared.is_some_and(|v| *v.value == record);
     (!is_written).then(|| Declaration {
-        key: member_key(me),
+        key: member_key(local_member),
         version: declared.map(|v| v.version).unwrap_or_default(),
         record,
     })
 }
 
-/// The agreement that follows from the declarations of all members, if it is not yet written.
+/// The agreement that follows from the declarations of all members, unless it is already written. `None` until every
+/// member has declared at least format V2.
 fn next_agreement(
     capabilities: &BTreeSet<Capability>,
     members: &[Member],
@@ -97,7 +99,7 @@
 }
 
 impl FormatMigration {
-    /// Writes the next declaration.
+    /// Writes the next declaration or agreement, unless the operators hold the format migration back.
     pub fn tick(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let is_held = context.config.ops.hold_format && context.records.format == RecordFormat::V1;
@@ -105,7 +107,7 @@
             return;
         }
         let next = next_declaration(
-            &context.config.me,
+            &context.config.local_member,
             &context.config.capabilities,
             &context.config.members,
             &context.records.members,
@@ -135,7 +137,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of a write. An unknown one becomes known by the watch of records.
+    /// Handles the outcome of a write. If it is unknown, the watch shows whether the write was applied.
     pub fn on_response(
         &mut self,
         key: &str,
--- a/src/coordination/gossip/mod.rs
+++ b/src/coordination/gossip/mod.rs
@@ -1,5 +1,4 @@
-//! The statuses that the other controllers send. No decision that must be safe depends on them: they may be late, or
-//! not come at all.
+//! Gossip: the statuses that peers send. They may be late or lost, so no safety decision depends on them.
 
 mod round_robin_names;
 
@@ -16,29 +15,29 @@
 use snowshelf_model::protocol::peer::{PeerStatus, ShardStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A status older than this is ignored.
+/// Statuses older than this are ignored.
 const STATUS_TTL_MS: u64 = 2_500;
-/// A home member that has been up and up to date for so long may lead its shard again.
-const SETTLED_MS: u64 = 3_000;
-/// A home member that the key-value store has not served for so long may not.
-const UNSERVED_HOME_MS: u64 = 1_500;
+/// A home member may lead its shard again once it has been up for this long and its watch lags by less than this.
+const HOME_STABLE_MS: u64 = 3_000;
+/// A home member that the key-value store has not served for this long cannot lead its shard.
+const MAX_HOME_KV_OUTAGE_MS: u64 = 1_500;
 
 struct ReceivedStatus {
     at: MonotonicMillis,
     status: PeerStatus,
 }
 
-/// The last status of each of the other controllers.
+/// The last status received from each peer.
 #[derive(Default)]
 pub struct Gossip {
     received: BTreeMap<Member, ReceivedStatus>,
 }
 
 impl Gossip {
-    /// Records a status that has come.
+    /// Records a received status. A status of an unknown member is rejected.
     pub fn record(&mut self, now: MonotonicMillis, status: PeerStatus, config: &Config) {
         let member = Member::new(&status.member);
-        if config.members.contains(&member) && member != config.me {
+        if config.members.contains(&member) && member != config.local_member {
             self.received
                 .insert(member, ReceivedStatus { at: now, status });
         } else {
@@ -46,7 +45,7 @@
         }
     }
 
-    /// The statuses that are not too old, in the order of the members' names.
+    /// The statuses that have not expired, ordered by member name.
     pub fn recent(
         &self,
         now: MonotonicMillis,
@@ -57,30 +56,31 @@
             .map(|(member, received)| (member, &received.status))
     }
 
-    /// The statuses of the shards that the other controllers lead.
+    /// The statuses of the shards that peers lead.
     fn recent_shards(&self, now: MonotonicMillis) -> impl Iterator<Item = &ShardStatus> + '_ {
         self.recent(now)
             .flat_map(|(_, status)| status.shards.iter())
     }
 
-    /// How many of the others the key-value store has not served for at least this time.
+    /// The number of peers that the key-value store has not served for at least `kv_outage_ms`.
     #[must_use]
-    pub fn count_unserved(&self, now: MonotonicMillis, unserved_ms: u64) -> usize {
+    pub fn count_without_kv(&self, now: MonotonicMillis, kv_outage_ms: u64) -> usize {
         self.recent(now)
-            .filter(|(_, status)| status.state_silent_ms >= unserved_ms)
+            .filter(|(_, status)| status.state_silent_ms >= kv_outage_ms)
             .count()
     }
 
-    /// The shards whose home member can lead them: it is up, served and up to date.
+    /// The shards whose home member can lead them: it is stable, reachable by workers, served by the key-value store,
+    /// and its watch is current.
     #[must_use]
     pub fn available_homes(&self, now: MonotonicMillis, config: &Config) -> BTreeSet<ShardId> {
-        // A home member whose watch lags would not see the release: another controller would acquire the shard, and
-        // release it again, every second.
+        // A home member with a lagging watch would not see that the shard was released to it. Another controller would
+        // acquire the shard and release it again, every second.
         let is_available = |status: &PeerStatus| {
             !status.unreachable_by_workers
-                && status.up_ms >= SETTLED_MS
-                && status.state_silent_ms < UNSERVED_HOME_MS
-                && status.watch_silent_ms < SETTLED_MS
+                && status.up_ms >= HOME_STABLE_MS
+                && status.state_silent_ms < MAX_HOME_KV_OUTAGE_MS
+                && status.watch_silent_ms < HOME_STABLE_MS
         };
         let available: BTreeSet<&Member> = self
             .recent(now)
@@ -93,14 +93,15 @@
             .collect()
     }
 
-    /// Whether a controller says that no worker reaches it.
+    /// Whether a peer reports that workers cannot reach it.
     #[must_use]
     pub fn is_unreachable_by_workers(&self, now: MonotonicMillis, member: &Member) -> bool {
         self.recent(now)
             .any(|(other, status)| other == member && status.unreachable_by_workers)
     }
 
-    /// The most machines of a shard whose heartbeats any one of the others has received lately.
+    /// The largest number of a shard's machines whose heartbeats a single peer has received recently. Peers that
+    /// workers cannot reach are left out.
     #[must_use]
     pub fn most_foreign_heartbeats(&self, now: MonotonicMillis, shard_id: ShardId) -> u32 {
         let reachable = self
@@ -114,7 +115,7 @@
             .unwrap_or(0)
     }
 
-    /// Teams of which the others could start more tasks with a larger grant of their quota.
+    /// Teams whose tasks peers could start if they had a larger quota grant.
     #[must_use]
     pub fn teams_short_of_quota(&self, now: MonotonicMillis) -> BTreeSet<Team> {
         self.recent(now)
@@ -123,7 +124,7 @@
             .collect()
     }
 
-    /// The capacities of the shards that the others lead.
+    /// The capacities of the shards that peers lead.
     #[must_use]
     pub fn shard_capacities(&self, now: MonotonicMillis) -> BTreeMap<ShardId, ShardCapacity> {
         self.recent_shards(now)
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// Jobs that the others offer to be stolen.
+    /// Jobs that peers offer for work stealing.
     #[must_use]
     pub fn steal_offers(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, JobId), StealOffer> {
         let offers = self.recent_shards(now).flat_map(|shard| {
@@ -151,7 +152,7 @@
         offers.collect()
     }
 
-    /// How many machines, ordinary and spot, the others have in each pool.
+    /// The numbers of on-demand and spot instances in each pool of the shards that peers lead.
     #[must_use]
     pub fn pool_sizes(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, Pool), (u32, u32)> {
         self.recent_shards(now)
@@ -164,7 +165,7 @@
             .collect()
     }
 
-    /// Jobs of graphs' runs that fail in shards of the others, and how often their worst task has failed.
+    /// Failing jobs of DAG runs in shards that peers lead, with the failure count of the task that failed most often.
     #[must_use]
     pub fn failing_jobs(&self, now: MonotonicMillis) -> BTreeMap<JobId, u32> {
         self.recent_shards(now)
@@ -173,7 +174,7 @@
             .collect()
     }
 
-    /// CPUs that the others reserve for teams.
+    /// CPUs reserved for teams in the shards that peers lead.
     #[must_use]
     pub fn reserved_cpus(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, Team), f64> {
         self.recent_shards(now)
@@ -185,7 +186,7 @@
             .collect()
     }
 
-    /// The shards that the others lead.
+    /// The shards that peers lead.
     #[must_use]
     pub fn led_shards(&self, now: MonotonicMillis) -> BTreeSet<ShardId> {
         self.recent_shards(now)
@@ -193,7 +194,7 @@
             .collect()
     }
 
-    /// What the cluster leader says that drains wait for.
+    /// What each drain waits for, as reported by the cluster leader.
     #[must_use]
     pub fn drain_progress(&self, now: MonotonicMillis) -> BTreeMap<Name, WaitReason> {
         self.recent(now)
@@ -208,7 +209,7 @@
             .collect()
     }
 
-    /// What the other shard leaders say of drains.
+    /// What the peers that lead shards observe about drains.
     #[must_use]
     pub fn drain_observations(&self, now: MonotonicMillis) -> EvictionStatus {
         let mut observations = EvictionStatus::default();
@@ -227,7 +228,7 @@
         observations
     }
 
-    /// How many tasks that were tried before run again, by shard and job.
+    /// The number of tasks of earlier attempts that run again, by shard and job.
     #[must_use]
     pub fn restarted_tasks(&self, now: MonotonicMillis) -> BTreeMap<(ShardId, JobId), u32> {
         self.recent_shards(now)
@@ -239,7 +240,7 @@
             .collect()
     }
 
-    /// Tasks on machines of other shards that are silent or about to be interrupted.
+    /// Tasks on machines that are silent or about to be interrupted, in shards that peers lead, by team.
     #[must_use]
     pub fn lost_tasks(&self, now: MonotonicMillis) -> BTreeMap<Team, Amount> {
         let mut lost: BTreeMap<Team, Amount> = BTreeMap::new();
@@ -251,7 +252,7 @@
         lost
     }
 
-    /// Machines that the cluster leader misses in the cloud's list.
+    /// Machines that the cloud's list lacks or shows as failed, as reported by the cluster leader.
     #[must_use]
     pub fn missing_machines(&self, now: MonotonicMillis) -> BTreeSet<MachineId> {
         self.recent(now)
@@ -260,7 +261,7 @@
             .collect()
     }
 
-    /// Names of machines whose heartbeats the others have received lately.
+    /// Names of machines whose heartbeats peers have received recently.
     #[must_use]
     pub fn machines_with_heartbeats(&self, now: MonotonicMillis) -> BTreeSet<String> {
         self.recent_shards(now)
--- a/src/coordination/gossip/round_robin_names.rs
+++ b/src/coordination/gossip/round_robin_names.rs
@@ -1,17 +1,17 @@
-//! Names of machines that are too many for one message, sent round robin.
+//! Spreads long lists of machine names over several messages, round robin.
 
 use snowshelf_model::ids::MachineId;
 use std::collections::BTreeSet;
 
-/// Most bytes that the names of machines with recent heartbeats take in one message. With all else a message stays
-/// within its frame, however many machines there are.
+/// Size limit, in bytes, for the names of machines with recent heartbeats in one message. It keeps the whole message
+/// within the frame size for any number of machines.
 pub const HEARTBEAT_NAMES_BYTES: usize = 24 * 1024;
-/// Most bytes that the names of missing machines take in one message.
+/// Size limit, in bytes, for the names of missing machines in one message.
 pub const MISSING_NAMES_BYTES: usize = 12 * 1024;
-/// What the encoding of a name takes beside its letters.
+/// Bytes that the encoding adds to each name.
 const NAME_OVERHEAD_BYTES: usize = 3;
 
-/// Sends the names of a set round robin, if they are too many for one message.
+/// Selects the names for each message, round robin if they do not fit in one message.
 #[derive(Default)]
 pub struct RoundRobinNames {
     last_sent: Option<MachineId>,
@@ -22,7 +22,8 @@
 }
 
 impl RoundRobinNames {
-    /// The names for the next message: all, or those that follow the last one sent, within so many bytes.
+    /// Returns the names for the next message: all of them if they fit in `max_bytes`, or else as many as fit,
+    /// beginning after the last name sent and wrapping around.
     #[must_use]
     pub fn next(&mut self, names: &BTreeSet<MachineId>, max_bytes: usize) -> Vec<String> {
         let text = |name: &MachineId| name.as_str().to_string();
@@ -34,11 +35,11 @@
         let follows = |name: &&MachineId| last_sent.as_ref().is_none_or(|last| *name > last);
         let following = names.iter().filter(follows);
         let wrapped = names.iter().filter(|name| !follows(name));
-        let mut left_bytes = max_bytes;
+        let mut remaining_bytes = max_bytes;
         let fits = |name: &&MachineId| {
             let bytes = encoded_bytes(name);
-            let fits = bytes <= left_bytes;
-            left_bytes = left_bytes.saturating_sub(bytes);
+            let fits = bytes <= remaining_bytes;
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
             fits
         };
         let sent: Vec<&MachineId> = following.chain(wrapped).take_while(fits).collect();
--- a/src/coordination/images.rs
+++ b/src/coordination/images.rs
@@ -1,27 +1,28 @@
-//! Which images a machine has, as far as its heartbeats tell.
+//! A model of a machine's image cache, derived from the tasks that its heartbeats list.
 
 use super::placement::ImageState;
 use std::collections::BTreeSet;
 
-/// An image in a machine's cache.
+/// A cached image and its size.
 #[derive(Clone, Debug)]
 struct CachedImage {
     id: u32,
     size_gb: f64,
 }
 
-/// The images on one machine: it caches those most recently used, as many as its local storage holds.
+/// The images on one machine. Its cache keeps the most recently used images that fit in its local storage.
 #[derive(Clone, Debug, Default)]
 pub struct Images {
-    /// The least recently used first.
+    /// Least recently used first.
     cached: Vec<CachedImage>,
-    /// Images that tasks placed on the machine wait for.
-    pub coming: BTreeSet<u32>,
+    /// Images that tasks on the machine are waiting for.
+    pub fetching: BTreeSet<u32>,
 }
 
 impl Images {
-    /// Notes that a task runs there with this image; `local_gb` is the storage for images.
-    pub fn used(&mut self, image: u32, size_gb: f64, local_gb: f64) {
+    /// Records that a task on the machine uses an image, and evicts the least recently used images that no longer fit
+    /// in the `local_gb` of local storage.
+    pub fn record_use(&mut self, image: u32, size_gb: f64, local_gb: f64) {
         self.cached.retain(|cached| cached.id != image);
         let cached = self.cached.iter().map(|cached| cached.size_gb);
         let mut total_gb: f64 = cached.sum::<f64>() + size_gb;
@@ -31,16 +32,16 @@
         self.cached.push(CachedImage { id: image, size_gb });
     }
 
-    /// Whether the machine has an image.
+    /// Whether the image is cached on the machine.
     pub fn has(&self, image: u32) -> bool {
         self.cached.iter().any(|cached| cached.id == image)
     }
 
-    /// How near the machine is to having an image.
+    /// Whether the image is cached, being fetched or absent.
     pub fn state(&self, image: u32) -> ImageState {
         if self.has(image) {
             ImageState::Cached
-        } else if self.coming.contains(&image) {
+        } else if self.fetching.contains(&image) {
             ImageState::Fetching
         } else {
             ImageState::Absent
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -1,7 +1,7 @@
 //! Acquisition, release and handover of roles.
 
 use super::decision::PREFERENCE_MS;
-use super::{KeyHolder, LeaseDecision, LeaseRequest, Leases, Role, RoleObservation, decide_lease};
+use super::{KeyHolder, LeaseRequest, Leases, Role, RoleDecision, RoleObservation, decide_role};
 use crate::coordination::context::{Context, KvRequest};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use serde_json::Value;
@@ -10,20 +10,20 @@
 use snowshelf_model::records::{LEADER_KEY, LeaseHolder, shard_key};
 use std::collections::BTreeSet;
 
-/// A controller that no worker reaches acquires a shard that has been vacant for longer than this.
+/// A controller that workers cannot reach acquires a shard only if it has been vacant for longer than this.
 const UNREACHABLE_VACANCY_MS: u64 = 5_000;
-/// A controller that has been up for longer than this may lead the cluster at once.
+/// A controller that has been up for longer than this may acquire the vacant cluster leadership immediately.
 const CLUSTER_LEADER_UPTIME_MS: u64 = 2 * PREFERENCE_MS;
-/// The pause before a lost role is acquired again.
+/// Pause before a lost role is acquired again.
 const LOST_RETRY_MS: u64 = 300;
-/// The pause before a released shard is acquired again.
+/// Pause before a released shard is acquired again.
 const RELEASED_RETRY_MS: u64 = 3_000;
-/// The pause after an acquisition that failed or whose outcome is unknown.
+/// Pause after an acquisition that failed or whose outcome is unknown.
 const ACQUISITION_RETRY_MS: u64 = 400;
-/// The least time between two releases.
+/// Shortest time between two releases.
 const RELEASE_INTERVAL_MS: u64 = 2_000;
-/// A controller with fewer shards releases none to their home members.
-const FEWEST_SHARDS_TO_RELEASE: usize = 2;
+/// A controller that leads fewer shards than this releases none to their home members.
+const MIN_SHARDS_TO_RELEASE: usize = 2;
 
 fn role_key(role: Role) -> String {
     match role {
@@ -35,7 +35,7 @@
 /// The value of a role's key when this controller holds the role.
 fn holder_value(lease: LeaseId, context: &Context<'_>) -> Value {
     let holder = LeaseHolder {
-        owner: context.config.me.clone(),
+        owner: context.config.local_member.clone(),
         lease,
     };
     serde_json::to_value(&holder).unwrap_or_default()
@@ -47,13 +47,13 @@
         Role::ClusterLeader => context.records.leader.as_ref(),
     }?;
     Some(KeyHolder {
-        is_self: record.value.owner == context.config.me,
+        is_self: record.value.owner == context.config.local_member,
         version: record.version,
     })
 }
 
 impl Leases {
-    /// Acquires the roles that this controller may have.
+    /// Acquires the roles that this controller may acquire now.
     pub(super) fn tick_election(
         &mut self,
         first_tick_at: MonotonicMillis,
@@ -66,7 +66,7 @@
             if self.acquiring.contains(&role) || self.is_paused(role, context.now()) {
                 continue;
             }
-            if let LeaseDecision::Acquire(version) = decide_lease(&observation) {
+            if let RoleDecision::Acquire(version) = decide_role(&observation) {
                 self.acquire(role, version, context);
             }
         }
@@ -76,7 +76,7 @@
         self.retry_at.get(&role).is_some_and(|at| *at > now)
     }
 
-    /// What is known of a role; notes since when it has been vacant.
+    /// Collects what is known about a role, and tracks since when it has been vacant.
     fn observe(
         &mut self,
         role: Role,
@@ -92,7 +92,9 @@
         let unreachable_shard = self.unreachable_by_workers && matches!(role, Role::ShardLeader(_));
         let preferred = match role {
             Role::ShardLeader(_) if unreachable_shard => vacant_ms > UNREACHABLE_VACANCY_MS,
-            Role::ShardLeader(shard_id) => *context.config.home(shard_id) == context.config.me,
+            Role::ShardLeader(shard_id) => {
+                *context.config.home(shard_id) == context.config.local_member
+            }
             Role::ClusterLeader => now.since(first_tick_at) > CLUSTER_LEADER_UPTIME_MS,
         };
         RoleObservation {
@@ -119,12 +121,12 @@
                 lease: Some(lease),
             });
         self.acquiring.insert(role);
-        tracing::info!(?role, version = version.0, "acquiring lease");
+        tracing::info!(?role, version = version.0, "acquiring role");
         let request = KvRequest::Leases(LeaseRequest::Acquire(role));
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// The response to an acquisition: the fencing token if the role was acquired.
+    /// Handles the outcome of an acquisition. Returns the fencing token if the role was acquired.
     pub(super) fn on_acquisition(
         &mut self,
         role: Role,
@@ -148,8 +150,8 @@
                 self.forget_lease();
                 None
             }
-            // If an unknown one was carried out, the record cache will name this member, and the role is acquired once
-            // more with a fencing token that is known.
+            // If a write with an unknown outcome was applied, the record cache will name this member as the holder. The
+            // role is then acquired again with a known fencing token.
             SwapOutcome::Unknown
             | SwapOutcome::NotApplied
             | SwapOutcome::Rejected
@@ -167,7 +169,7 @@
         self.retry_at.insert(role, now.plus(LOST_RETRY_MS));
     }
 
-    /// Releases one shard to its home member once that is available again, so that the load is balanced.
+    /// Releases a shard to its home member once that is available again, to balance the load.
     pub(super) fn release_to_home_member(
         &mut self,
         available_homes: &BTreeSet<ShardId>,
@@ -177,12 +179,12 @@
             return;
         }
         let led = self.led_shards();
-        if led.len() < FEWEST_SHARDS_TO_RELEASE {
+        if led.len() < MIN_SHARDS_TO_RELEASE {
             return;
         }
         let config = context.config;
         let released = led.into_iter().find(|(shard_id, _)| {
-            *config.home(*shard_id) != config.me && available_homes.contains(shard_id)
+            *config.home(*shard_id) != config.local_member && available_homes.contains(shard_id)
         });
         if let Some((shard_id, fencing_token)) = released {
             tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "shard handed back to its home member");
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Releases a shard to a controller that its workers reach.
+    /// Releases a shard so that a controller that its workers can reach may acquire it.
     pub fn hand_over(&mut self, shard_id: ShardId, context: &mut Context<'_>) {
         if self.releasing.is_some() {
             return;
@@ -212,7 +214,7 @@
             return;
         }
         self.releasing = Some(shard_id);
-        // The shard's writes are fenced from here on: each compares the key that is deleted.
+        // From here on the shard's writes are fenced, since each compares the version of the key that is deleted.
         let role = Role::ShardLeader(shard_id);
         self.fencing_tokens.remove(&role);
         self.retry_at.insert(role, now.plus(RELEASED_RETRY_MS));
@@ -226,7 +228,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// The response to a release.
+    /// Handles the outcome of a release.
     pub(super) fn on_release(
         &mut self,
         shard_id: ShardId,
--- a/src/coordination/leases/mod.rs
+++ b/src/coordination/leases/mod.rs
@@ -1,49 +1,49 @@
-//! The lease of this process in the key-value store, and the roles attached to it: which shards this controller leads,
-//! and whether it leads the cluster.
+//! The lease of this process in the key-value store, and the roles attached to it: shard leaderships and the cluster
+//! leadership.
 //!
-//! A role is a key of the key-value store that expires with the lease. The revision at which the key was written is the
-//! role's fencing token: every write that depends on the role compares that revision.
+//! A role is a key in the key-value store that expires with the lease. The revision at which the key was written is the
+//! role's fencing token: every write that depends on the role compares the key's version with it.
 
 mod decision;
 mod election;
 mod renewal;
 
-pub use decision::{KeyHolder, LeaseDecision, RoleObservation, decide_lease};
+pub use decision::{KeyHolder, RoleDecision, RoleObservation, decide_role};
 
 use super::context::Context;
 use crate::storage::kv_client::{KvResponse, unexpected_response};
 use snowshelf_model::ids::{FencingToken, LeaseId, MonotonicMillis, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a controller may be elected to.
+/// A leadership role that a controller can hold.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Role {
-    /// Leads one shard: schedules its jobs on its machines.
+    /// Leads a shard: schedules the shard's jobs on its machines.
     ShardLeader(ShardId),
-    /// Leads the cluster: scales it, and drains machines.
+    /// Leads the cluster: scales it and drains machines.
     ClusterLeader,
 }
 
-/// What the leases ask of the key-value store.
+/// A request of the leases to the key-value store.
 #[derive(Clone, Debug)]
 pub enum LeaseRequest {
-    /// Grants this process a lease.
+    /// Requests a lease for this process.
     Grant,
-    /// Extends the lease.
+    /// Renews the lease.
     Renew {
-        /// When the renewal was sent: the lease is valid from then on.
+        /// When the renewal was sent. The renewed time to live counts from then.
         sent_at: MonotonicMillis,
     },
     /// Attaches a role's key to the lease.
     Acquire(Role),
-    /// Deletes a shard's key, so that another controller may acquire it.
+    /// Deletes a shard's key, so that another controller can acquire the shard.
     Release(ShardId),
 }
 
-/// What a response changes of the roles that this controller holds.
+/// How a response changes the roles that this controller holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RoleChange {
-    /// Nothing that other actors must act on.
+    /// No change that other actors must act on.
     Unchanged,
     /// The role was acquired with this fencing token.
     Acquired(Role, FencingToken),
@@ -54,45 +54,45 @@
 /// The lease of this process and the roles attached to it.
 #[derive(Default)]
 pub struct Leases {
-    /// The lease, as far as this process knows.
+    /// The lease; `None` before the first grant and once it is known to have expired.
     lease: Option<LeaseId>,
-    /// When a lease was asked for, while none has been granted.
+    /// When a lease was requested; `None` if no request is pending.
     grant_requested_at: Option<MonotonicMillis>,
-    /// When the renewal that is under way was sent.
+    /// When the renewal in flight was sent.
     renewal_sent_at: Option<MonotonicMillis>,
     next_renewal_at: MonotonicMillis,
-    /// The lease is certain not to have expired before then.
+    /// The lease is guaranteed to be valid until then.
     valid_until: MonotonicMillis,
-    /// The roles that this controller holds.
+    /// The roles that this controller holds, with their fencing tokens.
     fencing_tokens: BTreeMap<Role, FencingToken>,
-    /// Roles with an acquisition under way.
+    /// Roles with an acquisition in flight.
     acquiring: BTreeSet<Role>,
-    /// Since when a role has had no holder.
+    /// Since when each vacant role has had no holder.
     vacant_since: BTreeMap<Role, MonotonicMillis>,
-    /// A role is not acquired before then.
+    /// The earliest time at which a role may be acquired again.
     retry_at: BTreeMap<Role, MonotonicMillis>,
-    /// The shard whose release is under way.
+    /// The shard whose release is in flight.
     releasing: Option<ShardId>,
     next_release_at: MonotonicMillis,
     first_tick_at: Option<MonotonicMillis>,
-    /// No worker reaches this controller: it acquires no shard that another controller may acquire.
+    /// Whether workers cannot reach this controller. It then leaves vacant shards to other controllers for a while.
     pub unreachable_by_workers: bool,
 }
 
 impl Leases {
-    /// Whether this process has a lease, which may have expired.
+    /// Whether this process has a lease. The lease may have expired without this process knowing it yet.
     #[must_use]
     pub fn has_lease(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// Whether the lease of this process is certain not to have expired.
+    /// Whether this process's lease is guaranteed not to have expired.
     #[must_use]
     pub fn is_valid(&self, now: MonotonicMillis) -> bool {
         self.lease.is_some() && now < self.valid_until
     }
 
-    /// The fencing token of a shard that this controller leads.
+    /// The fencing token for a shard; `None` if this controller does not lead it.
     #[must_use]
     pub fn fencing_token(&self, shard_id: ShardId) -> Option<FencingToken> {
         self.fencing_tokens
@@ -100,7 +100,7 @@
             .copied()
     }
 
-    /// The fencing token of the cluster leader, if that is this controller.
+    /// The fencing token of the cluster leadership; `None` if this controller does not hold it.
     #[must_use]
     pub fn cluster_fencing_token(&self) -> Option<FencingToken> {
         self.fencing_tokens.get(&Role::ClusterLeader).copied()
@@ -118,9 +118,8 @@
             .collect()
     }
 
-    /// Renews the lease, acquires vacant roles and releases shards to their home members.
-    ///
-    /// `available_homes` are the shards whose home member can lead them.
+    /// Renews the lease, acquires vacant roles and releases shards to their home members. `available_homes` are the
+    /// shards whose home members can lead them.
     pub fn tick(&mut self, available_homes: &BTreeSet<ShardId>, context: &mut Context<'_>) {
         let first_tick_at = *self.first_tick_at.get_or_insert(context.now());
         self.tick_renewal(context);
--- a/src/coordination/leases/renewal.rs
+++ b/src/coordination/leases/renewal.rs
@@ -1,4 +1,4 @@
-//! Grant, renewal and expiry of the lease of this process.
+//! Grant, renewal and expiry of this process's lease in the key-value store.
 
 use super::{LeaseRequest, Leases, RoleChange};
 use crate::coordination::config::Config;
@@ -6,21 +6,22 @@
 use crate::storage::kv_client::{RenewalOutcome, RequestPriority};
 use snowshelf_model::ids::{LeaseId, MonotonicMillis};
 
-/// The monotonic clock may run fast or slow by 0.05%; as much again for measuring.
+/// Allowance for clock drift, per mille of the time to live: the monotonic clock may be off by 0.05%, and as much
+/// again is added for measuring.
 const CLOCK_DRIFT_PER_MILLE: u64 = 1;
-/// A lease is renewed after this fraction of its time to live.
+/// How often a lease is renewed within its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
-/// A grant without a response is requested again after this time.
+/// Timeout after which a grant without a response is requested again.
 const GRANT_TIMEOUT_MS: u64 = 1_600;
-/// How much of `GRANT_TIMEOUT_MS` counts as waited once a grant was refused.
+/// How much of `GRANT_TIMEOUT_MS` counts as elapsed after a refused grant, so that the next request follows sooner.
 const REFUSED_GRANT_ELAPSED_MS: u64 = 1_300;
-/// A renewal without a response is sent again after this time.
+/// Timeout after which a renewal without a response is sent again.
 const RENEWAL_TIMEOUT_MS: u64 = 1_100;
-/// The pause after a renewal whose outcome is unknown.
+/// Pause after a renewal that failed or whose outcome is unknown.
 const RENEWAL_RETRY_MS: u64 = 250;
 
 impl Leases {
-    /// Requests a lease, or renews the one that there is.
+    /// Requests a lease, or renews the existing one when it is due.
     pub(super) fn tick_renewal(&mut self, context: &mut Context<'_>) {
         match self.lease {
             None => self.request_grant(context),
@@ -30,10 +31,10 @@
 
     fn request_grant(&mut self, context: &mut Context<'_>) {
         let now = context.now();
-        let idle = self
+        let may_request = self
             .grant_requested_at
             .is_none_or(|at| now.since(at) > GRANT_TIMEOUT_MS);
-        if !idle || !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0) {
+        if !may_request || !context.kv.has_budget(now, RequestPriority::LeaseUpkeep, 0) {
             return;
         }
         self.grant_requested_at = Some(now);
@@ -59,7 +60,7 @@
         context.kv.renew_lease(context.effects, request, lease);
     }
 
-    /// The response to a grant; `None`: no lease was granted.
+    /// Handles the response to a grant request; `None` if no lease was granted.
     pub(super) fn on_grant(&mut self, lease: Option<LeaseId>, context: &Context<'_>) {
         let now = context.effects.now;
         let Some(requested_at) = self.grant_requested_at else {
@@ -86,7 +87,7 @@
         self.next_renewal_at = sent_at.plus(ttl_ms / RENEWALS_PER_TTL);
     }
 
-    /// The response to a renewal: whether the lease was renewed or has expired; `None`: unknown.
+    /// Handles the outcome of a renewal that was sent at `sent_at`.
     pub(super) fn on_renewal(
         &mut self,
         sent_at: MonotonicMillis,
@@ -111,7 +112,7 @@
         RoleChange::Unchanged
     }
 
-    /// The lease has expired, and every role with it.
+    /// Discards the expired lease and all roles attached to it.
     pub(super) fn forget_lease(&mut self) {
         self.lease = None;
         self.grant_requested_at = None;
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,7 +1,7 @@
-//! Bin packing of tasks onto machines: the Weighted heuristic (section 3, equation 1 of the paper).
+//! Bin packing of tasks onto machines with the Weighted heuristic (section 3, equation 1 of the paper).
 //!
-//! Machines are taken in non-decreasing `R_i = sum_k w_k * imp_ik`; `imp` is what stays free after
-//! fitting as many of the job's tasks as go, and
+//! Machines are used in non-decreasing order of `R_i = sum_k w_k * imp_ik`. `imp_ik` is the amount of resource `k` that
+//! stays free on machine `i` once as many of the job's tasks as fit are placed there, and
 //! `w_k = (estimate-weighted mean request of queued jobs * allocated / capacity) / capacity`.
 
 use crate::settings::Objective;
@@ -9,12 +9,12 @@
 use snowshelf_model::records::{JobSpec, Resources};
 use std::collections::BTreeMap;
 
-/// The patience of a job whose deadline is near or past, at the least.
-const MIN_DEADLINE_PATIENCE_S: f64 = 1.0;
-/// The patience of a job without objectives and deadline, at the least.
-const MIN_PATIENCE_S: f64 = 30.0;
+/// Smallest wait limit of a job whose deadline is near or past.
+const MIN_DEADLINE_WAIT_LIMIT_S: f64 = 1.0;
+/// Smallest wait limit of a job without an objective or deadline.
+const MIN_WAIT_LIMIT_S: f64 = 30.0;
 
-/// What the weights of resources are computed from.
+/// Cluster-wide usage, from which the resource weights are computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     /// Resources in use on all machines.
@@ -23,8 +23,8 @@
     pub capacity: Resources,
 }
 
-/// The estimate in seconds that a job is counted with.
-pub fn estimate(spec: &JobSpec, default_s: f64) -> f64 {
+/// A job's estimated run time in seconds: its owner's estimate, or `default_s` without one.
+pub fn estimated_run_s(spec: &JobSpec, default_s: f64) -> f64 {
     if spec.estimate_s > 0.0 {
         spec.estimate_s
     } else {
@@ -32,13 +32,14 @@
     }
 }
 
-/// How fast the slowest of these machine types fetches an image, in GB a second.
-pub fn slowest_fetch<'a>(types: impl Iterator<Item = &'a MachineType>) -> f64 {
+/// The image fetch rate of the slowest of these machine types, in GB per second; infinite if no type has a rate.
+pub fn slowest_fetch_gb_per_s<'a>(types: impl Iterator<Item = &'a MachineType>) -> f64 {
     let rates = types.map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
     rates.fold(f64::INFINITY, f64::min)
 }
 
-/// How many objectives a job that starts at this age cannot meet any more, having waited for its dependencies before.
+/// The number of objectives that a job misses if it starts at the age of `age_s`; its deadline counts as one.
+/// `blocked_s` is the time that the job waited for its dependencies before.
 pub fn missed_objectives(
     spec: &JobSpec,
     objectives: &[Objective],
@@ -53,30 +54,31 @@
             "finished" => o.within_s.map(|w| w - spec.estimate_s),
             _ => None,
         });
-    // A deadline is the job's own, and its estimate often wrong: not past before it is past.
+    // The estimate is not subtracted from a deadline. Estimates are often wrong, so a deadline counts as missed only
+    // once it has passed.
     let deadline = spec.deadline_s.map(|d| d - blocked_s);
     limits.chain(deadline).filter(|w| age_s > *w).count()
 }
 
-/// How long the tasks of a job may wait for machines, in seconds, by the objectives for its class and its deadline,
-/// having waited for its dependencies before.
-pub fn patience_s(spec: &JobSpec, objectives: &[Objective], blocked_s: f64) -> f64 {
+/// How long a job's tasks may wait for machines, in seconds, given the objectives for its class and its deadline.
+/// `blocked_s` is the time that the job waited for its dependencies before.
+pub fn wait_limit_s(spec: &JobSpec, objectives: &[Objective], blocked_s: f64) -> f64 {
     let limits = objectives
         .iter()
         .filter(|o| o.kind == "wait" && o.class.as_deref() == Some(spec.class.as_str()))
         .filter_map(|o| o.within_s);
     let deadline = spec
         .deadline_s
-        .map(|d| (d - blocked_s - spec.estimate_s).max(MIN_DEADLINE_PATIENCE_S));
+        .map(|d| (d - blocked_s - spec.estimate_s).max(MIN_DEADLINE_WAIT_LIMIT_S));
     let least = limits.chain(deadline).fold(f64::INFINITY, f64::min);
     if least.is_finite() {
         least
     } else {
-        spec.estimate_s.max(MIN_PATIENCE_S)
+        spec.estimate_s.max(MIN_WAIT_LIMIT_S)
     }
 }
 
-/// The weight of each resource: how critical it is.
+/// The weight of each resource, which grows with its scarcity and with the demand of the queued jobs.
 pub fn resource_weights<'a>(
     queued: impl Iterator<Item = &'a JobSpec>,
     default_s: f64,
@@ -85,7 +87,7 @@
     let mut sum = Resources::default();
     let mut total_s = 0.0;
     for spec in queued {
-        let estimate_s = estimate(spec, default_s);
+        let estimate_s = estimated_run_s(spec, default_s);
         sum.add(spec.resources.times(estimate_s));
         total_s += estimate_s;
     }
@@ -106,37 +108,38 @@
     }
 }
 
-/// How near a machine is to having a job's image, best first.
+/// Whether a machine has a job's image, in order of preference.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ImageState {
-    /// The machine has it.
+    /// The image is in the machine's cache.
     Cached,
-    /// It is being fetched for another task: one fetch serves both.
+    /// The image is being fetched for another task. One fetch serves both.
     Fetching,
-    /// It would have to be fetched.
+    /// The image must be fetched.
     Absent,
 }
 
-/// A machine as placement sees it.
+/// A machine on which tasks of a job may be placed.
 #[derive(Clone, Debug)]
 pub struct MachineCandidate {
-    /// The resources that are free.
+    /// Free resources.
     pub free: Resources,
-    /// The index of its zone.
+    /// The index of the machine's zone.
     pub zone: usize,
-    /// Whether other jobs need this kind of machine and this one does not.
+    /// Whether the machine should be left to other jobs, which need its kind while this job does not.
     pub scarce: bool,
-    /// Most tasks that may be placed here now.
+    /// Largest number of tasks that may be placed on the machine now.
     pub max_tasks: u32,
-    /// How near it is to having the job's image.
+    /// Whether the machine has the job's image.
     pub image: ImageState,
-    /// Images being fetched here, which share bandwidth.
+    /// Number of images being fetched to the machine. Fetches share its bandwidth.
     pub active_fetches: usize,
-    /// For a job that cannot wait: when a task could run here, in steps too small to matter.
+    /// For an urgent job, the delay until a task could run on the machine, in steps so coarse that smaller
+    /// differences do not matter; 0 for other jobs.
     pub start_delay: u32,
 }
 
-/// The rank of a machine: what stays free of it once as many of `wanted` tasks are placed as fit, weighted.
+/// The rank `R_i` of a machine: the weighted resources that stay free once as many of `wanted` tasks as fit are placed.
 fn rank(weights: Resources, free: Resources, task: Resources, wanted: u32) -> f64 {
     let fitting = task.count_in(free).min(wanted);
     let mut rest = free;
@@ -144,23 +147,23 @@
     weights.cpus * rest.cpus + weights.gpus * rest.gpus + weights.mem * rest.mem
 }
 
-/// The rule for the zones of a job's tasks, and where they are now.
+/// A job's zone constraints, and how its tasks are spread over the zones now.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneRule {
-    /// Whether all tasks must be in one zone.
+    /// Whether all tasks must be placed in the same zone.
     pub gang: bool,
-    /// Most tasks that one zone may have.
+    /// Largest number of tasks in one zone; `None` without a limit.
     pub max_per_zone: Option<u32>,
-    /// Tasks that may be on machines, by zone.
+    /// Number of tasks that are or may be on machines, by zone.
     pub tasks_by_zone: BTreeMap<usize, u32>,
 }
 
-/// Stands for the index of a zone that is not known, or not named by the settings.
+/// The index of a zone that is unknown or not named in the settings.
 pub(crate) const UNKNOWN_ZONE: usize = usize::MAX;
 
 impl ZoneRule {
-    /// Counts tasks that may be on machines of a zone; `None`: of a zone not known yet, as after a failover, so that
-    /// they may be in any.
+    /// Counts tasks that may be on machines of a zone. After a failover the zone may not be known yet (`None`): as the
+    /// tasks may be in any zone, they are subtracted from the limit of every zone.
     pub fn add_tasks(&mut self, zone: Option<usize>, tasks: u32) {
         if let (None, Some(max_per_zone)) = (zone, &mut self.max_per_zone) {
             *max_per_zone = max_per_zone.saturating_sub(tasks);
@@ -170,7 +173,7 @@
         }
     }
 
-    /// How many more tasks a zone may have.
+    /// The number of tasks that may still be placed in a zone.
     fn remaining(&self, zone: usize) -> u32 {
         let here = self.tasks_by_zone.get(&zone).copied().unwrap_or(0);
         let elsewhere = self.tasks_by_zone.iter().any(|(z, n)| *z != zone && *n > 0);
@@ -182,16 +185,17 @@
     }
 }
 
-/// A candidate with what it is ordered by.
+/// A candidate with its sort keys.
 struct RankedCandidate {
-    /// Scarce; delay of the start; state of the image; fetches to wait for: the least goes first.
-    class: (bool, u32, ImageState, usize),
+    /// Whether the machine is scarce, the start delay, the image's state and the number of other fetches. The lowest
+    /// goes first.
+    preference: (bool, u32, ImageState, usize),
     rank: f64,
     fitting: u32,
     index: usize,
 }
 
-/// The candidates on which a task fits, in the order in which they are taken.
+/// The candidates on which at least one task fits, best first.
 fn ranked_candidates(
     task: Resources,
     wanted: u32,
@@ -209,7 +213,7 @@
                 ImageState::Fetching | ImageState::Absent => c.active_fetches,
             };
             RankedCandidate {
-                class: (c.scarce, c.start_delay, c.image, fetches),
+                preference: (c.scarce, c.start_delay, c.image, fetches),
                 rank: rank(weights, c.free, task, wanted),
                 fitting: task.count_in(c.free).min(wanted),
                 index,
@@ -217,8 +221,8 @@
         })
         .collect();
     ranked.sort_by(|a, b| {
-        a.class
-            .cmp(&b.class)
+        a.preference
+            .cmp(&b.preference)
             .then(a.rank.total_cmp(&b.rank))
             .then(b.fitting.cmp(&a.fitting))
             .then(a.index.cmp(&b.index))
@@ -226,7 +230,7 @@
     ranked
 }
 
-/// The zone that takes the most tasks of a job.
+/// The zone with room for the most tasks of a job.
 fn largest_zone(
     task: Resources,
     ranked: &[RankedCandidate],
@@ -241,12 +245,12 @@
     largest.map(|(zone, _)| *zone)
 }
 
-/// Chooses machines for up to `wanted` tasks: pairs of a candidate's index and a number of tasks, in the order of rank.
+/// Chooses machines for up to `wanted` tasks. Returns candidate indices and task counts, ordered by rank except:
+/// - Scarce machines go last, as critical resources do in the paper's Balanced heuristic.
+/// - Machines that have the image or are fetching it go first, since a fetch often takes longer than the task. Where
+///   the image must be fetched, machines with fewer other fetches go first.
 ///
-/// Two exceptions to that order: machines that jobs with fewer choices need go last (as the paper's Balanced heuristic
-/// does with critical resources), and machines that have the image, or are fetching it, go first, since a fetch often
-/// takes longer than the task; where it must be fetched, those with fewer other fetches. Between equals the one that
-/// takes more goes first.
+/// Among machines of equal rank, the one with room for more tasks goes first.
 pub fn choose_machines(
     task: Resources,
     wanted: u32,
@@ -256,7 +260,7 @@
 ) -> Vec<(usize, u32)> {
     let mut ranked = ranked_candidates(task, wanted, candidates, weights);
     if zones.gang && zones.tasks_by_zone.values().all(|n| *n == 0) {
-        // The first task fixes the zone.
+        // The first task determines the zone of all.
         if let Some(zone) = largest_zone(task, &ranked, candidates) {
             ranked.retain(|r| candidates[r.index].zone == zone);
         }
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -75,7 +75,7 @@
     ) {
         let refusal = if !context.records.all_support(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
-        } else if !context.records.loaded || context.types.is_empty() {
+        } else if !context.records.loaded || context.machine_types.is_empty() {
             Some("not able to decide yet")
         } else {
             None
@@ -124,7 +124,7 @@
         let is_needed = context.config.ops.calendar.enabled
             || !context.records.reservations.is_empty()
             || !context.records.windows.is_empty();
-        if !is_needed || !context.records.loaded || context.types.is_empty() {
+        if !is_needed || !context.records.loaded || context.machine_types.is_empty() {
             return;
         }
         let now = WallClockMillis(context.effects.wall_ms);
@@ -134,7 +134,7 @@
             return;
         }
         let teams = &context.config.settings.deployment.teams;
-        let bounds = bounds(context.types, teams, &context.config.ops.calendar);
+        let bounds = bounds(context.machine_types, teams, &context.config.ops.calendar);
         if self.is_built && self.calendar.serves(&bounds, now) {
             return;
         }
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -107,7 +107,7 @@
         let mut index = CapacityIndex::default();
         let machines = self.machines.iter();
         for (name, m) in machines.filter(|(_, m)| m.accepts_tasks(now, max_silence_ms)) {
-            let Some(machine_type) = context.types.get(&m.model) else {
+            let Some(machine_type) = context.machine_types.get(&m.model) else {
                 continue;
             };
             let total = machine_type.room();
@@ -200,7 +200,7 @@
         max_tasks,
         scarce: spec.spot && !class.spot,
         image,
-        active_fetches: machine.images.coming.len(),
+        active_fetches: machine.images.fetching.len(),
         start_delay: if request.queued.urgent {
             start_delay(spec, image, machine, context)
         } else {
@@ -227,7 +227,7 @@
     let fetch_ms = match image {
         ImageState::Cached => 0,
         ImageState::Fetching => fetch_ms / 2,
-        ImageState::Absent => fetch_ms * (1 + machine.images.coming.len() as u64),
+        ImageState::Absent => fetch_ms * (1 + machine.images.fetching.len() as u64),
     };
     let steps = (fetch_ms + machine.next_heartbeat_ms) * DELAY_STEPS_PER_HEARTBEAT / heartbeat_ms;
     steps.min(MAX_DELAY_STEPS) as u32
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -132,7 +132,7 @@
         }
         if new_incarnation {
             tracing::info!(machine = %name, incarnation = heartbeat.incarnation.0, "new agent incarnation: earlier tasks are lost");
-            machine.images.coming.clear();
+            machine.images.fetching.clear();
         }
         let acknowledged = heartbeat.fencing_token == self.fencing_token;
         if machine.token_acknowledged != acknowledged {
--- a/src/coordination/shard/load.rs
+++ b/src/coordination/shard/load.rs
@@ -35,7 +35,7 @@
     ) {
         let mut capacity = 0.0;
         for m in machines.values() {
-            capacity += context.types.get(&m.model).map_or(0.0, |t| t.cpus);
+            capacity += context.machine_types.get(&m.model).map_or(0.0, |t| t.cpus);
         }
         let cpus = cpus_by_state(machines, jobs);
         let in_state = |state: &str| cpus.get(state).copied().unwrap_or(0.0);
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -99,7 +99,7 @@
         let capacity_index = self.capacity_index(context);
         let mut load = Load::default();
         for m in self.machines.values() {
-            if let Some(machine_type) = context.types.get(&m.model) {
+            if let Some(machine_type) = context.machine_types.get(&m.model) {
                 load.capacity.add(machine_type.room());
                 load.allocated.add(m.used);
             }
@@ -330,9 +330,9 @@
             };
             m.idle_since = None;
             if !m.images.has(selection.image_id) {
-                m.images.coming.insert(selection.image_id);
+                m.images.fetching.insert(selection.image_id);
                 let indexed = pass.capacity_index.machine_mut(machine.at);
-                indexed.images.coming.insert(selection.image_id);
+                indexed.images.fetching.insert(selection.image_id);
                 pass.unplaceable.image_fetched(selection.image_id);
             }
         }
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -45,14 +45,14 @@
         let since = context.dependency_graph.ready_since(id, record);
         let age_s = context.effects.wall_ms.saturating_sub(since.0) as f64 / 1000.0;
         let blocked_s = context.dependency_graph.blocked_s(id, record);
-        let estimate_s = placement::estimate(spec, context.config.ops.default_run_s);
+        let estimate_s = placement::estimated_run_s(spec, context.config.ops.default_run_s);
         WaitingJob {
             id,
             spec,
             since,
             age_s,
             missed_objectives: placement::missed_objectives(spec, objectives, age_s, blocked_s),
-            patience_s: placement::patience_s(spec, objectives, blocked_s),
+            patience_s: placement::wait_limit_s(spec, objectives, blocked_s),
             work: f64::from(spec.tasks) * spec.resources.cpus * estimate_s,
         }
     }
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -236,8 +236,11 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let local_gb = context.types.get(&m.model).map_or(f64::MAX, |t| t.local_gb);
-        m.images.coming.clear();
+        let local_gb = context
+            .machine_types
+            .get(&m.model)
+            .map_or(f64::MAX, |t| t.local_gb);
+        m.images.fetching.clear();
         for item in &m.reported_tasks {
             let Some(job) = self.jobs.get(&item.task.job) else {
                 continue;
@@ -245,10 +248,10 @@
             match item.state {
                 TaskState::Running | TaskState::Checkpointing => {
                     let gb = job.spec().map_or(0.0, |s| s.pull_gb);
-                    m.images.used(job.image_id, gb, local_gb);
+                    m.images.record_use(job.image_id, gb, local_gb);
                 }
                 TaskState::Pulling => {
-                    m.images.coming.insert(job.image_id);
+                    m.images.fetching.insert(job.image_id);
                 }
                 TaskState::Exited => {}
             }
@@ -258,7 +261,7 @@
             .map(|j| j.image_id)
             .filter(|image| !m.images.has(*image))
             .collect();
-        m.images.coming.extend(absent);
+        m.images.fetching.extend(absent);
     }
 
     fn track_idle(&mut self, name: &MachineId, now: MonotonicMillis) {
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -5,7 +5,7 @@
 use super::capacity::CapacityIndex;
 use super::machine::Machine;
 use crate::coordination::context::Context;
-use crate::coordination::placement::{estimate, slowest_fetch};
+use crate::coordination::placement::{estimated_run_s, slowest_fetch_gb_per_s};
 use snowshelf_calendar::amount::Amount;
 use snowshelf_calendar::calendar::Pool;
 use snowshelf_calendar::guard::Hold;
@@ -70,16 +70,16 @@
     if spec.kind == JobKind::Service {
         return None;
     }
-    let run_s =
-        context.config.ops.calendar.margin * estimate(spec, context.config.ops.default_run_s);
-    let fetch_s = spec.pull_gb / slowest_fetch(context.types.values());
+    let run_s = context.config.ops.calendar.margin
+        * estimated_run_s(spec, context.config.ops.default_run_s);
+    let fetch_s = spec.pull_gb / slowest_fetch_gb_per_s(context.machine_types.values());
     Some(seconds_to_ms(run_s + fetch_s) + 2 * context.config.settings.report_ms())
 }
 
 /// How long before a reservation begins its machines are provisioned, in milliseconds: what the slowest type takes to be
 /// up and to fetch an image.
 pub fn provisioning_lead_ms(context: &Context<'_>) -> u64 {
-    let types = context.types.values();
+    let types = context.machine_types.values();
     let ready_s = types.map(|t| t.ready_s).fold(0.0, f64::max);
     seconds_to_ms(2.0 * ready_s + IMAGE_FETCH_ALLOWANCE_S)
 }
@@ -187,7 +187,7 @@
             machines.filter(|(name, m)| !reserved.contains_key(*name) && may_reserve(hold, m));
         let mut available: Vec<(Amount, MachineId)> = machines
             .filter_map(|(name, m)| {
-                let mut resources = context.types.get(&m.model)?.room();
+                let mut resources = context.machine_types.get(&m.model)?.room();
                 if open {
                     resources.sub(m.used);
                     let theirs = self.used_by_team(&hold.team, name);
@@ -216,7 +216,7 @@
     fn reserved_amount(&self, hold: &Hold, context: &Context<'_>) -> Amount {
         let shard_count = context.config.shard_count.max(1);
         let first = shard_of(hold.reservation.as_str(), shard_count).0;
-        let Some(machine_type) = context.types.get(&*hold.pool.model) else {
+        let Some(machine_type) = context.machine_types.get(&*hold.pool.model) else {
             return Amount::ZERO;
         };
         let per_machine = Amount::of(machine_type.room());
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -335,7 +335,7 @@
     )
     .unwrap();
     let cfg = Config {
-        me: snowshelf_model::ids::Member::new("a"),
+        local_member: snowshelf_model::ids::Member::new("a"),
         members: settings.members(),
         shard_count: 2,
         settings,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -7,7 +7,7 @@
 use snowshelf::coordination::gossip::{
     HEARTBEAT_NAMES_BYTES, MISSING_NAMES_BYTES, RoundRobinNames,
 };
-use snowshelf::coordination::leases::{KeyHolder, LeaseDecision, RoleObservation, decide_lease};
+use snowshelf::coordination::leases::{KeyHolder, RoleDecision, RoleObservation, decide_role};
 use snowshelf::coordination::placement::{ImageState, MachineCandidate, ZoneRule, choose_machines};
 use snowshelf::coordination::shard_capacity::ShardCapacity;
 use snowshelf::coordination::storage_budget::RequestRates;
@@ -451,29 +451,29 @@
         version: v,
     });
     let decide = |holder, fencing_token, preferred, vacant_ms| {
-        decide_lease(&RoleObservation {
+        decide_role(&RoleObservation {
             holder,
             fencing_token,
             preferred,
             vacant_ms,
         })
     };
-    assert_eq!(decide(other, None, true, 99_999), LeaseDecision::Keep);
+    assert_eq!(decide(other, None, true, 99_999), RoleDecision::Keep);
     assert_eq!(
         decide(own, Some(FencingToken(9)), true, 0),
-        LeaseDecision::Keep
+        RoleDecision::Keep
     );
     // Held from before a restart, or by an acquisition whose response was lost: acquired again at once.
-    assert_eq!(decide(own, None, false, 0), LeaseDecision::Acquire(v));
+    assert_eq!(decide(own, None, false, 0), RoleDecision::Acquire(v));
     assert_eq!(
         decide(own, Some(FencingToken(4)), true, 0),
-        LeaseDecision::Acquire(v)
+        RoleDecision::Acquire(v)
     );
     assert_eq!(
         decide(None, None, true, 0),
-        LeaseDecision::Acquire(Version(0))
+        RoleDecision::Acquire(Version(0))
     );
-    assert_eq!(decide(None, None, false, 10), LeaseDecision::Keep);
+    assert_eq!(decide(None, None, false, 10), RoleDecision::Keep);
 }
 
 /// Samples of the records that the version before pipelines wrote: read for ever.
