--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -13,7 +13,7 @@
     /// heartbeat was received at `received` and lists `tasks`.
     ///
     /// # Errors
-    /// The reason if the lease must not be renewed.
+    /// Returns the reason why the lease must not be renewed.
     pub fn authorize_renewal(
         &self,
         shard_id: ShardId,
--- a/src/coordination/list_request.rs
+++ b/src/coordination/list_request.rs
@@ -22,7 +22,7 @@
     /// Parses the query of a request.
     ///
     /// # Errors
-    /// The first malformed parameter.
+    /// Returns an error that names the first malformed parameter.
     pub fn parse(query: &str) -> Result<ListRequest, RequestError> {
         let after = match param(query, "after").map(Name::parse) {
             Some(None) => return Err(RequestError::malformed("after", "is no name")),
