--- a/crates/watermark/src/confirmation_round.rs
+++ b/crates/watermark/src/confirmation_round.rs
@@ -1,66 +1,69 @@
 //! Rounds in which all other controllers send the cancellations that they have confirmed to users.
 //!
-//! A round that every one of them has answered advances the watermark to the time at which it started: what
-//! was confirmed before is in their answers, what was confirmed after has its full time from then on. If
-//! one answer is missing, late, for another incarnation or incomplete, the round proves nothing.
+//! A round to which every controller has sent a valid confirmation advances the watermark to the start of the
+//! round. Cancellations confirmed before are in the confirmations; those confirmed later have their full time
+//! left from then on. If one confirmation is missing, late, incomplete or for another incarnation, the round
+//! proves nothing.
 
 use crate::with_drift;
 use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
 use std::collections::BTreeSet;
 
-/// Least time between the starts of two rounds.
-const ROUND_GAP_MS: u64 = 1_000;
-/// How long a round is waited for before the next one starts.
+/// Least time between the start of a completed round and that of the next, in milliseconds.
+const ROUND_INTERVAL_MS: u64 = 1_000;
+/// Least time between the start of an incomplete round and that of the next, in milliseconds.
 const ROUND_TIMEOUT_MS: u64 = 1_500;
-/// How much further back than the watermark a round asks, for the time that its answers are in flight.
+/// Time by which a round's window begins before the watermark, in milliseconds: allows for the time that
+/// confirmations are in flight.
 const IN_FLIGHT_MS: u64 = 2_000;
 
-/// The query of a round: which cancellations have you confirmed to users in the last `window_ms`?
+/// The request of a round for the cancellations that a controller has confirmed to users within a window.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ConfirmationQuery {
-    /// The querying controller's incarnation.
+pub struct ConfirmationRequest {
+    /// The requesting controller's incarnation.
     pub incarnation: u64,
-    /// The round's number.
+    /// The round's number, from 1.
     pub sequence: u64,
-    /// How far back, in milliseconds.
+    /// How far the window reaches back, in milliseconds.
     pub window_ms: u64,
 }
 
-/// One controller's answer.
+/// One controller's response to a request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PeerConfirmation {
-    /// The answering controller.
+    /// The controller that sent the confirmation.
     pub from: Member,
-    /// The incarnation in the query.
+    /// The incarnation in the request.
     pub incarnation: u64,
-    /// The round's number in the query.
+    /// The round's number in the request.
     pub sequence: u64,
-    /// Whether these are all confirmations in the window.
+    /// Whether `cancelled` contains all confirmations within the window.
     pub complete: bool,
-    /// The jobs whose cancellation was confirmed.
+    /// The jobs whose cancellation was confirmed to users.
     pub cancelled: Vec<JobId>,
 }
 
-/// Why an answer proves nothing.
+/// Why a confirmation is ignored.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum IgnoredConfirmation {
-    /// It is from no controller, or from one that has answered this round.
-    #[error("no answer of this controller is awaited")]
+    /// The sender is not a peer, or has already confirmed this round.
+    #[error("no confirmation is awaited from this controller")]
     NotAwaited,
-    /// It answers a query of an earlier incarnation of this process.
-    #[error("the answer is for another incarnation")]
+    /// The confirmation is for a request of an earlier incarnation of this process.
+    #[error("the confirmation is for another incarnation")]
     OtherIncarnation,
-    /// It answers a round that is over or never started.
-    #[error("the answer is for another round")]
+    /// The confirmation is for a round that is over or never started.
+    #[error("the confirmation is for another round")]
     OtherRound,
-    /// The answering controller's record does not reach back to the watermark.
-    #[error("the answer is incomplete")]
+    /// The sender cannot name all its confirmations within the window.
+    #[error("the confirmation is incomplete")]
     Incomplete,
-    /// It has been in flight for so long that its window may begin after the watermark.
-    #[error("the answer was in flight for too long")]
+    /// The confirmation was in flight for so long that its window may begin after the watermark.
+    #[error("the confirmation was in flight for too long")]
     TooLate,
 }
 
+/// A round that awaits confirmations.
 #[derive(Clone, Debug)]
 struct Round {
     sequence: u64,
@@ -68,21 +71,23 @@
     /// The watermark when the round started.
     watermark: MonotonicMillis,
     window_ms: u64,
+    /// Controllers whose confirmations are missing.
     awaited: BTreeSet<Member>,
 }
 
-/// The rounds of one controller; at most one is open.
+/// The confirmation rounds of one controller; at most one is open.
 #[derive(Debug)]
 pub struct ConfirmationRounds {
-    /// Distinguishes this run of the process from others.
+    /// Distinguishes this process from those before a restart.
     incarnation: u64,
+    /// The number of the newest round; 0 before the first.
     sequence: u64,
     last_started_at: Option<MonotonicMillis>,
     round: Option<Round>,
 }
 
 impl ConfirmationRounds {
-    /// Rounds of a process with this incarnation.
+    /// The rounds of a process with this incarnation; none is open.
     #[must_use]
     pub fn new(incarnation: u64) -> ConfirmationRounds {
         ConfirmationRounds {
@@ -99,21 +104,21 @@
         self.incarnation
     }
 
-    /// Starts a new round if one is due, and returns the query to send to `peers`. What was confirmed before
-    /// `watermark` is known.
+    /// Starts a new round if one is due, and returns the request to send to `peers`. An open round is abandoned.
+    /// Every cancellation confirmed before `watermark` must be known.
     pub fn start_round(
         &mut self,
         now: MonotonicMillis,
         watermark: MonotonicMillis,
         peers: BTreeSet<Member>,
-    ) -> Option<ConfirmationQuery> {
-        let pause_ms = match self.round {
+    ) -> Option<ConfirmationRequest> {
+        let interval_ms = match self.round {
             Some(_) => ROUND_TIMEOUT_MS,
-            None => ROUND_GAP_MS,
+            None => ROUND_INTERVAL_MS,
         };
         if self
             .last_started_at
-            .is_some_and(|at| now.since(at) < pause_ms)
+            .is_some_and(|at| now.since(at) < interval_ms)
         {
             return None;
         }
@@ -127,41 +132,43 @@
             window_ms,
             awaited: peers,
         });
-        Some(ConfirmationQuery {
+        Some(ConfirmationRequest {
             incarnation: self.incarnation,
             sequence: self.sequence,
             window_ms,
         })
     }
 
-    /// Takes an answer in; the time up to which every confirmation is known, once the round is complete.
+    /// Processes a confirmation. Returns the start of the round if the round is complete: every cancellation
+    /// confirmed before is then known.
     ///
     /// # Errors
-    /// Why the answer proves nothing.
+    /// If the confirmation proves nothing for the open round.
     pub fn on_confirmation(
         &mut self,
         now: MonotonicMillis,
-        answer: &PeerConfirmation,
+        confirmation: &PeerConfirmation,
     ) -> Result<Option<MonotonicMillis>, IgnoredConfirmation> {
-        if answer.incarnation != self.incarnation {
+        if confirmation.incarnation != self.incarnation {
             return Err(IgnoredConfirmation::OtherIncarnation);
         }
         let round = self
             .round
             .as_mut()
-            .filter(|round| round.sequence == answer.sequence)
+            .filter(|round| round.sequence == confirmation.sequence)
             .ok_or(IgnoredConfirmation::OtherRound)?;
-        if !round.awaited.contains(&answer.from) {
+        if !round.awaited.contains(&confirmation.from) {
             return Err(IgnoredConfirmation::NotAwaited);
         }
-        if !answer.complete {
+        if !confirmation.complete {
             return Err(IgnoredConfirmation::Incomplete);
         }
-        // It was given at an unknown time up to now, and reaches back from that time.
+        // The sender created the confirmation at an unknown time up to now, and its window reaches back from
+        // then.
         if with_drift(now.since(round.watermark)) > round.window_ms {
             return Err(IgnoredConfirmation::TooLate);
         }
-        round.awaited.remove(&answer.from);
+        round.awaited.remove(&confirmation.from);
         if !round.awaited.is_empty() {
             return Ok(None);
         }
--- a/crates/watermark/src/lib.rs
+++ b/crates/watermark/src/lib.rs
@@ -1,11 +1,10 @@
-//! The cancellation watermark: the time up to which a controller knows of every cancellation that was
-//! confirmed to a user, and for how long after it workers' heartbeats may be responded to. Pure: no clock,
-//! no socket.
+//! The cancellation watermark: the time up to which a controller knows every cancellation that was confirmed
+//! to a user. This crate performs no I/O and reads no clock.
 //!
-//! A response lets a worker's tasks live for another lease, counted from when the heartbeat was sent. So a
-//! task whose cancellation this controller does not know is gone in time if no heartbeat is responded to
-//! that came later than the watermark and what `cancel_s` leaves beside a lease, and every response halts
-//! what is known to be cancelled ([`renewal::authorize_renewal`]).
+//! A response to a heartbeat renews the lease of the worker's tasks, counted from when the heartbeat was sent.
+//! Cancelled tasks end within `cancel_s` under two conditions ([`renewal::authorize_renewal`]). Every response
+//! halts the tasks whose cancellation is known. Heartbeats received more than [`answering_ms`] after the
+//! watermark get no response, so that the lease of a task whose cancellation is not known expires in time.
 
 pub mod confirmation_round;
 pub mod confirmed_cancellations;
@@ -13,53 +12,58 @@
 
 use snowshelf_model::ids::MonotonicMillis;
 
-/// Monotonic clocks drift apart by 0.05% each way; rounded up for both.
+/// Upper bound of the drift between two monotonic clocks: each drifts by at most 0.05%.
 const DRIFT_PER_MILLE: u64 = 1;
-/// Allowance for a worker's timers, which fire in steps, and for killing its tasks.
-const WORKER_TIMERS_MS: u64 = 1_000;
+/// Allowance for the resolution of a worker's timers and for killing its tasks, in milliseconds.
+const WORKER_TIMER_MARGIN_MS: u64 = 1_000;
 
-/// How much later than an interval measured by one clock another clock may end it, in milliseconds.
+/// The longest duration, in milliseconds, that another clock may measure for an interval that one clock
+/// measures as `ms`.
 #[must_use]
 pub fn with_drift(ms: u64) -> u64 {
     ms + (ms * DRIFT_PER_MILLE).div_ceil(1_000)
 }
 
-/// For how long after the cancellation watermark a shard leader may respond to heartbeats, in
-/// milliseconds; 0 where `cancel_ms` is no longer than a lease.
+/// The time after the cancellation watermark, in milliseconds, during which a shard leader may respond to
+/// heartbeats: what `cancel_ms` leaves beside a lease. 0 if `cancel_ms` is no longer than a lease.
 #[must_use]
 pub fn answering_ms(cancel_ms: u64, lease_ms: u64) -> u64 {
     let cancel_ms = cancel_ms - (cancel_ms * DRIFT_PER_MILLE).div_ceil(1_000);
-    cancel_ms.saturating_sub(with_drift(lease_ms) + WORKER_TIMERS_MS)
+    cancel_ms.saturating_sub(with_drift(lease_ms) + WORKER_TIMER_MARGIN_MS)
 }
 
 /// The time up to which every confirmed cancellation is known.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct CancellationWatermark {
-    /// When the newest request was sent whose response left no gap in the record cache.
+    /// When the newest request was sent whose response left no gap in the record cache; `None` before the
+    /// first.
     watch: Option<MonotonicMillis>,
-    /// When the newest round was started in which every other controller sent its confirmations.
+    /// When the newest confirmation round was started that all other controllers completed; `None` before
+    /// the first.
     confirmation: Option<MonotonicMillis>,
 }
 
 impl CancellationWatermark {
-    /// The watermark; `None` before anything has been read.
+    /// The watermark; `None` before the first advance.
     #[must_use]
     pub fn at(self) -> Option<MonotonicMillis> {
         self.watch.max(self.confirmation)
     }
 
-    /// The watermark by the watch alone.
+    /// The part of the watermark that the watch has established, without confirmation rounds.
     #[must_use]
     pub fn watch(self) -> Option<MonotonicMillis> {
         self.watch
     }
 
-    /// The key-value store has responded to a request sent at `sent_at`, and nothing before that is missing.
+    /// Advances the watermark to `sent_at`: the key-value store has responded to a request sent then, and the
+    /// record cache lacks no earlier change.
     pub fn advance_by_watch(&mut self, sent_at: MonotonicMillis) {
         self.watch = self.watch.max(Some(sent_at));
     }
 
-    /// All other controllers have sent what they have confirmed up to `started_at`.
+    /// Advances the watermark to `started_at`: all other controllers have sent the cancellations that they
+    /// confirmed before.
     pub fn advance_by_confirmation(&mut self, started_at: MonotonicMillis) {
         self.confirmation = self.confirmation.max(Some(started_at));
     }
--- a/crates/watermark/src/renewal.rs
+++ b/crates/watermark/src/renewal.rs
@@ -1,45 +1,45 @@
-//! Permission to respond to a heartbeat, which renews the lease of the worker's tasks. Only
-//! [`authorize_renewal`] grants it.
+//! Authorization of responses to heartbeats. A response renews the lease of the worker's tasks, and only
+//! [`authorize_renewal`] permits one.
 
 use crate::with_drift;
 use snowshelf_model::ids::MonotonicMillis;
 
-/// The watch responds more than twice in this time, in milliseconds: one that has not for longer is late,
-/// and no task is started on knowledge that is older.
-pub const WATCH_LATE_MS: u64 = 6_000;
+/// The age of the watermark, in milliseconds, above which the watch counts as late and no task is started.
+/// A watch that works responds more than twice in this time.
+pub const MAX_WATCH_AGE_MS: u64 = 6_000;
 
-/// What a shard leader's knowledge of cancellations is based on.
+/// The source of a shard leader's information on cancellations.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WatermarkSource {
-    /// All records, up to the controller's cancellation watermark.
+    /// All records have been read; the watermark is that of the controller.
     AllRecords(Option<MonotonicMillis>),
-    /// Single records, each requested after this process started at this time; the others are unread.
+    /// Single records have been read, each requested after this time, at which the process started.
     SingleRecords(MonotonicMillis),
 }
 
-/// What is known of the job of a task that a heartbeat lists.
+/// Whether the job of a task that a heartbeat lists is cancelled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum JobKnowledge {
-    /// Not cancelled, as far as is known.
-    Open,
-    /// Cancelled.
+pub enum CancellationStatus {
+    /// Not cancelled as of the watermark.
+    NotCancelled,
+    /// Cancelled, according to its record or a peer's confirmation.
     Cancelled,
-    /// Its record has not been read.
+    /// Unknown, as the job's record has not been read.
     Unread,
 }
 
-/// Why a heartbeat may not be responded to.
+/// Why a heartbeat gets no response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RenewalRefusal {
-    /// It came too long after the cancellation watermark.
+    /// The heartbeat was received too long after the cancellation watermark.
     #[error("the cancellation watermark is too far behind")]
-    Behind,
-    /// It lists a task of a job whose record has not been read.
+    WatermarkTooOld,
+    /// The heartbeat lists a task of a job whose record has not been read.
     #[error("the record of a listed job has not been read")]
-    Unread,
+    JobUnread,
 }
 
-/// Permission to respond to one heartbeat; the response must halt the tasks that it names.
+/// Permission to respond to one heartbeat. The response must halt the tasks that the permission names.
 #[derive(Clone, PartialEq, Eq, Debug)]
 #[must_use]
 pub struct LeaseRenewal<T> {
@@ -47,14 +47,14 @@
 }
 
 impl<T> LeaseRenewal<T> {
-    /// The listed tasks of cancelled jobs, which the response must halt.
+    /// The listed tasks of cancelled jobs, all of which the response must halt.
     pub fn into_halts(self) -> Vec<T> {
         self.halts
     }
 }
 
-/// Whether a cancellation confirmed just before `received` is covered by a watermark, within the
-/// `answering_ms` for which responses may follow the watermark.
+/// Whether a time is at most `answering_ms` after the watermark, so that a heartbeat received then may be
+/// responded to. False if there is no watermark.
 #[must_use]
 pub fn is_covered(
     watermark: Option<MonotonicMillis>,
@@ -64,42 +64,38 @@
     watermark.is_some_and(|at| received <= at.plus(answering_ms))
 }
 
-/// Whether a committed start may be commanded for the first time.
+/// Whether the watermark is recent enough to command a durable start for the first time.
 #[must_use]
 pub fn may_start(watermark: Option<MonotonicMillis>, now: MonotonicMillis) -> bool {
-    watermark.is_some_and(|at| now.since(at) <= with_drift(WATCH_LATE_MS))
+    watermark.is_some_and(|at| now.since(at) <= with_drift(MAX_WATCH_AGE_MS))
 }
 
-/// Decides whether a heartbeat that came at `received` may be responded to, so that the lease of its
-/// worker's tasks is renewed from the time when it was sent.
-///
-/// Each of the listed `tasks` then ends in time, whoever responded before and whoever will, for one of three reasons.
-/// Its job is known to be cancelled: the response halts it, and a response that does not arrive renews
-/// nothing. Its job was cancelled after the watermark: the confirmation came after that time, and
-/// `answering_ms` leaves a lease of `cancel_s`. Its job is unread: there is no response. A heartbeat that
-/// lists nothing keeps nothing alive.
+/// Decides whether a heartbeat received at `received` may be responded to. If its job's cancellation is known,
+/// a listed task is halted by the response, or by the end of its lease if the response is lost. If the
+/// cancellation was confirmed after the watermark, `answering_ms` leaves a whole lease of `cancel_s`.
 ///
 /// # Errors
-/// Why the heartbeat may not be responded to.
+/// If the watermark is too old, or the record of a listed job has not been read.
 pub fn authorize_renewal<T>(
     source: WatermarkSource,
     received: MonotonicMillis,
     answering_ms: u64,
-    tasks: impl Iterator<Item = (T, JobKnowledge)>,
+    tasks: impl Iterator<Item = (T, CancellationStatus)>,
 ) -> Result<LeaseRenewal<T>, RenewalRefusal> {
     let watermark = match source {
         WatermarkSource::AllRecords(watermark) => watermark,
         WatermarkSource::SingleRecords(started_at) => Some(started_at),
     };
     if !is_covered(watermark, received, answering_ms) {
-        return Err(RenewalRefusal::Behind);
+        return Err(RenewalRefusal::WatermarkTooOld);
     }
+    // A heartbeat that lists no tasks keeps none alive.
     let mut halts = Vec::new();
-    for (task, knowledge) in tasks {
-        match knowledge {
-            JobKnowledge::Open => {}
-            JobKnowledge::Cancelled => halts.push(task),
-            JobKnowledge::Unread => return Err(RenewalRefusal::Unread),
+    for (task, status) in tasks {
+        match status {
+            CancellationStatus::NotCancelled => {}
+            CancellationStatus::Cancelled => halts.push(task),
+            CancellationStatus::Unread => return Err(RenewalRefusal::JobUnread),
         }
     }
     Ok(LeaseRenewal { halts })
--- a/crates/watermark/tests/watermark.rs
+++ b/crates/watermark/tests/watermark.rs
@@ -1,4 +1,5 @@
-//! What may be concluded from what was read and from what others say, each test named after the failure it guards against.
+//! Lease renewal, confirmation rounds and the record of confirmed cancellations, under clock drift, lost messages and
+//! restarts.
 
 use proptest::prelude::*;
 use snowshelf_model::ids::{JobId, Member, MonotonicMillis};
@@ -7,8 +8,8 @@
 };
 use snowshelf_watermark::confirmed_cancellations::ConfirmedCancellations;
 use snowshelf_watermark::renewal::{
-    JobKnowledge, LeaseRenewal, RenewalRefusal, WatermarkSource, authorize_renewal, is_covered,
-    may_start,
+    CancellationStatus, LeaseRenewal, RenewalRefusal, WatermarkSource, authorize_renewal,
+    is_covered, may_start,
 };
 use snowshelf_watermark::{CancellationWatermark, answering_ms, with_drift};
 use std::collections::BTreeSet;
@@ -17,7 +18,7 @@
     ["b", "c"].map(Member::new).into()
 }
 
-fn answer(from: &str, incarnation: u64, sequence: u64) -> PeerConfirmation {
+fn confirmation(from: &str, incarnation: u64, sequence: u64) -> PeerConfirmation {
     PeerConfirmation {
         from: Member::new(from),
         incarnation,
@@ -27,38 +28,41 @@
     }
 }
 
-/// Guards against an answer that lets a task live beyond `cancel_s`: of the two clocks one may be slow and
-/// the other fast.
+/// Guards against a response that keeps a cancelled task alive beyond `cancel_s`. Of the clocks of controller and
+/// worker, one may be slow and the other fast.
 #[test]
-fn what_a_renewal_keeps_alive_ends_within_cancel_s() {
+fn renewal_keeps_no_cancelled_task_beyond_cancel_s() {
     for (cancel_ms, lease_ms) in [(56_000, 31_000), (52_000, 22_000), (35_000, 10_000)] {
         let answering = answering_ms(cancel_ms, lease_ms);
-        let (slow, most) = (1.0 + 0.0005, cancel_ms as f64);
-        let lives_ms = answering as f64 * slow + lease_ms as f64 * slow;
-        assert!(lives_ms + 900.0 <= most, "{lives_ms} of {most}");
-        assert!(lives_ms + 1_200.0 >= most, "{lives_ms} of {most}");
+        let (slow, limit_ms) = (1.0 + 0.0005, cancel_ms as f64);
+        let alive_ms = answering as f64 * slow + lease_ms as f64 * slow;
+        assert!(alive_ms + 900.0 <= limit_ms, "{alive_ms} of {limit_ms}");
+        assert!(alive_ms + 1_200.0 >= limit_ms, "{alive_ms} of {limit_ms}");
     }
-    // No room beside a lease: the safe side.
+    // A lease longer than the time for cancellation leaves no time to respond.
     assert_eq!(answering_ms(9_000, 10_000), 0);
     let at = Some(MonotonicMillis(5));
     assert!(is_covered(at, MonotonicMillis(105), 100));
     assert!(!is_covered(at, MonotonicMillis(106), 100));
     assert!(!is_covered(None, MonotonicMillis(5), 100));
-    let idle = |basis, received| {
-        authorize_renewal::<u32>(basis, MonotonicMillis(received), 100, [].into_iter())
+    let without_tasks = |source, received| {
+        authorize_renewal::<u32>(source, MonotonicMillis(received), 100, [].into_iter())
     };
-    for (basis, latest) in [
+    for (source, latest) in [
         (WatermarkSource::AllRecords(at), 105),
         (WatermarkSource::SingleRecords(MonotonicMillis(5)), 105),
     ] {
-        assert!(idle(basis, latest).is_ok());
-        assert_eq!(idle(basis, latest + 1), Err(RenewalRefusal::Behind));
+        assert!(without_tasks(source, latest).is_ok());
+        assert_eq!(
+            without_tasks(source, latest + 1),
+            Err(RenewalRefusal::WatermarkTooOld)
+        );
     }
     assert_eq!(
-        idle(WatermarkSource::AllRecords(None), 5),
-        Err(RenewalRefusal::Behind)
+        without_tasks(WatermarkSource::AllRecords(None), 5),
+        Err(RenewalRefusal::WatermarkTooOld)
     );
-    // Neither source takes the horizon back.
+    // Neither the watch nor a confirmation moves the watermark back.
     let mut watermark = CancellationWatermark::default();
     watermark.advance_by_confirmation(MonotonicMillis(9));
     watermark.advance_by_watch(MonotonicMillis(7));
@@ -69,24 +73,27 @@
     );
 }
 
-/// Guards against an answer that renews the lease of a task that is known to be cancelled and says nothing of it, and
-/// against one given before the jobs that the report lists have been read.
+/// Guards against a response that renews the lease of a task whose cancellation is known without halting it, and
+/// against a response before the records of all listed jobs have been read.
 #[test]
-fn a_renewal_halts_cancelled_tasks_and_is_refused_for_unread_jobs() {
-    use JobKnowledge::*;
-    let ask = |basis, listed: &[JobKnowledge]| {
+fn authorize_renewal_halts_cancelled_tasks_and_refuses_unread_jobs() {
+    use CancellationStatus::*;
+    let authorize = |source, listed: &[CancellationStatus]| {
         let listed = listed.iter().copied().enumerate();
-        authorize_renewal(basis, MonotonicMillis(50), 100, listed).map(LeaseRenewal::into_halts)
+        authorize_renewal(source, MonotonicMillis(50), 100, listed).map(LeaseRenewal::into_halts)
     };
-    for basis in [
+    for source in [
         WatermarkSource::AllRecords(Some(MonotonicMillis(5))),
         WatermarkSource::SingleRecords(MonotonicMillis(5)),
     ] {
-        assert_eq!(ask(basis, &[Open, Open]), Ok(vec![]));
-        assert_eq!(ask(basis, &[Cancelled, Open, Cancelled]), Ok(vec![0, 2]));
+        assert_eq!(authorize(source, &[NotCancelled, NotCancelled]), Ok(vec![]));
         assert_eq!(
-            ask(basis, &[Cancelled, Unread]),
-            Err(RenewalRefusal::Unread)
+            authorize(source, &[Cancelled, NotCancelled, Cancelled]),
+            Ok(vec![0, 2])
+        );
+        assert_eq!(
+            authorize(source, &[Cancelled, Unread]),
+            Err(RenewalRefusal::JobUnread)
         );
     }
     assert!(may_start(Some(MonotonicMillis(5)), MonotonicMillis(6_005)));
@@ -94,76 +101,95 @@
     assert!(!may_start(None, MonotonicMillis(5)));
 }
 
-/// Guards against a horizon moved by words that do not prove it: each thing that can be missing.
+/// Guards against a watermark that advances without proof: by a confirmation that is missing, repeated, late or
+/// incomplete, or that comes from an unknown sender or belongs to another round or incarnation.
 #[test]
-fn a_round_proves_nothing_unless_all_peers_have_answered_completely() {
-    let mut a = ConfirmationRounds::new(7);
-    let asked = MonotonicMillis(10_000);
-    let question = a
-        .start_round(asked, MonotonicMillis(4_000), peers())
+#[expect(
+    clippy::too_many_lines,
+    reason = "one case for each way in which a confirmation proves nothing"
+)]
+fn confirmation_round_completes_only_with_complete_confirmations_of_all_peers() {
+    let mut rounds = ConfirmationRounds::new(7);
+    let started_at = MonotonicMillis(10_000);
+    let request = rounds
+        .start_round(started_at, MonotonicMillis(4_000), peers())
         .unwrap();
-    assert_eq!((question.incarnation, question.sequence), (7, 1));
-    assert!(question.window_ms >= 8_000);
-    // One is missing.
+    assert_eq!((request.incarnation, request.sequence), (7, 1));
+    assert!(request.window_ms >= 8_000);
+    // The other peer's confirmation is still missing.
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(10_010), &answer("b", 7, 1)),
+        rounds.on_confirmation(MonotonicMillis(10_010), &confirmation("b", 7, 1)),
         Ok(None)
     );
-    // The same once more, somebody unknown, another life of the asker, another round.
-    for (said, why) in [
-        (answer("b", 7, 1), IgnoredConfirmation::NotAwaited),
-        (answer("x", 7, 1), IgnoredConfirmation::NotAwaited),
-        (answer("c", 6, 1), IgnoredConfirmation::OtherIncarnation),
-        (answer("c", 7, 0), IgnoredConfirmation::OtherRound),
-        (answer("c", 7, 2), IgnoredConfirmation::OtherRound),
+    // Confirmations that are repeated, of an unknown sender, for another incarnation or for another round.
+    for (received, reason) in [
+        (confirmation("b", 7, 1), IgnoredConfirmation::NotAwaited),
+        (confirmation("x", 7, 1), IgnoredConfirmation::NotAwaited),
+        (
+            confirmation("c", 6, 1),
+            IgnoredConfirmation::OtherIncarnation,
+        ),
+        (confirmation("c", 7, 0), IgnoredConfirmation::OtherRound),
+        (confirmation("c", 7, 2), IgnoredConfirmation::OtherRound),
     ] {
-        assert_eq!(a.on_confirmation(MonotonicMillis(10_010), &said), Err(why));
+        assert_eq!(
+            rounds.on_confirmation(MonotonicMillis(10_010), &received),
+            Err(reason)
+        );
     }
-    // One that has started since, or told more than it can name.
-    let short = PeerConfirmation {
+    // The sender cannot name all its confirmations: it has restarted, or there are too many.
+    let incomplete = PeerConfirmation {
         complete: false,
-        ..answer("c", 7, 1)
+        ..confirmation("c", 7, 1)
     };
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(10_020), &short),
+        rounds.on_confirmation(MonotonicMillis(10_020), &incomplete),
         Err(IgnoredConfirmation::Incomplete)
     );
-    // One that was underway for longer than its window reaches back beyond the horizon.
+    // The confirmation was in flight for so long that its window may begin after the watermark.
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(12_100), &answer("c", 7, 1)),
+        rounds.on_confirmation(MonotonicMillis(12_100), &confirmation("c", 7, 1)),
         Err(IgnoredConfirmation::TooLate)
     );
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(10_030), &answer("c", 7, 1)),
-        Ok(Some(asked))
+        rounds.on_confirmation(MonotonicMillis(10_030), &confirmation("c", 7, 1)),
+        Ok(Some(started_at))
     );
-    // What comes after the round is over proves nothing for the next.
+    // A confirmation after the end of its round proves nothing for the next round.
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(10_040), &answer("c", 7, 1)),
+        rounds.on_confirmation(MonotonicMillis(10_040), &confirmation("c", 7, 1)),
         Err(IgnoredConfirmation::OtherRound)
     );
-    assert_eq!(a.start_round(MonotonicMillis(10_500), asked, peers()), None);
-    let next = a
-        .start_round(MonotonicMillis(11_100), asked, peers())
+    assert_eq!(
+        rounds.start_round(MonotonicMillis(10_500), started_at, peers()),
+        None
+    );
+    let next = rounds
+        .start_round(MonotonicMillis(11_100), started_at, peers())
         .unwrap();
     assert_eq!(next.sequence, 2);
     assert_eq!(
-        a.on_confirmation(MonotonicMillis(11_200), &answer("b", 7, 1)),
+        rounds.on_confirmation(MonotonicMillis(11_200), &confirmation("b", 7, 1)),
         Err(IgnoredConfirmation::OtherRound)
     );
-    // A round that is not answered is asked anew, from the same horizon.
-    assert_eq!(a.start_round(MonotonicMillis(12_500), asked, peers()), None);
+    // A round that stays incomplete is replaced by a new one from the same watermark.
+    assert_eq!(
+        rounds.start_round(MonotonicMillis(12_500), started_at, peers()),
+        None
+    );
     assert_eq!(
-        a.start_round(MonotonicMillis(12_700), asked, peers())
+        rounds
+            .start_round(MonotonicMillis(12_700), started_at, peers())
             .unwrap()
             .sequence,
         3
     );
 }
 
-/// Guards against vouching for what an earlier life has told, or for more than is kept.
+/// Guards against a complete confirmation of a window that begins before the process was started, or before the
+/// oldest cancellation that the record retains.
 #[test]
-fn a_record_that_does_not_reach_back_is_incomplete() {
+fn confirmed_cancellations_within_is_none_beyond_the_record() {
     let mut confirmed = ConfirmedCancellations::default();
     confirmed.start_recording(MonotonicMillis(1_000));
     let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
@@ -174,7 +200,7 @@
         Some(vec![&job(1)])
     );
     assert_eq!(confirmed.within(MonotonicMillis(9_000), 8_001), None);
-    // Only the first telling counts: the time for its end runs from there.
+    // Only the first confirmation counts: the time within which the job's tasks must end starts with it.
     assert_eq!(
         confirmed.within(MonotonicMillis(9_000), 6_000),
         Some(vec![])
@@ -193,66 +219,72 @@
 }
 
 proptest! {
-    /// Guards against a horizon that is later than something told and not known: controllers tell at drawn
-    /// moments, questions and answers take drawn times, lives end, and after each complete round everything that
-    /// was told before its horizon has been named.
+    /// Guards against a watermark that is later than a confirmed cancellation that is not known. Two peers confirm
+    /// cancellations and restart at drawn times, and requests and confirmations take drawn times to arrive.
     #[test]
-    fn everything_confirmed_before_the_watermark_is_known(
-        tells in prop::collection::vec((0..2usize, 0..60_000u64), 0..40),
-        ends in prop::collection::vec((0..2usize, 0..60_000u64), 0..3),
-        hops in prop::collection::vec((0..4_000u64, 0..4_000u64, 0..2u8), 60),
+    fn cancellations_confirmed_before_the_watermark_are_known(
+        cancellations in prop::collection::vec((0..2usize, 0..60_000u64), 0..40),
+        restarts in prop::collection::vec((0..2usize, 0..60_000u64), 0..3),
+        delays in prop::collection::vec((0..4_000u64, 0..4_000u64, 0..2u8), 60),
     ) {
-        let mut asker = ConfirmationRounds::new(3);
+        let mut rounds = ConfirmationRounds::new(3);
         let mut watermark = MonotonicMillis(1_000);
         let mut known: BTreeSet<JobId> = BTreeSet::new();
         let job = |n: usize| JobId::new(&format!("wk-{n:06}"));
-        // Told before the first horizon: read from the state service.
-        known.extend(tells.iter().enumerate().filter(|(_, (_, at))| *at < 1_000).map(|(n, _)| job(n)));
-        let mut underway: Vec<(u64, PeerConfirmation)> = Vec::new();
-        let mut drawn = hops.iter();
+        // Cancellations confirmed before the first watermark: read from the key-value store.
+        known.extend(cancellations.iter().enumerate().filter(|(_, (_, at))| *at < 1_000).map(|(n, _)| job(n)));
+        let mut in_flight: Vec<(u64, PeerConfirmation)> = Vec::new();
+        let mut drawn = delays.iter();
         for now in (1_000..60_000u64).step_by(50) {
-            if let Some(q) = asker.start_round(MonotonicMillis(now), watermark, peers())
-                && let Some((to, back, lost)) = drawn.next()
+            if let Some(request) = rounds.start_round(MonotonicMillis(now), watermark, peers())
+                && let Some((to, back, slow)) = drawn.next()
             {
-                for (m, name) in ["b", "c"].into_iter().enumerate() {
-                    // Mostly prompt.
-                    let at = now + if *lost == 0 { to % 50 } else { *to };
-                    let life = ends.iter().filter(|(who, end)| *who == m && *end <= at).map(|(_, end)| *end).max();
+                for (peer, name) in ["b", "c"].into_iter().enumerate() {
+                    // Half of the rounds have short delays.
+                    let at = now + if *slow == 0 { to % 50 } else { *to };
+                    let restarted_at = restarts
+                        .iter()
+                        .filter(|(who, time)| *who == peer && *time <= at)
+                        .map(|(_, time)| *time)
+                        .max();
                     let mut confirmed = ConfirmedCancellations::default();
-                    confirmed.start_recording(MonotonicMillis(life.unwrap_or(0)));
-                    let mut mine: Vec<(u64, usize)> = tells.iter().enumerate()
-                        .filter(|(_, (who, t))| *who == m && *t <= at && life.is_none_or(|l| *t > l))
-                        .map(|(n, (_, t))| (*t, n)).collect();
-                    mine.sort_unstable();
-                    for (t, n) in mine {
-                        confirmed.record(&job(n), MonotonicMillis(t));
+                    confirmed.start_recording(MonotonicMillis(restarted_at.unwrap_or(0)));
+                    let mut recorded: Vec<(u64, usize)> = cancellations.iter().enumerate()
+                        .filter(|(_, (who, time))| {
+                            *who == peer && *time <= at && restarted_at.is_none_or(|restart| *time > restart)
+                        })
+                        .map(|(n, (_, time))| (*time, n)).collect();
+                    recorded.sort_unstable();
+                    for (time, n) in recorded {
+                        confirmed.record(&job(n), MonotonicMillis(time));
                     }
-                    let told = confirmed.within(MonotonicMillis(at), q.window_ms);
-                    underway.push((at + if *lost == 0 { back % 50 } else { *back }, PeerConfirmation {
+                    let within = confirmed.within(MonotonicMillis(at), request.window_ms);
+                    in_flight.push((at + if *slow == 0 { back % 50 } else { *back }, PeerConfirmation {
                         from: Member::new(name),
-                        incarnation: q.incarnation,
-                        sequence: q.sequence,
-                        complete: told.is_some(),
-                        cancelled: told.into_iter().flatten().cloned().collect(),
+                        incarnation: request.incarnation,
+                        sequence: request.sequence,
+                        complete: within.is_some(),
+                        cancelled: within.into_iter().flatten().cloned().collect(),
                     }));
                 }
             }
-            let (here, later) = underway.into_iter().partition(|(at, _)| *at <= now);
-            underway = later;
-            for (_, said) in here as Vec<(u64, PeerConfirmation)> {
-                if let Ok(complete) = asker.on_confirmation(MonotonicMillis(now), &said) {
-                    known.extend(said.cancelled);
-                    watermark = complete.unwrap_or(watermark);
+            let (arrived, later) = in_flight.into_iter().partition(|(at, _)| *at <= now);
+            in_flight = later;
+            for (_, confirmation) in arrived as Vec<(u64, PeerConfirmation)> {
+                if let Ok(completed) = rounds.on_confirmation(MonotonicMillis(now), &confirmation) {
+                    known.extend(confirmation.cancelled);
+                    watermark = completed.unwrap_or(watermark);
                 }
             }
-            for (n, (_, at)) in tells.iter().enumerate() {
-                prop_assert!(MonotonicMillis(*at) >= watermark || known.contains(&job(n)), "told at {at}, horizon {watermark:?}");
+            for (n, (_, at)) in cancellations.iter().enumerate() {
+                prop_assert!(MonotonicMillis(*at) >= watermark || known.contains(&job(n)), "confirmed at {at}, watermark {watermark:?}");
             }
         }
     }
 
+    /// Guards against an allowance for drift that shortens an interval.
     #[test]
-    fn drift_only_adds(ms in 0..10_000_000u64) {
+    fn with_drift_lengthens_by_at_least_a_thousandth(ms in 0..10_000_000u64) {
         prop_assert!(with_drift(ms) >= ms + ms / 1_000);
     }
 }
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -70,7 +70,7 @@
                 return;
             };
             received = refused.received;
-            if refused.refusal == RenewalRefusal::Unread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
+            if refused.refusal == RenewalRefusal::JobUnread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
                 self.look_up_listed_jobs(shard_id, &received.heartbeat);
                 self.deferred_heartbeats.push(received);
                 return;
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -8,7 +8,7 @@
 use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage};
 use snowshelf_watermark::CancellationWatermark;
 use snowshelf_watermark::confirmation_round::{ConfirmationRounds, PeerConfirmation};
-use snowshelf_watermark::renewal::{WATCH_LATE_MS, is_covered};
+use snowshelf_watermark::renewal::{MAX_WATCH_AGE_MS, is_covered};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With less time for renewals than this, a watch that is only slow makes workers end their tasks.
@@ -65,7 +65,7 @@
     /// Whether the watch of records advances the watermark too late.
     fn is_watch_late(&self, now: MonotonicMillis) -> bool {
         let read_at = self.watermark.watch();
-        read_at.is_none_or(|at| now.since(at) > WATCH_LATE_MS)
+        read_at.is_none_or(|at| now.since(at) > MAX_WATCH_AGE_MS)
     }
 
     /// Logs when workers' leases are no longer renewed, and when they are again.
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -6,7 +6,7 @@
 use snowshelf_model::protocol::worker::{TaskRef, TaskState, TaskStatus};
 use snowshelf_model::records::JobState;
 use snowshelf_watermark::renewal::{
-    JobKnowledge, LeaseRenewal, RenewalRefusal, WatermarkSource, authorize_renewal,
+    CancellationStatus, LeaseRenewal, RenewalRefusal, WatermarkSource, authorize_renewal,
 };
 
 impl Context<'_> {
@@ -40,35 +40,35 @@
         tasks: &'a [TaskStatus],
     ) -> impl Iterator<Item = &'a JobId> + 'a {
         let jobs = tasks.iter().map(|t| &t.task.job);
-        jobs.filter(move |job| self.job_knowledge(shard_id, job) == JobKnowledge::Unread)
+        jobs.filter(move |job| self.job_knowledge(shard_id, job) == CancellationStatus::Unread)
     }
 
-    fn job_knowledge(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
+    fn job_knowledge(&self, shard_id: ShardId, job: &JobId) -> CancellationStatus {
         if self.peer_confirmed.contains_key(job) {
-            return JobKnowledge::Cancelled;
+            return CancellationStatus::Cancelled;
         }
         let cached = match self.records.finished_job(job) {
             Some(end) => Some(end.state),
             None => self.records.jobs.get(job).map(|v| v.value.state),
         };
         match cached {
-            Some(JobState::Cancelled) => JobKnowledge::Cancelled,
-            Some(JobState::Open | JobState::Done) => JobKnowledge::Open,
+            Some(JobState::Cancelled) => CancellationStatus::Cancelled,
+            Some(JobState::Open | JobState::Done) => CancellationStatus::NotCancelled,
             None => self.uncached_job_knowledge(shard_id, job),
         }
     }
 
     /// What is known of a job without a record in the cache.
-    fn uncached_job_knowledge(&self, shard_id: ShardId, job: &JobId) -> JobKnowledge {
+    fn uncached_job_knowledge(&self, shard_id: ShardId, job: &JobId) -> CancellationStatus {
         let allocation = (shard_id, job.clone());
         // An allocation without a job that can be read: it must not be taken for one that nobody has cancelled.
         if self.records.allocations.contains_key(&allocation) {
-            return JobKnowledge::Unread;
+            return CancellationStatus::Unread;
         }
         // No allocation of it is open, so that nothing of it ran when this was read; or it has begun since.
         match self.records.loaded || self.absent_jobs.contains(job) {
-            true => JobKnowledge::Open,
-            false => JobKnowledge::Unread,
+            true => CancellationStatus::NotCancelled,
+            false => CancellationStatus::Unread,
         }
     }
 }
