--- a/crates/reconciliation/src/decision_table.rs
+++ b/crates/reconciliation/src/decision_table.rs
@@ -1,40 +1,43 @@
-//! The decision table of reconciliation: what a heartbeat and the records together prove of a task.
+//! The decision table of reconciliation: what a heartbeat and the records together prove about an attempt of
+//! a task.
 //!
-//! There is one cell for each pair of desired and observed state, under the evidence that comes with the
-//! heartbeat. `docs/recovery.md` shows the table; a test compares it with [`reconcile`].
+//! The table has one cell for each pair of desired and observed state. The evidence that comes with the
+//! heartbeat decides whether a cell applies. `docs/recovery.md` contains the table; a test compares it with
+//! [`reconcile`].
 
 pub use crate::findings::{Finding, ReconciliationCounts};
 
 use snowshelf_model::protocol::worker::{ExitReason, TaskState};
 use snowshelf_model::records::AllocationChangeKind;
 
-/// What the records, and the shard leader's pending changes to them, say of one attempt of a task on the
-/// machine that sent the heartbeat.
+/// The state of one attempt of a task on the machine that sent the heartbeat, according to the records and
+/// the shard leader's pending changes to them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum DesiredState {
-    /// The task waits; no attempt of it is on any machine.
+    /// The task is waiting: no attempt of it is assigned to a machine.
     Waiting,
-    /// Its start here is being written to the record.
+    /// The start on this machine is being written to the record.
     Starting,
-    /// Started here, durably.
+    /// Started on this machine; the start is durable.
     Here,
-    /// Started here durably, and its end here is being written to the record.
+    /// Started on this machine durably; its end is being written to the record.
     Ending,
     /// Started on another machine.
     Elsewhere,
-    /// Started here, with another attempt than the one in question.
+    /// Another attempt of the task is started on this machine.
     OtherAttempt,
-    /// Done.
+    /// The task has finished.
     Finished,
-    /// Started here, and the job is cancelled.
+    /// Started on this machine durably; the job is cancelled.
     Cancelled,
-    /// The same, and its end here is being written to the record.
+    /// Like [`DesiredState::Cancelled`], and its end is being written to the record.
     CancelledEnding,
-    /// No allocation of this shard contains the job: it has ended, moved to another shard, or never was.
+    /// The shard has no allocation of the job: the job has ended, has moved to another shard, or never
+    /// existed.
     NotOurs,
 }
 
-/// All desired states, in the order of the table's rows.
+/// All desired states, in the order of the table's rows in `docs/recovery.md`.
 pub const DESIRED_STATES: [DesiredState; 10] = [
     DesiredState::Waiting,
     DesiredState::Starting,
@@ -49,7 +52,7 @@
 ];
 
 impl DesiredState {
-    /// Whether the attempt is on this machine once all pending changes are written.
+    /// Whether the attempt is assigned to this machine once all pending changes are written.
     #[must_use]
     pub fn is_planned_here(self) -> bool {
         matches!(
@@ -58,14 +61,14 @@
         )
     }
 
-    /// Whether the attempt is on this machine by the record.
+    /// Whether the attempt is assigned to this machine in the stored record.
     #[must_use]
     pub fn is_durable_here(self) -> bool {
         use DesiredState::{Cancelled, CancelledEnding, Ending, Here};
         matches!(self, Here | Ending | Cancelled | CancelledEnding)
     }
 
-    /// The same state if the job turns out to be cancelled.
+    /// The state that corresponds to this one when the job is cancelled.
     #[must_use]
     pub fn if_cancelled(self) -> DesiredState {
         match self {
@@ -83,16 +86,17 @@
     }
 }
 
-/// What the machine's newest heartbeat says of the attempt.
+/// The state of the attempt in the machine's newest heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ObservedState {
-    /// The heartbeat does not list it.
+    /// The heartbeat does not list the attempt.
     Absent,
-    /// The heartbeat lists it in this state; for an exited task with the reason, if it says one.
+    /// The heartbeat lists the attempt in this state. The reason is that of an exited task; `None` if the
+    /// worker gave none.
     Listed(TaskState, Option<ExitReason>),
 }
 
-/// All observed states, each reason of an exit by itself.
+/// All observed states, with one entry for each exit reason.
 pub const OBSERVED_STATES: [ObservedState; 11] = {
     use ObservedState::{Absent, Listed};
     [
@@ -113,30 +117,32 @@
 /// The fencing token that a heartbeat acknowledges, compared with the shard leader's own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum TokenState {
-    /// An earlier shard leader may still command the machine.
+    /// Lower: an earlier shard leader may still command the machine.
     Behind,
-    /// The machine obeys this shard leader.
+    /// Equal: the machine accepts this shard leader's commands.
     Equal,
-    /// A later shard leader commands the machine: this one is fenced.
+    /// Higher: a later shard leader commands the machine, and this one is fenced.
     Ahead,
 }
 
-/// What comes with a heartbeat and decides how much it proves.
+/// The circumstances of a heartbeat that decide how much it proves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct HeartbeatEvidence {
-    /// The fencing token that the heartbeat acknowledges.
+    /// How the acknowledged fencing token compares with the shard leader's own.
     pub token: TokenState,
-    /// A newer heartbeat of the machine has been received already.
+    /// A newer heartbeat of the machine has already been received.
     pub superseded: bool,
-    /// The agent's incarnation is higher than before: all tasks of the earlier one are gone.
+    /// The agent incarnation is higher than in the heartbeat before: the tasks of the earlier incarnation
+    /// no longer exist.
     pub new_incarnation: bool,
-    /// An earlier shard leader started the machine's tasks, and this is the first heartbeat that
-    /// acknowledges this one's fencing token.
+    /// An earlier shard leader started the machine's tasks, and this heartbeat is the first to acknowledge
+    /// the present shard leader's fencing token.
     pub inherited: bool,
 }
 
 impl HeartbeatEvidence {
-    /// An ordinary heartbeat of a machine that has acknowledged the fencing token before.
+    /// A heartbeat of a machine that has acknowledged the fencing token before, without special
+    /// circumstances.
     pub const PLAIN: HeartbeatEvidence = HeartbeatEvidence {
         token: TokenState::Equal,
         superseded: false,
@@ -145,70 +151,70 @@
     };
 }
 
-/// What is to become of the machine.
+/// What the scheduler and the cloud intend to do with the machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MachineDisposition {
-    /// It remains in service.
+    /// The machine remains in service.
     Retained,
-    /// The cloud has announced that it interrupts the machine.
+    /// The cloud has announced the interruption of the machine.
     Interrupted {
-        /// A task that makes checkpoints has to begin one now, or it is too late.
+        /// Whether a task with checkpoints must begin one now to complete it before the interruption.
         checkpoint_due: bool,
     },
-    /// It is being emptied, or this task is evicted from it.
+    /// The machine is being drained, or this task is being evicted from it.
     Evicting,
-    /// Its release has been requested from the cloud.
+    /// The release of the machine has been requested from the cloud.
     Releasing,
 }
 
-/// The traits of a task that decide how it ends.
+/// The properties of a task that decide how it ends.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TaskTraits {
-    /// It runs until its job is cancelled, so that an exit without error does not finish it.
+    /// The task runs until its job is cancelled: an exit without error does not finish it.
     pub is_service: bool,
-    /// It makes checkpoints.
+    /// The task makes checkpoints.
     pub checkpoints: bool,
 }
 
-/// What the machine is commanded to do with the attempt.
+/// A command to the machine for one attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum ReconcileAction {
-    /// Start it.
+    /// Start the attempt.
     Run,
-    /// Stop it at once.
+    /// Stop the attempt without a grace period.
     Kill,
-    /// Stop it, with time for a checkpoint.
+    /// Stop the attempt, with a grace period for a checkpoint.
     Stop,
-    /// Remove the entry of an ended attempt.
+    /// Remove an exited attempt from the machine's list.
     Reap,
 }
 
-/// What the end of an attempt says of its job and its machine.
+/// What the end of an attempt indicates about its job and its machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OutcomeSignal {
-    /// Nothing.
+    /// Neither success nor failure.
     Neutral,
-    /// Both work.
+    /// Job and machine work.
     Success,
-    /// One of them is faulty.
+    /// The job or the machine is faulty.
     Failure,
     /// The machine has less free capacity than the shard leader assumes.
     CapacityExceeded,
-    /// The description of the job has not reached the machine.
+    /// The machine has not received the description of the job.
     DescriptionMissing,
 }
 
-/// One cell of the table: what is concluded, written and commanded.
+/// One cell of the decision table: the finding, the change to write and the command to send.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[must_use]
 pub struct Reconciliation {
-    /// What the states prove.
+    /// What the desired and the observed state prove.
     pub finding: Finding,
-    /// The change of the allocation to write.
+    /// The change to write to the allocation.
     pub change: Option<AllocationChangeKind>,
-    /// The command to the machine.
+    /// The command to send to the machine.
     pub action: Option<ReconcileAction>,
-    /// What the attempt's end says of its job and its machine.
+    /// What the end of the attempt indicates about its job and its machine.
     pub signal: OutcomeSignal,
 }
 
@@ -237,7 +243,8 @@
     }
 }
 
-/// Compares the desired state of an attempt with the observed one.
+/// Looks up the decision for an attempt from its desired and observed state, the evidence of the heartbeat,
+/// the disposition of its machine and the traits of its task.
 pub fn reconcile(
     desired: DesiredState,
     observed: ObservedState,
@@ -248,8 +255,8 @@
     if evidence.token == TokenState::Ahead {
         return Reconciliation::new(Finding::Fenced);
     }
-    // Before the machine has acknowledged the fencing token an earlier shard leader's response might still
-    // start or stop something. The token goes out with the response, and the next heartbeat acknowledges it.
+    // Until the machine has acknowledged the fencing token, a response of an earlier shard leader can still
+    // start or stop tasks. The response to this heartbeat carries the token; the next one acknowledges it.
     if evidence.superseded || evidence.token == TokenState::Behind {
         return Reconciliation::new(Finding::Inconclusive);
     }
@@ -260,8 +267,8 @@
     }
 }
 
-/// The attempt is not listed in a heartbeat that is newer than any response that could have carried its
-/// command.
+/// Decides for an attempt that is not listed. The heartbeat is newer than every response that can have
+/// carried the command to start it.
 fn reconcile_absent(
     desired: DesiredState,
     evidence: HeartbeatEvidence,
@@ -271,12 +278,12 @@
         return Reconciliation::new(Finding::Consistent);
     }
     if !desired.is_durable_here() {
-        // Not commanded before its start is durable; that write may still fail.
+        // The start is commanded only once it is durable, since the write may still fail.
         return Reconciliation::new(Finding::Consistent);
     }
-    // What an earlier shard leader started is not commanded again: that leader may have known it to be lost
-    // and have used its part of the team's quota for another start, the end not yet durable. Nor is what a
-    // higher incarnation has killed.
+    // An attempt that an earlier shard leader started is not commanded again. That leader may have found it
+    // lost and, before this end was durable, granted its share of the team's quota to another start.
+    // An attempt that ended with an earlier agent incarnation is not commanded again either.
     let lost = evidence.inherited || evidence.new_incarnation;
     if lost || desired.is_cancelled() || machine != MachineDisposition::Retained {
         return Reconciliation::new(Finding::Lost).with_change(AllocationChangeKind::Requeue);
@@ -284,14 +291,15 @@
     Reconciliation::new(Finding::NotStarted).with_action(ReconcileAction::Run)
 }
 
+/// Decides for an attempt that is listed as exited.
 fn reconcile_exited(
     desired: DesiredState,
     reason: Option<ExitReason>,
     task: TaskTraits,
 ) -> Reconciliation {
     if !desired.is_planned_here() {
-        // Its end must be durable before its entry is removed: a start repeated after that would run it
-        // again.
+        // The end must be durable before the entry is removed: without the entry, a repeated start command
+        // would run the attempt again.
         return if desired.is_durable_here() {
             Reconciliation::new(Finding::Consistent)
         } else {
@@ -320,7 +328,7 @@
     }
 }
 
-/// The attempt is pulling its image, running or making a checkpoint.
+/// Decides for an attempt that is pulling its image, running or making a checkpoint.
 fn reconcile_alive(
     desired: DesiredState,
     state: TaskState,
--- a/crates/reconciliation/src/findings.rs
+++ b/crates/reconciliation/src/findings.rs
@@ -1,30 +1,30 @@
-//! What reconciliation finds, and how often.
+//! The findings of reconciliation, and a counter for each.
 
 use serde::Serialize;
 
-/// What a pair of states proves.
+/// What a pair of desired and observed state proves about an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Finding {
-    /// Nothing: the heartbeat is superseded, or an earlier shard leader may still act.
+    /// Nothing: the heartbeat is superseded, or an earlier shard leader may still command the machine.
     Inconclusive,
     /// A later shard leader has fenced this one.
     Fenced,
-    /// Observed and desired state agree, or soon will.
+    /// Observed and desired state agree, or will once pending writes and commands have taken effect.
     Consistent,
     /// The command to start the attempt has not reached the machine.
     NotStarted,
-    /// The attempt is not on this machine, and nobody can start it there any more.
+    /// The attempt is not on the machine, and no command in flight can start it there.
     Lost,
-    /// The attempt has ended there.
+    /// The attempt has exited on the machine.
     Ended,
-    /// The attempt is there and should not be.
+    /// The attempt is alive on the machine and must not be.
     Orphaned,
-    /// Only the entry of an ended attempt is left there.
+    /// The machine still lists an exited attempt that needs no further handling.
     LeftoverEntry,
 }
 
-/// How often each finding was made, counted for each attempt in each heartbeat. Part of the body of
-/// `GET /ready`, under the outside names.
+/// Number of findings of each kind. Each heartbeat adds one finding per attempt. The body of `GET /ready`
+/// contains these counters under their serialized names.
 #[derive(Clone, Default, PartialEq, Eq, Debug, Serialize)]
 pub struct ReconciliationCounts {
     /// [`Finding::Consistent`].
@@ -47,7 +47,8 @@
 }
 
 impl ReconciliationCounts {
-    /// Counts a finding, unless it proves nothing of the attempt.
+    /// Counts a finding. [`Finding::Inconclusive`] and [`Finding::Fenced`] prove nothing about the attempt
+    /// and are not counted.
     pub fn count(&mut self, finding: Finding) {
         let count = match finding {
             Finding::Inconclusive | Finding::Fenced => return,
--- a/crates/reconciliation/src/lib.rs
+++ b/crates/reconciliation/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a controller concludes when it starts or acquires a shard: which records to read first, what a
-//! worker's heartbeat and the records prove together, and what missing heartbeats mean. Pure: no clock, no
-//! socket.
+//! The decisions of a controller that starts or acquires a shard: in which order it reads the records, what
+//! a worker's heartbeat and the records prove together, and when machines without heartbeats are released.
+//! This crate performs no I/O and reads no clock.
 
 pub mod decision_table;
 mod findings;
--- a/crates/reconciliation/src/startup_read.rs
+++ b/crates/reconciliation/src/startup_read.rs
@@ -1,43 +1,44 @@
-//! Which keys a startup read lists, in which order, so that shards are served before everything is read.
+//! The plan of a startup read: which keys it lists, in an order that lets shards be served before all
+//! records have been read.
 //!
-//! A job that has not ended has at least one allocation (`alloc/<shard>/<job>`): the last shard of a job
-//! removes its allocation and ends the job in one compare-and-swap. So the allocations are an index of the
-//! open jobs: of all records under `job/`, which are never deleted, a start needs those that allocations
-//! name and their dependencies. They are found in recent changes, and by pages that begin at the next
-//! missing job, so that neither requests nor bytes grow with the number of finished jobs.
+//! The allocations (`alloc/<shard>/<job>`) are an index of the open jobs. Every open job has at least one,
+//! as the last shard of a job removes its allocation and ends the job in one compare-and-swap. Records
+//! under `job/` are never deleted; a startup read needs only the jobs that allocations name, and their
+//! dependencies. It finds them in recent changes and in pages that begin at the next missing job. Thus
+//! neither requests nor bytes grow with the number of finished jobs.
 
 use snowshelf_model::ids::JobId;
 use snowshelf_model::records::{JOB_PREFIX, SHARD_PREFIX, job_key};
 use std::collections::BTreeSet;
 
-/// Most keys that the key-value store puts into a page.
+/// Most keys in one page of the key-value store.
 const MAX_PAGE_KEYS: u32 = 1_000;
-/// Fewest keys in a page when missing jobs lie far apart.
+/// Fewest keys requested in a page when missing jobs are far apart.
 const MIN_PAGE_KEYS: u32 = 8;
-/// How many revisions back recent changes are asked for; the store retains 10,000 events, of which a
-/// revision may have several.
+/// Number of revisions for which recent changes are requested first. The store retains 10,000 events, and a
+/// revision can have several events.
 const RECENT_REVISIONS: u64 = 8_000;
-/// The same after the store has said that it does not retain that many.
-const FEWER_RECENT_REVISIONS: u64 = 1_500;
+/// Number of revisions requested once the store no longer retains [`RECENT_REVISIONS`].
+const REDUCED_RECENT_REVISIONS: u64 = 1_500;
 
-/// Sorts after every job's key and before every other key that follows them.
+/// A bound that sorts after all keys of jobs and before all keys that follow them.
 const AFTER_JOBS: &str = "job0";
 
 /// The stage of a startup read.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub enum Stage {
-    /// The owner of each shard: enough to acquire shards and to answer workers.
+    /// The leader of each shard: suffices to acquire shards and to respond to workers.
     #[default]
-    ShardOwners,
-    /// Allocations, the calendar's version, the format: all keys before those of jobs.
+    ShardLeaders,
+    /// All keys before those of jobs: allocations, the version of the calendar, the record format.
     Allocations,
     /// All keys after those of jobs: quotas, members, machine types, reservations, runs.
-    Rest,
+    KeysAfterJobs,
     /// The jobs that allocations name, and their dependencies.
     Jobs,
-    /// All other jobs, if it is needed to know which have ended.
+    /// All other jobs, if [`ReadPlan::require_finished_jobs`] was called.
     FinishedJobs,
-    /// Everything needed has been read.
+    /// All required records have been read.
     Complete,
 }
 
@@ -48,31 +49,31 @@
     List {
         /// Only keys with this prefix.
         prefix: &'static str,
-        /// Only keys after this one.
+        /// Only keys that sort after this one.
         after: String,
         /// Most keys in the page.
         limit: u32,
     },
-    /// The changes of jobs before the watch began.
+    /// The changes of jobs before the revision at which the watch begins.
     RecentChanges {
-        /// How many revisions before the one from which the watch is followed.
+        /// Number of revisions, counted back from that one.
         revisions: u64,
     },
 }
 
-/// The range of keys that a page has answered for.
+/// The range of keys that a page covers: a key in it that the page lacks does not exist.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CoveredRange {
     /// Only keys with this prefix.
     pub prefix: &'static str,
-    /// Only keys after this one.
+    /// Only keys that sort after this one.
     pub after: String,
-    /// The last key of the range; `None` if it is not bounded.
+    /// The last key of the range; `None` if the range has no upper bound.
     pub last: Option<String>,
 }
 
 impl CoveredRange {
-    /// Whether a key lies in the range.
+    /// Whether the range contains a key.
     #[must_use]
     pub fn contains(&self, key: &str) -> bool {
         key.starts_with(self.prefix)
@@ -81,30 +82,31 @@
     }
 }
 
-/// Plans a startup read: takes in which keys have been read, and says what to request next.
+/// Plans a startup read: tracks which keys have been read and determines the next request.
 #[derive(Debug)]
 pub struct ReadPlan {
     stage: Stage,
-    /// The last key of the newest page of this stage.
+    /// The last key of the newest page of the current stage.
     after: String,
-    /// All job keys up to this one have been covered by consecutive pages.
+    /// Consecutive pages have covered all keys of jobs up to this one.
     jobs_covered_to: String,
+    /// Required jobs that have not been read.
     missing: BTreeSet<JobId>,
-    /// Jobs that have been read, or found not to exist.
+    /// Jobs that have been read or do not exist.
     resolved: BTreeSet<JobId>,
-    /// Most keys in the next page of jobs.
+    /// Limit of keys in the next page of jobs.
     page_keys: u32,
-    /// How many revisions back to ask for recent changes; `None` once that has been done.
+    /// Number of revisions in the next request for recent changes; `None` once no such request is due.
     recent_revisions: Option<u64>,
     finished_jobs_required: bool,
-    /// Whether a page of jobs has come in the stage of the jobs.
+    /// Whether a page has been read in [`Stage::Jobs`].
     jobs_page_seen: bool,
 }
 
 impl Default for ReadPlan {
     fn default() -> ReadPlan {
         ReadPlan {
-            stage: Stage::ShardOwners,
+            stage: Stage::ShardLeaders,
             after: String::new(),
             jobs_covered_to: JOB_PREFIX.to_string(),
             missing: BTreeSet::new(),
@@ -117,10 +119,10 @@
     }
 }
 
-/// A key that sorts just before `key` and after every other key that a job may have.
-fn just_before(key: &str) -> String {
+/// A key that sorts before `key` and after every key of a job that is less than `key`.
+fn key_before(key: &str) -> String {
     let mut bytes = key.as_bytes().to_vec();
-    // Names of jobs end with a digit; whatever it is, only keys with the same beginning lie between.
+    // Ids of jobs end with a digit. Decrementing the last byte leaves only keys with the same prefix between.
     match bytes.pop() {
         Some(last) if last.is_ascii_graphic() && last > b'!' => {
             bytes.push(last - 1);
@@ -131,7 +133,7 @@
     }
 }
 
-fn list(prefix: &'static str, after: &str, limit: u32) -> ReadRequest {
+fn list_request(prefix: &'static str, after: &str, limit: u32) -> ReadRequest {
     ReadRequest::List {
         prefix,
         after: after.to_string(),
@@ -140,20 +142,19 @@
 }
 
 impl ReadPlan {
-    /// The stage of the read.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How many required jobs have not been read yet.
+    /// Number of required jobs that have not been read.
     #[must_use]
     pub fn missing_jobs(&self) -> usize {
         self.missing.len()
     }
 
-    /// Requires that these jobs are read before the read is complete. May be called again with more; what
-    /// has been read is not looked for again.
+    /// Adds jobs that must be read before the read is complete. Jobs that have already been read are ignored.
     pub fn require_jobs<'a>(&mut self, jobs: impl Iterator<Item = &'a JobId>) {
         for job in jobs.filter(|job| !self.resolved.contains(*job)) {
             self.missing.insert(job.clone());
@@ -161,42 +162,45 @@
         self.resolve_if_all_listed();
     }
 
-    /// Requires that finished jobs are read as well, after all others.
+    /// Requires that finished jobs are read as well, after all other records.
     pub fn require_finished_jobs(&mut self) {
         self.finished_jobs_required = true;
     }
 
-    /// A job's record has been read in another way than by a page.
+    /// Marks a job as read whose record arrived by other means than a page.
     pub fn mark_read(&mut self, job: &JobId) {
         self.missing.remove(job);
         self.resolved.insert(job.clone());
         self.resolve_if_all_listed();
     }
 
-    /// The next request; `None` once the read is complete, or as long as it waits for
-    /// [`ReadPlan::end_jobs_if_none_missing`].
+    /// The next request. `None` once the read is complete, and in [`Stage::Jobs`] while no required job is
+    /// missing and [`ReadPlan::end_jobs_if_none_missing`] has not been called.
     #[must_use]
     pub fn next_request(&self) -> Option<ReadRequest> {
         match self.stage {
-            Stage::ShardOwners => Some(list(SHARD_PREFIX, &self.after, MAX_PAGE_KEYS)),
-            Stage::Allocations | Stage::Rest => Some(list("", &self.after, MAX_PAGE_KEYS)),
+            Stage::ShardLeaders => Some(list_request(SHARD_PREFIX, &self.after, MAX_PAGE_KEYS)),
+            Stage::Allocations | Stage::KeysAfterJobs => {
+                Some(list_request("", &self.after, MAX_PAGE_KEYS))
+            }
             Stage::Jobs => {
                 let job = self.missing.first()?;
                 Some(match self.recent_revisions {
-                    // The first page may bring all: most deployments' jobs fit into a few pages.
+                    // Only after a first page: the jobs of most deployments fit into a few pages, so that
+                    // one may suffice.
                     Some(revisions) if self.jobs_page_seen => {
                         ReadRequest::RecentChanges { revisions }
                     }
-                    _ => list("", &just_before(&job_key(job)), self.page_keys),
+                    _ => list_request("", &key_before(&job_key(job)), self.page_keys),
                 })
             }
-            Stage::FinishedJobs => Some(list("", &self.jobs_covered_to, MAX_PAGE_KEYS)),
+            Stage::FinishedJobs => Some(list_request("", &self.jobs_covered_to, MAX_PAGE_KEYS)),
             Stage::Complete => None,
         }
     }
 
-    /// Takes in which keys the page for `request` brought, and whether more follow; the range that the page
-    /// has covered, or `None` if the request was not for a page.
+    /// Processes the page read for `request`: its keys, and whether more keys follow it. Returns the range
+    /// that the page covers, or `None` if `request` was not for a page.
     pub fn on_page<'a>(
         &mut self,
         request: &ReadRequest,
@@ -209,8 +213,8 @@
         let covered = CoveredRange {
             prefix,
             after: after.clone(),
-            // Where no key came the range is unbounded whatever the page says, or it would be asked for
-            // for ever.
+            // A page without keys has no last key to continue from. It counts as unbounded even if `more` is
+            // set, or the same page would be requested forever.
             last: keys.last().filter(|_| more).map(str::to_string),
         };
         let resolved = self.resolve_covered(&covered);
@@ -219,7 +223,7 @@
         Some(covered)
     }
 
-    /// Resolves the missing jobs in a range that has been listed; their number.
+    /// Marks the missing jobs in a listed range as resolved and returns their number.
     fn resolve_covered(&mut self, covered: &CoveredRange) -> usize {
         let resolved: Vec<JobId> = self
             .missing
@@ -234,6 +238,7 @@
         resolved.len()
     }
 
+    /// Advances `jobs_covered_to` if the range continues the pages before it.
     fn extend_covered_jobs(&mut self, covered: &CoveredRange) {
         if covered.prefix.is_empty() && covered.after <= self.jobs_covered_to {
             let last = covered.last.as_deref().unwrap_or(AFTER_JOBS);
@@ -243,34 +248,34 @@
         }
     }
 
-    /// Goes to the next page or stage after a page up to `last` (`None`: nothing follows) that has resolved
-    /// so many missing jobs.
+    /// Proceeds to the next page or stage. `last` is the last key of the page (`None`: no keys follow), and
+    /// `resolved` the number of missing jobs that it has resolved.
     fn advance(&mut self, last: Option<&str>, resolved: usize) {
         match self.stage {
-            Stage::ShardOwners if last.is_none() => {
+            Stage::ShardLeaders if last.is_none() => {
                 self.stage = Stage::Allocations;
                 self.after = String::new();
             }
             Stage::Allocations if last.is_none() => {
-                // There are no further keys at all.
+                // No keys of jobs or after them exist.
                 self.stage = Stage::Jobs;
                 self.resolve_if_all_listed();
             }
             Stage::Allocations if last.is_some_and(|last| last >= JOB_PREFIX) => {
-                self.stage = Stage::Rest;
+                self.stage = Stage::KeysAfterJobs;
                 let beyond = last.filter(|last| *last >= AFTER_JOBS);
                 self.after = beyond.unwrap_or(AFTER_JOBS).to_string();
             }
-            Stage::Rest if last.is_none() => {
+            Stage::KeysAfterJobs if last.is_none() => {
                 self.stage = Stage::Jobs;
             }
-            Stage::ShardOwners | Stage::Allocations | Stage::Rest => {
+            Stage::ShardLeaders | Stage::Allocations | Stage::KeysAfterJobs => {
                 self.after = last.unwrap_or_default().to_string();
             }
             Stage::Jobs => {
                 self.jobs_page_seen = true;
-                // Larger pages save requests where a page resolves several jobs; otherwise all keys but the
-                // first are read in vain.
+                // Larger pages save requests if a page resolves several jobs. Otherwise all keys but the first
+                // are read needlessly.
                 self.page_keys = match resolved {
                     0 | 1 => (self.page_keys / 2).max(MIN_PAGE_KEYS),
                     _ => (self.page_keys * 2).min(MAX_PAGE_KEYS),
@@ -284,17 +289,18 @@
         }
     }
 
-    /// The response to a request for recent changes has been applied; `available`: the store still had them.
+    /// Processes the response to a request for recent changes, after the caller has applied it. `available`
+    /// tells whether the store still retained them.
     pub fn on_recent_changes(&mut self, available: bool) {
         self.recent_revisions = match self.recent_revisions {
-            Some(RECENT_REVISIONS) if !available => Some(FEWER_RECENT_REVISIONS),
+            Some(RECENT_REVISIONS) if !available => Some(REDUCED_RECENT_REVISIONS),
             _ => None,
         };
         self.resolve_if_all_listed();
     }
 
-    /// Ends the stage of the jobs if none is missing. To be called once the caller knows of no further jobs
-    /// to require.
+    /// Ends [`Stage::Jobs`] if no required job is missing. Called once the caller knows of no further jobs to
+    /// require.
     pub fn end_jobs_if_none_missing(&mut self) {
         if self.stage == Stage::Jobs && self.missing.is_empty() {
             let all_covered = self.jobs_covered_to.as_str() >= AFTER_JOBS;
@@ -306,7 +312,7 @@
         }
     }
 
-    /// Resolves all missing jobs if pages have covered all keys of jobs: they do not exist.
+    /// Resolves all missing jobs once pages have covered all keys of jobs: the missing ones do not exist.
     fn resolve_if_all_listed(&mut self) {
         if self.stage == Stage::Jobs && self.jobs_covered_to.as_str() >= AFTER_JOBS {
             let missing = std::mem::take(&mut self.missing);
--- a/crates/reconciliation/tests/decision_table.rs
+++ b/crates/reconciliation/tests/decision_table.rs
@@ -1,6 +1,6 @@
-//! The decision table against a plain model: one task, one machine, two owners one after the other, and every
-//! order in which heartbeats, responses, writes, ends, expired leases and a takeover can fall. All
-//! states are searched; nothing in the model knows of the table.
+//! Model checking of the decision table. The model has one task, one machine and two successive shard leaders,
+//! and covers every order of heartbeats, responses, writes, task exits, expired leases and a takeover. All
+//! reachable states are explored; the model itself does not depend on the table.
 
 use snowshelf_model::protocol::worker::{ExitReason, TaskState};
 use snowshelf_model::records::AllocationChangeKind;
@@ -18,10 +18,12 @@
     TaskTraits,
 ) -> Reconciliation;
 
-/// Attempts are 1 and 2: the place in a list is the attempt less one.
+/// Attempts are numbered 1 and 2; attempt `n` has index `n - 1` in a list.
 const ATTEMPTS: u8 = 2;
+/// The machine's list of attempts; `None` for an attempt that it does not list.
 type Listed = [Option<(TaskState, Option<ExitReason>)>; ATTEMPTS as usize];
 
+/// The task in an allocation record, with the attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Record {
     Waiting(u8),
@@ -35,14 +37,14 @@
     incarnation: u8,
     fencing_token: u8,
     listed: Listed,
-    /// A newer one has been taken in.
-    old: bool,
+    /// The shard leader has received a newer heartbeat.
+    superseded: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Response {
     fencing_token: u8,
-    orders: Vec<(ReconcileAction, u8)>,
+    commands: Vec<(ReconcileAction, u8)>,
 }
 
 /// What a shard leader knows of the machine.
@@ -52,32 +54,36 @@
     acknowledged: bool,
     listed: Listed,
     inherited: bool,
-    /// A heartbeat has been taken in and not responded to.
+    /// A heartbeat has been received and not responded to.
     response_due: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Model {
     record: Record,
+    /// The record with the shard leader's pending changes.
     view: Record,
     cancelled: bool,
     /// The allocation has been removed.
     allocation_removed: bool,
-    owner: u8,
-    /// What the first shard leader had durably started here when the second took over: it may still say so.
+    /// 1 before the takeover and 2 after it; also the fencing token.
+    shard_leader: u8,
+    /// The attempt that was durably started on the machine at the takeover: the first shard leader may still
+    /// command it.
     previous_start: Option<u8>,
     machine_view: MachineView,
     incarnation: u8,
     fencing_token: u8,
     listed: Listed,
-    /// The heartbeat that the machine waits for an response to, and one that it has given up.
+    /// The heartbeat in flight to which the machine awaits a response, and one for which it has stopped waiting.
     heartbeat: Option<Heartbeat>,
     late_heartbeat: Option<Heartbeat>,
     awaits_response: bool,
     response: Option<Response>,
-    /// The task has completed somewhere.
+    /// The task has completed on some machine.
     completed: bool,
-    leaving: bool,
+    /// The tasks on the machine are being evicted.
+    evicting: bool,
 }
 
 const INITIAL: Model = Model {
@@ -85,7 +91,7 @@
     view: Record::Waiting(1),
     cancelled: false,
     allocation_removed: false,
-    owner: 1,
+    shard_leader: 1,
     previous_start: None,
     machine_view: MachineView {
         incarnation: None,
@@ -102,7 +108,7 @@
     awaits_response: false,
     response: None,
     completed: false,
-    leaving: false,
+    evicting: false,
 };
 
 impl Model {
@@ -126,13 +132,13 @@
     }
 
     fn machine(&self) -> MachineDisposition {
-        match self.leaving {
+        match self.evicting {
             true => MachineDisposition::Evicting,
             false => MachineDisposition::Retained,
         }
     }
 
-    /// Every cell that this picture needs, under `evidence`.
+    /// The cells of the table for all attempts that the shard leader knows of, under `evidence`.
     fn cells(
         &self,
         evidence: HeartbeatEvidence,
@@ -142,13 +148,13 @@
         let mut cells = Vec::new();
         for attempt in 1..=ATTEMPTS {
             let observed = match self.machine_view.listed[attempt as usize - 1] {
-                Some((state, why)) => ObservedState::Listed(state, why),
+                Some((state, reason)) => ObservedState::Listed(state, reason),
                 None if self.view == Record::Here(attempt) => ObservedState::Absent,
                 None => continue,
             };
             let desired = self.desired_state(attempt);
-            let place = |r: &ObservedState| *r == observed;
-            seen.insert((desired, OBSERVED_STATES.iter().position(place).unwrap()));
+            let matches = |state: &ObservedState| *state == observed;
+            seen.insert((desired, OBSERVED_STATES.iter().position(matches).unwrap()));
             let task = TaskTraits::default();
             let cell = reconcile(desired, observed, evidence, self.machine(), task);
             cells.push((attempt, cell));
@@ -162,10 +168,10 @@
         reconcile: ReconcileFn,
         seen: &mut Seen,
     ) {
-        if heartbeat.old {
+        if heartbeat.superseded {
             return;
         }
-        let acknowledged = heartbeat.fencing_token == self.owner;
+        let acknowledged = heartbeat.fencing_token == self.shard_leader;
         let evidence = HeartbeatEvidence {
             token: if acknowledged {
                 TokenState::Equal
@@ -176,14 +182,14 @@
             new_incarnation: self
                 .machine_view
                 .incarnation
-                .is_some_and(|s| s < heartbeat.incarnation),
+                .is_some_and(|known| known < heartbeat.incarnation),
             inherited: acknowledged && std::mem::take(&mut self.machine_view.inherited),
         };
         self.machine_view.incarnation = Some(heartbeat.incarnation);
         self.machine_view.acknowledged = acknowledged;
         self.machine_view.listed = heartbeat.listed;
         if let Some(late) = &mut self.late_heartbeat {
-            late.old = true;
+            late.superseded = true;
         }
         for (attempt, cell) in self.cells(evidence, reconcile, seen) {
             match cell.change {
@@ -196,11 +202,8 @@
         }
     }
 
-    /// Every state that one event leads to.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "a list of events, one after the other"
-    )]
+    /// All states that a single event leads to.
+    #[expect(clippy::too_many_lines, reason = "a sequential list of events")]
     fn next(&self, reconcile: ReconcileFn, seen: &mut Seen) -> Vec<Model> {
         let mut next = Vec::new();
         let mut event = |change: &mut dyn FnMut(&mut Model) -> bool| {
@@ -209,180 +212,194 @@
                 next.push(model);
             }
         };
-        // The machine heartbeats; gives the heartbeat up, which may still arrive; its lease ends.
-        event(&mut |w| {
+        // The machine sends a heartbeat.
+        event(&mut |model| {
             let heartbeat = Heartbeat {
-                incarnation: w.incarnation,
-                fencing_token: w.fencing_token,
-                listed: w.listed,
-                old: false,
+                incarnation: model.incarnation,
+                fencing_token: model.fencing_token,
+                listed: model.listed,
+                superseded: false,
             };
-            !std::mem::replace(&mut w.awaits_response, true)
-                && w.heartbeat.replace(heartbeat).is_none()
+            !std::mem::replace(&mut model.awaits_response, true)
+                && model.heartbeat.replace(heartbeat).is_none()
         });
-        event(&mut |w| {
-            // Whatever is responded to to it goes to a connection that is closed.
-            (w.response, w.machine_view.response_due) = (None, false);
-            if let Some(heartbeat) = w.heartbeat.take() {
-                w.late_heartbeat = Some(heartbeat);
+        // The machine stops waiting for a response; the heartbeat may still arrive. Its connection is closed,
+        // so that a response to it is lost.
+        event(&mut |model| {
+            (model.response, model.machine_view.response_due) = (None, false);
+            if let Some(heartbeat) = model.heartbeat.take() {
+                model.late_heartbeat = Some(heartbeat);
             }
-            std::mem::take(&mut w.awaits_response)
+            std::mem::take(&mut model.awaits_response)
         });
-        event(&mut |w| {
-            w.incarnation += 1;
-            w.listed = [None; 2];
-            w.incarnation <= 2
+        // The machine's lease expires, which ends its tasks and its agent incarnation.
+        event(&mut |model| {
+            model.incarnation += 1;
+            model.listed = [None; 2];
+            model.incarnation <= 2
         });
-        // Its tasks go on.
+        // The machine's tasks change their states.
         for i in 0..ATTEMPTS as usize {
-            let mut goes = |to: TaskState, why: Option<ExitReason>| {
-                event(&mut |w| {
-                    w.listed[i] = Some((to, why));
-                    w.completed |= why == Some(ExitReason::Done);
+            let mut transition = |to: TaskState, reason: Option<ExitReason>| {
+                event(&mut |model| {
+                    model.listed[i] = Some((to, reason));
+                    model.completed |= reason == Some(ExitReason::Done);
                     true
                 });
             };
             match self.listed[i] {
                 Some((TaskState::Pulling, _)) => {
-                    goes(TaskState::Running, None);
-                    goes(TaskState::Exited, Some(ExitReason::Unknown));
-                    goes(TaskState::Exited, Some(ExitReason::Full));
+                    transition(TaskState::Running, None);
+                    transition(TaskState::Exited, Some(ExitReason::Unknown));
+                    transition(TaskState::Exited, Some(ExitReason::Full));
                 }
                 Some((TaskState::Running, _)) => {
-                    goes(TaskState::Exited, Some(ExitReason::Done));
-                    goes(TaskState::Exited, Some(ExitReason::Error));
+                    transition(TaskState::Exited, Some(ExitReason::Done));
+                    transition(TaskState::Exited, Some(ExitReason::Error));
                 }
                 Some((TaskState::Checkpointing, _)) => {
-                    goes(TaskState::Exited, Some(ExitReason::Stopped));
+                    transition(TaskState::Exited, Some(ExitReason::Stopped));
                 }
                 _ => {}
             }
         }
-        // Reports and responses arrive.
-        event(&mut |w| {
-            let Some(heartbeat) = w.heartbeat.take() else {
+        // A heartbeat arrives at the shard leader.
+        event(&mut |model| {
+            let Some(heartbeat) = model.heartbeat.take() else {
                 return false;
             };
-            w.receive_heartbeat(&heartbeat, reconcile, seen);
-            w.machine_view.response_due = true;
+            model.receive_heartbeat(&heartbeat, reconcile, seen);
+            model.machine_view.response_due = true;
             true
         });
-        event(&mut |w| {
-            let Some(heartbeat) = w.late_heartbeat.take() else {
+        // A heartbeat arrives whose response the machine no longer awaits.
+        event(&mut |model| {
+            let Some(heartbeat) = model.late_heartbeat.take() else {
                 return false;
             };
-            w.receive_heartbeat(&heartbeat, reconcile, seen);
+            model.receive_heartbeat(&heartbeat, reconcile, seen);
             true
         });
-        event(&mut |w| {
-            let asked = std::mem::take(&mut w.machine_view.response_due)
-                && w.awaits_response
-                && w.heartbeat.is_none();
-            let mut orders = Vec::new();
-            if w.machine_view.acknowledged {
-                let cells = w.cells(HeartbeatEvidence::PLAIN, reconcile, seen);
-                orders.extend(cells.iter().filter_map(|(a, c)| Some((c.action?, *a))));
+        // The shard leader responds to the heartbeat.
+        event(&mut |model| {
+            let response_awaited = std::mem::take(&mut model.machine_view.response_due)
+                && model.awaits_response
+                && model.heartbeat.is_none();
+            let mut commands = Vec::new();
+            if model.machine_view.acknowledged {
+                let cells = model.cells(HeartbeatEvidence::PLAIN, reconcile, seen);
+                commands.extend(
+                    cells
+                        .iter()
+                        .filter_map(|(attempt, cell)| Some((cell.action?, *attempt))),
+                );
             }
-            let fencing_token = w.owner;
-            w.response = Some(Response {
+            let fencing_token = model.shard_leader;
+            model.response = Some(Response {
                 fencing_token,
-                orders,
+                commands,
             });
-            asked
+            response_awaited
         });
-        // The first shard leader, which does not know that it is deposed, responses instead.
-        event(&mut |w| {
-            let order = w
+        // The first shard leader responds instead, as it does not know yet that it is deposed.
+        event(&mut |model| {
+            let command = model
                 .previous_start
                 .map(|attempt| (ReconcileAction::Run, attempt));
-            let orders = order.into_iter().collect();
-            w.response = Some(Response {
+            let commands = command.into_iter().collect();
+            model.response = Some(Response {
                 fencing_token: 1,
-                orders,
+                commands,
             });
-            w.owner == 2 && w.heartbeat.take().is_some()
+            model.shard_leader == 2 && model.heartbeat.take().is_some()
         });
-        event(&mut |w| {
-            let Some(response) = w.response.take() else {
+        // The response arrives at the machine.
+        event(&mut |model| {
+            let Some(response) = model.response.take() else {
                 return false;
             };
-            w.awaits_response = false;
-            if response.fencing_token >= w.fencing_token {
-                w.fencing_token = response.fencing_token;
-                for (order, attempt) in response.orders {
-                    w.execute(order, attempt);
+            model.awaits_response = false;
+            if response.fencing_token >= model.fencing_token {
+                model.fencing_token = response.fencing_token;
+                for (command, attempt) in response.commands {
+                    model.execute(command, attempt);
                 }
             }
             true
         });
-        // The owner starts the task, here or elsewhere; its picture becomes durable.
+        // The shard leader starts the task, on this machine or on another one.
         if let Record::Waiting(attempt) = self.view
             && attempt <= ATTEMPTS
             && !self.cancelled
             && !self.allocation_removed
         {
-            event(&mut |w| {
-                w.view = Record::Here(attempt);
-                w.machine_view.acknowledged && !w.leaving
+            event(&mut |model| {
+                model.view = Record::Here(attempt);
+                model.machine_view.acknowledged && !model.evicting
             });
-            event(&mut |w| {
-                w.view = Record::Elsewhere(attempt);
+            event(&mut |model| {
+                model.view = Record::Elsewhere(attempt);
                 true
             });
         }
+        // An attempt on another machine finishes, or ends and is requeued.
         if let Record::Elsewhere(attempt) = self.record
             && self.view == self.record
         {
-            event(&mut |w| {
-                (w.view, w.completed) = (Record::Finished, true);
+            event(&mut |model| {
+                (model.view, model.completed) = (Record::Finished, true);
                 true
             });
-            event(&mut |w| {
-                w.view = Record::Waiting(attempt + 1);
+            event(&mut |model| {
+                model.view = Record::Waiting(attempt + 1);
                 true
             });
         }
-        event(&mut |w| {
-            w.record = w.view;
-            *w != *self
+        // The pending changes become durable.
+        event(&mut |model| {
+            model.record = model.view;
+            *model != *self
         });
-        event(&mut |w| {
-            let idle = w.cancelled && matches!(w.record, Record::Waiting(_));
-            let over = w.record == w.view && (idle || w.record == Record::Finished);
-            !std::mem::replace(&mut w.allocation_removed, over) && over
+        // The allocation is removed once the task has finished, or waits and is cancelled.
+        event(&mut |model| {
+            let idle = model.cancelled && matches!(model.record, Record::Waiting(_));
+            let over = model.record == model.view && (idle || model.record == Record::Finished);
+            !std::mem::replace(&mut model.allocation_removed, over) && over
         });
-        // The user cancels: what is not durable is not started any more.
-        event(&mut |w| {
-            if let Record::Here(a) | Record::Elsewhere(a) = w.view
-                && w.view != w.record
+        // The user cancels the job: a start that is not durable is withdrawn.
+        event(&mut |model| {
+            if let Record::Here(attempt) | Record::Elsewhere(attempt) = model.view
+                && model.view != model.record
             {
-                w.view = Record::Waiting(a);
+                model.view = Record::Waiting(attempt);
             }
-            !w.allocation_removed && !std::mem::replace(&mut w.cancelled, true)
+            !model.allocation_removed && !std::mem::replace(&mut model.cancelled, true)
         });
-        event(&mut |w| !std::mem::replace(&mut w.leaving, true));
-        // Another owner takes over, with what is durable.
-        event(&mut |w| {
-            let here = match w.record {
+        // Eviction of the machine begins.
+        event(&mut |model| !std::mem::replace(&mut model.evicting, true));
+        // The second shard leader takes over and reads the durable record.
+        event(&mut |model| {
+            let here = match model.record {
                 Record::Here(attempt) => Some(attempt),
                 _ => None,
             };
-            w.previous_start = here;
-            w.view = w.record;
-            w.machine_view = MachineView {
+            model.previous_start = here;
+            model.view = model.record;
+            model.machine_view = MachineView {
                 inherited: here.is_some(),
                 ..MachineView::default()
             };
-            std::mem::replace(&mut w.owner, 2) == 1
+            std::mem::replace(&mut model.shard_leader, 2) == 1
         });
         next
     }
 
-    fn execute(&mut self, order: ReconcileAction, attempt: u8) {
+    /// Executes a command on the machine.
+    fn execute(&mut self, command: ReconcileAction, attempt: u8) {
         let i = attempt as usize - 1;
-        let other = self.listed[1 - i].is_some_and(|(state, _)| state != TaskState::Exited);
-        self.listed[i] = match (order, self.listed[i]) {
-            (ReconcileAction::Run, None) if other => {
+        let other_alive = self.listed[1 - i].is_some_and(|(state, _)| state != TaskState::Exited);
+        self.listed[i] = match (command, self.listed[i]) {
+            (ReconcileAction::Run, None) if other_alive => {
                 Some((TaskState::Exited, Some(ExitReason::InUse)))
             }
             (ReconcileAction::Run, None) => Some((TaskState::Pulling, None)),
@@ -395,35 +412,38 @@
                 Some((TaskState::Exited, Some(ExitReason::Stopped)))
             }
             (ReconcileAction::Reap, Some((TaskState::Exited, _))) => None,
-            (_, as_it_was) => as_it_was,
+            (_, unchanged) => unchanged,
         };
     }
 
-    /// Which promise is broken here, if any.
-    fn broken_rule(&self) -> Option<&'static str> {
-        let on = |entry: &Option<(TaskState, Option<ExitReason>)>| {
-            entry.is_some_and(|(s, _)| matches!(s, TaskState::Running | TaskState::Checkpointing))
+    /// The invariant that this state violates, if any. The names are those of the simulation's rules.
+    fn violated_invariant(&self) -> Option<&'static str> {
+        let is_running = |entry: &Option<(TaskState, Option<ExitReason>)>| {
+            entry.is_some_and(|(state, _)| {
+                matches!(state, TaskState::Running | TaskState::Checkpointing)
+            })
         };
-        let here = self.listed.iter().any(on);
+        let running_here = self.listed.iter().any(is_running);
         match self.record {
-            Record::Elsewhere(_) if here => Some("ran_twice"),
+            Record::Elsewhere(_) if running_here => Some("ran_twice"),
             Record::Finished if !self.completed => Some("not_done"),
-            Record::Finished if here => Some("ran again after its end was durable"),
+            Record::Finished if running_here => Some("ran again after its end was durable"),
             _ => None,
         }
     }
 }
 
+/// Pairs of desired state and index of the observed state that were looked up.
 type Seen = BTreeSet<(DesiredState, usize)>;
 
-/// Searches all states; the first broken promise, or which cells were needed.
+/// Explores all reachable states. Returns the cells that were looked up, or the first violated invariant.
 fn explore(reconcile: ReconcileFn) -> Result<Seen, &'static str> {
     let mut seen = Seen::new();
     let mut known = HashSet::from([INITIAL]);
     let mut queue = VecDeque::from([INITIAL]);
     while let Some(model) = queue.pop_front() {
-        if let Some(broken_rule) = model.broken_rule() {
-            return Err(broken_rule);
+        if let Some(invariant) = model.violated_invariant() {
+            return Err(invariant);
         }
         for next in model.next(reconcile, &mut seen) {
             if known.insert(next.clone()) {
@@ -434,7 +454,7 @@
     Ok(seen)
 }
 
-/// The columns of the table in the documents.
+/// The columns of the table in `docs/recovery.md`, with the index of the observed state.
 const COLUMNS: [(&str, usize); 9] = [
     ("absent", 0),
     ("fetching", 1),
@@ -447,7 +467,8 @@
     ("unknown", 9),
 ];
 
-fn show(desired: DesiredState, observed: ObservedState, reached: bool) -> String {
+/// Formats a cell as `docs/recovery.md` shows it; an asterisk marks a cell that no explored state reaches.
+fn format_cell(desired: DesiredState, observed: ObservedState, reached: bool) -> String {
     let cell = reconcile(
         desired,
         observed,
@@ -468,7 +489,7 @@
         Some(_) => ", write waits",
         None => "",
     };
-    let order = match cell.action {
+    let command = match cell.action {
         Some(ReconcileAction::Run) => ", run",
         Some(ReconcileAction::Kill) => ", kill",
         Some(ReconcileAction::Stop) => ", stop",
@@ -476,29 +497,30 @@
         None => "",
     };
     let mark = if reached { "" } else { " *" };
-    format!("{finding}{write}{order}{mark}")
+    format!("{finding}{write}{command}{mark}")
 }
 
-/// Guards against a table in the documents that is not the one in force, and against a cell that somebody
-/// reaches although it is said that nobody does.
+/// Guards against decisions that, in some order of events, run a task twice or record as finished a task that
+/// has not completed. Also guards against a table in `docs/recovery.md` that differs from the code, in its
+/// cells or in which of them are reachable.
 #[test]
-fn no_order_of_events_breaks_a_rule() {
+fn decision_table_upholds_invariants_in_every_order_of_events() {
     let seen = explore(reconcile).unwrap();
-    let heads = COLUMNS.map(|(name, _)| name).join(" | ");
-    let mut table = format!("| stored | {heads} |\n|{}\n", " --- |".repeat(10));
+    let headings = COLUMNS.map(|(name, _)| name).join(" | ");
+    let mut table = format!("| stored | {headings} |\n|{}\n", " --- |".repeat(10));
     for desired in DESIRED_STATES {
-        let cells =
-            COLUMNS.map(|(_, i)| show(desired, OBSERVED_STATES[i], seen.contains(&(desired, i))));
+        let cells = COLUMNS
+            .map(|(_, i)| format_cell(desired, OBSERVED_STATES[i], seen.contains(&(desired, i))));
         table += &format!("| {desired:?} | {} |\n", cells.join(" | "));
     }
     let page = include_str!("../../../docs/recovery.md");
     assert!(page.contains(&table), "docs/recovery.md lacks:\n{table}");
 }
 
-/// The exploration can fail: with a table that trusts a heartbeat which has not acknowledged the fencing token, and with one
-/// that finishes a failed task.
+/// Guards against an exploration that cannot fail. One faulty table trusts a heartbeat that has not
+/// acknowledged the fencing token, the other finishes a failed task.
 #[test]
-fn a_wrong_table_breaks_a_rule() {
+fn exploration_reports_the_violation_of_a_faulty_table() {
     let ignores_token: ReconcileFn = |desired, observed, evidence, machine, task| {
         let token = evidence.token.max(TokenState::Equal);
         reconcile(
--- a/crates/reconciliation/tests/silence.rs
+++ b/crates/reconciliation/tests/silence.rs
@@ -1,14 +1,14 @@
-//! How long silence is waited for where cancelled tasks may be frozen.
+//! The time after which a silent machine that may run cancelled tasks is released.
 
 use proptest::prelude::*;
 use snowshelf_reconciliation::silence::{heartbeat_overdue_ms, release_after_cancellation_ms};
 
 proptest! {
-    /// Guards against a release that begins too late: a shard leader that has acquired the shard just before the moment waits
-    /// for one heartbeat, and the release has its time left, wherever a lease and four heartbeats fit into the time for
-    /// cancelling.
+    /// Guards against a release that begins too late to end cancelled tasks in time. A shard leader that
+    /// acquires the shard just before the release is due first waits for one heartbeat. Drawn settings leave
+    /// at least four heartbeat intervals beside a lease in the time for cancellation.
     #[test]
-    fn a_hanging_machine_is_released_before_its_cancelled_tasks_must_be_gone(
+    fn release_after_cancellation_leaves_time_to_release_a_hanging_machine(
         heartbeat_ms in 500u64..15_000,
         lease_heartbeats in 4u64..8,
         spare_heartbeats in 4u64..20,
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -125,7 +125,7 @@
 
     /// The holder of a shard's lease, as far as the record cache knows.
     fn shard_holder(&self, shard_id: ShardId) -> Option<&Member> {
-        let holder = self.env.records.shard_owners.get(&shard_id);
+        let holder = self.env.records.shard_leaders.get(&shard_id);
         holder.map(|v| &v.value.owner)
     }
 
--- a/src/coordination/controller/machine_types.rs
+++ b/src/coordination/controller/machine_types.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::coordination::context::KvRequest;
 use crate::storage::kv_client::{KvResponse, RequestPriority, SwapOutcome, unexpected_response};
-use crate::storage::record_cache::{RecordCache, RecordChange, TYPES_KEY};
+use crate::storage::record_cache::{MACHINE_TYPES_KEY, RecordCache, RecordChange};
 use snowshelf_model::ids::Version;
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
@@ -66,8 +66,8 @@
         let version = published.map(|v| v.version).unwrap_or_default();
         let swap = CompareAndSwap::default()
             .compare(LEADER_KEY.to_string(), Version(fencing_token.0))
-            .compare(TYPES_KEY.to_string(), version)
-            .mutate(Mutation::put(TYPES_KEY.to_string(), &types));
+            .compare(MACHINE_TYPES_KEY.to_string(), version)
+            .mutate(Mutation::put(MACHINE_TYPES_KEY.to_string(), &types));
         env.machine_types.publishing = true;
         let request = KvRequest::PublishMachineTypes(types);
         env.kv.compare_and_swap(&mut env.effects, request, &swap);
@@ -85,8 +85,10 @@
         self.env.machine_types.publishing = false;
         if let SwapOutcome::Applied(revision) = outcome {
             let value = serde_json::to_value(types).unwrap_or_default();
-            self.env.records.apply(TYPES_KEY, Some(&value), revision);
-            self.on_record_changes(vec![RecordChange::Types]);
+            self.env
+                .records
+                .apply(MACHINE_TYPES_KEY, Some(&value), revision);
+            self.on_record_changes(vec![RecordChange::MachineTypes]);
         }
     }
 }
--- a/src/coordination/controller/record_changes.rs
+++ b/src/coordination/controller/record_changes.rs
@@ -17,7 +17,7 @@
                 RecordChange::Job(job) | RecordChange::ShardAllocation(_, job) => {
                     jobs.insert(job);
                 }
-                RecordChange::Types => self.env.machine_types.refresh(&self.env.records),
+                RecordChange::MachineTypes => self.env.machine_types.refresh(&self.env.records),
                 _ => {}
             }
         }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -103,7 +103,7 @@
             if records.revision.0 < fencing_token.0 {
                 continue;
             }
-            let cached = records.shard_owners.get(&shard_id).map(|v| v.version.0);
+            let cached = records.shard_leaders.get(&shard_id).map(|v| v.version.0);
             if cached != Some(fencing_token.0) {
                 tracing::info!(shard = %shard_id, fencing_token = %fencing_token, "shard owned by another controller");
                 self.leases.drop_role(Role::ShardLeader(shard_id), now);
@@ -249,7 +249,7 @@
             return;
         };
         let config = &self.env.config;
-        let all_shards_led = self.env.records.shard_owners.len() == config.shard_count as usize
+        let all_shards_led = self.env.records.shard_leaders.len() == config.shard_count as usize
             && self.gossip.recent(now).count() + 1 == config.members.len();
         if autoscaler.needs_heartbeats(now) {
             let mut machines = self.gossip.machines_with_heartbeats(now);
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -43,7 +43,7 @@
 
 fn cached_holder(role: Role, context: &Context<'_>) -> Option<KeyHolder> {
     let record = match role {
-        Role::ShardLeader(shard_id) => context.records.shard_owners.get(&shard_id),
+        Role::ShardLeader(shard_id) => context.records.shard_leaders.get(&shard_id),
         Role::ClusterLeader => context.records.leader.as_ref(),
     }?;
     Some(KeyHolder {
--- a/src/coordination/leases/mod.rs
+++ b/src/coordination/leases/mod.rs
@@ -124,7 +124,7 @@
     pub fn tick(&mut self, available_homes: &BTreeSet<ShardId>, context: &mut Context<'_>) {
         let first_tick_at = *self.first_tick_at.get_or_insert(context.now());
         self.tick_renewal(context);
-        if !context.records.shard_owners_read || !self.is_valid(context.now()) {
+        if !context.records.shard_leaders_read || !self.is_valid(context.now()) {
             self.vacant_since.clear();
             return;
         }
--- a/src/coordination/list_watch/mod.rs
+++ b/src/coordination/list_watch/mod.rs
@@ -74,9 +74,9 @@
     pub fn stage_label(&self) -> Option<&'static str> {
         let startup = self.startup.as_ref()?;
         Some(match startup.plan.stage() {
-            Stage::ShardOwners => "parts",
+            Stage::ShardLeaders => "parts",
             Stage::Allocations => "shares",
-            Stage::Rest => "rest",
+            Stage::KeysAfterJobs => "rest",
             Stage::Jobs => "jobs",
             Stage::FinishedJobs | Stage::Complete => "ended",
         })
@@ -301,7 +301,7 @@
             return;
         };
         let stage = startup.plan.stage();
-        context.records.shard_owners_read |= stage > Stage::ShardOwners;
+        context.records.shard_leaders_read |= stage > Stage::ShardLeaders;
         context.records.allocations_read |= stage >= Stage::Jobs;
         if stage == Stage::Jobs && startup.plan.missing_jobs() == 0 {
             startup.require_jobs(context);
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -109,7 +109,7 @@
                     let record = record.map(|v| Arc::new((*v.value).clone()));
                     self.calendar.set_window(name, record, now);
                 }
-                RecordChange::Types => {
+                RecordChange::MachineTypes => {
                     self.types_changed = true;
                     continue;
                 }
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -246,7 +246,7 @@
     if interrupted || round.missing.contains(name) {
         return 2 * heartbeat_ms;
     }
-    let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.is_cut_off());
+    let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.is_partitioned());
     let ready_s = context.types.get(&m.model).map_or(0.0, |t| t.ready_s);
     let lease_ms = settings.lease_ms() + 2 * heartbeat_ms;
     release_after_silence_ms(lease_ms, cut_off, seconds_to_ms(ready_s))
--- a/src/storage/kv_client/mod.rs
+++ b/src/storage/kv_client/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the consensus-backed key-value store: its rate limits, its requests, and responses
-//! interpreted as outcomes.
+//! The client of the consensus-backed key-value store: rate limits, requests, and the interpretation of
+//! responses as outcomes.
 
 mod priority;
 mod response;
@@ -17,14 +17,14 @@
 use snowshelf_model::protocol::state::CompareAndSwap;
 use std::collections::HashMap;
 
-/// Timeout of an ordinary request.
+/// Timeout of writes, lists and watches, in milliseconds. A watch adds the time for which the store may wait.
 const REQUEST_TIMEOUT_MS: u64 = 2_500;
-/// Timeout of a request for a new lease.
+/// Timeout of a request for a new lease, in milliseconds.
 const LEASE_GRANT_TIMEOUT_MS: u64 = 1_500;
-/// Timeout of a renewal.
+/// Timeout of a lease renewal, in milliseconds.
 const RENEWAL_TIMEOUT_MS: u64 = 1_000;
 
-/// A request to the store.
+/// A request to the key-value store.
 struct Request {
     kind: RequestKind,
     method: Method,
@@ -45,19 +45,21 @@
     }
 }
 
-/// A client of the key-value store. `T` tags a request, so that its response finds the actor that sent it.
+/// A client of the key-value store. A tag of type `T` accompanies each request and routes the response to the
+/// actor that sent it.
 pub struct KvClient<T> {
     requests: TokenBucket,
     writes: TokenBucket,
+    /// Requests in flight.
     pending: HashMap<CallId, (T, RequestKind)>,
-    /// When the store last responded with any status but 503.
+    /// When the store last responded with a status other than 503; `None` before that.
     pub last_served_at: Option<MonotonicMillis>,
     /// Whether a compare-and-swap has ever been rejected as too large or malformed.
     pub write_rejected: bool,
 }
 
 impl<T> KvClient<T> {
-    /// A client that sends at most `rps` requests and `write_rps` writes a second.
+    /// Creates a client that sends at most `rps` requests and `write_rps` writes per second.
     #[must_use]
     pub fn new(rps: f64, write_rps: f64) -> KvClient<T> {
         KvClient {
@@ -69,19 +71,19 @@
         }
     }
 
-    /// Changes the limits of requests and writes a second.
+    /// Changes the limits of requests and writes per second.
     pub fn set_rates(&mut self, rps: f64, write_rps: f64) {
         self.requests.set_rate(rps);
         self.writes.set_rate(write_rps);
     }
 
-    /// Writes a second that this client may make.
+    /// Limit of writes per second.
     #[must_use]
     pub fn write_rate(&self) -> f64 {
         self.writes.rate()
     }
 
-    /// Whether the rate limits allow a request of this priority with so many writes now.
+    /// Whether the rate limits currently allow a request of this priority with `writes` writes.
     pub fn has_budget(
         &mut self,
         now: MonotonicMillis,
@@ -96,7 +98,7 @@
                     .has_tokens(now, writes as f64, priority.write_reserve()))
     }
 
-    /// How many writes one compare-and-swap of this priority may make now.
+    /// Number of writes that one compare-and-swap of this priority may currently contain.
     pub fn write_budget(&mut self, now: MonotonicMillis, priority: RequestPriority) -> usize {
         if self
             .requests
@@ -120,7 +122,7 @@
         self.pending.insert(id, (tag, request.kind));
     }
 
-    /// Sends a compare-and-swap; the caller has checked [`KvClient::has_budget`].
+    /// Sends a compare-and-swap. The caller must have checked [`KvClient::has_budget`].
     pub fn compare_and_swap(&mut self, effects: &mut Effects, tag: T, swap: &CompareAndSwap) {
         self.writes.consume(swap.mutations.len() as f64);
         self.check_versions(effects, tag, swap, REQUEST_TIMEOUT_MS);
@@ -150,7 +152,7 @@
         self.send(effects, tag, request);
     }
 
-    /// Lists at most `limit` keys with the prefix `prefix`, in order, after the key `after`.
+    /// Lists at most `limit` keys with the prefix `prefix` that sort after `after`, in ascending order.
     pub fn list(&mut self, effects: &mut Effects, tag: T, prefix: &str, after: &str, limit: u32) {
         let path = if after.is_empty() {
             format!("/kv?Starts={prefix}&Limit={limit}")
@@ -161,8 +163,8 @@
         self.send(effects, tag, request);
     }
 
-    /// Reads the events of keys with the prefix `prefix` after the revision `after`; the store waits
-    /// up to `wait_ms` for one if there are none.
+    /// Reads the events of keys with the prefix `prefix` after the revision `after`. If there are none, the
+    /// store waits up to `wait_ms` for one.
     pub fn watch(
         &mut self,
         effects: &mut Effects,
@@ -176,7 +178,7 @@
         self.send(effects, tag, request);
     }
 
-    /// Requests a new lease with a time to live.
+    /// Requests a new lease with a time to live of `ttl_ms`.
     pub fn grant_lease(&mut self, effects: &mut Effects, tag: T, ttl_ms: u64) {
         let request = Request {
             kind: RequestKind::LeaseGrant,
@@ -200,7 +202,8 @@
         self.send(effects, tag, request);
     }
 
-    /// Interprets the outcome of a call; `None` if this client did not make it.
+    /// Interprets the outcome of a call. Returns the request's tag and response, or `None` if this client did
+    /// not make the call.
     pub fn on_outcome(
         &mut self,
         now: MonotonicMillis,
--- a/src/storage/kv_client/priority.rs
+++ b/src/storage/kv_client/priority.rs
@@ -1,24 +1,24 @@
-//! Priorities of requests, and the part of the rate limit that each leaves to higher ones.
+//! Priorities of requests, and the fraction of the rate limit that each reserves for higher priorities.
 
-/// What a request is for. Lower priorities leave a reserve of the rate limit to higher ones.
+/// The priority of a request by its purpose. Lower priorities leave a reserve of the rate limit to higher ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum RequestPriority {
-    /// Renewals and acquisitions of leases, and the watch.
+    /// Lease renewals, lease acquisitions and the watch.
     LeaseUpkeep,
-    /// What a user's request waits for.
+    /// Requests that a user's request waits for.
     Admission,
-    /// Ends and requeues of tasks.
+    /// Writes of finished and requeued tasks.
     TaskEnds,
-    /// Starts of tasks, and what they need.
+    /// Writes of task starts, and the requests that these depend on.
     TaskStarts,
-    /// Writes that can as well be made later.
+    /// Writes that can be deferred.
     Background,
-    /// Reads that nothing waits for.
+    /// Reads that no other request waits for.
     Reads,
 }
 
 impl RequestPriority {
-    /// The fraction of a second's requests that must remain after a request of this priority.
+    /// The fraction of one second's requests that must remain available after a request of this priority.
     pub(super) fn request_reserve(self) -> f64 {
         match self {
             RequestPriority::LeaseUpkeep => 0.0,
@@ -29,13 +29,14 @@
         }
     }
 
-    /// The same for writes. Their limit is lower, so more of it is reserved: a stream of small writes
-    /// would otherwise keep the admission of a job waiting.
+    /// The fraction of one second's writes that must remain available after a write of this priority. The
+    /// limit of writes is lower than that of requests, so a larger fraction is reserved. Otherwise a stream of
+    /// small writes would delay the admission of jobs.
     pub(super) fn write_reserve(self) -> f64 {
         match self {
             RequestPriority::TaskEnds => 0.4,
             RequestPriority::TaskStarts => 0.5,
-            // Only while nothing else uses the limit.
+            // Background writes are made only while the limit is otherwise unused.
             RequestPriority::Background => 0.8,
             RequestPriority::LeaseUpkeep | RequestPriority::Admission | RequestPriority::Reads => {
                 self.request_reserve()
--- a/src/storage/kv_client/response.rs
+++ b/src/storage/kv_client/response.rs
@@ -1,4 +1,4 @@
-//! Outcomes of requests: what a response, or its absence, proves.
+//! The outcomes of requests to the key-value store, as far as a response or its absence proves them.
 
 use crate::effects::CallOutcome;
 use snowshelf_model::ids::{LeaseId, Version};
@@ -6,25 +6,25 @@
     KeyNotFound, KeyValue, LeaseResponse, RangePage, SwapApplied, SwapConflict, WatchEvents,
 };
 
-/// Outcome of a compare-and-swap.
+/// The outcome of a compare-and-swap.
 #[derive(Debug)]
 #[must_use]
 pub enum SwapOutcome {
     /// Applied at this revision.
     Applied(Version),
-    /// Not applied: these keys had other versions.
+    /// Not applied: these keys did not have the expected versions.
     Conflict(Vec<String>),
     /// Not applied: the lease that it depends on has expired.
     LeaseExpired,
-    /// Not applied, and never will be in this form: too large, or malformed.
+    /// Not applied, and a retry would fail as well: too large or malformed.
     Rejected,
-    /// Certainly not applied; it may be retried.
+    /// Not applied; it may be retried.
     NotApplied,
-    /// May have been applied, or may still be.
+    /// It may have been applied, or may yet be.
     Unknown,
 }
 
-/// Outcome of reading one key.
+/// The outcome of reading one key.
 #[derive(Debug)]
 #[must_use]
 pub enum GetOutcome {
@@ -36,24 +36,23 @@
     Failed,
 }
 
-/// Outcome of reading the events of a watch.
+/// The outcome of reading the events of a watch.
 #[derive(Debug)]
 #[must_use]
 pub enum WatchOutcome {
     /// The events since the requested revision.
     Events(WatchEvents),
-    /// The requested revision is older than the events that the store retains: all records must be
-    /// listed again.
+    /// The store no longer retains the events since the requested revision. All records must be listed again.
     RevisionCompacted,
     /// No usable response.
     Failed,
 }
 
-/// Outcome of renewing a lease.
+/// The outcome of a lease renewal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 #[must_use]
 pub enum RenewalOutcome {
-    /// Extended by its time to live.
+    /// The lease is extended by its time to live.
     Renewed,
     /// The lease has expired.
     LeaseExpired,
@@ -61,25 +60,25 @@
     Failed,
 }
 
-/// The outcome of any request.
+/// The outcome of a request.
 #[derive(Debug)]
 #[must_use]
 pub enum KvResponse {
-    /// Of a compare-and-swap, or of a check of versions.
+    /// The outcome of a compare-and-swap or of a check of versions.
     Swap(SwapOutcome),
-    /// Of reading one key.
+    /// The outcome of reading one key.
     Get(GetOutcome),
     /// A page of keys; `None` if the request failed.
     List(Option<RangePage>),
-    /// Of reading the events of a watch.
+    /// The outcome of reading the events of a watch.
     Watch(WatchOutcome),
     /// A new lease; `None` if the request failed.
     LeaseGrant(Option<LeaseId>),
-    /// Of renewing a lease.
+    /// The outcome of a lease renewal.
     Renewal(RenewalOutcome),
 }
 
-/// Logs a response of another kind than its request.
+/// Logs a response whose kind does not match the request.
 pub fn unexpected_response(request: &impl std::fmt::Debug) {
     tracing::error!(?request, "response of unexpected kind");
 }
@@ -95,7 +94,7 @@
     Renewal,
 }
 
-/// What stands for the status where no response has come.
+/// Used in place of an HTTP status if no response was received.
 const NO_STATUS: u16 = 0;
 
 /// Interprets the outcome of a call.
@@ -153,7 +152,7 @@
             }
         }
         429 | 503 => SwapOutcome::NotApplied,
-        // Any other status proves nothing.
+        // Any other status leaves open whether the swap was applied.
         _ => SwapOutcome::Unknown,
     }
 }
--- a/src/storage/record_cache/apply.rs
+++ b/src/storage/record_cache/apply.rs
@@ -1,4 +1,4 @@
-//! How a change of a stored record is applied to the cache.
+//! Applies changes of stored records to the cache.
 
 use super::record_key::RecordKey;
 use super::{FinishedJob, RecordCache, VersionedRecord};
@@ -11,22 +11,22 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Which part of the cache a change has affected.
+/// The part of the cache that a change has affected.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RecordChange {
-    /// A job, or its list of dependencies.
+    /// A job or its list of dependencies.
     Job(JobId),
     /// A shard's allocation of a job.
     ShardAllocation(ShardId, JobId),
-    /// The owner of a shard.
-    ShardOwner(ShardId),
+    /// The leader of a shard.
+    ShardLeader(ShardId),
     /// A team's quota.
     Quota(Team),
     /// The leader.
     Leader,
     /// The machine types.
-    Types,
-    /// What one controller, or all of them, can read.
+    MachineTypes,
+    /// The record format and capabilities of one controller or of all.
     RecordFormat,
     /// A reservation.
     Reservation(Name),
@@ -38,13 +38,13 @@
     Drain,
     /// A team's ledger of disruptions.
     Ledger,
-    /// A run of a graph, or its plan.
+    /// A run of a graph or its plan.
     Run(RunId),
-    /// A graph, or its definition.
+    /// A graph or its definition.
     Graph,
 }
 
-/// A key's state as of a version; without a value the key is deleted.
+/// The state of a key as of a version. A key without a value is deleted.
 #[derive(Clone, Copy)]
 struct KeyState<'a> {
     key: &'a str,
@@ -53,7 +53,7 @@
 }
 
 impl KeyState<'_> {
-    /// The value, if there is a readable one.
+    /// Deserializes the value; `None` if the key is deleted or its value is unreadable.
     fn parse<T: for<'a> Deserialize<'a>>(self) -> Option<T> {
         match T::deserialize(self.value?) {
             Ok(parsed) => Some(parsed),
@@ -76,8 +76,8 @@
     }
 }
 
-/// Inserts a value, or removes it where there is none.
-fn set<K: Ord, V>(map: &mut BTreeMap<K, V>, key: K, value: Option<V>) {
+/// Inserts a value, or removes the key if `value` is `None`.
+fn insert_or_remove<K: Ord, V>(map: &mut BTreeMap<K, V>, key: K, value: Option<V>) {
     match value {
         Some(value) => map.insert(key, value),
         None => map.remove(&key),
@@ -85,7 +85,8 @@
 }
 
 impl RecordCache {
-    /// Applies one key's state (`None`: deleted) as of `version`, unless a newer one is known.
+    /// Applies the state of one key as of `version`, unless that version or a later one has been applied. A
+    /// deleted key has no value. Returns the affected part of the cache.
     pub fn apply(
         &mut self,
         key: &str,
@@ -101,8 +102,8 @@
             version,
         };
         let change = self.store(state);
-        // Finished jobs are many; their keys need no guard, as they never change again. During a
-        // startup read a page sent before the end may still bring the job as it was.
+        // The many finished jobs need no guards, as their records never change again. During a startup read the
+        // guard stays: a page created before the end of a job may still contain its earlier state.
         if let Some(RecordChange::Job(job)) = &change
             && !self.startup_read
             && !self.jobs.contains_key(job)
@@ -112,8 +113,8 @@
         change
     }
 
-    /// Applies a key that a startup read has listed. A finished job's guard is dropped even then, or
-    /// the guards of all jobs that ever were would be in memory at once.
+    /// Applies a key that a startup read has listed. The guard of a finished job is removed even during the
+    /// read; otherwise the guards of all jobs ever submitted would be in memory at once.
     pub fn apply_listed(
         &mut self,
         key: &str,
@@ -129,9 +130,9 @@
         change
     }
 
-    /// Applies that a list as of `revision` did not contain the key.
+    /// Applies the absence of a key from a list as of `revision`.
     pub fn apply_absence(&mut self, key: &str, revision: Version) -> Option<RecordChange> {
-        // A key with a later guard has been created since.
+        // A key with a later guard has changed since.
         if self.guards.get(key).is_some_and(|seen| seen > revision) {
             return None;
         }
@@ -152,33 +153,30 @@
         };
     }
 
-    #[allow(
-        clippy::too_many_lines,
-        reason = "a table: one arm for each kind of record"
-    )]
+    #[allow(clippy::too_many_lines, reason = "one arm for each kind of record")]
     fn store(&mut self, state: KeyState<'_>) -> Option<RecordChange> {
         Some(match state.key.parse().ok()? {
             RecordKey::Job(job) => self.store_job(job, state),
             RecordKey::DependencyChunk(job, chunk) => self.store_dependencies(job, chunk, state),
             RecordKey::Allocation(shard_id, job) => {
                 let key = (shard_id, job.clone());
-                set(&mut self.allocations, key, state.parse_versioned());
+                insert_or_remove(&mut self.allocations, key, state.parse_versioned());
                 RecordChange::ShardAllocation(shard_id, job)
             }
-            RecordKey::ShardOwner(shard_id) => {
-                set(&mut self.shard_owners, shard_id, state.parse_versioned());
-                RecordChange::ShardOwner(shard_id)
+            RecordKey::ShardLeader(shard_id) => {
+                insert_or_remove(&mut self.shard_leaders, shard_id, state.parse_versioned());
+                RecordChange::ShardLeader(shard_id)
             }
             RecordKey::Quota(team) => {
-                set(&mut self.quotas, team.clone(), state.parse_versioned());
+                insert_or_remove(&mut self.quotas, team.clone(), state.parse_versioned());
                 RecordChange::Quota(team)
             }
             RecordKey::Member(member) => {
-                set(&mut self.members, member, state.parse_versioned());
+                insert_or_remove(&mut self.members, member, state.parse_versioned());
                 RecordChange::RecordFormat
             }
             RecordKey::Reservation(name) => {
-                set(
+                insert_or_remove(
                     &mut self.reservations,
                     name.clone(),
                     state.parse_versioned(),
@@ -186,33 +184,33 @@
                 RecordChange::Reservation(name)
             }
             RecordKey::Window(name) => {
-                set(&mut self.windows, name.clone(), state.parse_versioned());
+                insert_or_remove(&mut self.windows, name.clone(), state.parse_versioned());
                 RecordChange::Window(name)
             }
             RecordKey::Drain(name) => {
-                set(&mut self.drains, name, state.parse_versioned());
+                insert_or_remove(&mut self.drains, name, state.parse_versioned());
                 self.drain_changes += 1;
                 RecordChange::Drain
             }
             RecordKey::Ledger(team) => {
-                set(&mut self.ledgers, team, state.parse_versioned());
+                insert_or_remove(&mut self.ledgers, team, state.parse_versioned());
                 RecordChange::Ledger
             }
             RecordKey::Run(run) => {
-                set(&mut self.runs, run.clone(), state.parse_versioned());
+                insert_or_remove(&mut self.runs, run.clone(), state.parse_versioned());
                 RecordChange::Run(run)
             }
             RecordKey::PlanChunk(key) => {
                 let run = key.owner.clone();
-                set(&mut self.plan_chunks, key, state.parse_shared());
+                insert_or_remove(&mut self.plan_chunks, key, state.parse_shared());
                 RecordChange::Run(run)
             }
             RecordKey::Graph(name) => {
-                set(&mut self.graphs, name, state.parse_versioned());
+                insert_or_remove(&mut self.graphs, name, state.parse_versioned());
                 RecordChange::Graph
             }
             RecordKey::DefinitionChunk(key) => {
-                set(&mut self.definition_chunks, key, state.parse_shared());
+                insert_or_remove(&mut self.definition_chunks, key, state.parse_shared());
                 RecordChange::Graph
             }
             RecordKey::Calendar => {
@@ -226,7 +224,7 @@
             }
             RecordKey::MachineTypes => {
                 self.machine_types = state.parse_versioned();
-                RecordChange::Types
+                RecordChange::MachineTypes
             }
         })
     }
@@ -234,7 +232,7 @@
     fn store_job(&mut self, job: JobId, state: KeyState<'_>) -> RecordChange {
         self.job_changes += 1;
         match state.parse::<JobRecord>() {
-            // A startup read may bring the end of a job before the watch brings its beginning.
+            // A startup read may list the end of a job before the watch delivers an earlier state.
             Some(record) if !record.is_final() && self.finished.contains(&job) => {}
             Some(record) => {
                 if record.is_final() {
@@ -270,7 +268,7 @@
     }
 
     fn store_format(&mut self, state: KeyState<'_>) -> RecordChange {
-        // Never reset: an earlier version cannot read what has been written since.
+        // Never reset: a controller of an earlier version cannot read what has been written since.
         if let Some(record) = state.parse_versioned::<FormatRecord>() {
             if record.value.format >= FORMAT_V2 {
                 self.format = RecordFormat::V2;
--- a/src/storage/record_cache/finished_jobs.rs
+++ b/src/storage/record_cache/finished_jobs.rs
@@ -1,22 +1,22 @@
-//! What is remembered of jobs that have ended.
+//! A bounded record of jobs that have ended.
 
 use snowshelf_model::ids::{JobId, WallClockMillis};
 use snowshelf_model::records::{JobRecord, JobState};
 use std::collections::{HashMap, VecDeque};
 
-/// Most finished jobs remembered; older ones are read from the key-value store again.
+/// Most finished jobs retained. The others are read from the key-value store again when needed.
 const CAPACITY: usize = 20_000;
 
-/// What is remembered of a job that has ended.
+/// The retained fields of the record of a job that has ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FinishedJob {
-    /// Done or cancelled.
+    /// Whether the job is done or cancelled.
     pub state: JobState,
-    /// Number of its tasks.
+    /// Number of the job's tasks.
     pub tasks: u32,
-    /// When it ended, if its record says so.
+    /// When the job ended; `None` if its record lacks the time.
     pub ended: Option<WallClockMillis>,
-    /// Whether a run of a graph submitted it.
+    /// Whether a run of a graph submitted the job.
     pub run: bool,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The jobs that ended last.
+/// The jobs that were most recently found to have ended.
 #[derive(Default)]
 pub(super) struct FinishedJobs {
     jobs: HashMap<JobId, FinishedJob>,
@@ -47,7 +47,7 @@
         self.jobs.contains_key(job)
     }
 
-    /// Remembers a job, and forgets the oldest one when there are too many.
+    /// Retains a job. Beyond [`CAPACITY`], the job that was inserted first is removed.
     pub(super) fn insert(&mut self, job: &JobId, finished: FinishedJob) {
         if self.jobs.insert(job.clone(), finished).is_none() {
             self.oldest_first.push_back(job.clone());
--- a/src/storage/record_cache/mod.rs
+++ b/src/storage/record_cache/mod.rs
@@ -1,8 +1,8 @@
 //! A cache of the records in the key-value store, kept current by a startup read, the watch and the
 //! controller's own writes.
 //!
-//! The cache may lag behind the store. Whoever decides by it makes the write conditional on the version
-//! that was cached.
+//! The cache may lag behind the store. Writes that depend on cached records must therefore be conditional on
+//! the cached versions.
 
 mod apply;
 mod finished_jobs;
@@ -13,7 +13,8 @@
 pub use apply::RecordChange;
 pub use finished_jobs::FinishedJob;
 pub use record_key::{
-    ChunkKey, RecordKey, TYPES_KEY, UnknownKey, drain_key, ledger_key, reservation_key, window_key,
+    ChunkKey, MACHINE_TYPES_KEY, RecordKey, UnknownKey, drain_key, ledger_key, reservation_key,
+    window_key,
 };
 
 use finished_jobs::FinishedJobs;
@@ -30,43 +31,44 @@
 use std::rc::Rc;
 use version_guards::VersionGuards;
 
-/// Guards of deleted keys are pruned once there are about this many.
+/// Number of guards, beyond twice the number of live jobs and allocations, from which those of deleted keys are
+/// pruned.
 const PRUNE_GUARDS_AT: usize = 500;
 
-/// A record and the version of its key.
+/// A record with its version.
 #[derive(Clone, Debug)]
 pub struct VersionedRecord<T> {
     /// The version at which the record was written.
     pub version: Version,
-    /// The record.
+    /// The record itself, shared with its users.
     pub value: Rc<T>,
 }
 
-/// How many of a job's tasks are where.
+/// Numbers of a job's tasks by state.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TaskCounts {
-    /// Tasks that are done.
+    /// Tasks that have finished.
     pub finished: u32,
-    /// Tasks that have been started and not ended.
+    /// Tasks that have been started and have not ended.
     pub running: u32,
 }
 
-/// The cached records.
+/// The cache of all records that this controller needs.
 #[derive(Default)]
 pub struct RecordCache {
-    /// Jobs that have not ended, or have allocations left.
+    /// Jobs that have not ended or still have allocations.
     pub jobs: BTreeMap<JobId, VersionedRecord<JobRecord>>,
     /// The shards' allocations of jobs.
     pub allocations: BTreeMap<(ShardId, JobId), VersionedRecord<ShardAllocation>>,
-    /// The owner of each shard.
-    pub shard_owners: BTreeMap<ShardId, VersionedRecord<LeaseHolder>>,
-    /// The teams' quotas.
+    /// The leader of each shard.
+    pub shard_leaders: BTreeMap<ShardId, VersionedRecord<LeaseHolder>>,
+    /// Each team's quota.
     pub quotas: BTreeMap<Team, VersionedRecord<QuotaRecord>>,
-    /// The leader.
+    /// The leader; `None` if no controller holds the role or its record is not cached.
     pub leader: Option<VersionedRecord<LeaseHolder>>,
     /// The machine types, as the leader last published them.
     pub machine_types: Option<VersionedRecord<Vec<MachineType>>>,
-    /// Chunks of the dependencies of jobs that have not ended, where the job's own record cannot hold them.
+    /// Chunks of lists of dependencies that do not fit into their jobs' records, of jobs that have not ended.
     pub dependencies: BTreeMap<(JobId, u32), Rc<Vec<JobId>>>,
     /// The record format and capabilities that each controller has declared.
     pub members: BTreeMap<Member, VersionedRecord<FormatRecord>>,
@@ -74,66 +76,66 @@
     pub agreed_format: Option<VersionedRecord<FormatRecord>>,
     /// The format in which records are to be written.
     pub format: RecordFormat,
-    /// Reservations.
+    /// Reservations by name.
     pub reservations: BTreeMap<Name, VersionedRecord<Reservation>>,
-    /// Maintenance windows.
+    /// Maintenance windows by name.
     pub windows: BTreeMap<Name, VersionedRecord<Window>>,
-    /// The version at which any reservation or window last changed.
+    /// The version at which a reservation or maintenance window last changed.
     pub calendar_version: Version,
-    /// Drains.
+    /// Drains by name.
     pub drains: BTreeMap<Name, VersionedRecord<Drain>>,
-    /// The teams' ledgers of disruptions.
+    /// Each team's ledger of disruptions.
     pub ledgers: BTreeMap<Team, VersionedRecord<Ledger>>,
     /// Runs of graphs.
     pub runs: BTreeMap<RunId, VersionedRecord<RunRecord>>,
     /// Chunks of the plans of open runs.
     pub plan_chunks: BTreeMap<ChunkKey<RunId>, Rc<String>>,
-    /// Stored graphs.
+    /// Stored graphs by name.
     pub graphs: BTreeMap<String, VersionedRecord<GraphRecord>>,
     /// Chunks of the definitions of stored graphs.
     pub definition_chunks: BTreeMap<ChunkKey<String>, Rc<String>>,
-    /// Counts the changes of jobs' records.
+    /// Number of changes of jobs' records and dependencies so far.
     pub job_changes: u64,
-    /// Counts the changes of drains' records.
+    /// Number of changes of drains' records so far.
     pub drain_changes: u64,
     finished: FinishedJobs,
     guards: VersionGuards,
-    /// The newest version of an allocation that was read by itself, ahead of the watch: other keys that
-    /// were written together with it may not be cached yet.
+    /// The newest version of an allocation that was read individually, possibly ahead of the watch. Other keys
+    /// of the same write may not be cached yet.
     pub newest_single_read: Version,
-    /// Every change up to this revision has been applied.
+    /// The revision up to which every change has been applied.
     pub revision: Version,
-    /// Whether all shard owners have been read.
-    pub shard_owners_read: bool,
-    /// Whether everything but jobs has been read: allocations, quotas, the format, machine types.
+    /// Whether the leaders of all shards have been read.
+    pub shard_leaders_read: bool,
+    /// Whether all records but those of jobs have been read, such as allocations, quotas and machine types.
     pub allocations_read: bool,
-    /// Whether everything that is open has been read.
+    /// Whether the startup read has read all records but those of finished jobs.
     pub loaded: bool,
-    /// Whether a startup read is underway.
+    /// Whether a startup read is in progress.
     startup_read: bool,
 }
 
 impl RecordCache {
-    /// What is remembered of a job, if it has ended.
+    /// A job that has ended; `None` if it has not, or is no longer retained.
     #[must_use]
     pub fn finished_job(&self, job: &JobId) -> Option<FinishedJob> {
         self.finished.get(job)
     }
 
-    /// Whether a job is cached, open or finished.
+    /// Whether an open or finished job is cached.
     #[must_use]
     pub fn contains_job(&self, job: &JobId) -> bool {
         self.finished.contains(job) || self.jobs.contains_key(job)
     }
 
-    /// Whether all controllers have declared a capability. Once they have, it stays so.
+    /// Whether all controllers have declared a capability. This is never revoked.
     #[must_use]
     pub fn all_support(&self, capability: &Capability) -> bool {
         let agreed = self.agreed_format.as_ref();
         agreed.is_some_and(|record| record.value.can.contains(capability))
     }
 
-    /// A job's dependencies; `None` if a chunk of the list is not cached.
+    /// A job's dependencies; `None` if a chunk of their list is not cached.
     #[must_use]
     pub fn dependencies_of<'a>(
         &'a self,
@@ -154,14 +156,14 @@
         self.guards.get(key).unwrap_or_default()
     }
 
-    /// Whether any run of a graph is open, so that it must be known which jobs have ended.
+    /// Whether any run of a graph is open. If so, it must be known which jobs have ended.
     #[must_use]
     pub fn has_open_runs(&self) -> bool {
         let mut runs = self.runs.values();
         runs.any(|record| record.value.state == RunState::Open)
     }
 
-    /// Drops the guards of deleted keys that the watch has passed, once there are many.
+    /// Removes the guards of deleted keys up to the cache's revision, once there are many guards.
     pub fn prune_version_guards(&mut self) {
         let live = self.jobs.len() + self.allocations.len();
         if self.guards.len() < 2 * live + PRUNE_GUARDS_AT {
@@ -175,18 +177,18 @@
         });
     }
 
-    /// A shard's allocations, ordered by job.
+    /// A shard's allocations in the order of job ids.
     pub fn shard_allocations(
         &self,
         shard_id: ShardId,
     ) -> impl Iterator<Item = (&JobId, &VersionedRecord<ShardAllocation>)> + '_ {
         self.allocations
             .range((shard_id, JobId::new(""))..)
-            .take_while(move |((owner, _), _)| *owner == shard_id)
+            .take_while(move |((id, _), _)| *id == shard_id)
             .map(|((_, job), record)| (job, record))
     }
 
-    /// Counts the finished and running tasks of a job of `tasks` tasks with allocations in `shards`.
+    /// Counts the finished and running tasks of a job that has `tasks` tasks and allocations in `shards`.
     #[must_use]
     pub fn task_counts(&self, job: &JobId, shards: &[ShardId], tasks: u32) -> TaskCounts {
         let mut open = 0;
--- a/src/storage/record_cache/record_key.rs
+++ b/src/storage/record_cache/record_key.rs
@@ -1,4 +1,4 @@
-//! The keys of stored records as a type, in place of text.
+//! The keys of stored records: parsing and formatting.
 
 use snowshelf_calendar::entry::Name;
 use snowshelf_model::ids::{JobId, Member, ShardId, Team};
@@ -11,7 +11,7 @@
 use std::str::FromStr;
 
 /// The key of the machine types, as the leader last published them.
-pub const TYPES_KEY: &str = "types";
+pub const MACHINE_TYPES_KEY: &str = "types";
 
 /// The key of a reservation.
 #[must_use]
@@ -40,9 +40,9 @@
 /// Identifies one chunk of a text that is too long for a single value.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct ChunkKey<Owner> {
-    /// What the text belongs to: a run, or a graph's name.
+    /// The run or graph that the text belongs to.
     pub owner: Owner,
-    /// The hash of the whole text.
+    /// The hash of the entire text.
     pub hash: String,
     /// The chunk's number, from 0.
     pub chunk: u32,
@@ -78,13 +78,13 @@
     DependencyChunk(JobId, u32),
     /// `alloc/<shard>/<job>`: a shard's allocation of a job.
     Allocation(ShardId, JobId),
-    /// `part/<shard>`: the owner of a shard.
-    ShardOwner(ShardId),
+    /// `part/<shard>`: the leader of a shard.
+    ShardLeader(ShardId),
     /// `quota/<team>`
     Quota(Team),
     /// `member/<member>`: the record format and capabilities of a controller.
     Member(Member),
-    /// `res/<name>`
+    /// `res/<name>`: a reservation.
     Reservation(Name),
     /// `win/<name>`: a maintenance window.
     Window(Name),
@@ -110,7 +110,7 @@
     MachineTypes,
 }
 
-/// A key that no record of this version has.
+/// The error for a key that matches no kind of record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("unknown record key")]
 pub struct UnknownKey;
@@ -123,7 +123,7 @@
             CALENDAR_KEY => return Ok(RecordKey::Calendar),
             FORMAT_KEY => return Ok(RecordKey::Format),
             LEADER_KEY => return Ok(RecordKey::Leader),
-            TYPES_KEY => return Ok(RecordKey::MachineTypes),
+            MACHINE_TYPES_KEY => return Ok(RecordKey::MachineTypes),
             _ => {}
         }
         let (prefix, rest) = key.split_once('/').ok_or(UnknownKey)?;
@@ -133,7 +133,10 @@
                 .map(|(job, chunk)| RecordKey::DependencyChunk(JobId::new(job), chunk)),
             "alloc" => parse_numbered(rest.split_once('/').map(|(shard, job)| (job, shard)))
                 .map(|(job, shard)| RecordKey::Allocation(ShardId(shard), JobId::new(job))),
-            "part" => rest.parse().ok().map(|n| RecordKey::ShardOwner(ShardId(n))),
+            "part" => rest
+                .parse()
+                .ok()
+                .map(|n| RecordKey::ShardLeader(ShardId(n))),
             "quota" => Some(RecordKey::Quota(Team::new(rest))),
             "member" => Some(RecordKey::Member(Member::new(rest))),
             "res" => Name::parse(rest).map(RecordKey::Reservation),
@@ -156,7 +159,7 @@
     }
 }
 
-/// Parses the number of a pair of a name and a number.
+/// Parses the second element of a pair as a number.
 fn parse_numbered<'a>(pair: Option<(&'a str, &str)>) -> Option<(&'a str, u32)> {
     let (name, number) = pair?;
     Some((name, number.parse().ok()?))
@@ -168,7 +171,7 @@
             RecordKey::Job(job) => job_key(job),
             RecordKey::DependencyChunk(job, chunk) => dependency_chunk_key(job, *chunk),
             RecordKey::Allocation(shard_id, job) => allocation_key(*shard_id, job),
-            RecordKey::ShardOwner(shard_id) => shard_key(*shard_id),
+            RecordKey::ShardLeader(shard_id) => shard_key(*shard_id),
             RecordKey::Quota(team) => quota_key(team),
             RecordKey::Member(member) => member_key(member),
             RecordKey::Reservation(name) => reservation_key(name),
@@ -182,7 +185,7 @@
             RecordKey::Calendar => CALENDAR_KEY.to_string(),
             RecordKey::Format => FORMAT_KEY.to_string(),
             RecordKey::Leader => LEADER_KEY.to_string(),
-            RecordKey::MachineTypes => TYPES_KEY.to_string(),
+            RecordKey::MachineTypes => MACHINE_TYPES_KEY.to_string(),
         };
         f.write_str(&key)
     }
--- a/src/storage/record_cache/startup.rs
+++ b/src/storage/record_cache/startup.rs
@@ -1,4 +1,4 @@
-//! What a startup read needs of the cache: which keys to confirm, which jobs to look for, and how far it is.
+//! The cache's support for a startup read: its progress, the keys to confirm and the jobs still to be read.
 
 use super::record_key::RecordKey;
 use super::{RecordCache, ledger_key};
@@ -10,17 +10,17 @@
 use std::collections::BTreeSet;
 
 impl RecordCache {
-    /// Begins a startup read.
+    /// Marks the start of a startup read.
     pub fn begin_startup_read(&mut self) {
         self.startup_read = true;
     }
 
-    /// Ends a startup read.
+    /// Marks the end of a startup read.
     pub fn end_startup_read(&mut self) {
         self.startup_read = false;
     }
 
-    /// All that is open up to `revision` has been read, or has come by the watch meanwhile.
+    /// Marks all records but those of finished jobs as cached up to `revision`.
     pub fn mark_loaded(&mut self, revision: Version) {
         self.loaded = true;
         if self.revision < revision {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The keys, in order, of records that may have been deleted since they were cached. Their number
-    /// grows with the open jobs, not with those that have ended.
+    /// The keys of cached records that may have been deleted since, in ascending order. Their number depends on
+    /// the open jobs, not on those that have ended.
     #[must_use]
     pub fn live_keys(&self) -> Vec<String> {
         let mut keys: Vec<String> = Vec::new();
@@ -37,7 +37,7 @@
         let allocations = self.allocations.keys();
         keys.extend(allocations.map(|(shard_id, job)| allocation_key(*shard_id, job)));
         keys.extend(
-            self.shard_owners
+            self.shard_leaders
                 .keys()
                 .map(|shard_id| shard_key(*shard_id)),
         );
@@ -58,8 +58,8 @@
         keys
     }
 
-    /// Jobs that must be known before shards are served and are not: those that have allocations, and
-    /// the dependencies of known jobs.
+    /// Jobs that are not cached and must be before shards are served: those that have allocations, and the
+    /// dependencies of cached jobs.
     #[must_use]
     pub fn missing_jobs(&self) -> BTreeSet<JobId> {
         let allocated = self.allocations.keys();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -435,7 +435,7 @@
             let value = serde_json::json!({"owner": format!("n{version}"), "lease": version});
             records.apply("part/0", (version != 8).then_some(&value), Version(version));
         }
-        prop_assert!(records.shard_owners.is_empty());
+        prop_assert!(records.shard_leaders.is_empty());
     }
 }
 
