--- a/crates/reconciliation/src/startup_read.rs
+++ b/crates/reconciliation/src/startup_read.rs
@@ -64,9 +64,9 @@
 /// The range of keys that a page covers: a key in it that the page lacks does not exist.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CoveredRange {
-    /// Only keys with this prefix.
+    /// The prefix of all keys of the range.
     pub prefix: &'static str,
-    /// Only keys that sort after this one.
+    /// The range begins after this key.
     pub after: String,
     /// The last key of the range; `None` if the range has no upper bound.
     pub last: Option<String>,
