--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -70,7 +70,7 @@
                 return;
             };
             received = refused.received;
-            if refused.refusal == RenewalRefusal::Unread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
+            if refused.refusal == RenewalRefusal::JobUnread && waited_ms < MAX_WAIT_FOR_JOBS_MS {
                 self.look_up_listed_jobs(shard_id, &received.heartbeat);
                 self.deferred_heartbeats.push(received);
                 return;
@@ -126,7 +126,7 @@
 
     /// The holder of a shard's lease according to the record cache.
     fn shard_holder(&self, shard_id: ShardId) -> Option<&Member> {
-        let holder = self.env.records.shard_owners.get(&shard_id);
+        let holder = self.env.records.shard_leaders.get(&shard_id);
         holder.map(|v| &v.value.owner)
     }
 
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -9,7 +9,7 @@
 use snowshelf_model::protocol::peer::{Confirmation, ConfirmationRequest, PeerMessage};
 use snowshelf_watermark::CancellationWatermark;
 use snowshelf_watermark::confirmation_round::{ConfirmationRounds, PeerConfirmation};
-use snowshelf_watermark::renewal::{WATCH_LATE_MS, is_covered};
+use snowshelf_watermark::renewal::{MAX_WATCH_AGE_MS, is_covered};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With less time than this for renewals after the watermark, a watch that is merely slow makes workers stop their
@@ -68,7 +68,7 @@
     /// Whether the watch is late: it has not advanced the watermark for longer than [`WATCH_LATE_MS`].
     fn is_watch_late(&self, now: MonotonicMillis) -> bool {
         let synced_at = self.watermark.watch();
-        synced_at.is_none_or(|at| now.since(at) > WATCH_LATE_MS)
+        synced_at.is_none_or(|at| now.since(at) > MAX_WATCH_AGE_MS)
     }
 
     /// Logs when worker lease renewal is suspended and when it resumes.
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -249,7 +249,7 @@
     if interrupted || round.missing_machines.contains(name) {
         return 2 * heartbeat_ms;
     }
-    let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.is_cut_off());
+    let cut_off = round.zones.get(&m.zone).is_some_and(|z| z.is_partitioned());
     let ready_s = context
         .machine_types
         .get(&m.model)
