--- a/crates/simulation/examples/replacement.rs
+++ b/crates/simulation/examples/replacement.rs
@@ -1,19 +1,19 @@
-//! How long it takes to replace a whole fleet in simulated time, what is stopped for it, and what it writes:
-//! in steps, one machine at a time, and all at once.
+//! Measures the replacement of a whole fleet in simulated time: its duration, the tasks stopped for it and its
+//! writes. Compares a drain in steps, one machine at a time and all at once.
 //!
-//!     cargo run --release -p snowshelf-world --example replacement -- POOL [SEED]
+//!     cargo run --release -p snowshelf-simulation --example replacement -- POOL [SEED]
 //!
-//! Teams may use what fills POOL machines of each of four pools, and the cloud has twice as many. Long at large
-//! sizes: no test.
+//! The team limits correspond to POOL machines in each of four pools; the cloud has twice as many. Large pools
+//! take too long for a test.
 
 use serde_json::{Value, json};
 use snowshelf_drain::budget::Budget;
-use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
+use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 
 fn simulation(seed: u64, pool: usize, budget: Budget) -> Simulation {
-    let conditions = NetworkConditions {
+    let conditions = SimulationConditions {
         drains: true,
-        ..NetworkConditions::CALM
+        ..SimulationConditions::FAULT_FREE
     };
     let limit = 16.0 * pool as f64;
     let mut simulation = Simulation::sized(
@@ -25,9 +25,9 @@
         (limit, 2 * pool),
     );
     simulation.budget = budget;
-    simulation.cloud.page = 500;
-    simulation.run_ms = 20_000;
-    (0..NODES).for_each(|node| simulation.again(node));
+    simulation.cloud.page_size = 500;
+    simulation.task_run_ms = 20_000;
+    (0..NODES).for_each(|node| simulation.restart_controller(node));
     let jobs = 25 * pool as u64;
     for i in 0..jobs {
         let team = if i % 2 == 0 { "red" } else { "blue" };
@@ -53,7 +53,7 @@
         job_share: 0.5,
         replicas_up: 0.9,
     };
-    let boundless = Budget {
+    let unlimited = Budget {
         cpus: 1e9,
         tasks: u32::MAX,
         stretch_cpus: 1e9,
@@ -72,30 +72,30 @@
     all["then"] = json!("return");
     all["patience_s"] = json!(0.0);
     println!(
-        "way; machines; over after s; tasks stopped; most CPUs away; jobs done after s (mean); writes"
+        "method; machines; duration in s; stopped tasks; most CPUs stopped at once; mean job duration in s (done of all); writes; violations"
     );
-    let ways = [
+    let methods = [
         ("no drain", None, budget),
         ("in steps of a tenth", Some(steps), budget),
         ("one at a time", Some(single), budget),
-        ("all at once, no budget", Some(all), boundless),
+        ("all at once, no budget", Some(all), unlimited),
     ];
-    for (way, body, budget) in ways {
+    for (method, body, budget) in methods {
         let mut simulation = simulation(seed, pool, budget);
         let drain = body.map(|body| simulation.add_drain(60_000, body));
         simulation.run(60_000);
         let machines = simulation.workers.len();
-        let writes = simulation.state.revision;
+        let writes = simulation.kv_store.revision;
         let mut ends = vec![None; simulation.users.len()];
-        let mut over = None;
+        let mut duration_s = None;
         for at in (60_000..1_000_000).step_by(1_000) {
             simulation.run(at);
             let done = drain.is_some_and(|d| simulation.operators[d].state() == "done");
-            if done && over.is_none() {
-                over = Some((at - 60_000) / 1_000);
+            if done && duration_s.is_none() {
+                duration_s = Some((at - 60_000) / 1_000);
             }
             for (end, user) in ends.iter_mut().zip(&simulation.users) {
-                if user.told_done && end.is_none() {
+                if user.completion_reported && end.is_none() {
                     *end = Some(at.saturating_sub(user.submit_at));
                 }
             }
@@ -103,13 +103,13 @@
         let done: Vec<u64> = ends.iter().flatten().copied().collect();
         let mean = done.iter().sum::<u64>() as f64 / done.len().max(1) as f64 / 1_000.0;
         println!(
-            "{way}; {machines}; {over:?}; {}; {}; {mean:.1} ({} of {}); {}; {:?}",
-            simulation.disrupted.stops(),
-            simulation.disrupted.most_away,
+            "{method}; {machines}; {duration_s:?}; {}; {}; {mean:.1} ({} of {}); {}; {:?}",
+            simulation.disruptions.stops(),
+            simulation.disruptions.most_disrupted_cpus,
             done.len(),
             ends.len(),
-            simulation.state.revision - writes,
-            simulation.broken
+            simulation.kv_store.revision - writes,
+            simulation.violations
         );
     }
 }
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,47 +1,56 @@
-//! A stand-in for the cloud, after its published protocol.
+//! Simulated cloud with the published API.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
+/// A rented machine.
 #[derive(Clone)]
 pub struct Machine {
+    /// Machine type.
     pub model: String,
+    /// Zone.
     pub zone: String,
+    /// Whether it is a spot instance.
     pub spot: bool,
-    pub at: u64,
-    pub up: bool,
-    /// When it stopped on its own.
-    pub died: Option<u64>,
+    /// When it was rented.
+    pub rented_at: u64,
+    /// Whether it has booted.
+    pub booted: bool,
+    /// When it failed.
+    pub failed_at: Option<u64>,
 }
 
-/// A machine that died is listed as running for so long.
-const UNSEEN_MS: u64 = 10_000;
+/// A failed machine is listed as running for this long.
+const FAILURE_LISTING_LAG_MS: u64 = 10_000;
 
 impl Machine {
     fn state(&self, now: u64) -> &'static str {
-        match self.died {
-            Some(at) if now > at + UNSEEN_MS => "failed",
-            _ if self.up => "running",
+        match self.failed_at {
+            Some(at) if now > at + FAILURE_LISTING_LAG_MS => "failed",
+            _ if self.booted => "running",
             _ => "booting",
         }
     }
 }
 
+/// The cloud's machines and the history of requests.
 pub struct Cloud {
-    /// Most machines of one pool.
-    pub pool: usize,
+    /// Most machines of one pool. A pool is a zone's spot or on-demand machines.
+    pub pool_limit: usize,
+    /// Machines by id.
     pub machines: BTreeMap<String, Machine>,
-    rented: BTreeMap<String, Value>,
-    next: u32,
-    /// When a machine's return was first asked for.
-    pub released: BTreeMap<String, u64>,
-    /// Machines in one page of the list.
-    pub page: usize,
-    /// Pages asked for beyond a first one.
+    rental_responses: BTreeMap<String, Value>,
+    next_number: u32,
+    /// When the return of a machine was first requested.
+    pub release_requested_at: BTreeMap<String, u64>,
+    /// Machines per page of the list.
+    pub page_size: usize,
+    /// Number of pages requested beyond a first one.
     pub later_pages: u64,
 }
 
-pub fn types() -> Vec<u8> {
+/// Response to the request for the machine types.
+pub fn machine_types() -> Vec<u8> {
     json!({"Modelos": [
         {"Label": "s", "Cpus": 8, "Gpus": 0, "MemGb": 32, "FetchGbPerS": 1.0, "Hourly": 0.5,
          "SpotPrice": 0.2, "ReadyS": 5, "Parcelas": ["a", "b"]}]})
@@ -50,69 +59,77 @@
 }
 
 impl Cloud {
-    pub fn new(pool: usize) -> Cloud {
+    /// A cloud without machines.
+    pub fn new(pool_limit: usize) -> Cloud {
         Cloud {
-            pool,
+            pool_limit,
             machines: BTreeMap::new(),
-            rented: BTreeMap::new(),
-            next: 0,
-            released: BTreeMap::new(),
-            page: 2,
+            rental_responses: BTreeMap::new(),
+            next_number: 0,
+            release_requested_at: BTreeMap::new(),
+            page_size: 2,
             later_pages: 0,
         }
     }
 
+    /// Rents machines if the pool has room. Returns the response and the ids of the new machines. A repeated
+    /// request gets the response of the first one.
     pub fn rent(&mut self, now: u64, body: &Value) -> ((u16, Vec<u8>), Vec<String>) {
-        let name = body["Pedido"].as_str().unwrap_or("").to_string();
-        if let Some(before) = self.rented.get(&name) {
-            return ((200, before.to_string().into_bytes()), Vec::new());
+        let order = body["Pedido"].as_str().unwrap_or("").to_string();
+        if let Some(response) = self.rental_responses.get(&order) {
+            return ((200, response.to_string().into_bytes()), Vec::new());
         }
-        let pool = |m: &&Machine| m.zone == body["Parcela"] && m.spot == body["Avulsas"];
-        let there = self.machines.values().filter(pool).count();
-        let number =
-            (body["Number"].as_u64().unwrap_or(0) as usize).min(self.pool.saturating_sub(there));
+        let in_pool = |m: &&Machine| m.zone == body["Parcela"] && m.spot == body["Avulsas"];
+        let rented = self.machines.values().filter(in_pool).count();
+        let number = (body["Number"].as_u64().unwrap_or(0) as usize)
+            .min(self.pool_limit.saturating_sub(rented));
         if number == 0 {
             let body = json!({"error": "no capacity"}).to_string().into_bytes();
             return ((503, body), Vec::new());
         }
         let mut names = Vec::new();
         for _ in 0..number {
-            self.next += 1;
+            self.next_number += 1;
             let machine = Machine {
                 model: "s".into(),
                 zone: body["Parcela"].as_str().unwrap_or("a").into(),
                 spot: body["Avulsas"] == json!(true),
-                at: now,
-                up: false,
-                died: None,
+                rented_at: now,
+                booted: false,
+                failed_at: None,
             };
-            let name = format!("n-{:06}", self.next);
+            let name = format!("n-{:06}", self.next_number);
             self.machines.insert(name.clone(), machine);
             names.push(name);
         }
-        let answer = json!({"Prensas": names});
-        self.rented.insert(name, answer.clone());
-        ((200, answer.to_string().into_bytes()), names)
+        let response = json!({"Prensas": names});
+        self.rental_responses.insert(order, response.clone());
+        ((200, response.to_string().into_bytes()), names)
     }
 
+    /// Marks a machine as booted. Returns `None` if it was released meanwhile.
     pub fn boot(&mut self, _now: u64, name: &str) -> Option<Machine> {
         let machine = self.machines.get_mut(name)?;
-        machine.up = true;
+        machine.booted = true;
         Some(machine.clone())
     }
 
-    pub fn die(&mut self, now: u64, name: &str) {
+    /// Lets a machine fail.
+    pub fn fail(&mut self, now: u64, name: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.died = Some(now);
+            machine.failed_at = Some(now);
         }
     }
 
+    /// Returns a machine.
     pub fn release(&mut self, now: u64, name: &str) {
-        self.released.entry(name.to_string()).or_insert(now);
+        self.release_requested_at
+            .entry(name.to_string())
+            .or_insert(now);
         self.machines.remove(name);
     }
 
-    /// The list lags: machines younger than three seconds are missing. It comes in short pages.
+    /// Response to a list request. Machines rented within the last three seconds are missing from it.
     pub fn list(&mut self, now: u64, path: &str) -> Vec<u8> {
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -121,15 +138,15 @@
         let mut list: Vec<Value> = self
             .machines
             .iter()
-            .filter(|(name, m)| now > m.at + 3_000 && name.as_str() > after)
+            .filter(|(name, m)| now > m.rented_at + 3_000 && name.as_str() > after)
             .map(|(name, m)| {
-                json!({"Ref": name, "Address": super::direct::address(name), "Modelo": m.model, "Parcela": m.zone,
+                json!({"Ref": name, "Address": super::direct_commands::worker_address(name), "Modelo": m.model, "Parcela": m.zone,
                     "Avulsas": m.spot, "Estado": m.state(now),
-                    "AgeS": (now - m.at) as f64 / 1000.0})
+                    "AgeS": (now - m.rented_at) as f64 / 1000.0})
             })
             .collect();
-        let more = list.len() > self.page;
-        list.truncate(self.page);
+        let more = list.len() > self.page_size;
+        list.truncate(self.page_size);
         json!({"Prensas": list, "More": more})
             .to_string()
             .into_bytes()
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -1,235 +1,264 @@
-//! What happens, and what comes of it.
+//! Events of the simulation and their effects.
 
-use super::histories::Question;
+use super::response_history::JobRequest;
 use super::*;
 
-/// When a call is given up that a cut has caught underway.
-const GIVEN_UP_MS: u64 = 2_000;
+/// Delay until a call fails that was in progress when its controller was partitioned.
+const INTERRUPTED_CALL_MS: u64 = 2_000;
 
+/// What can happen at a point in time. Controllers and users are given by index, machines by id.
 pub(crate) enum Event {
+    /// A tick of the controller's incarnation.
     Tick(usize, u64),
-    Arrive {
+    /// A controller's call arrives at its target.
+    CallArrives {
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: CallId,
         target: Target,
         method: Method,
         path: String,
         body: Vec<u8>,
-        answered: bool,
+        response_delivered: bool,
     },
-    Answer(usize, u64, CallId, CallOutcome),
-    StatusFor(usize, PeerStatus),
-    MessageFor(usize, PeerMessage),
+    CallDone(usize, u64, CallId, CallOutcome),
+    PeerStatusArrives(usize, PeerStatus),
+    PeerMessageArrives(usize, PeerMessage),
     Crash(usize),
-    /// Killed, to come back as the new version.
-    Replace(usize),
-    Shrink,
+    /// Stops a controller, which restarts as the new version.
+    UpdateVersion(usize),
+    ReduceKvLimits,
     Restart(usize),
-    Refuse(usize, bool),
-    Unserved(usize, bool),
-    InjectedFaults(Fault, bool),
-    ZoneCut(&'static str, usize, bool),
-    /// A user asks for a cancellation now.
-    CallOff(usize),
-    /// A worker's report on a slow link.
-    Underway(usize, String, u64, Vec<u8>),
-    /// A late copy of a report, and an answer that was held up.
-    Copy(usize, Vec<u8>),
-    Held(String, u64, u16, Vec<u8>),
-    Deaf(usize, bool),
-    Mute(usize, bool),
-    Cut(String, bool),
-    Outage(bool),
-    Heartbeat(String),
-    ReportTimeout(String, u64),
-    WorkerWakes(String),
+    KvRefusal(usize, bool),
+    KvUnreachable(usize, bool),
+    SetFault(Fault, bool),
+    ZonePartition(&'static str, usize, bool),
+    /// A user requests cancellation now.
+    CancelJob(usize),
+    /// A heartbeat arrives over a slow link.
+    HeartbeatArrives(usize, String, u64, Vec<u8>),
+    /// A late copy of a heartbeat arrives; a delayed heartbeat response arrives.
+    HeartbeatCopyArrives(usize, Vec<u8>),
+    HeartbeatResponseArrives(String, u64, u16, Vec<u8>),
+    UnreachableByWorkers(usize, bool),
+    IsolatedFromPeers(usize, bool),
+    ZoneIsolated(String, bool),
+    KvOutage(bool),
+    HeartbeatDue(String),
+    HeartbeatTimeout(String, u64),
+    AdvanceWorker(String),
     Hang(String, u64),
     Boot(String),
-    UserNext(usize),
-    /// A user asks one controller, beside the questions of every few seconds.
-    Look(usize, usize, Question),
-    OddReport(usize, Value),
-    BookNext(usize),
-    RunNext(usize),
-    KeepNext(usize),
-    OperatorNext(usize),
-    Die(String),
-    Notice(String, u64),
+    UserStep(usize),
+    /// A user sends one controller a request in addition to the periodic ones.
+    BurstRequest(usize, usize, JobRequest),
+    InvalidHeartbeat(usize, Value),
+    CalendarClientStep(usize),
+    RunClientStep(usize),
+    GraphClientStep(usize),
+    OperatorStep(usize),
+    MachineFails(String),
+    InterruptionNotice(String, u64),
 }
 
 impl Simulation {
+    /// Applies an event, then responds to the watches that have timed out.
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(i, life) => {
-                if self.nodes[i].life == life && self.nodes[i].controller.is_some() {
-                    self.feed(i, ControllerEvent::Tick);
-                    self.after(TICK_MS, Event::Tick(i, life));
+            Event::Tick(i, incarnation) => {
+                if self.nodes[i].incarnation == incarnation && self.nodes[i].controller.is_some() {
+                    self.deliver(i, ControllerEvent::Tick);
+                    self.schedule_after(TICK_MS, Event::Tick(i, incarnation));
                 }
             }
-            Event::Arrive {
+            Event::CallArrives {
                 node,
-                life,
+                incarnation,
                 id,
                 target,
                 method,
                 path,
                 body,
-                answered,
+                response_delivered,
             } => {
                 let reply = match target {
-                    Target::KvStore if self.injected.unserved.contains(&node) => None,
+                    Target::KvStore if self.injected.kv_unreachable.contains(&node) => None,
                     Target::KvStore => {
-                        if self.outage || self.refused.contains(&node) {
+                        if self.kv_outage || self.kv_refused.contains(&node) {
                             Some((503, b"{}".to_vec()))
                         } else {
-                            self.state
-                                .call(self.now, (node, life, id.0), method, &path, &body)
+                            self.kv_store.call(
+                                self.now,
+                                (node, incarnation, id.0),
+                                method,
+                                &path,
+                                &body,
+                            )
                         }
                     }
-                    Target::Cloud if self.is_cut_off(node) => None,
+                    Target::Cloud if self.is_partitioned(node) => None,
                     Target::Cloud => Some(self.cloud_call(method, &path, &body)),
-                    Target::Worker(to) => self.direct(node, to, &path, &body),
+                    Target::Worker(to) => self.direct_command(node, to, &path, &body),
                 };
                 let wrote = matches!(target, Target::KvStore) && path == "/txn";
                 let wrote = wrote && String::from_utf8_lossy(&body).contains("\"Apply\"");
-                if let Some(left) = self.kill_after.filter(|_| wrote) {
-                    self.kill_after = left.checked_sub(1);
+                if let Some(left) = self.crash_after_writes.filter(|_| wrote) {
+                    self.crash_after_writes = left.checked_sub(1);
                     if left == 0 {
                         self.handle(Event::Crash(node));
                     }
                 }
-                // A cut that began while the call was underway: it is given up like one that was sent later.
+                // The partition began while the call was in progress. The call fails like one that was sent
+                // later.
                 let lost = match target {
-                    Target::KvStore => self.injected.unserved.contains(&node),
-                    Target::Cloud => self.is_cut_off(node),
+                    Target::KvStore => self.injected.kv_unreachable.contains(&node),
+                    Target::Cloud => self.is_partitioned(node),
                     Target::Worker(_) => false,
                 };
                 if lost {
-                    self.after(
-                        GIVEN_UP_MS,
-                        Event::Answer(node, life, id, CallOutcome::Unanswered),
+                    self.schedule_after(
+                        INTERRUPTED_CALL_MS,
+                        Event::CallDone(node, incarnation, id, CallOutcome::Unanswered),
                     );
                 }
                 if let Some((status, body)) = reply
-                    && answered
+                    && response_delivered
                 {
-                    let ms = self.hop();
-                    self.after(
+                    let ms = self.network_delay_ms();
+                    self.schedule_after(
                         ms,
-                        Event::Answer(node, life, id, CallOutcome::Response { status, body }),
+                        Event::CallDone(
+                            node,
+                            incarnation,
+                            id,
+                            CallOutcome::Response { status, body },
+                        ),
                     );
                 }
-                self.wake_watchers();
-                self.owners_begin();
+                self.respond_to_watches();
+                self.replay_to_new_leaders();
             }
-            Event::Answer(i, life, id, result) => {
-                if self.nodes[i].life == life {
-                    self.feed(i, ControllerEvent::CallDone(id, result));
+            Event::CallDone(i, incarnation, id, result) => {
+                if self.nodes[i].incarnation == incarnation {
+                    self.deliver(i, ControllerEvent::CallDone(id, result));
                 }
             }
-            Event::StatusFor(i, hint) => self.feed(i, ControllerEvent::PeerStatus(hint)),
-            Event::MessageFor(i, proof) => self.feed(i, ControllerEvent::PeerMessage(proof)),
+            Event::PeerStatusArrives(i, status) => {
+                self.deliver(i, ControllerEvent::PeerStatus(status))
+            }
+            Event::PeerMessageArrives(i, message) => {
+                self.deliver(i, ControllerEvent::PeerMessage(message))
+            }
             Event::Crash(i) => {
                 if self.nodes[i].controller.is_none() {
                     return;
                 }
                 self.nodes[i].controller = None;
-                self.nodes[i].life += 1;
-                self.asked.retain(|(node, _, _), _| *node != i);
-                let ms = self.away_ms();
-                self.after(ms, Event::Restart(i));
+                self.nodes[i].incarnation += 1;
+                self.pending.retain(|(node, _, _), _| *node != i);
+                let ms = self.draw_restart_delay_ms();
+                self.schedule_after(ms, Event::Restart(i));
             }
-            Event::Replace(i) => {
-                self.nodes[i].old = false;
+            Event::UpdateVersion(i) => {
+                self.nodes[i].previous_version = false;
                 self.handle(Event::Crash(i));
             }
-            Event::Shrink => {
-                self.state.limits = ((NEXT_KB * 1024.0) as usize, NEXT_OPS);
-                self.state.write_rate = Some(NEXT_RATE);
+            Event::ReduceKvLimits => {
+                self.kv_store.limits = ((REDUCED_VALUE_KB * 1024.0) as usize, REDUCED_TXN_OPS);
+                self.kv_store.write_rate = Some(REDUCED_WRITE_RPS);
             }
             Event::Restart(i) => {
-                if self.nodes[i].controller.is_none() && !self.injected.all_down {
+                if self.nodes[i].controller.is_none() && !self.injected.all_controllers_down {
                     self.restart(i);
                 }
             }
-            Event::Refuse(i, on) => switch(&mut self.refused, i, on),
-            Event::Unserved(i, on) => switch(&mut self.injected.unserved, i, on),
-            Event::InjectedFaults(fault, on) => self.ail(fault, on),
-            Event::ZoneCut(zone, node, on) => self.zone_cut(zone, node, on),
-            Event::CallOff(u) => self.call_off(u),
-            Event::Underway(node, name, number, body) => {
-                self.report_arrives(node, name, number, body);
-            }
-            Event::Copy(node, body) => self.copy_arrives(node, body),
-            Event::Held(name, number, status, body) => {
-                self.worker_hears(&name, number, status, &body)
-            }
-            Event::Deaf(i, on) => switch(&mut self.deaf, i, on),
-            Event::Mute(i, on) => switch(&mut self.mute, i, on),
-            Event::Cut(zone, true) => self.cut = Some(zone),
-            Event::Cut(_, false) => self.cut = None,
-            Event::Outage(on) => {
-                self.outage = on;
-                self.state.outage(self.now, on);
+            Event::KvRefusal(i, on) => set_membership(&mut self.kv_refused, i, on),
+            Event::KvUnreachable(i, on) => set_membership(&mut self.injected.kv_unreachable, i, on),
+            Event::SetFault(fault, on) => self.set_fault(fault, on),
+            Event::ZonePartition(zone, node, on) => self.set_zone_partition(zone, node, on),
+            Event::CancelJob(u) => self.cancel_job(u),
+            Event::HeartbeatArrives(node, name, number, body) => {
+                self.heartbeat_arrives(node, name, number, body);
+            }
+            Event::HeartbeatCopyArrives(node, body) => self.heartbeat_copy_arrives(node, body),
+            Event::HeartbeatResponseArrives(name, number, status, body) => {
+                self.worker_receives_response(&name, number, status, &body)
+            }
+            Event::UnreachableByWorkers(i, on) => {
+                set_membership(&mut self.unreachable_by_workers, i, on)
+            }
+            Event::IsolatedFromPeers(i, on) => set_membership(&mut self.isolated_from_peers, i, on),
+            Event::ZoneIsolated(zone, true) => self.isolated_zone = Some(zone),
+            Event::ZoneIsolated(_, false) => self.isolated_zone = None,
+            Event::KvOutage(on) => {
+                self.kv_outage = on;
+                self.kv_store.set_outage(self.now, on);
             }
             Event::Boot(name) => self.boot(&name),
-            Event::Heartbeat(name) => self.report(&name),
-            Event::ReportTimeout(name, number) => {
+            Event::HeartbeatDue(name) => self.heartbeat_due(&name),
+            Event::HeartbeatTimeout(name, number) => {
                 if let Some(w) = self.workers.get_mut(&name)
                     && w.in_flight == Some(number)
                 {
                     w.in_flight = None;
                     w.next_node(None);
-                    self.after(1_000, Event::Heartbeat(name));
+                    self.schedule_after(1_000, Event::HeartbeatDue(name));
                 }
             }
-            Event::WorkerWakes(name) => self.worker_wakes(&name),
+            Event::AdvanceWorker(name) => self.advance_worker(&name),
             Event::Hang(name, ms) => {
                 let until = self.now + ms;
                 if let Some(w) = self.workers.get_mut(&name) {
                     w.hung_until = w.hung_until.max(until);
-                    self.at(until, Event::WorkerWakes(name.clone()));
-                    self.at(until, Event::Heartbeat(name));
+                    self.schedule_at(until, Event::AdvanceWorker(name.clone()));
+                    self.schedule_at(until, Event::HeartbeatDue(name));
                 }
             }
-            Event::UserNext(u) => self.user_next(u),
-            Event::Look(u, node, question) => self.looks(u, node, question),
-            Event::OddReport(node, fields) => self.send_odd_report(node, &fields),
-            Event::BookNext(b) => self.book_next(b),
-            Event::RunNext(r) => self.run_next(r),
-            Event::KeepNext(k) => self.keep_next(k),
-            Event::OperatorNext(o) => self.operator_next(o),
-            Event::Notice(name, at) => {
+            Event::UserStep(u) => self.user_step(u),
+            Event::BurstRequest(u, node, request) => self.burst_request(u, node, request),
+            Event::InvalidHeartbeat(node, fields) => self.send_invalid_heartbeat(node, &fields),
+            Event::CalendarClientStep(b) => self.calendar_client_step(b),
+            Event::RunClientStep(r) => self.run_client_step(r),
+            Event::GraphClientStep(k) => self.graph_client_step(k),
+            Event::OperatorStep(o) => self.operator_step(o),
+            Event::InterruptionNotice(name, at) => {
                 if let Some(w) = self.workers.get_mut(&name) {
-                    w.taken_at = Some(at);
-                    self.at(at, Event::Die(name));
+                    w.interruption_at = Some(at);
+                    self.schedule_at(at, Event::MachineFails(name));
                 }
             }
-            Event::Die(name) => {
-                self.cloud.die(self.now, &name);
+            Event::MachineFails(name) => {
+                self.cloud.fail(self.now, &name);
                 self.workers.remove(&name);
-                self.touched = true;
+                self.rules_check_due = true;
             }
         }
-        for (node, life, call, body) in self.state.timeouts(self.now) {
-            self.watched(node, life, call, body, 1);
+        for (node, incarnation, call, body) in self.kv_store.expired_watches(self.now) {
+            self.send_watch_response(node, incarnation, call, body, 1);
         }
     }
 
-    pub(crate) fn wake_watchers(&mut self) {
-        for (node, life, call, body) in self.state.woken() {
-            let ms = self.hop();
-            self.watched(node, life, call, body, ms);
+    /// Responds to the watches that are waiting for the changes just made.
+    pub(crate) fn respond_to_watches(&mut self) {
+        for (node, incarnation, call, body) in self.kv_store.woken_watches() {
+            let ms = self.network_delay_ms();
+            self.send_watch_response(node, incarnation, call, body, ms);
         }
     }
 
-    /// A watch is answered, unless its controller is refused or cut off: then it hangs.
-    pub(crate) fn watched(&mut self, node: usize, life: u64, call: u64, body: Vec<u8>, ms: u64) {
-        if self.refused.contains(&node) || self.injected.unserved.contains(&node) {
+    /// Responds to a watch. If its controller is refused or partitioned, the watch hangs.
+    pub(crate) fn send_watch_response(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: u64,
+        body: Vec<u8>,
+        ms: u64,
+    ) {
+        if self.kv_refused.contains(&node) || self.injected.kv_unreachable.contains(&node) {
             return;
         }
         let result = CallOutcome::Response { status: 200, body };
-        self.after(ms, Event::Answer(node, life, CallId(call), result));
+        self.schedule_after(ms, Event::CallDone(node, incarnation, CallId(call), result));
     }
 }
--- a/crates/simulation/src/fault_combinations.rs
+++ b/crates/simulation/src/fault_combinations.rs
@@ -1,27 +1,29 @@
-//! Days on which troubles meet: what goes wrong when, around jobs of every kind.
+//! Simulations with overlapping faults, and a mix of jobs to run them on.
 
 use crate::faults::Fault;
-use crate::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
+use crate::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-/// All troubles are over by then, and all users must have heard the end by the second moment.
-pub const OVER_MS: u64 = 140_000;
+/// End of all faults. By [`END_MS`] every user must have been told the end of the job.
+pub const FAULTS_END_MS: u64 = 140_000;
+/// End of the simulation.
 pub const END_MS: u64 = 600_000;
 
-/// What goes wrong when, and for how long.
+/// Start, duration and kind of each fault.
 pub type FaultSchedule = Vec<(u64, u64, Fault)>;
 
-/// Jobs that run until they are stopped, which their users want cancelled at `cancel_at`.
-pub fn endless_jobs(
+/// A simulation of jobs that run until they are stopped. Each user requests cancellation at `cancel_at`, if
+/// set.
+pub fn with_endless_jobs(
     seed: u64,
     jobs: usize,
     cancel_at: impl Fn(usize) -> Option<u64>,
 ) -> Simulation {
     let mut simulation = Simulation::new(
         seed,
-        NetworkConditions::CALM,
+        SimulationConditions::FAULT_FREE,
         DisabledSafeguards::default(),
         0,
         u64::MAX,
@@ -31,21 +33,33 @@
         simulation.add_user(2_000, json!({"Tarefas": 3, "Cuadrilla": team}));
         simulation.users[n].cancel_at = cancel_at(n);
         let job = simulation.users[n].job.clone();
-        simulation.endless.insert(job);
+        simulation.endless_jobs.insert(job);
     }
     simulation
 }
 
-pub fn running(simulation: &Simulation) -> usize {
+/// Number of running tasks.
+pub fn running_tasks(simulation: &Simulation) -> usize {
     let tasks = simulation.workers.values().flat_map(|w| &w.tasks);
     tasks.filter(|t| t.state == "running").count()
 }
 
-/// Jobs of few and many tasks, short and long, some without end and cancelled, some that need others.
-pub fn play(seed: u64, safeguards: DisabledSafeguards, schedule: &FaultSchedule) -> Simulation {
-    let mut simulation = Simulation::new(seed, NetworkConditions::CALM, safeguards, 12, OVER_MS);
-    simulation.run_ms = [3_000, 6_000, 9_000][seed as usize % 3];
-    simulation.spread_ms = [0, 4_000, 15_000][(seed / 3) as usize % 3];
+/// Runs a schedule of faults with a mix of jobs: few or many tasks, short or long, some with dependencies,
+/// some that run until they are cancelled.
+pub fn run_schedule(
+    seed: u64,
+    safeguards: DisabledSafeguards,
+    schedule: &FaultSchedule,
+) -> Simulation {
+    let mut simulation = Simulation::new(
+        seed,
+        SimulationConditions::FAULT_FREE,
+        safeguards,
+        12,
+        FAULTS_END_MS,
+    );
+    simulation.task_run_ms = [3_000, 6_000, 9_000][seed as usize % 3];
+    simulation.task_spread_ms = [0, 4_000, 15_000][(seed / 3) as usize % 3];
     let mut rng = StdRng::seed_from_u64(seed ^ 0x6a6f_6273);
     for _ in 0..4 {
         let n = simulation.users.len();
@@ -54,41 +68,42 @@
         simulation.add_user(rng.random_range(2_000..20_000u64), spec);
         simulation.users[n].cancel_at = Some(rng.random_range(15_000..110_000u64));
         let job = simulation.users[n].job.clone();
-        simulation.endless.insert(job);
+        simulation.endless_jobs.insert(job);
     }
     for (at, for_ms, fault) in schedule {
-        simulation.bring(*at, *for_ms, *fault);
+        simulation.inject(*at, *for_ms, *fault);
     }
     simulation.run(END_MS);
     simulation
 }
 
-/// The meeting's moments shifted by seconds.
-pub fn shifted(seed: u64, mut schedule: FaultSchedule) -> FaultSchedule {
+/// Shifts the starts of the faults by an offset that depends on the seed.
+pub fn shift_schedule(seed: u64, mut schedule: FaultSchedule) -> FaultSchedule {
     for (n, (at, _, _)) in schedule.iter_mut().enumerate() {
         *at += n as u64 * 700 * (seed / 3) + 130 * seed;
     }
     schedule
 }
 
-/// Holds every rule against a meeting, its moments shifted by seconds, and has every user hear the end.
+/// Asserts that all rules hold under shifted variants of a schedule, and that every user is told the end of
+/// the job.
 #[track_caller]
-pub fn holds(schedule: impl Fn(usize) -> FaultSchedule) {
+pub fn assert_rules_hold(schedule: impl Fn(usize) -> FaultSchedule) {
     for seed in 0..9u64 {
-        let schedule = shifted(seed, schedule(seed as usize % NODES));
-        play(seed, DisabledSafeguards::default(), &schedule).assert_sound(seed);
+        let schedule = shift_schedule(seed, schedule(seed as usize % NODES));
+        run_schedule(seed, DisabledSafeguards::default(), &schedule).assert_rules_held(seed);
     }
 }
 
-/// The same where all machines have tasks without end, all of which are called off when the troubles are over.
+/// The same with tasks that run until they are stopped. All jobs are cancelled after the faults have ended.
 #[track_caller]
-pub fn holds_without_end(schedule: impl Fn(usize) -> FaultSchedule) {
+pub fn assert_rules_hold_with_endless_jobs(schedule: impl Fn(usize) -> FaultSchedule) {
     for seed in 0..9u64 {
-        let mut simulation = endless_jobs(seed, 12, |n| Some(OVER_MS + 300 * n as u64));
-        for (at, for_ms, fault) in shifted(seed, schedule(seed as usize % NODES)) {
-            simulation.bring(at, for_ms, fault);
+        let mut simulation = with_endless_jobs(seed, 12, |n| Some(FAULTS_END_MS + 300 * n as u64));
+        for (at, for_ms, fault) in shift_schedule(seed, schedule(seed as usize % NODES)) {
+            simulation.inject(at, for_ms, fault);
         }
-        simulation.run(OVER_MS + 60_000);
-        simulation.assert_sound(seed);
+        simulation.run(FAULTS_END_MS + 60_000);
+        simulation.assert_rules_held(seed);
     }
 }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/kv_store.rs
@@ -1,19 +1,21 @@
-//! A stand-in for the state service, after its published protocol.
+//! Simulated key-value store with the published API.
 
-use super::frozen::survives;
+use super::previous_formats::round_trips;
 use serde_json::{Value, json};
 use snowshelf::effects::Method;
 use std::collections::BTreeMap;
 
+/// Controller, its incarnation and the call's id.
 type Caller = (usize, u64, u64);
 type Reply = Option<(u16, Vec<u8>)>;
 
-struct Key {
+struct Entry {
     value: Value,
     version: u64,
     lease: Option<u64>,
 }
 
+/// A pending watch of the changes after a revision.
 struct Watch {
     caller: Caller,
     prefix: String,
@@ -21,34 +23,39 @@
     until: u64,
 }
 
-pub struct StateService {
-    keys: BTreeMap<String, Key>,
+/// The records, leases and watches of the store.
+pub struct KvStore {
+    keys: BTreeMap<String, Entry>,
+    /// Current revision.
     pub revision: u64,
-    log: Vec<(u64, String, Option<Value>)>,
+    change_log: Vec<(u64, String, Option<Value>)>,
+    /// Duration and expiry of each lease.
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     watches: Vec<Watch>,
     ignore_conditions: bool,
     outage: bool,
-    /// Largest value in bytes and changes in a transaction.
+    /// Largest value in bytes, and most changes in a transaction.
     pub limits: (usize, usize),
-    /// Writes a second, if they are limited; what may be written at once now, and since when.
+    /// Limit on writes per second, and their maximum burst. `None` means unlimited.
     pub write_rate: Option<f64>,
-    level: (f64, u64),
-    /// Keys in one page at the most.
-    pub page_most: usize,
-    /// Transactions refused because there were too many.
+    /// Writes available now, and when they were last refilled.
+    available_writes: (f64, u64),
+    /// Most keys in one page.
+    pub max_page: usize,
+    /// Transactions refused because of the write rate.
     pub throttled: u64,
-    /// When the format was settled.
-    settled: Option<u64>,
-    /// Transactions refused for size though every controller had long read that it is settled.
-    pub oversized: Vec<String>,
-    /// Records written before the format was settled that the earlier version would lose.
-    pub lossy: Vec<String>,
+    /// When the new record format was settled.
+    format_settled_at: Option<u64>,
+    /// Transactions refused for their size although all controllers had read that the format is settled.
+    pub oversized_txns: Vec<String>,
+    /// Records written before the format was settled that the previous version would not preserve.
+    pub lossy_writes: Vec<String>,
 }
 
-/// Longer than any transaction is underway that was sent before its controller read the format.
-const ALL_KNOW_MS: u64 = 20_000;
+/// Upper bound on the time for which a transaction can be in transit that was sent before its controller read
+/// the new format.
+const FORMAT_KNOWN_MS: u64 = 20_000;
 
 fn bytes(value: Value) -> Vec<u8> {
     value.to_string().into_bytes()
@@ -61,12 +68,13 @@
         .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
 }
 
-impl StateService {
-    pub fn new(ignore_conditions: bool) -> StateService {
-        StateService {
+impl KvStore {
+    /// An empty store, which optionally ignores the conditions of transactions.
+    pub fn new(ignore_conditions: bool) -> KvStore {
+        KvStore {
             keys: BTreeMap::new(),
             revision: 0,
-            log: Vec::new(),
+            change_log: Vec::new(),
             leases: BTreeMap::new(),
             next_lease: 0,
             watches: Vec::new(),
@@ -74,47 +82,51 @@
             outage: false,
             limits: (16 * 1024, 12),
             write_rate: None,
-            level: (0.0, 0),
-            page_most: 1_000,
+            available_writes: (0.0, 0),
+            max_page: 1_000,
             throttled: 0,
-            settled: None,
-            oversized: Vec::new(),
-            lossy: Vec::new(),
+            format_settled_at: None,
+            oversized_txns: Vec::new(),
+            lossy_writes: Vec::new(),
         }
     }
 
-    /// Whether the limits are kept, and if not, the answer.
-    fn refuse(&mut self, now: u64, body: &Value, changes: &[Value]) -> Reply {
+    /// The error response if a transaction exceeds a limit.
+    fn check_limits(&mut self, now: u64, body: &Value, changes: &[Value]) -> Reply {
         let conditions = body["If"].as_array().map_or(0, Vec::len);
         let (value_bytes, ops) = self.limits;
         let large = changes.iter().find(|c| {
             c["Value"].to_string().len() > value_bytes || c["Write"].as_str() == Some("")
         });
         if large.is_some() || changes.len() > ops || conditions > 4 * ops {
-            if self.settled.is_some_and(|at| now > at + ALL_KNOW_MS) {
-                let what = large.map_or(body.to_string(), Value::to_string);
-                self.oversized.push(what);
+            if self
+                .format_settled_at
+                .is_some_and(|at| now > at + FORMAT_KNOWN_MS)
+            {
+                let txn = large.map_or(body.to_string(), Value::to_string);
+                self.oversized_txns.push(txn);
             }
             return Some((400, bytes(json!({"error": "too large"}))));
         }
         let rate = self.write_rate?;
-        let (level, at) = self.level;
-        let level = (level + (now - at) as f64 / 1000.0 * rate).min(rate);
-        self.level = (level, now);
-        if (changes.len() as f64) > level {
+        let (available, at) = self.available_writes;
+        let available = (available + (now - at) as f64 / 1000.0 * rate).min(rate);
+        self.available_writes = (available, now);
+        if (changes.len() as f64) > available {
             self.throttled += 1;
             return Some((429, bytes(json!({"error": "slow down"}))));
         }
-        self.level.0 -= changes.len() as f64;
+        self.available_writes.0 -= changes.len() as f64;
         None
     }
 
-    /// Jobs that ended long ago, between the others' names, and pages so short that they fill many.
-    pub fn long_history(&mut self, ended: usize, page_most: usize) {
-        self.page_most = page_most;
+    /// Adds jobs that ended long ago, with ids between those of other jobs, and reduces the page size so that
+    /// they fill many pages.
+    pub fn add_ended_jobs(&mut self, ended: usize, max_page: usize) {
+        self.max_page = max_page;
         for n in 0..ended {
             let (value, version) = (json!({"state": "Done", "tasks": 1, "submitted": 1}), 1);
-            let entry = Key {
+            let entry = Entry {
                 value,
                 version,
                 lease: None,
@@ -125,8 +137,8 @@
         }
     }
 
-    /// When an outage ends, every lease has its full time again.
-    pub fn outage(&mut self, now: u64, on: bool) {
+    /// Begins or ends an outage. At its end every lease is renewed for its full duration.
+    pub fn set_outage(&mut self, now: u64, on: bool) {
         self.outage = on;
         if !on {
             for (ttl, until) in self.leases.values_mut() {
@@ -135,17 +147,18 @@
         }
     }
 
+    /// Deletes expired leases with their keys. Leases do not expire during an outage.
     fn expire(&mut self, now: u64) {
         if self.outage {
             return;
         }
-        let dead: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, until))| *until < now)
             .map(|(id, _)| *id)
             .collect();
-        for id in dead {
+        for id in expired {
             self.leases.remove(&id);
             let keys: Vec<String> = self
                 .keys
@@ -156,11 +169,12 @@
             for key in keys {
                 self.revision += 1;
                 self.keys.remove(&key);
-                self.log.push((self.revision, key, None));
+                self.change_log.push((self.revision, key, None));
             }
         }
     }
 
+    /// Response to a call. `None` for a watch, which is responded to later.
     pub fn call(
         &mut self,
         now: u64,
@@ -171,14 +185,14 @@
     ) -> Reply {
         self.expire(now);
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let bare = path.split('?').next().unwrap_or("");
-        match (method, bare) {
+        let endpoint = path.split('?').next().unwrap_or("");
+        match (method, endpoint) {
             (Method::Post, "/txn") => {
                 let changes = body["Apply"].as_array().cloned().unwrap_or_default();
-                let refused = self.refuse(now, &body, &changes);
+                let refused = self.check_limits(now, &body, &changes);
                 let reply = refused.or_else(|| Some(self.txn(&body)));
-                if self.settled.is_none() && self.keys.contains_key("format") {
-                    self.settled = Some(now);
+                if self.format_settled_at.is_none() && self.keys.contains_key("format") {
+                    self.format_settled_at = Some(now);
                 }
                 reply
             }
@@ -189,7 +203,7 @@
                 Some((200, bytes(json!({"Arrendo": self.next_lease}))))
             }
             (Method::Post, _) => {
-                let id: u64 = bare
+                let id: u64 = endpoint
                     .split('/')
                     .nth(2)
                     .and_then(|n| n.parse().ok())
@@ -208,7 +222,7 @@
                 let limit: usize = param(path, "Limit")
                     .and_then(|l| l.parse().ok())
                     .unwrap_or(1000);
-                let limit = limit.min(self.page_most);
+                let limit = limit.min(self.max_page);
                 let all: Vec<_> = self
                     .keys
                     .iter()
@@ -241,7 +255,7 @@
                 None
             }
             (Method::Get, _) => {
-                let key = bare.strip_prefix("/kv/").unwrap_or("");
+                let key = endpoint.strip_prefix("/kv/").unwrap_or("");
                 Some(match self.keys.get(key) {
                     Some(k) => (
                         200,
@@ -269,8 +283,8 @@
             .iter()
             .filter(|c| {
                 let key = c["Path"].as_str().unwrap_or("");
-                let have = self.keys.get(key).map_or(0, |k| k.version);
-                c["Colheita"].as_u64() != Some(have)
+                let current = self.keys.get(key).map_or(0, |k| k.version);
+                c["Colheita"].as_u64() != Some(current)
             })
             .filter_map(|c| c["Path"].as_str())
             .collect();
@@ -285,28 +299,29 @@
         }
         for change in changes {
             if let Some(key) = change["Write"].as_str() {
-                if !self.keys.contains_key("format") && !survives(key, &change["Value"]) {
-                    self.lossy.push(format!("{key} {}", change["Value"]));
+                if !self.keys.contains_key("format") && !round_trips(key, &change["Value"]) {
+                    self.lossy_writes.push(format!("{key} {}", change["Value"]));
                 }
-                let entry = Key {
+                let entry = Entry {
                     value: change["Value"].clone(),
                     version: self.revision,
                     lease: change["Arrendo"].as_u64(),
                 };
                 self.keys.insert(key.to_string(), entry);
                 let value = change["Value"].clone();
-                self.log.push((self.revision, key.to_string(), Some(value)));
+                self.change_log
+                    .push((self.revision, key.to_string(), Some(value)));
             } else if let Some(key) = change["Delete"].as_str() {
                 self.keys.remove(key);
-                self.log.push((self.revision, key.to_string(), None));
+                self.change_log.push((self.revision, key.to_string(), None));
             }
         }
         (200, bytes(json!({"Safra": self.revision})))
     }
 
     fn changes(&self, watch: &Watch) -> Vec<u8> {
-        let log: Vec<Value> = self
-            .log
+        let change_log: Vec<Value> = self
+            .change_log
             .iter()
             .filter(|(at, key, _)| *at > watch.after && key.starts_with(&watch.prefix))
             .map(|(at, key, value)| match value {
@@ -314,56 +329,61 @@
                 None => json!({"Delete": key, "Colheita": at}),
             })
             .collect();
-        bytes(json!({"Safra": self.revision, "Log": log}))
+        bytes(json!({"Safra": self.revision, "Log": change_log}))
     }
 
-    fn take(&mut self, ready: impl Fn(&Watch) -> bool) -> Vec<(usize, u64, u64, Vec<u8>)> {
+    /// Removes the watches that are ready. Returns their callers and responses.
+    fn take_watches(&mut self, ready: impl Fn(&Watch) -> bool) -> Vec<(usize, u64, u64, Vec<u8>)> {
         if self.outage {
             return Vec::new();
         }
-        let (go, stay): (Vec<Watch>, Vec<Watch>) = std::mem::take(&mut self.watches)
+        let (taken, remaining): (Vec<Watch>, Vec<Watch>) = std::mem::take(&mut self.watches)
             .into_iter()
             .partition(|w| ready(w));
-        self.watches = stay;
-        go.iter()
+        self.watches = remaining;
+        taken
+            .iter()
             .map(|w| (w.caller.0, w.caller.1, w.caller.2, self.changes(w)))
             .collect()
     }
 
-    pub fn woken(&mut self) -> Vec<(usize, u64, u64, Vec<u8>)> {
+    /// Watches of all keys that wait for the changes just made.
+    pub fn woken_watches(&mut self) -> Vec<(usize, u64, u64, Vec<u8>)> {
         let revision = self.revision;
-        self.take(|w| revision > w.after && w.prefix.is_empty())
+        self.take_watches(|w| revision > w.after && w.prefix.is_empty())
     }
 
-    pub fn timeouts(&mut self, now: u64) -> Vec<(usize, u64, u64, Vec<u8>)> {
+    /// Watches that have timed out or have changes to report.
+    pub fn expired_watches(&mut self, now: u64) -> Vec<(usize, u64, u64, Vec<u8>)> {
         self.expire(now);
         let revision = self.revision;
-        self.take(|w| w.until <= now || (revision > w.after && w.prefix.is_empty()))
+        self.take_watches(|w| w.until <= now || (revision > w.after && w.prefix.is_empty()))
     }
 }
 
-impl StateService {
-    /// The owner of each part that has one.
-    pub fn owners(&self) -> Vec<String> {
-        let parts = self.keys.range("part/".to_string()..);
-        let parts = parts.take_while(|(key, _)| key.starts_with("part/"));
-        parts
+impl KvStore {
+    /// The leader of each shard that has one.
+    pub fn shard_leaders(&self) -> Vec<String> {
+        let shards = self.keys.range("part/".to_string()..);
+        let shards = shards.take_while(|(key, _)| key.starts_with("part/"));
+        shards
             .filter_map(|(_, k)| k.value["owner"].as_str().map(str::to_string))
             .collect()
     }
 
-    /// The key of each part that has an owner, and the owner's token.
-    pub fn tokens(&self) -> BTreeMap<String, u64> {
-        let parts = self.keys.range("part/".to_string()..);
-        let parts = parts.take_while(|(key, _)| key.starts_with("part/"));
-        parts.map(|(key, k)| (key.clone(), k.version)).collect()
+    /// Key and fencing token of each shard that has a leader.
+    pub fn fencing_tokens(&self) -> BTreeMap<String, u64> {
+        let shards = self.keys.range("part/".to_string()..);
+        let shards = shards.take_while(|(key, _)| key.starts_with("part/"));
+        shards.map(|(key, k)| (key.clone(), k.version)).collect()
     }
 
+    /// The value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.keys.get(key).map(|k| k.value.clone())
     }
 
-    /// All keys but finished jobs, for a failing test's message.
+    /// All records except those of ended jobs, for a failing test's message.
     pub fn dump(&self) -> Vec<String> {
         self.keys
             .iter()
@@ -372,9 +392,9 @@
             .collect()
     }
 
-    /// Every value that was ever written, as one JSON object each: its key, and the value as text.
-    pub fn dump_all(&self) -> Vec<String> {
-        let written = self.log.iter();
+    /// Every value ever written, as JSON objects with a key and a value.
+    pub fn all_written_values(&self) -> Vec<String> {
+        let written = self.change_log.iter();
         let written = written.filter_map(|(_, key, value)| Some((key, value.as_ref()?)));
         written
             .map(|(key, value)| json!({"key": key, "value": value}).to_string())
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,28 +1,29 @@
-//! A small deterministic world: state service, cloud, workers, users and a network that delays,
-//! loses and cuts, around real controllers' state machines. Everything follows from the seed.
+//! Deterministic simulation of a cluster for tests. Simulated key-value store, cloud, workers, users and
+//! network surround the state machines of real controllers. Every run follows from its seed.
 
-mod asking;
-pub mod booking;
+pub mod calendar;
 pub mod cloud;
-pub mod digest;
-mod direct;
-pub mod draining;
+mod controllers;
+pub mod dag_runs;
+mod direct_commands;
+pub mod drains;
 mod events;
 pub mod fault_combinations;
 pub mod faults;
-pub mod frozen;
-mod histories;
+pub mod kv_store;
 mod machines;
-mod nodes;
+pub mod output_digest;
+pub mod previous_formats;
+mod response_history;
 mod rules;
-pub mod running;
-pub mod state;
-mod waits;
+mod starvation;
+mod users;
 pub mod workers;
 
 use cloud::Cloud;
 use events::Event;
 use faults::Fault;
+use kv_store::KvStore;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -33,80 +34,91 @@
 use snowshelf_drain::budget::Budget;
 use snowshelf_model::ids::{CallId, ConnectionId, Member, MonotonicMillis};
 use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
-use state::StateService;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use workers::{Worker, WorkerTask};
 
+/// Number of controllers, and of shards.
 pub const NODES: usize = 3;
+/// Duration of a worker lease (`lease_s`).
 pub const LEASE_MS: u64 = 10_000;
-pub const REPORT_MS: u64 = 1_500;
+/// Interval between a worker's heartbeats (`report_s`).
+pub const HEARTBEAT_MS: u64 = 1_500;
+/// Time within which the tasks of a cancelled job must have ended (`cancel_s`).
 pub const CANCEL_MS: u64 = 35_000;
-/// Once all troubles are over, a job about which nothing is answered for so long counts as forgotten.
-const FORGOTTEN_MS: u64 = 75_000;
+/// Limit on the time without a response about an accepted job after all faults have ended. Beyond it the rule
+/// "forgotten" is broken.
+const MAX_UNANSWERED_MS: u64 = 75_000;
+/// Default CPU limit of a team.
 pub const TEAM_LIMIT: f64 = 24.0;
-/// The rules are looked at this often even if nothing they are about has changed: some are about time.
-const CHECK_MS: u64 = 100;
-/// So many users at a time ask what is odd, at the most in ten of their questions one.
-const ODD_USERS: f64 = 20.0;
-/// How far a clock may be from true time (`skew_ms` in the settings below).
-pub const SKEW_MS: u64 = 100;
-/// What the state service takes once its limits have shrunk.
-const NEXT_KB: f64 = 0.75;
-const NEXT_OPS: usize = 4;
-const NEXT_RATE: f64 = 60.0;
+/// The rules are checked at least this often, in simulated milliseconds. Some rules depend on time alone and
+/// can break without an event.
+const CHECK_INTERVAL_MS: u64 = 100;
+/// Number of users that send invalid requests per round of user steps, on average. At most one step in ten
+/// does.
+const INVALID_REQUEST_USERS: f64 = 20.0;
+/// Largest deviation of a controller's clock from true time. It equals `skew_ms` in [`settings`].
+pub const MAX_CLOCK_SKEW_MS: u64 = 100;
+/// Limits of the key-value store after [`Event::ReduceKvLimits`]. The controllers know them as
+/// `deployment.state.next`.
+const REDUCED_VALUE_KB: f64 = 0.75;
+const REDUCED_TXN_OPS: usize = 4;
+const REDUCED_WRITE_RPS: f64 = 60.0;
 
-/// Safeguards of the surroundings that a test may switch off, to show that the checker can fail.
+/// Safeguards that a test can disable to show that the rule checks detect violations.
 #[derive(Clone, Copy, Default)]
 pub struct DisabledSafeguards {
-    /// The state service ignores the conditions of transactions.
-    pub no_conditions: bool,
-    /// The cloud confirms returns that it does not carry out.
-    pub false_returns: bool,
-    /// Workers obey whatever token.
-    pub no_tokens: bool,
-    /// Late copies of reports carry a session and a counter that make them the newest.
-    pub no_order: bool,
-    /// Submissions lose the jobs that they need on their way.
-    pub no_needs: bool,
-    /// The first controller answers polls by what was true once.
-    pub old_answers: bool,
-    /// The state service confirms what it does not carry out, where only its answer would be lost.
-    pub false_answers: bool,
-    /// Workers keep what they have though their lease has run out.
-    pub no_leases: bool,
-    /// Controllers are told half of the teams' limits.
-    pub half_limits: bool,
+    /// The key-value store ignores the conditions of transactions.
+    pub ignore_txn_conditions: bool,
+    /// The cloud confirms the return of machines but keeps them running.
+    pub ignore_machine_returns: bool,
+    /// Workers carry out commands regardless of their fencing token.
+    pub ignore_fencing_tokens: bool,
+    /// Late copies of heartbeats get an agent incarnation and a sequence number that make them the newest.
+    pub renumber_late_heartbeats: bool,
+    /// Submissions lose their dependencies in transit.
+    pub drop_dependencies: bool,
+    /// The first controller repeats its first response to every poll.
+    pub stale_responses: bool,
+    /// Calls that would be applied with a lost response are acknowledged without being applied.
+    pub acknowledge_unapplied_txns: bool,
+    /// Workers keep their tasks after their lease has expired.
+    pub ignore_worker_leases: bool,
+    /// Controllers are configured with half of the team limits.
+    pub halve_team_limits: bool,
 }
 
-/// How rough the network and the surroundings are.
+/// Faults of the environment and optional features that are enabled in a simulation.
 #[derive(Clone, Copy)]
-pub struct NetworkConditions {
-    /// Share of calls whose answer is lost.
-    pub lost: f64,
-    /// Of those, the share that is carried out seconds later.
-    pub late: f64,
+pub struct SimulationConditions {
+    /// Share of calls whose response is lost.
+    pub lost_share: f64,
+    /// Share of those calls that are applied 1 to 15 seconds late.
+    pub late_share: f64,
+    /// Controllers crash at random times.
     pub crashes: bool,
+    /// The key-value store has an outage and refuses single controllers at random times.
     pub outages: bool,
+    /// Machines hang, or fail every task that they start.
     pub machine_faults: bool,
-    /// Reservations and windows are switched on, and clocks differ by as much as they may.
+    /// Reservations and windows are enabled, and the clocks differ by up to [`MAX_CLOCK_SKEW_MS`].
     pub calendar: bool,
-    /// Runs of graphs are switched on.
+    /// DAG runs are enabled.
     pub graphs: bool,
-    /// Drains are switched on.
+    /// Drains are enabled.
     pub drains: bool,
-    /// Jobs take much longer than their owners think.
+    /// Jobs run much longer than their estimate.
     pub short_estimates: bool,
-    /// The controllers begin as the version before and are replaced one after the other; some time
-    /// afterwards the state service takes less.
-    pub roll: bool,
+    /// The controllers start as the previous version and are updated one after the other. Afterwards the
+    /// limits of the key-value store are reduced.
+    pub rolling_update: bool,
 }
 
-impl NetworkConditions {
-    /// Nothing goes wrong.
-    pub const CALM: NetworkConditions = NetworkConditions {
-        lost: 0.0,
-        late: 0.0,
+impl SimulationConditions {
+    /// No faults.
+    pub const FAULT_FREE: SimulationConditions = SimulationConditions {
+        lost_share: 0.0,
+        late_share: 0.0,
         crashes: false,
         outages: false,
         machine_faults: false,
@@ -114,163 +126,202 @@
         graphs: false,
         drains: false,
         short_estimates: false,
-        roll: false,
+        rolling_update: false,
     };
-    /// Everything does.
-    pub const STORM: NetworkConditions = NetworkConditions {
-        lost: 0.03,
-        late: 0.5,
+    /// All kinds of faults.
+    pub const FAULTY: SimulationConditions = SimulationConditions {
+        lost_share: 0.03,
+        late_share: 0.5,
         crashes: true,
         outages: true,
         machine_faults: true,
-        ..NetworkConditions::CALM
+        ..SimulationConditions::FAULT_FREE
     };
 }
 
-struct Node {
+/// A controller and its process state.
+struct ControllerNode {
     controller: Option<Controller>,
-    life: u64,
-    started: u64,
-    /// Holds the format back, as the version before does by not knowing it.
-    old: bool,
+    incarnation: u64,
+    /// Time of the last start; the controller's monotonic clock counts from it.
+    started_at: u64,
+    /// Keeps the previous record format, like the previous version that does not know the new one.
+    previous_version: bool,
 }
 
+/// A user with one job.
 pub struct User {
-    /// Users whose jobs this one's needs.
+    /// Indices of the users whose jobs this job depends on.
     pub dependencies: Vec<usize>,
+    /// Id of the job.
     pub job: String,
+    /// Body of the submission.
     pub spec: Value,
-    /// A graph's run submits it.
-    pub by_run: bool,
+    /// Whether a DAG run submits the job. The user then only polls it.
+    pub from_dag_run: bool,
+    /// Number of tasks of the job.
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
+    /// Whether a controller has confirmed the job.
     pub accepted: bool,
-    pub told_done: bool,
-    pub told_cancelled: Option<u64>,
-    /// When a question about the job was last answered.
-    pub answered_at: u64,
-    pub wants_cancel: bool,
+    /// Whether a controller has reported the job as done.
+    pub completion_reported: bool,
+    /// When a controller first reported the job as aborted.
+    pub cancel_reported_at: Option<u64>,
+    /// Time of the last successful response about the job.
+    pub last_response_at: u64,
+    /// Whether the user has requested cancellation.
+    pub cancel_requested: bool,
+    /// When the user is to request cancellation.
     pub cancel_at: Option<u64>,
+    /// When the user first submits the job.
     pub submit_at: u64,
-    pub(crate) history: histories::History,
+    pub(crate) history: response_history::ResponseHistory,
 }
 
-enum Asked {
-    Worker(String, u64),
-    /// Nobody waits for the answer.
-    Nobody,
+/// A request that a controller has not responded to yet, with the index of its sender.
+enum PendingRequest {
+    /// A heartbeat: the machine and the heartbeat's number.
+    Heartbeat(String, u64),
+    /// The response is ignored.
+    Ignored,
     Submit(usize),
     Poll(usize),
     Cancel(usize),
-    Stranger,
-    /// What must be refused with this status, and the field to be named.
-    Odd(u16, &'static str),
-    /// A submission that needs a job nobody submitted.
-    Dangling,
-    /// A reservation or a window, and a question about an accepted one.
-    Book(usize),
-    Booked(usize),
-    /// A run begun, cancelled, and asked about.
-    RunBegin(usize),
-    RunCancel(usize),
-    RunShow(usize),
-    /// A graph kept.
-    Keep(usize),
-    /// A drain asked for or told something, a budget set; and a question about a drain.
-    Operator(usize),
-    Drained(usize),
+    /// A request about a job that was never submitted.
+    UnknownJob,
+    /// An invalid request: the expected status, and the field that the error must name (empty: any error).
+    Invalid(u16, &'static str),
+    /// A submission that depends on a job which was never submitted.
+    UnknownDependency,
+    /// Creates a reservation or a window; reads an accepted one.
+    CreateEntry(usize),
+    ReadEntry(usize),
+    /// Begins, cancels and reads a DAG run.
+    BeginRun(usize),
+    CancelRun(usize),
+    ReadRun(usize),
+    /// Stores a graph.
+    StoreGraph(usize),
+    /// Creates or controls a drain or sets a budget; reads a drain.
+    OperatorRequest(usize),
+    ReadDrain(usize),
 }
 
-impl Asked {
-    /// Whether this reaches a controller that may be cut off with a zone, and its answer the asker.
-    fn is_heard(&self, cut_off: bool) -> bool {
-        !cut_off || matches!(self, Asked::Worker(..) | Asked::Nobody)
+impl PendingRequest {
+    /// Whether the request reaches its controller and the response its sender. A zone partition blocks all but
+    /// heartbeats and requests without a waiting sender.
+    fn is_delivered(&self, partitioned: bool) -> bool {
+        !partitioned
+            || matches!(
+                self,
+                PendingRequest::Heartbeat(..) | PendingRequest::Ignored
+            )
     }
 }
 
+/// A simulated cluster. All times are in milliseconds since its start.
 pub struct Simulation {
+    /// Current time.
     pub now: u64,
+    /// Source of all random choices.
     pub rng: StdRng,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
-    order: u64,
-    nodes: Vec<Node>,
-    pub state: StateService,
+    next_order: u64,
+    nodes: Vec<ControllerNode>,
+    /// The key-value store.
+    pub kv_store: KvStore,
+    /// The cloud.
     pub cloud: Cloud,
-    /// Leases that ran out on machines that are gone.
-    expired: u64,
+    /// Expired leases of workers whose machines have been released.
+    expired_on_released: u64,
     /// CPUs that each team may use.
     team_limit: f64,
+    /// Workers by machine id.
     pub workers: BTreeMap<String, Worker>,
+    /// Users with one job each.
     pub users: Vec<User>,
-    pub bookers: Vec<booking::Booker>,
-    pub runners: Vec<running::Runner>,
-    pub keepers: Vec<running::Keeper>,
-    pub operators: Vec<draining::Operator>,
-    /// What drains may take away, and what they have.
+    /// Users that create reservations and windows.
+    pub calendar_clients: Vec<calendar::CalendarClient>,
+    /// Users that begin DAG runs.
+    pub run_clients: Vec<dag_runs::RunClient>,
+    /// Users that store graphs.
+    pub graph_clients: Vec<dag_runs::GraphClient>,
+    /// Requests of operators.
+    pub operators: Vec<drains::Operator>,
+    /// Disruption budget of the teams that have no budget of their own.
     pub budget: Budget,
-    pub disrupted: draining::Disrupted,
-    /// Something has changed that the rules are about, and when they were last looked at.
-    touched: bool,
-    checked: u64,
-    /// Where a job stands among the users.
-    by_name: HashMap<String, usize>,
-    /// After so many more writes the controller that made the last one is killed, its answer lost.
-    pub kill_after: Option<u64>,
-    /// Jobs whose tasks fail wherever they start.
-    pub bad_jobs: BTreeSet<String>,
+    /// Tasks that were stopped on purpose.
+    pub disruptions: drains::Disruptions,
+    /// Set when something has changed that the rules depend on.
+    rules_check_due: bool,
+    last_check_at: u64,
+    /// Index of the user of each job.
+    user_of_job: HashMap<String, usize>,
+    /// After this number of further writes the controller that sent the last one crashes before the response
+    /// arrives.
+    pub crash_after_writes: Option<u64>,
+    /// Jobs whose tasks fail on every machine.
+    pub failing_jobs: BTreeSet<String>,
     /// Jobs whose tasks run until they are stopped.
-    pub endless: BTreeSet<String>,
-    seen: booking::Seen,
-    /// How long tasks run, about.
-    pub run_ms: u64,
-    /// So long after it closes a zone is empty on this day, whatever else goes wrong on it.
-    pub empty_after: Option<u64>,
-    asked: BTreeMap<(usize, u64, u64), Asked>,
-    next_conn: u64,
-    conditions: NetworkConditions,
+    pub endless_jobs: BTreeSet<String>,
+    running_at_last_check: calendar::RunningTasks,
+    /// Approximate run time of a task.
+    pub task_run_ms: u64,
+    /// When set, a zone must be empty this long after a window has closed it, whatever faults occur.
+    pub zone_empty_after_ms: Option<u64>,
+    pending: BTreeMap<(usize, u64, u64), PendingRequest>,
+    next_connection: u64,
+    conditions: SimulationConditions,
+    /// Safeguards that are disabled.
     pub safeguards: DisabledSafeguards,
-    /// Completed tasks, by job.
-    pub finished: BTreeMap<String, BTreeSet<u32>>,
-    pub broken: Vec<String>,
-    pub starts: u64,
-    /// Starts of tasks after their users were told of their cancellation, and the longest time after it.
+    /// Numbers of the completed tasks of each job.
+    pub completed_tasks: BTreeMap<String, BTreeSet<u32>>,
+    /// Violated rules. The simulation stops at the first one.
+    pub violations: Vec<String>,
+    /// Number of task starts.
+    pub task_starts: u64,
+    /// Task starts after the user was told that the job is cancelled.
     pub starts_after_cancel: u64,
-    pub latest_start: u64,
-    /// Submissions refused because they need a job nobody submitted.
-    pub dangling: u64,
-    /// Controllers that said of a job what is older than what they had said themselves.
+    /// Longest time between such a report and a later task start.
+    pub latest_start_after_cancel_ms: u64,
+    /// Submissions refused because they depend on a job that was never submitted.
+    pub refused_unknown_dependencies: u64,
+    /// Responses of a controller about a job that are older than its own earlier ones.
     pub contradictions: Vec<String>,
-    /// Odd requests refused as they must be.
-    pub odd_refused: u64,
-    refused: BTreeSet<usize>,
-    /// Controllers that no worker reaches, nor they it.
-    deaf: BTreeSet<usize>,
-    /// Controllers whose messages to the others, and theirs to them, are lost.
-    mute: BTreeSet<usize>,
-    /// A zone whose workers reach nobody.
-    cut: Option<String>,
-    outage: bool,
+    /// Invalid requests that were refused with the expected status and reason.
+    pub refused_invalid_requests: u64,
+    kv_refused: BTreeSet<usize>,
+    /// Controllers without a connection to any worker, in either direction.
+    unreachable_by_workers: BTreeSet<usize>,
+    /// Controllers without a connection to their peers, in either direction.
+    isolated_from_peers: BTreeSet<usize>,
+    /// The zone whose workers reach no controller.
+    isolated_zone: Option<String>,
+    kv_outage: bool,
     pub(crate) injected: faults::InjectedFaults,
-    waits: waits::Waits,
-    /// How much longer a job's second and third task run than the one before; the others like these.
-    pub spread_ms: u64,
-    quiet_at: u64,
-    /// For how long a controller that has ended is away; drawn each time where it is not said.
-    pub back_ms: Option<u64>,
-    /// Of everything that the controllers have sent.
-    pub digest: digest::OutputDigest,
+    starvation: starvation::StarvationTracker,
+    /// Additional run time per task index modulo 3.
+    pub task_spread_ms: u64,
+    faults_end_at: u64,
+    /// Downtime of a crashed controller. A random one is drawn when unset.
+    pub restart_delay_ms: Option<u64>,
+    /// Digest of all outputs of the controllers.
+    pub digest: output_digest::OutputDigest,
 }
 
-/// Puts a controller among those that something ails, or takes it out.
-fn switch(ailing: &mut BTreeSet<usize>, node: usize, on: bool) {
-    if on {
-        ailing.insert(node);
+/// Adds a controller to a set of faulty ones, or removes it.
+fn set_membership(controllers: &mut BTreeSet<usize>, node: usize, member: bool) {
+    if member {
+        controllers.insert(node);
     } else {
-        ailing.remove(&node);
+        controllers.remove(&node);
     }
 }
 
+/// Settings of the controller with index `i`.
 fn settings(i: usize, team_limit: f64) -> Settings {
     let mut text = format!(
         "member = \"n{i}\"\nserve_on = \"10.0.0.{0}:1\"\npeer_listen = \"10.0.0.{0}:2\"\n",
@@ -289,38 +340,39 @@
          [[deployment.teams]]\nname = \"blue\"\ncpus = 8.0\ncpus_max = {team_limit}\n\
          [deployment.workers]\nreport_s = 1.5\nlease_s = 10.0\ncancel_s = 35.0\n\
          [deployment.state]\nrps = 300.0\nwrite_rps = 120.0\nvalue_kb = 16.0\ntxn_ops = 12\n\
-         [deployment.state.next]\nwrite_rps = {NEXT_RATE}\nvalue_kb = {NEXT_KB}\ntxn_ops = {NEXT_OPS}\n\
+         [deployment.state.next]\nwrite_rps = {REDUCED_WRITE_RPS}\nvalue_kb = {REDUCED_VALUE_KB}\ntxn_ops = {REDUCED_TXN_OPS}\n\
          [deployment.cloud]\nrps = 6.0\nlist_lag_s = 3.0\n\
          [deployment.limits]\ncore_share = 0.2\nmem_mb = 100.0\nsockets = 1000\n"
     );
-    Settings::parse(&text).expect("the world's settings are sound")
+    Settings::parse(&text).expect("the simulation's settings are valid")
 }
 
 impl Simulation {
+    /// A simulation with the default limits and `jobs` random users. Random faults end at `faults_end_at`.
     pub fn new(
         seed: u64,
-        conditions: NetworkConditions,
+        conditions: SimulationConditions,
         safeguards: DisabledSafeguards,
         jobs: usize,
-        quiet_at: u64,
+        faults_end_at: u64,
     ) -> Simulation {
         Simulation::sized(
             seed,
             conditions,
             safeguards,
             jobs,
-            quiet_at,
+            faults_end_at,
             (TEAM_LIMIT, 3),
         )
     }
 
-    /// With so many CPUs for each team, and so many machines in each pool.
+    /// A simulation with a CPU limit per team and a maximum number of machines per pool.
     pub fn sized(
         seed: u64,
-        conditions: NetworkConditions,
+        conditions: SimulationConditions,
         safeguards: DisabledSafeguards,
         jobs: usize,
-        quiet_at: u64,
+        faults_end_at: u64,
         (team_limit, pool): (f64, usize),
     ) -> Simulation {
         let mut simulation = Simulation {
@@ -328,59 +380,59 @@
             rng: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            order: 0,
+            next_order: 0,
             nodes: Vec::new(),
-            state: StateService::new(safeguards.no_conditions),
+            kv_store: KvStore::new(safeguards.ignore_txn_conditions),
             cloud: Cloud::new(pool),
-            expired: 0,
+            expired_on_released: 0,
             team_limit,
             workers: BTreeMap::new(),
             users: Vec::new(),
-            bookers: Vec::new(),
-            runners: Vec::new(),
-            keepers: Vec::new(),
+            calendar_clients: Vec::new(),
+            run_clients: Vec::new(),
+            graph_clients: Vec::new(),
             operators: Vec::new(),
             budget: Budget::default(),
-            disrupted: draining::Disrupted::default(),
-            by_name: HashMap::new(),
-            touched: false,
-            checked: 0,
-            kill_after: None,
-            bad_jobs: BTreeSet::new(),
-            endless: BTreeSet::new(),
-            seen: booking::Seen::default(),
-            run_ms: 3_000,
-            empty_after: None,
-            asked: BTreeMap::new(),
-            next_conn: 0,
+            disruptions: drains::Disruptions::default(),
+            user_of_job: HashMap::new(),
+            rules_check_due: false,
+            last_check_at: 0,
+            crash_after_writes: None,
+            failing_jobs: BTreeSet::new(),
+            endless_jobs: BTreeSet::new(),
+            running_at_last_check: calendar::RunningTasks::default(),
+            task_run_ms: 3_000,
+            zone_empty_after_ms: None,
+            pending: BTreeMap::new(),
+            next_connection: 0,
             conditions,
             safeguards,
-            finished: BTreeMap::new(),
-            broken: Vec::new(),
-            starts: 0,
+            completed_tasks: BTreeMap::new(),
+            violations: Vec::new(),
+            task_starts: 0,
             starts_after_cancel: 0,
-            latest_start: 0,
-            dangling: 0,
+            latest_start_after_cancel_ms: 0,
+            refused_unknown_dependencies: 0,
             contradictions: Vec::new(),
-            odd_refused: 0,
-            refused: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            mute: BTreeSet::new(),
-            cut: None,
-            outage: false,
+            refused_invalid_requests: 0,
+            kv_refused: BTreeSet::new(),
+            unreachable_by_workers: BTreeSet::new(),
+            isolated_from_peers: BTreeSet::new(),
+            isolated_zone: None,
+            kv_outage: false,
             injected: faults::InjectedFaults::default(),
-            waits: waits::Waits::default(),
-            spread_ms: 0,
-            quiet_at,
-            back_ms: None,
-            digest: digest::OutputDigest::default(),
+            starvation: starvation::StarvationTracker::default(),
+            task_spread_ms: 0,
+            faults_end_at,
+            restart_delay_ms: None,
+            digest: output_digest::OutputDigest::default(),
         };
         for i in 0..NODES {
-            simulation.nodes.push(Node {
+            simulation.nodes.push(ControllerNode {
                 controller: None,
-                life: 0,
-                started: 0,
-                old: conditions.roll,
+                incarnation: 0,
+                started_at: 0,
+                previous_version: conditions.rolling_update,
             });
             simulation.restart(i);
         }
@@ -388,31 +440,32 @@
             let user = simulation.draw_user(u);
             let at = user.submit_at;
             simulation.users.push(user);
-            simulation.at(at, Event::UserNext(u));
+            simulation.schedule_at(at, Event::UserStep(u));
         }
         simulation.draw_faults();
         simulation
     }
 
-    fn at(&mut self, time: u64, event: Event) {
-        self.order += 1;
+    fn schedule_at(&mut self, time: u64, event: Event) {
+        self.next_order += 1;
         self.events.push(Some(event));
         let slot = self.events.len() - 1;
         self.queue
-            .push(Reverse((time.max(self.now), self.order, slot)));
+            .push(Reverse((time.max(self.now), self.next_order, slot)));
     }
 
-    fn after(&mut self, ms: u64, event: Event) {
-        self.at(self.now + ms, event);
+    fn schedule_after(&mut self, ms: u64, event: Event) {
+        self.schedule_at(self.now + ms, event);
     }
 
-    fn hop(&mut self) -> u64 {
+    fn network_delay_ms(&mut self) -> u64 {
         self.rng.random_range(1..6)
     }
 
+    /// Processes all events up to `until`, or up to the first rule violation.
     pub fn run(&mut self, until: u64) {
         while let Some(Reverse((time, _, slot))) = self.queue.peek().copied() {
-            if time > until || !self.broken.is_empty() {
+            if time > until || !self.violations.is_empty() {
                 return;
             }
             self.queue.pop();
@@ -420,11 +473,11 @@
             if let Some(event) = self.events[slot].take() {
                 self.handle(event);
             }
-            // Most events are ticks and messages that change nothing that runs.
-            if self.touched || self.now >= self.checked + CHECK_MS {
-                self.touched = false;
-                self.checked = self.now;
-                self.check();
+            // Most events are ticks and messages that change no running task.
+            if self.rules_check_due || self.now >= self.last_check_at + CHECK_INTERVAL_MS {
+                self.rules_check_due = false;
+                self.last_check_at = self.now;
+                self.check_rules();
             }
         }
     }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/output_digest.rs
@@ -1,12 +1,12 @@
-//! A digest of everything that the controllers send, to show that a change of the sources left their behaviour alone.
+//! Digest of all outputs of the controllers. Equal digests show that a change of the sources left the
+//! behaviour unchanged.
 
 use snowshelf::effects::{Effect, Method, Target};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Hashes the controllers' outputs in the order in which they are sent, each with its time and its sender.
-///
-/// The standard library's hasher has fixed keys, so that equal runs have equal digests in every process.
+/// Hashes the outputs of the controllers in the order in which they are sent, each with its time and sender.
+/// The standard library's hasher has fixed keys, so equal runs have equal digests in every process.
 #[derive(Clone, Default)]
 pub struct OutputDigest {
     hasher: DefaultHasher,
@@ -14,14 +14,14 @@
 }
 
 impl OutputDigest {
-    /// Adds one output, which `node` sends at `now`.
+    /// Adds one output, sent by `node` at `now`.
     pub fn add(&mut self, now: u64, node: usize, output: &Effect) {
         self.outputs += 1;
         (now, node).hash(&mut self.hasher);
         match output {
             Effect::Respond(conn, response) => {
-                let answer = (response.status, &response.body, response.retry_after_s);
-                ("respond", conn.0, answer).hash(&mut self.hasher);
+                let parts = (response.status, &response.body, response.retry_after_s);
+                ("respond", conn.0, parts).hash(&mut self.hasher);
             }
             Effect::Call {
                 id,
@@ -42,12 +42,12 @@
                 };
                 ("call", id.0, target, method, path, body, timeout_ms).hash(&mut self.hasher);
             }
-            Effect::PeerStatus(member, hint) => {
-                let bytes = prost::Message::encode_to_vec(hint);
+            Effect::PeerStatus(member, status) => {
+                let bytes = prost::Message::encode_to_vec(status);
                 ("status", member.as_str(), bytes).hash(&mut self.hasher);
             }
-            Effect::PeerMessage(member, proof) => {
-                let bytes = prost::Message::encode_to_vec(proof);
+            Effect::PeerMessage(member, peer_message) => {
+                let bytes = prost::Message::encode_to_vec(peer_message);
                 ("message", member.as_str(), bytes).hash(&mut self.hasher);
             }
         }
--- a/crates/simulation/src/frozen.rs
+++ b/crates/simulation/src/previous_formats.rs
@@ -1,5 +1,5 @@
-//! The record formats of the version that ran before pipelines, frozen: what is written before the
-//! switch must be read by it, and written again by it, without loss. Never changed again.
+//! Record formats of the version before job dependencies, which must not be changed. Until the switch of
+//! formats that version must be able to read and rewrite all records without loss.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -14,20 +14,20 @@
 }
 
 #[derive(Serialize, Deserialize)]
-enum Kind {
+enum JobKind {
     Batch,
     Standing,
 }
 
 #[derive(Serialize, Deserialize)]
-enum State {
+enum JobState {
     Open,
     Done,
     Cancelled,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Room {
+struct Resources {
     cpus: f64,
     gpus: f64,
     mem: f64,
@@ -37,10 +37,10 @@
 struct Spec {
     class: String,
     team: String,
-    kind: Kind,
+    kind: JobKind,
     priority: Priority,
     tasks: u32,
-    room: Room,
+    room: Resources,
     image: String,
     pull_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -63,7 +63,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct Job {
-    state: State,
+    state: JobState,
     tasks: u32,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     parts: Vec<u32>,
@@ -72,47 +72,47 @@
     spec: Option<Spec>,
 }
 
-type Spans = Vec<(u32, u32, u32)>;
+type TaskRanges = Vec<(u32, u32, u32)>;
 
 #[derive(Serialize, Deserialize)]
-struct Share {
+struct ShardAllocation {
     #[serde(default, rename = "w", skip_serializing_if = "Vec::is_empty")]
-    waiting: Spans,
+    waiting: TaskRanges,
     #[serde(default, rename = "s", skip_serializing_if = "BTreeMap::is_empty")]
-    started: BTreeMap<String, Spans>,
+    started: BTreeMap<String, TaskRanges>,
     #[serde(default, rename = "f", skip_serializing_if = "Vec::is_empty")]
-    finished: Spans,
+    finished: TaskRanges,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Owner {
+struct LeaseHolder {
     owner: String,
     lease: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Grant {
+struct QuotaGrant {
     cpus: f64,
     gpus: f64,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Quota {
-    grants: BTreeMap<u32, Grant>,
+    grants: BTreeMap<u32, QuotaGrant>,
 }
 
-fn again<T: Serialize + for<'a> Deserialize<'a>>(value: &Value) -> Option<Value> {
+fn rewrite<T: Serialize + for<'a> Deserialize<'a>>(value: &Value) -> Option<Value> {
     serde_json::to_value(T::deserialize(value).ok()?).ok()
 }
 
-/// Whether the earlier version reads this record and would write the same. Keys that it does not
-/// know it leaves alone.
-pub fn survives(key: &str, value: &Value) -> bool {
+/// Whether the previous version reads the record and would write the same value. Records under other keys are
+/// never rewritten by it.
+pub fn round_trips(key: &str, value: &Value) -> bool {
     let rewritten = match key.split('/').next().unwrap_or("") {
-        "job" => again::<Job>(value),
-        "alloc" => again::<Share>(value),
-        "part" | "leader" => again::<Owner>(value),
-        "quota" => again::<Quota>(value),
+        "job" => rewrite::<Job>(value),
+        "alloc" => rewrite::<ShardAllocation>(value),
+        "part" | "leader" => rewrite::<LeaseHolder>(value),
+        "quota" => rewrite::<Quota>(value),
         _ => return true,
     };
     rewritten.as_ref() == Some(value)
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -3,20 +3,20 @@
 
 use serde_json::json;
 use snowshelf_drain::budget::Budget;
-use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
+use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 use std::collections::BTreeSet;
 
-const CALM: NetworkConditions = NetworkConditions {
+const CALM: SimulationConditions = SimulationConditions {
     drains: true,
-    ..NetworkConditions::CALM
+    ..SimulationConditions::FAULT_FREE
 };
 
 /// By how much the cloud's list lags, as the controllers' settings in the world say.
 const LIST_LAG_MS: u64 = 3_000;
 
-const STORM: NetworkConditions = NetworkConditions {
+const STORM: SimulationConditions = SimulationConditions {
     drains: true,
-    ..NetworkConditions::STORM
+    ..SimulationConditions::FAULTY
 };
 
 const TIGHT: Budget = Budget {
@@ -31,7 +31,7 @@
 
 /// A world with so many machines of each of its four pools at the most, a team's limit to match, and
 /// jobs that come all the time and take `run_ms`.
-fn busy(seed: u64, conditions: NetworkConditions, pool: usize, run_ms: u64) -> Simulation {
+fn busy(seed: u64, conditions: SimulationConditions, pool: usize, run_ms: u64) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
@@ -45,9 +45,9 @@
         (limit, pool),
     );
     simulation.budget = TIGHT;
-    simulation.cloud.page = 500;
-    simulation.run_ms = run_ms;
-    (0..NODES).for_each(|node| simulation.again(node));
+    simulation.cloud.page_size = 500;
+    simulation.task_run_ms = run_ms;
+    (0..NODES).for_each(|node| simulation.restart_controller(node));
     for i in 0..(6 * pool as u64) {
         let team = if i % 2 == 0 { "red" } else { "blue" };
         let spec = json!({"Cuadrilla": team, "Tarefas": 8, "Cpus": 2.0, "PrevisaoS": run_ms as f64 / 1000.0,
@@ -64,14 +64,14 @@
 /// Names of the machines that were up when a drain was asked for and still are.
 fn old(simulation: &Simulation, before: u64) -> Vec<String> {
     let machines = simulation.cloud.machines.iter();
-    let old = machines.filter(|(_, m)| m.at < before);
+    let old = machines.filter(|(_, m)| m.rented_at < before);
     old.map(|(name, _)| name.clone()).collect()
 }
 
 /// Plays a replacement of all machines asked for at 40 s, with whatever `fault` adds to it; when it was over.
 fn replaced(
     seed: u64,
-    conditions: NetworkConditions,
+    conditions: SimulationConditions,
     fault: impl FnOnce(&mut Simulation),
 ) -> (Simulation, Option<u64>) {
     let mut simulation = busy(seed, conditions, 6, 15_000);
@@ -79,7 +79,7 @@
     fault(&mut simulation);
     simulation.run(40_000);
     let mut over = None;
-    while simulation.now < 500_000 && over.is_none() && simulation.broken.is_empty() {
+    while simulation.now < 500_000 && over.is_none() && simulation.violations.is_empty() {
         let until = simulation.now + 1_000;
         simulation.run(until);
         simulation.now = simulation.now.max(until);
@@ -91,13 +91,13 @@
 
 #[track_caller]
 fn assert_replaced(seed: u64, simulation: &Simulation, over: Option<u64>) {
-    simulation.assert_sound(seed);
+    simulation.assert_rules_held(seed);
     let drain = &simulation.operators[0];
     assert!(
         over.is_some(),
         "seed {seed}: {:?} {}",
-        drain.told,
-        drain.shown
+        drain.outcome,
+        drain.last_response
     );
     // What was rented a moment before the drain was asked for may be listed as younger.
     assert_eq!(old(simulation, 37_000), Vec::<String>::new(), "seed {seed}");
@@ -119,13 +119,16 @@
         assert_replaced(seed, &simulation, Some(0));
         assert_eq!(simulation.operators[drain].state(), "done");
         // None is emptied twice, though the list shows it for a while after it is gone.
-        let emptied = simulation.operators[drain].shown["emptied"].as_u64();
+        let emptied = simulation.operators[drain].last_response["emptied"].as_u64();
         assert!(
             emptied.is_some_and(|n| n <= before as u64),
             "{emptied:?} of {before}"
         );
         // Tasks ran longer than they were waited for, and the budget was used and not passed.
-        let (stops, away) = (simulation.disrupted.stops(), simulation.disrupted.most_away);
+        let (stops, away) = (
+            simulation.disruptions.stops(),
+            simulation.disruptions.most_disrupted_cpus,
+        );
         assert!(stops >= 20 && away >= TIGHT.cpus / 2.0, "{stops} {away}");
     }
 }
@@ -137,17 +140,17 @@
     for seed in 1..=24 {
         let (simulation, over) = replaced(seed, STORM, |simulation| {
             if seed % 3 == 0 {
-                simulation.loops_at(50_000, 80_000, 1_500);
+                simulation.crash_loop_at(50_000, 80_000, 1_500);
             }
             if seed % 3 == 2 {
                 // An owner that still believes to own its part, and the leader among them.
                 for i in 0..3 {
                     let from = 48_000 + 20_000 * i + 700 * seed;
-                    simulation.away_at(from, from + 9_000, ((seed + i) % 3) as usize);
+                    simulation.isolate_controller_at(from, from + 9_000, ((seed + i) % 3) as usize);
                 }
             }
             if seed % 3 == 1 {
-                simulation.cut_at(55_000, 65_000 + 1_000 * seed, "a");
+                simulation.isolate_zone_at(55_000, 65_000 + 1_000 * seed, "a");
             }
         });
         // New machines are sick in storms: a drain may have halted for that, with its evidence.
@@ -155,9 +158,9 @@
         assert!(
             over.is_some() || halted,
             "seed {seed}: {}",
-            simulation.operators[0].shown
+            simulation.operators[0].last_response
         );
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -170,7 +173,7 @@
         let mut simulation = busy(seed, CALM, 4, 12_000);
         simulation.add_drain(40_000, replace_all());
         simulation.run(41_000 + 700 * (writes % 12));
-        simulation.kill_after = Some(writes);
+        simulation.crash_after_writes = Some(writes);
         simulation.run(500_000);
         let done = simulation.operators[0].state() == "done";
         assert_replaced(seed, &simulation, done.then_some(0));
@@ -185,7 +188,7 @@
                 simulation.crash_at(52_000 + 900 * seed, node);
                 simulation.crash_at(75_000 + 900 * seed + 300 * node as u64, node);
             }
-            simulation.outage_at(90_000, 98_000);
+            simulation.kv_outage_at(90_000, 98_000);
         });
         assert_replaced(seed, &simulation, over);
     }
@@ -197,7 +200,7 @@
     for seed in 1..=6 {
         let (simulation, over) = replaced(seed, CALM, |simulation| {
             for i in 0..12 {
-                simulation.die_at(60_000 + 100 * i, &format!("n-{:06}", 1 + 2 * i));
+                simulation.fail_machine_at(60_000 + 100 * i, &format!("n-{:06}", 1 + 2 * i));
             }
         });
         assert_replaced(seed, &simulation, over);
@@ -212,7 +215,7 @@
         let (simulation, over) = replaced(seed, CALM, |simulation| {
             for i in 0..14 {
                 let at = 56_000 + 1_500 * i;
-                simulation.notice_at(at, &format!("n-{:06}", 1 + 2 * i), 6_000);
+                simulation.interrupt_machine_at(at, &format!("n-{:06}", 1 + 2 * i), 6_000);
             }
         });
         assert_replaced(seed, &simulation, over);
@@ -236,25 +239,25 @@
         let lowered = simulation.set_budget(58_000, "red", nothing);
         simulation.run(75_000);
         assert!(
-            matches!(simulation.operators[lowered].told, Some((200, _))),
+            matches!(simulation.operators[lowered].outcome, Some((200, _))),
             "seed {seed}"
         );
         let mut told = false;
         for at in (75_000..110_000).step_by(1_000) {
             simulation.run(at);
-            let shown = simulation.operators[drain].shown.to_string();
+            let shown = simulation.operators[drain].last_response.to_string();
             told |= shown.contains("red: as much of its work is away as may be");
         }
         // Whichever controller is asked says what holds it back.
         assert_eq!(
-            simulation.disrupted.stops_since(75_000, "red"),
+            simulation.disruptions.stops_since(75_000, "red"),
             0,
             "seed {seed}"
         );
         held += usize::from(told);
         simulation.set_budget(110_000, "red", TIGHT);
         simulation.run(600_000);
-        later += simulation.disrupted.stops_since(110_000, "red");
+        later += simulation.disruptions.stops_since(110_000, "red");
         let done = simulation.operators[drain].state() == "done";
         assert_replaced(seed, &simulation, done.then_some(0));
     }
@@ -277,7 +280,7 @@
             simulation.operators[drain].state(),
             "done",
             "{}",
-            simulation.operators[drain].shown
+            simulation.operators[drain].last_response
         );
         for at in (110_000..125_000).step_by(500) {
             simulation.run(at);
@@ -287,9 +290,12 @@
                     .all(|w| w.is_some_and(|w| w.tasks.is_empty()))
             );
         }
-        let cancel = simulation.tell_drain(125_000, "repair", "cancel");
+        let cancel = simulation.command_drain(125_000, "repair", "cancel");
         simulation.run(150_000);
-        assert!(matches!(simulation.operators[cancel].told, Some((200, _))));
+        assert!(matches!(
+            simulation.operators[cancel].outcome,
+            Some((200, _))
+        ));
         let used = names.iter().filter(|n| {
             simulation
                 .workers
@@ -298,7 +304,7 @@
         });
         assert!(used.count() > 0);
         simulation.run(500_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -309,16 +315,16 @@
     for (late, state) in [("give_up", "given_up"), ("force", "done")] {
         let mut simulation = busy(3, CALM, 4, 200_000);
         simulation.budget.cpus = 0.0;
-        (0..NODES).for_each(|node| simulation.again(node));
+        (0..NODES).for_each(|node| simulation.restart_controller(node));
         let by = snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(
-            snowshelf_simulation::booking::BEGAN + 90_000,
+            snowshelf_simulation::calendar::WALL_CLOCK_START_MS + 90_000,
         ));
         let mut body = replace_all();
         body["by"] = json!(by);
         body["late"] = json!(late);
         let drain = simulation.add_drain(40_000, body);
         simulation.run(89_000);
-        assert_eq!(simulation.disrupted.stops(), 0);
+        assert_eq!(simulation.disruptions.stops(), 0);
         // From here on the checker would count the breach that was asked for.
         simulation.budget = Budget {
             cpus: 1e6,
@@ -332,14 +338,14 @@
             simulation.operators[drain].state(),
             state,
             "{}",
-            simulation.operators[drain].shown
+            simulation.operators[drain].last_response
         );
         let breach = simulation
-            .state
+            .kv_store
             .value("disrupt/red")
             .map_or(0.0, |v| v["x"].as_f64().unwrap_or(0.0));
         assert_eq!(breach > 0.0, late == "force", "{breach}");
-        assert_eq!(simulation.broken, Vec::<String>::new());
+        assert_eq!(simulation.violations, Vec::<String>::new());
     }
 }
 
@@ -352,7 +358,7 @@
         simulation.add_user(1_000, spec);
         let service = simulation.users.len() - 1;
         simulation
-            .endless
+            .endless_jobs
             .insert(simulation.users[service].job.clone());
         let job = format!("{}/", simulation.users[service].job);
         let drain = simulation.add_drain(40_000, replace_all());
@@ -363,12 +369,12 @@
             let up = tasks.filter(|t| t.name.starts_with(&job) && t.state == "running");
             fewest = fewest.min(up.count());
         }
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
             simulation.operators[drain].state(),
             "done",
             "{}",
-            simulation.operators[drain].shown
+            simulation.operators[drain].last_response
         );
         assert!(fewest == 6, "seed {seed}: {fewest}");
     }
@@ -382,8 +388,11 @@
     simulation.run(40_000);
     simulation.budget.cpus = TIGHT.cpus / 2.0;
     simulation.run(200_000);
-    let found = simulation.broken.iter().any(|b| b.starts_with("budget: "));
-    assert!(found, "{:?}", simulation.broken);
+    let found = simulation
+        .violations
+        .iter()
+        .any(|b| b.starts_with("budget: "));
+    assert!(found, "{:?}", simulation.violations);
 }
 
 /// Fifty drains at once, by zone, by kind, by name and of all, some paused, resumed or cancelled on the way, while
@@ -391,7 +400,7 @@
 #[test]
 fn many_drains_and_windows_go_together() {
     for seed in 1..=6 {
-        let conditions = NetworkConditions {
+        let conditions = SimulationConditions {
             calendar: true,
             ..CALM
         };
@@ -419,21 +428,21 @@
             simulation.add_drain(at, body);
             match i % 7 {
                 0 => {
-                    simulation.tell_drain(at + 9_000, &name, "pause");
-                    simulation.tell_drain(at + 25_000, &name, "resume");
+                    simulation.command_drain(at + 9_000, &name, "pause");
+                    simulation.command_drain(at + 25_000, &name, "resume");
                 }
                 1 => {
-                    simulation.tell_drain(at + 12_000, &name, "cancel");
+                    simulation.command_drain(at + 12_000, &name, "cancel");
                 }
                 _ => {}
             }
         }
         simulation.crash_at(80_000, (seed % 3) as usize);
         simulation.run(700_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
         let drains = simulation.operators.iter().filter(|o| o.is_drain());
         let open: Vec<&str> = drains
-            .map(snowshelf_simulation::draining::Operator::state)
+            .map(snowshelf_simulation::drains::Operator::state)
             .filter(|s| !matches!(*s, "done" | "cancelled"))
             .collect();
         assert!(open.is_empty(), "seed {seed}: {open:?}");
@@ -451,7 +460,7 @@
         stretch_tasks: 150,
         ..TIGHT
     };
-    (0..NODES).for_each(|node| simulation.again(node));
+    (0..NODES).for_each(|node| simulation.restart_controller(node));
     let mut body = replace_all();
     body["at_once"] = json!(30);
     body["any_zone"] = json!(true);
@@ -459,17 +468,17 @@
     for i in 0..6 {
         simulation.crash_at(50_000 + 9_000 * i, (i % 2) as usize);
     }
-    simulation.cut_at(70_000, 79_000, "b");
+    simulation.isolate_zone_at(70_000, 79_000, "b");
     simulation.run(40_000);
     let before = old(&simulation, 40_000).len();
     simulation.run(400_000);
-    simulation.assert_sound(7);
+    simulation.assert_rules_held(7);
     assert!(before >= 120, "{before}");
     assert_eq!(
         simulation.operators[drain].state(),
         "done",
         "{}",
-        simulation.operators[drain].shown
+        simulation.operators[drain].last_response
     );
     assert_eq!(old(&simulation, 37_000), Vec::<String>::new());
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,9 +4,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
-use snowshelf_simulation::fault_combinations::{FaultSchedule, OVER_MS, shifted};
+use snowshelf_simulation::fault_combinations::{FAULTS_END_MS, FaultSchedule, shift_schedule};
 use snowshelf_simulation::faults::Fault::*;
-use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
+use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 
 /// All users must have heard the end by then.
 const END_MS: u64 = 420_000;
@@ -31,7 +31,7 @@
     let n = add(simulation, at, spec);
     simulation.users[n].cancel_at = Some(cancel_at);
     let job = simulation.users[n].job.clone();
-    simulation.endless.insert(job);
+    simulation.endless_jobs.insert(job);
     n
 }
 
@@ -49,15 +49,21 @@
     schedule: &FaultSchedule,
 ) -> Simulation {
     let size = (site.limit, site.pool);
-    let mut simulation =
-        Simulation::sized(seed, NetworkConditions::CALM, safeguards, 0, OVER_MS, size);
-    simulation.run_ms = [4_000, 9_000, 20_000][seed as usize % 3];
+    let mut simulation = Simulation::sized(
+        seed,
+        SimulationConditions::FAULT_FREE,
+        safeguards,
+        0,
+        FAULTS_END_MS,
+        size,
+    );
+    simulation.task_run_ms = [4_000, 9_000, 20_000][seed as usize % 3];
     (site.jobs)(
         &mut simulation,
         &mut StdRng::seed_from_u64(seed ^ 0x6c69_6d69),
     );
     for (at, for_ms, fault) in schedule {
-        simulation.bring(*at, *for_ms, *fault);
+        simulation.inject(*at, *for_ms, *fault);
     }
     simulation
 }
@@ -83,12 +89,12 @@
                 seed,
                 DisabledSafeguards::default(),
                 site,
-                &shifted(seed, schedule(seed as usize % NODES)),
+                &shift_schedule(seed, schedule(seed as usize % NODES)),
             );
             simulation.run(END_MS);
-            let open = simulation.users.len() - simulation.settled();
-            let sound = simulation.broken.is_empty() && open == 0;
-            (!sound).then(|| format!("seed {seed}: {:?}, {open} open", simulation.broken))
+            let open = simulation.users.len() - simulation.settled_jobs();
+            let sound = simulation.violations.is_empty() && open == 0;
+            (!sound).then(|| format!("seed {seed}: {:?}, {open} open", simulation.violations))
         })
         .collect();
     assert!(failed.is_empty(), "{failed:#?}");
@@ -102,10 +108,10 @@
     seed: u64,
     schedule: impl Fn(usize) -> FaultSchedule,
 ) -> bool {
-    let schedule = shifted(seed, schedule(seed as usize % NODES));
+    let schedule = shift_schedule(seed, schedule(seed as usize % NODES));
     let mut simulation = play(seed, safeguards, site, &schedule);
-    simulation.run(OVER_MS + 120_000);
-    simulation.broken.iter().any(|b| b.starts_with(rule))
+    simulation.run(FAULTS_END_MS + 120_000);
+    simulation.violations.iter().any(|b| b.starts_with(rule))
 }
 
 /// Both teams at their limits all the time: jobs without end that are called off one after the other, and more that
@@ -134,18 +140,18 @@
 fn teams_at_their_limits_while_machines_are_cut_off_and_the_leader_changes() {
     let mut simulation = play(0, DisabledSafeguards::default(), &FULL, &Vec::new());
     simulation.run(24_000);
-    let used = TEAMS.map(|team| simulation.used_by(team));
+    let used = TEAMS.map(|team| simulation.team_cpus_in_use(team));
     assert!(
         used.iter().all(|used| *used >= FULL.limit - 2.0),
         "{used:?}"
     );
     holds(&FULL, |node| {
         vec![
-            (27_000, 22_000, Cut("a")),
+            (27_000, 22_000, ZoneIsolation("a")),
             (31_000, 0, Crash(node)),
             (36_000, 0, Crash((node + 1) % NODES)),
-            (64_000, 30_000, Cut("b")),
-            (68_000, 9_000, Refused(node)),
+            (64_000, 30_000, ZoneIsolation("b")),
+            (68_000, 9_000, KvRefusal(node)),
             (76_000, 0, CrashAll(500)),
         ]
     });
@@ -156,11 +162,11 @@
 fn teams_at_their_limits_while_machines_do_not_hear_and_the_leader_changes() {
     holds(&FULL, |node| {
         vec![
-            (28_000, 25_000, DeafMachines(0.6)),
+            (28_000, 25_000, LostHeartbeatResponses(0.6)),
             (30_000, 0, Crash(node)),
-            (66_000, 9_000, DeafMachines(0.8)),
-            (68_000, 12_000, Deaf(node)),
-            (73_000, 7_000, DeafMachines(0.8)),
+            (66_000, 9_000, LostHeartbeatResponses(0.8)),
+            (68_000, 12_000, WorkerIsolation(node)),
+            (73_000, 7_000, LostHeartbeatResponses(0.8)),
             (75_000, 20_000, LateWrites(0.4)),
         ]
     });
@@ -171,13 +177,13 @@
 fn teams_at_their_limits_while_cancelled_jobs_machines_hang_and_the_leader_changes() {
     holds(&FULL, |node| {
         vec![
-            (26_000, 0, CancelNow(5, 9_000)),
+            (26_000, 0, MassCancellation(5, 9_000)),
             (28_000, 0, Crash(node)),
-            (40_000, 0, CancelNow(4, 30_000)),
-            (44_000, 9_000, Refused((node + 1) % NODES)),
-            (64_000, 0, CancelNow(6, 12_000)),
+            (40_000, 0, MassCancellation(4, 30_000)),
+            (44_000, 9_000, KvRefusal((node + 1) % NODES)),
+            (64_000, 0, MassCancellation(6, 12_000)),
             (64_500, 0, CrashAll(1_000)),
-            (67_000, 20_000, Cut("b")),
+            (67_000, 20_000, ZoneIsolation("b")),
         ]
     });
 }
@@ -187,14 +193,14 @@
 fn teams_at_their_limits_while_machines_cannot_be_asked_and_the_leader_changes() {
     holds(&FULL, |node| {
         vec![
-            (24_000, 8_000, MuteMachines(0.7)),
-            (25_000, 0, CancelNow(5, 0)),
+            (24_000, 8_000, LostHeartbeats(0.7)),
+            (25_000, 0, MassCancellation(5, 0)),
             (26_000, 0, Crash(node)),
-            (44_000, 25_000, MuteMachines(0.5)),
-            (47_000, 0, CancelNow(4, 5_000)),
-            (49_000, 12_000, Deaf((node + 1) % NODES)),
-            (80_000, 9_500, MuteMachines(0.9)),
-            (82_000, 0, CancelNow(6, 0)),
+            (44_000, 25_000, LostHeartbeats(0.5)),
+            (47_000, 0, MassCancellation(4, 5_000)),
+            (49_000, 12_000, WorkerIsolation((node + 1) % NODES)),
+            (80_000, 9_500, LostHeartbeats(0.9)),
+            (82_000, 0, MassCancellation(6, 0)),
             (84_000, 0, CrashAll(3_000)),
             (85_000, 20_000, LateWrites(0.4)),
         ]
@@ -240,12 +246,12 @@
 fn jobs_are_cancelled_while_work_changes_hands() {
     holds(&CALLED_OFF, |node| {
         vec![
-            (29_000, 12_000, Deaf(node)),
+            (29_000, 12_000, WorkerIsolation(node)),
             (30_000, 25_000, LateWrites(0.2)),
-            (36_000, 0, CancelNow(6, 0)),
-            (74_000, 10_000, Refused(node)),
-            (80_000, 12_000, Deaf((node + 1) % NODES)),
-            (86_000, 0, CancelNow(6, 0)),
+            (36_000, 0, MassCancellation(6, 0)),
+            (74_000, 10_000, KvRefusal(node)),
+            (80_000, 12_000, WorkerIsolation((node + 1) % NODES)),
+            (86_000, 0, MassCancellation(6, 0)),
         ]
     });
 }
@@ -255,11 +261,11 @@
 fn jobs_are_cancelled_while_work_changes_hands_twice() {
     holds(&CALLED_OFF, |node| {
         vec![
-            (30_000, 8_000, Apart(node)),
+            (30_000, 8_000, KvAndPeerIsolation(node)),
             (36_000, 0, Crash((node + 1) % NODES)),
-            (37_000, 20_000, HeldAnswers(0.4)),
-            (38_500, 0, CancelNow(6, 2_000)),
-            (76_000, 9_000, Deaf(node)),
+            (37_000, 20_000, DelayedHeartbeatResponses(0.4)),
+            (38_500, 0, MassCancellation(6, 2_000)),
+            (76_000, 9_000, WorkerIsolation(node)),
             (81_000, 0, Crash(node)),
             (83_000, 0, Crash((node + 2) % NODES)),
         ]
@@ -295,15 +301,15 @@
 fn bound_jobs_lose_machines() {
     holds(&BOUND, |node| {
         vec![
-            (20_000, 1, DyingMachines(0.3)),
-            (26_000, 9_000, Cut("a")),
-            (40_000, 20_000, Cut("b")),
+            (20_000, 1, MachineFailures(0.3)),
+            (26_000, 9_000, ZoneIsolation("a")),
+            (40_000, 20_000, ZoneIsolation("b")),
             (43_000, 0, Crash(node)),
-            (66_000, 1, DyingMachines(0.5)),
-            (70_000, 14_000, DeafMachines(0.6)),
+            (66_000, 1, MachineFailures(0.5)),
+            (70_000, 14_000, LostHeartbeatResponses(0.6)),
             (72_000, 0, CrashAll(2_000)),
-            (95_000, 15_000, MuteMachines(0.6)),
-            (99_000, 12_000, Deaf(node)),
+            (95_000, 15_000, LostHeartbeats(0.6)),
+            (99_000, 12_000, WorkerIsolation(node)),
         ]
     });
 }
@@ -314,11 +320,11 @@
     holds(&BOUND, |node| {
         vec![
             (15_000, 40_000, LateWrites(0.3)),
-            (24_000, 1, DyingMachines(0.4)),
-            (30_000, 12_000, Deaf(node)),
-            (58_000, 25_000, Cut("a")),
-            (64_000, 8_000, Refused((node + 1) % NODES)),
-            (80_000, 1, DyingMachines(0.5)),
+            (24_000, 1, MachineFailures(0.4)),
+            (30_000, 12_000, WorkerIsolation(node)),
+            (58_000, 25_000, ZoneIsolation("a")),
+            (64_000, 8_000, KvRefusal((node + 1) % NODES)),
+            (80_000, 1, MachineFailures(0.5)),
             (95_000, 16_000, HungMachines(0.6)),
             (98_000, 0, Crash(node)),
         ]
@@ -348,15 +354,15 @@
 fn new_machines_get_work_at_once_while_writes_are_late_and_the_leader_ends() {
     holds(&BURSTS, |node| {
         vec![
-            (1_000, 110_000, QuickBoots),
+            (1_000, 110_000, FastBoots),
             (2_000, 30_000, LateWrites(0.4)),
             (4_000, 0, Crash(node)),
             (8_000, 0, Crash((node + 1) % NODES)),
-            (33_000, 1, DyingMachines(0.9)),
+            (33_000, 1, MachineFailures(0.9)),
             (35_000, 25_000, LateWrites(0.5)),
             (39_000, 0, CrashAll(1_500)),
-            (69_000, 1, DyingMachines(0.9)),
-            (71_000, 30_000, Slow(1_500)),
+            (69_000, 1, MachineFailures(0.9)),
+            (71_000, 30_000, SlowKv(1_500)),
             (76_000, 0, Crash((node + 2) % NODES)),
         ]
     });
@@ -367,7 +373,7 @@
     limit: 24.0,
     pool: 3,
     jobs: |simulation, rng| {
-        simulation.run_ms = 1_500;
+        simulation.task_run_ms = 1_500;
         for n in 0..720u64 {
             let at = 10_000 + 250 * n;
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Avulsas": true, "Cpus": 1});
@@ -391,18 +397,18 @@
     for (seed, schedule) in [(0, Vec::new()), (1, crashes)] {
         let mut simulation = play(seed, DisabledSafeguards::default(), &SMALL, &schedule);
         simulation.run(2_000);
-        simulation.state.write_rate = Some(120.0);
+        simulation.kv_store.write_rate = Some(120.0);
         simulation.run(260_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
         let kept = (
-            simulation.state.throttled,
-            simulation.longest_left() < 10_000,
+            simulation.kv_store.throttled,
+            simulation.longest_wait_ms() < 10_000,
         );
         assert_eq!(
             kept,
             (0, true),
             "seed {seed}: {}",
-            simulation.longest_left()
+            simulation.longest_wait_ms()
         );
     }
 }
@@ -412,7 +418,7 @@
     limit: 24.0,
     pool: 1,
     jobs: |simulation, rng| {
-        simulation.run_ms = 9_000;
+        simulation.task_run_ms = 9_000;
         for n in 0..60u64 {
             let priority = ["prod", "high", "normal", "idle"][n as usize % 4];
             let spec = json!({"Cuadrilla": TEAMS[n as usize / 4 % 2], "Tarefas": rng.random_range(1..5u32),
@@ -428,27 +434,27 @@
 fn more_work_than_room_urgent_and_not_over_slow_links() {
     holds(&CROWDED, |node| {
         vec![
-            (5_000, 120_000, SlowLinks(1_600)),
+            (5_000, 120_000, SlowWorkerLinks(1_600)),
             (40_000, 0, Crash(node)),
-            (60_000, 10_000, Deaf((node + 1) % NODES)),
+            (60_000, 10_000, WorkerIsolation((node + 1) % NODES)),
         ]
     });
     let mut ended = [0u64; 4];
     for seed in 0..3 {
-        let schedule = vec![(5_000, 130_000, SlowLinks(1_200))];
+        let schedule = vec![(5_000, 130_000, SlowWorkerLinks(1_200))];
         let mut simulation = play(seed, DisabledSafeguards::default(), &CROWDED, &schedule);
         let mut open: Vec<usize> = (0..simulation.users.len()).collect();
         while !open.is_empty() && simulation.now < END_MS {
             let until = simulation.now + 1_000;
             simulation.run(until);
             open.retain(|u| {
-                if simulation.users[*u].told_done {
+                if simulation.users[*u].completion_reported {
                     ended[u % 4] += until - simulation.users[*u].submit_at;
                 }
-                !simulation.users[*u].told_done
+                !simulation.users[*u].completion_reported
             });
         }
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
     assert!(ended.is_sorted(), "{ended:?}");
 }
@@ -458,7 +464,7 @@
     limit: 40.0,
     pool: 2,
     jobs: |simulation, rng| {
-        simulation.run_ms = 6_000;
+        simulation.task_run_ms = 6_000;
         for n in 0..6u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": 7, "Avulsas": true, "Tarefas": 1 + n / 4});
             add(simulation, 30_000 + 8_000 * n, spec);
@@ -496,9 +502,13 @@
         simulation.run(150_000);
         let done = simulation.users[14..]
             .iter()
-            .filter(|u| u.told_done)
+            .filter(|u| u.completion_reported)
             .count();
-        assert_eq!((done, &simulation.broken), (4, &Vec::new()), "seed {seed}");
+        assert_eq!(
+            (done, &simulation.violations),
+            (4, &Vec::new()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -533,7 +543,7 @@
         }
         let late = began.iter().filter(|at| at.is_none_or(|ms| ms > 240_000));
         assert_eq!(
-            (late.count(), &simulation.broken),
+            (late.count(), &simulation.violations),
             (0, &Vec::new()),
             "seed {seed}: {began:?}"
         );
@@ -545,16 +555,16 @@
 fn limits_places_and_waits_break_without_their_guards() {
     let none = DisabledSafeguards::default();
     let conditions = DisabledSafeguards {
-        no_conditions: true,
+        ignore_txn_conditions: true,
         ..none
     };
     let returns = DisabledSafeguards {
-        false_returns: true,
-        no_leases: true,
+        ignore_machine_returns: true,
+        ignore_worker_leases: true,
         ..none
     };
     let limits = DisabledSafeguards {
-        half_limits: true,
+        halve_team_limits: true,
         ..none
     };
     let late = |node: usize| {
@@ -566,8 +576,8 @@
     };
     let cut = |node: usize| {
         vec![
-            (24_000, 40_000, Cut("a")),
-            (26_000, 0, CancelNow(6, 30_000)),
+            (24_000, 40_000, ZoneIsolation("a")),
+            (26_000, 0, MassCancellation(6, 30_000)),
             (30_000, 0, Crash(node)),
         ]
     };
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -2,7 +2,7 @@
 //! and started again. The state service and the cloud are stand-ins on loopback too.
 
 use snowshelf::effects::Method;
-use snowshelf_simulation::state::StateService;
+use snowshelf_simulation::kv_store::KvStore;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 
 /// The state service, and answers to its open watches by caller.
 struct Outside {
-    state: StateService,
+    state: KvStore,
     watched: BTreeMap<u64, Vec<u8>>,
     next: u64,
     began: Instant,
@@ -51,8 +51,8 @@
 
     fn watches(&mut self) {
         let now = self.now();
-        let mut ready = self.state.woken();
-        ready.extend(self.state.timeouts(now));
+        let mut ready = self.state.woken_watches();
+        ready.extend(self.state.expired_watches(now));
         for (_, _, caller, body) in ready {
             self.watched.insert(caller, body);
         }
@@ -113,7 +113,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let outside = Arc::new(Mutex::new(Outside {
-        state: StateService::new(false),
+        state: KvStore::new(false),
         watched: BTreeMap::new(),
         next: 0,
         began: Instant::now(),
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -24,7 +24,7 @@
     Resources, ShardAllocation, StorageLimits,
 };
 use snowshelf_model::task_ranges::TaskRanges;
-use snowshelf_simulation::frozen;
+use snowshelf_simulation::previous_formats;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -315,7 +315,7 @@
             prop_assert_eq!(read.finished.is_empty(), share.finished.is_empty());
             prop_assert_eq!(&unpack(&pack(&share).unwrap()).unwrap().waiting, &share.waiting);
             // Until the switch, the version before reads it and writes the same.
-            prop_assert!(frozen::survives("alloc/0/wk-1", &serde_json::to_value(&share).unwrap()));
+            prop_assert!(previous_formats::round_trips("alloc/0/wk-1", &serde_json::to_value(&share).unwrap()));
         }
     }
 
@@ -489,7 +489,7 @@
         ),
         (2, 4, 1)
     );
-    assert!(frozen::survives("alloc/0/wk-1", &share));
+    assert!(previous_formats::round_trips("alloc/0/wk-1", &share));
     let job = serde_json::json!({"state":"Open","tasks":2,"parts":[0,2],"submitted":1764600000000u64,
         "spec":{"class":"c","team":"red","kind":"Batch","priority":"High","tasks":2,
             "room":{"cpus":2.0,"gpus":0.0,"mem":4.9},"image":"i","pull_gb":1.8,"together":false,"apart":false,
@@ -497,11 +497,11 @@
     let read: JobRecord = serde_json::from_value(job.clone()).unwrap();
     assert!(read.dependencies.is_empty() && !read.is_final());
     assert_eq!(serde_json::to_value(&read).unwrap(), job);
-    assert!(frozen::survives("job/wk-1", &job));
+    assert!(previous_formats::round_trips("job/wk-1", &job));
     let done = serde_json::json!({"state":"Done","tasks":2,"submitted":5});
     let narrow = read.without_shard(ShardId(0), WallClockMillis(9), RecordFormat::V1);
     let narrow = narrow.without_shard(ShardId(2), WallClockMillis(9), RecordFormat::V1);
-    assert!(frozen::survives(
+    assert!(previous_formats::round_trips(
         "job/wk-1",
         &serde_json::to_value(narrow).unwrap()
     ));
@@ -512,12 +512,15 @@
     );
     // The reader that stands for that version can say no: it would lose these.
     let waits = serde_json::to_value(record(JobState::Open, &[3], None)).unwrap();
-    assert!(!frozen::survives("job/wk-1", &waits));
+    assert!(!previous_formats::round_trips("job/wk-1", &waits));
     let short = storage_limits(RecordFormat::V2, 2048).encode_allocation(&ShardAllocation {
         waiting: TaskRanges::range(0, 9, 1),
         ..ShardAllocation::default()
     });
-    assert!(!frozen::survives("alloc/0/wk-1", &short.unwrap()));
+    assert!(!previous_formats::round_trips(
+        "alloc/0/wk-1",
+        &short.unwrap()
+    ));
 }
 
 /// Guards against records that cannot be written once the state service takes values of 2 KiB: a
--- a/tests/reserving.rs
+++ b/tests/reserving.rs
@@ -1,22 +1,22 @@
 //! Reservations and windows in the stand-in world, with whole controllers.
 
 use serde_json::json;
-use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, Simulation};
+use snowshelf_simulation::{DisabledSafeguards, Simulation, SimulationConditions};
 
-const CALM: NetworkConditions = NetworkConditions {
+const CALM: SimulationConditions = SimulationConditions {
     calendar: true,
-    ..NetworkConditions::CALM
+    ..SimulationConditions::FAULT_FREE
 };
 
-const STORM: NetworkConditions = NetworkConditions {
+const STORM: SimulationConditions = SimulationConditions {
     calendar: true,
     short_estimates: true,
-    ..NetworkConditions::STORM
+    ..SimulationConditions::FAULTY
 };
 
 fn simulation(
     seed: u64,
-    conditions: NetworkConditions,
+    conditions: SimulationConditions,
     safeguards: DisabledSafeguards,
     jobs: usize,
 ) -> Simulation {
@@ -48,21 +48,21 @@
 #[test]
 fn a_closed_zone_is_empty_whatever_the_estimates_say() {
     for seed in 1..=20 {
-        let conditions = NetworkConditions {
+        let conditions = SimulationConditions {
             short_estimates: true,
             ..CALM
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
-        simulation.empty_after = Some(0);
+        simulation.zone_empty_after_ms = Some(0);
         simulation.add_window(5_000, "a", 25_000, 45_000);
         simulation.add_window(6_000, "b", 50_000, 60_000);
         simulation.run(200_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
         assert!(
             simulation
-                .bookers
+                .calendar_clients
                 .iter()
-                .all(snowshelf_simulation::booking::Booker::accepted),
+                .all(snowshelf_simulation::calendar::CalendarClient::accepted),
             "seed {seed}"
         );
     }
@@ -73,27 +73,27 @@
 #[test]
 fn a_window_opens_during_takeovers_and_an_outage() {
     for seed in 1..=24 {
-        let conditions = NetworkConditions {
+        let conditions = SimulationConditions {
             short_estimates: true,
             ..CALM
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
-        simulation.run_ms = 30_000;
+        simulation.task_run_ms = 30_000;
         simulation.add_window(5_000, "a", 30_000, 60_000);
         match seed % 4 {
-            0 => simulation.outage_at(25_000, 40_000),
+            0 => simulation.kv_outage_at(25_000, 40_000),
             1 => simulation.crash_at(28_000, (seed % 3) as usize),
             2 => (0..3).for_each(|node| simulation.crash_at(29_500, node)),
             _ => {
                 simulation.crash_at(27_000, 0);
-                simulation.outage_at(29_000, 36_000);
+                simulation.kv_outage_at(29_000, 36_000);
             }
         }
         // A lease of a controller, a takeover, a redirected report and its commands; in an outage the
         // dead one's part is taken only after it, and its workers' tasks end with their lease.
-        simulation.empty_after = Some(20_000);
+        simulation.zone_empty_after_ms = Some(20_000);
         simulation.run(600_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn a_long_job_does_not_start_before_a_window() {
     let mut simulation = simulation(3, CALM, DisabledSafeguards::default(), 0);
-    simulation.empty_after = Some(0);
+    simulation.zone_empty_after_ms = Some(0);
     simulation.add_window(5_000, "a", 60_000, 80_000);
     simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 100.0}));
     simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 4.0}));
@@ -112,8 +112,8 @@
     let long = first_start(&mut simulation, 0, 150_000);
     assert!(long.is_some_and(|at| at > 80_000), "{long:?}");
     simulation.run(200_000);
-    assert_eq!(simulation.broken, Vec::<String>::new());
-    assert_eq!(simulation.settled(), 3);
+    assert_eq!(simulation.violations, Vec::<String>::new());
+    assert_eq!(simulation.settled_jobs(), 3);
 }
 
 /// Guards against two controllers that give the last room to two users, against entries that are lost
@@ -122,23 +122,35 @@
 fn what_is_accepted_holds_in_storms() {
     let (mut accepted, mut refused) = (0, 0);
     for seed in 1..=60 {
-        let conditions = NetworkConditions {
-            roll: seed % 3 == 0,
+        let conditions = SimulationConditions {
+            rolling_update: seed % 3 == 0,
             ..STORM
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 8);
-        simulation.draw_bookers(14);
+        simulation.draw_calendar_clients(14);
         simulation.run(280_000);
-        simulation.assert_sound(seed);
-        assert_eq!(simulation.overbooked(), Vec::<String>::new(), "seed {seed}");
+        simulation.assert_rules_held(seed);
+        assert_eq!(
+            simulation.overbooked_reservations(),
+            Vec::<String>::new(),
+            "seed {seed}"
+        );
         let settled = simulation
-            .bookers
+            .calendar_clients
+            .iter()
+            .filter(|b| b.outcome.is_some())
+            .count();
+        assert_eq!(settled, simulation.calendar_clients.len(), "seed {seed}");
+        accepted += simulation
+            .calendar_clients
+            .iter()
+            .filter(|b| b.accepted())
+            .count();
+        refused += simulation
+            .calendar_clients
             .iter()
-            .filter(|b| b.told.is_some())
+            .filter(|b| !b.accepted())
             .count();
-        assert_eq!(settled, simulation.bookers.len(), "seed {seed}");
-        accepted += simulation.bookers.iter().filter(|b| b.accepted()).count();
-        refused += simulation.bookers.iter().filter(|b| !b.accepted()).count();
     }
     assert!(accepted > 100 && refused > 100, "{accepted} {refused}");
 }
@@ -147,7 +159,7 @@
 #[test]
 fn without_conditions_too_much_is_reserved() {
     let safeguards = DisabledSafeguards {
-        no_conditions: true,
+        ignore_txn_conditions: true,
         ..DisabledSafeguards::default()
     };
     let found = (1..=40).any(|seed| {
@@ -156,7 +168,7 @@
             simulation.add_reservation(20_000 + n / 3, "red", 10.0, Some("a"), 60_000, 90_000);
         }
         simulation.run(40_000);
-        !simulation.overbooked().is_empty()
+        !simulation.overbooked_reservations().is_empty()
     });
     assert!(found);
 }
@@ -168,7 +180,7 @@
 fn overrunning_tasks_yield_only_to_a_guarantee() {
     let wait = |tasks: u32| {
         let mut simulation = simulation(9, CALM, DisabledSafeguards::default(), 0);
-        simulation.run_ms = 50_000;
+        simulation.task_run_ms = 50_000;
         simulation.add_reservation(5_000, "red", 20.0, Some("a"), 60_000, 150_000);
         for n in 0..6 {
             let spec = json!({"Cuadrilla": "blue", "Tarefas": 4, "Cpus": 4.0, "PrevisaoS": 4.0,
@@ -182,7 +194,7 @@
         let user = simulation.users.len() - 1;
         simulation.run(61_000);
         let start = first_start(&mut simulation, user, 140_000).expect("the job starts");
-        assert_eq!(simulation.broken, Vec::<String>::new());
+        assert_eq!(simulation.violations, Vec::<String>::new());
         start - 61_000
     };
     let (guaranteed, beyond) = (wait(2), wait(3));
@@ -208,7 +220,7 @@
         let user = simulation.users.len() - 1;
         simulation.run(64_000);
         let start = first_start(&mut simulation, user, 120_000);
-        assert_eq!(simulation.broken, Vec::<String>::new());
+        assert_eq!(simulation.violations, Vec::<String>::new());
         start.map(|at| at - 64_000)
     };
     let (with, without) = (wait(true), wait(false));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,18 +1,18 @@
 //! Whole controllers in the stand-in world: PROTOCOL's rules are checked after every event.
 
-use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, Simulation};
+use snowshelf_simulation::{DisabledSafeguards, Simulation, SimulationConditions};
 
-const CALM: NetworkConditions = NetworkConditions::CALM;
-const STORM: NetworkConditions = NetworkConditions::STORM;
+const CALM: SimulationConditions = SimulationConditions::FAULT_FREE;
+const STORM: SimulationConditions = SimulationConditions::FAULTY;
 
-const ROLL: NetworkConditions = NetworkConditions {
-    roll: true,
+const ROLL: SimulationConditions = SimulationConditions {
+    rolling_update: true,
     ..STORM
 };
 
 fn play(
     seed: u64,
-    conditions: NetworkConditions,
+    conditions: SimulationConditions,
     safeguards: DisabledSafeguards,
     until: u64,
 ) -> Simulation {
@@ -27,9 +27,9 @@
 #[test]
 fn a_calm_day_runs_every_job() {
     let simulation = play(1, CALM, DisabledSafeguards::default(), 150_000);
-    assert_eq!(simulation.broken, Vec::<String>::new());
-    assert_eq!(simulation.settled(), simulation.users.len());
-    assert!(simulation.starts > 0 && simulation.dangling > 0);
+    assert_eq!(simulation.violations, Vec::<String>::new());
+    assert_eq!(simulation.settled_jobs(), simulation.users.len());
+    assert!(simulation.task_starts > 0 && simulation.refused_unknown_dependencies > 0);
     // The list of machines was read beyond its first page.
     assert!(simulation.cloud.later_pages > 0);
 }
@@ -40,7 +40,7 @@
     // the earlier owner knew to be gone were commanded again) and a job that was not apart.
     for seed in 1..=120 {
         let simulation = play(seed, STORM, DisabledSafeguards::default(), 280_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -50,7 +50,7 @@
 fn the_rules_hold_while_the_version_is_replaced() {
     for seed in 1..=60 {
         let simulation = play(seed, ROLL, DisabledSafeguards::default(), 280_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -61,14 +61,16 @@
     for seed in 1..=40 {
         let mut simulation =
             Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
-        simulation.state.long_history(400, 1 + seed as usize % 7);
+        simulation
+            .kv_store
+            .add_ended_jobs(400, 1 + seed as usize % 7);
         for (i, at) in [20_000, 31_000, 45_000].into_iter().enumerate() {
             for node in 0..snowshelf_simulation::NODES {
                 simulation.crash_at(at + (i * node) as u64 * 400, node);
             }
         }
         simulation.run(280_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -81,9 +83,9 @@
         let mut simulation =
             Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
         let life_ms = [120, 600, 1_500, 3_000][seed as usize % 4];
-        simulation.loops_at(15_000, 45_000, life_ms);
+        simulation.crash_loop_at(15_000, 45_000, life_ms);
         simulation.run(280_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -98,13 +100,13 @@
         for i in 0..3 {
             let at = 9_000 + 24_000 * i + 1_700 * (seed % 11);
             let node = (seed + i) % nodes;
-            simulation.deaf_at(at, at + 3_000 + 1_300 * (seed % 13), node as usize);
+            simulation.block_workers_at(at, at + 3_000 + 1_300 * (seed % 13), node as usize);
         }
         let at = 20_000 + 2_100 * (seed % 17);
         let zone = if seed % 2 == 0 { "a" } else { "b" };
-        simulation.cut_at(at, at + 5_000 + 1_900 * (seed % 9), zone);
+        simulation.isolate_zone_at(at, at + 5_000 + 1_900 * (seed % 9), zone);
         simulation.run(280_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
 }
 
@@ -126,8 +128,8 @@
                 90_000,
                 LARGE,
             );
-            simulation.run_ms = 40_000;
-            simulation.cut_at(40_000, 40_000 + cut_ms, "a");
+            simulation.task_run_ms = 40_000;
+            simulation.isolate_zone_at(40_000, 40_000 + cut_ms, "a");
             simulation.run(40_000);
             let busy: Vec<String> = simulation
                 .workers
@@ -166,7 +168,7 @@
             90_000,
             LARGE,
         );
-        simulation.run_ms = 40_000;
+        simulation.task_run_ms = 40_000;
         (0..snowshelf_simulation::NODES).for_each(|node| simulation.crash_at(40_000, node));
         simulation.run(40_000);
         let busy = simulation
@@ -181,7 +183,7 @@
         simulation.run(75_000);
         waits.extend(
             dead.iter()
-                .map(|name| simulation.cloud.released[name] - 40_000),
+                .map(|name| simulation.cloud.release_requested_at[name] - 40_000),
         );
     }
     // Controllers are back after 0.5 to 9 s; a lease and two reports are 13 s.
@@ -203,7 +205,7 @@
             90_000,
             LARGE,
         );
-        simulation.deaf_at(30_000, 70_000, seed as usize % snowshelf_simulation::NODES);
+        simulation.block_workers_at(30_000, 70_000, seed as usize % snowshelf_simulation::NODES);
         // Some of the days are all but over at their end.
         simulation.run(30_000);
         assert!(
@@ -212,9 +214,9 @@
             simulation.workers.len()
         );
         simulation.run(75_000);
-        expired.push((simulation.expired(), simulation.workers.len()));
+        expired.push((simulation.lease_expirations(), simulation.workers.len()));
         simulation.run(200_000);
-        simulation.assert_sound(seed);
+        simulation.assert_rules_held(seed);
     }
     // Without it some 15 leases ran out in a day, 60 in the first four. What runs out in a day varies between 0 and
     // a dozen with what is drawn, so that four days say little of the mean, which is what is bounded: 5 a day.
@@ -235,11 +237,11 @@
             90_000,
             LARGE,
         );
-        simulation.run_ms = 20_000;
+        simulation.task_run_ms = 20_000;
         let alone = seed as usize % snowshelf_simulation::NODES;
         for i in 1..snowshelf_simulation::NODES {
             let node = (alone + i) % snowshelf_simulation::NODES;
-            simulation.deaf_at(30_000 + 400 * i as u64 * (seed % 5), 70_000, node);
+            simulation.block_workers_at(30_000 + 400 * i as u64 * (seed % 5), 70_000, node);
         }
         simulation.run(30_000);
         assert!(
@@ -248,12 +250,12 @@
             simulation.workers.len()
         );
         simulation.run(55_000);
-        let owners = simulation.state.owners();
+        let owners = simulation.kv_store.shard_leaders();
         let name = format!("n{alone}");
         assert!(owners.iter().all(|o| *o == name), "seed {seed}: {owners:?}");
         // Beyond the others' return; the jobs, of 20 s and in chains, last longer.
         simulation.run(110_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -272,25 +274,25 @@
             90_000,
             LARGE,
         );
-        simulation.run_ms = 40_000;
+        simulation.task_run_ms = 40_000;
         for i in 1..snowshelf_simulation::NODES {
             let node = (seed as usize + i) % snowshelf_simulation::NODES;
-            simulation.away_at(30_000, 70_000, node);
+            simulation.isolate_controller_at(30_000, 70_000, node);
         }
         simulation.run(30_000);
         machines += simulation.workers.len() as u64;
-        let before = simulation.expired();
+        let before = simulation.lease_expirations();
         simulation.run(60_000);
-        let owners = simulation.state.owners();
+        let owners = simulation.kv_store.shard_leaders();
         assert_eq!(owners.len(), snowshelf_simulation::NODES, "seed {seed}");
         assert!(
             owners.iter().all(|o| *o == owners[0]),
             "seed {seed}: {owners:?}"
         );
-        expired += simulation.expired() - before;
+        expired += simulation.lease_expirations() - before;
         // Beyond the others' return; the jobs, of 40 s and in chains, last longer.
         simulation.run(110_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
     assert!(
         machines > 60 && expired * 2 < machines,
@@ -302,7 +304,7 @@
 fn a_day_follows_from_its_seed() {
     let (a, b) = (1..=2)
         .map(|_| play(5, STORM, DisabledSafeguards::default(), 120_000))
-        .map(|w| (w.starts, w.state.revision, w.settled()))
+        .map(|w| (w.task_starts, w.kv_store.revision, w.settled_jobs()))
         .fold((None, None), |(_, b), x| (b, Some(x)));
     assert_eq!(a, b);
 }
@@ -313,22 +315,22 @@
 fn parts_exchange_what_their_machines_cannot_run() {
     let simulation = play(12, STORM, DisabledSafeguards::default(), 280_000);
     assert_eq!(
-        simulation.settled(),
+        simulation.settled_jobs(),
         simulation.users.len(),
         "{:#?}",
-        simulation.unsettled()
+        simulation.describe_unsettled()
     );
 }
 
 /// The checker can fail: without a safeguard some seed shows a broken rule.
 fn finds_something(safeguards: DisabledSafeguards) -> bool {
-    (1..=60).any(|seed| !play(seed, STORM, safeguards, 200_000).broken.is_empty())
+    (1..=60).any(|seed| !play(seed, STORM, safeguards, 200_000).violations.is_empty())
 }
 
 #[test]
 fn without_conditions_in_transactions_a_rule_breaks() {
     assert!(finds_something(DisabledSafeguards {
-        no_conditions: true,
+        ignore_txn_conditions: true,
         ..DisabledSafeguards::default()
     }));
 }
@@ -336,7 +338,7 @@
 #[test]
 fn with_needs_that_are_not_told_a_rule_breaks() {
     assert!(finds_something(DisabledSafeguards {
-        no_needs: true,
+        drop_dependencies: true,
         ..DisabledSafeguards::default()
     }));
 }
@@ -344,7 +346,7 @@
 #[test]
 fn with_returns_that_are_not_carried_out_a_rule_breaks() {
     assert!(finds_something(DisabledSafeguards {
-        false_returns: true,
+        ignore_machine_returns: true,
         ..DisabledSafeguards::default()
     }));
 }
--- a/tests/running.rs
+++ b/tests/running.rs
@@ -4,21 +4,23 @@
 use snowshelf_dag::graph::{Graph, Schedule};
 use snowshelf_dag::run::Asked;
 use snowshelf_dag::schedule::run_of;
-use snowshelf_simulation::booking::BEGAN;
-use snowshelf_simulation::{DisabledSafeguards, NetworkConditions, SKEW_MS, Simulation};
+use snowshelf_simulation::calendar::WALL_CLOCK_START_MS;
+use snowshelf_simulation::{
+    DisabledSafeguards, MAX_CLOCK_SKEW_MS, Simulation, SimulationConditions,
+};
 use std::collections::BTreeMap;
 
-const CALM: NetworkConditions = NetworkConditions {
+const CALM: SimulationConditions = SimulationConditions {
     graphs: true,
-    ..NetworkConditions::CALM
+    ..SimulationConditions::FAULT_FREE
 };
 
-const STORM: NetworkConditions = NetworkConditions {
+const STORM: SimulationConditions = SimulationConditions {
     graphs: true,
-    ..NetworkConditions::STORM
+    ..SimulationConditions::FAULTY
 };
 
-fn simulation(seed: u64, conditions: NetworkConditions, jobs: usize) -> Simulation {
+fn simulation(seed: u64, conditions: SimulationConditions, jobs: usize) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
@@ -59,7 +61,7 @@
 }
 
 fn job_of(simulation: &Simulation, run: usize, step: &str, copy: Option<usize>) -> String {
-    let plan = &simulation.runners[run].plan;
+    let plan = &simulation.run_clients[run].plan;
     let job = plan
         .jobs
         .iter()
@@ -69,7 +71,10 @@
 }
 
 fn done(simulation: &Simulation, job: &str) -> bool {
-    simulation.users.iter().any(|u| u.job == job && u.told_done)
+    simulation
+        .users
+        .iter()
+        .any(|u| u.job == job && u.completion_reported)
 }
 
 #[test]
@@ -77,9 +82,14 @@
     let mut simulation = simulation(1, CALM, 4);
     let run = simulation.add_run(8_000, &harvest("r1"));
     simulation.run(120_000);
-    assert_eq!(simulation.broken, Vec::<String>::new());
-    let runner = &simulation.runners[run];
-    assert_eq!(runner.state, "success", "{:?}", simulation.unsettled());
+    assert_eq!(simulation.violations, Vec::<String>::new());
+    let runner = &simulation.run_clients[run];
+    assert_eq!(
+        runner.state,
+        "success",
+        "{:?}",
+        simulation.describe_unsettled()
+    );
     assert_eq!(runner.counts, json!({"success": 9, "skipped": 1}));
     assert!(!done(&simulation, &job_of(&simulation, run, "alarm", None)));
     assert!(done(&simulation, &job_of(&simulation, run, "last", None)));
@@ -92,11 +102,16 @@
     let mut simulation = simulation(2, CALM, 4);
     let run = simulation.add_run(8_000, &harvest("r1"));
     let bad = job_of(&simulation, run, "weigh", Some(2));
-    simulation.bad_jobs.insert(bad.clone());
+    simulation.failing_jobs.insert(bad.clone());
     simulation.run(200_000);
-    assert_eq!(simulation.broken, Vec::<String>::new());
-    let runner = &simulation.runners[run];
-    assert_eq!(runner.state, "failed", "{:?}", simulation.unsettled());
+    assert_eq!(simulation.violations, Vec::<String>::new());
+    let runner = &simulation.run_clients[run];
+    assert_eq!(
+        runner.state,
+        "failed",
+        "{:?}",
+        simulation.describe_unsettled()
+    );
     assert_eq!(
         runner.counts,
         json!({"failed": 1, "success": 7, "upstream_failed": 2})
@@ -104,7 +119,7 @@
     let cancelled: Vec<&str> = simulation
         .users
         .iter()
-        .filter(|u| u.told_cancelled.is_some())
+        .filter(|u| u.cancel_reported_at.is_some())
         .map(|u| u.job.as_str())
         .collect();
     let sheet = job_of(&simulation, run, "sheet", None);
@@ -114,7 +129,7 @@
             || simulation
                 .users
                 .iter()
-                .any(|u| u.job == *j && u.wants_cancel)),
+                .any(|u| u.job == *j && u.cancel_requested)),
         "{cancelled:?}"
     );
     assert!(
@@ -132,22 +147,22 @@
         let mut simulation = simulation(11, CALM, 0);
         let run = simulation.add_run(8_000, &harvest("r1"));
         simulation.run(7_900);
-        simulation.kill_after = Some(after);
+        simulation.crash_after_writes = Some(after);
         simulation.run(200_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "after {after}");
-        let runner = &simulation.runners[run];
+        assert_eq!(simulation.violations, Vec::<String>::new(), "after {after}");
+        let runner = &simulation.run_clients[run];
         assert_eq!(
             runner.state,
             "success",
             "after {after}: {:?}",
-            simulation.unsettled()
+            simulation.describe_unsettled()
         );
         assert_eq!(
             runner.counts,
             json!({"success": 9, "skipped": 1}),
             "after {after}"
         );
-        if simulation.kill_after.is_some() {
+        if simulation.crash_after_writes.is_some() {
             // There were not so many writes.
             break;
         }
@@ -171,19 +186,19 @@
         let mut simulation = simulation(seed, conditions, 2);
         let run = simulation.add_run(8_000, &harvest("r1"));
         let bad = job_of(&simulation, run, "weigh", Some(2));
-        simulation.bad_jobs.insert(bad);
-        while !simulation.runners[run].ended() && simulation.now < 300_000 {
+        simulation.failing_jobs.insert(bad);
+        while !simulation.run_clients[run].ended() && simulation.now < 300_000 {
             let until = simulation.now + 1_000;
             simulation.run(until);
         }
-        assert!(simulation.runners[run].ended(), "seed {seed}");
-        let succeeded: Vec<(String, Option<usize>)> = simulation.runners[run]
+        assert!(simulation.run_clients[run].ended(), "seed {seed}");
+        let succeeded: Vec<(String, Option<usize>)> = simulation.run_clients[run]
             .plan
             .jobs
             .iter()
             .filter(|j| {
                 simulation
-                    .finished
+                    .completed_tasks
                     .get(j.submission.job.as_str())
                     .is_some_and(|f| f.len() == j.submission.spec.tasks as usize)
             })
@@ -195,16 +210,16 @@
         };
         let next = simulation.rerun(simulation.now, run, &again);
         simulation.run(600_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
-            simulation.runners[next].state, "success",
+            simulation.run_clients[next].state, "success",
             "seed {seed}: {}",
-            simulation.runners[next].counts
+            simulation.run_clients[next].counts
         );
         for (step, copy) in &succeeded {
             let job = job_of(&simulation, next, step, *copy);
             assert!(
-                !simulation.finished.contains_key(&job),
+                !simulation.completed_tasks.contains_key(&job),
                 "seed {seed}: {step} {copy:?} ran again"
             );
         }
@@ -231,11 +246,11 @@
         asked.graph.defaults.retry_delay_s = Some(pause_s);
         let run = simulation.add_run(8_000, &asked);
         let bad = job_of(&simulation, run, "tally", None);
-        simulation.bad_jobs.insert(bad);
+        simulation.failing_jobs.insert(bad);
         simulation.run(300_000);
-        assert_eq!(simulation.broken, Vec::<String>::new());
-        assert_eq!(simulation.runners[run].state, "failed");
-        simulation.runners[run].ended_at.unwrap()
+        assert_eq!(simulation.violations, Vec::<String>::new());
+        assert_eq!(simulation.run_clients[run].state, "failed");
+        simulation.run_clients[run].ended_at.unwrap()
     };
     let (at_once, later) = (ended(0.0), ended(60.0));
     // Without a pause it waits for another machine than that on which it failed, some 30 s each time.
@@ -280,7 +295,7 @@
             simulation.run(at);
             let all = simulation.users.iter().all(|u| {
                 simulation
-                    .finished
+                    .completed_tasks
                     .get(&u.job)
                     .is_some_and(|f| f.len() == u.tasks as usize)
             });
@@ -288,12 +303,12 @@
                 break;
             }
         }
-        assert_eq!(simulation.broken, Vec::<String>::new());
+        assert_eq!(simulation.violations, Vec::<String>::new());
         (
             simulation
                 .users
                 .iter()
-                .all(|u| simulation.finished.contains_key(&u.job)),
+                .all(|u| simulation.completed_tasks.contains_key(&u.job)),
             at,
         )
     };
@@ -321,42 +336,46 @@
 fn runs_end_in_storms() {
     let mut ended: BTreeMap<String, u32> = BTreeMap::new();
     for seed in 1..=40 {
-        let conditions = NetworkConditions {
-            roll: seed % 4 == 0,
+        let conditions = SimulationConditions {
+            rolling_update: seed % 4 == 0,
             ..STORM
         };
         let mut simulation = simulation(seed, conditions, 6);
         for n in 0..3 {
             let run = simulation.add_run(4_000 + 9_000 * n, &harvest(&format!("r{n}")));
             if n == 1 {
-                simulation.runners[run].cancel_at = Some(15_000 + 1_000 * (seed % 20));
+                simulation.run_clients[run].cancel_at = Some(15_000 + 1_000 * (seed % 20));
             }
             if n == 2 && seed % 2 == 0 {
                 let bad = job_of(&simulation, run, "weigh", Some(1));
-                simulation.bad_jobs.insert(bad);
+                simulation.failing_jobs.insert(bad);
             }
         }
         // A step that fails everywhere is tried by each part that claims its job, after pauses of up to half a
         // minute and on a machine rented anew: seed 30 needs over 400 s.
         simulation.run(600_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
-        for runner in &simulation.runners {
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
+        for runner in &simulation.run_clients {
             assert!(
                 runner.ended(),
                 "seed {seed}: {} {:#?}",
                 runner.state,
-                simulation.unsettled()
+                simulation.describe_unsettled()
             );
             *ended.entry(runner.state.clone()).or_default() += 1;
         }
-        let own = simulation.users.iter().filter(|u| !u.by_run);
+        let own = simulation.users.iter().filter(|u| !u.from_dag_run);
         assert!(
             own.into_iter()
-                .all(|u| u.told_done || u.told_cancelled.is_some()),
+                .all(|u| u.completion_reported || u.cancel_reported_at.is_some()),
             "seed {seed}"
         );
         // A cancelled run leaves nothing behind.
-        for runner in simulation.runners.iter().filter(|r| r.state == "cancelled") {
+        for runner in simulation
+            .run_clients
+            .iter()
+            .filter(|r| r.state == "cancelled")
+        {
             for job in &runner.plan.jobs {
                 let name = format!("{}/", job.submission.job);
                 let left = simulation.workers.values().flat_map(|w| &w.tasks);
@@ -377,7 +396,10 @@
 /// a value and 4 changes a transaction before the run is begun.
 #[test]
 fn a_large_run_goes_in_pieces() {
-    let conditions = NetworkConditions { roll: true, ..CALM };
+    let conditions = SimulationConditions {
+        rolling_update: true,
+        ..CALM
+    };
     let mut simulation = simulation(6, conditions, 0);
     let mut asked = harvest("large");
     let step = asked.graph.steps[0].clone();
@@ -396,16 +418,16 @@
             ..step.clone()
         })
         .collect();
-    simulation.run_ms = 500;
+    simulation.task_run_ms = 500;
     let run = simulation.add_run(90_000, &asked);
     simulation.run(600_000);
-    assert_eq!(simulation.broken, Vec::<String>::new());
+    assert_eq!(simulation.violations, Vec::<String>::new());
     assert_eq!(
-        simulation.runners[run].state, "success",
+        simulation.run_clients[run].state, "success",
         "{:?}",
-        simulation.runners[run].counts
+        simulation.run_clients[run].counts
     );
-    assert_eq!(simulation.runners[run].counts, json!({"success": 240}));
+    assert_eq!(simulation.run_clients[run].counts, json!({"success": 240}));
 }
 
 /// Guards against intervals that are left out, or run twice, by takeovers, outages, a roll, or clocks that
@@ -414,8 +436,8 @@
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn every_interval_has_one_run() {
     for seed in 1..=24 {
-        let conditions = NetworkConditions {
-            roll: seed % 4 == 0,
+        let conditions = SimulationConditions {
+            rolling_update: seed % 4 == 0,
             ..STORM
         };
         let mut simulation = simulation(seed, conditions, 2);
@@ -424,7 +446,7 @@
         asked.graph.steps.truncate(1);
         asked.graph.catch_up = seed % 3 != 0;
         asked.graph.schedule = Some(Schedule::EveryS(7.0));
-        let began = (BEGAN / 1000) as i64;
+        let began = (WALL_CLOCK_START_MS / 1000) as i64;
         let start = jiff::Timestamp::from_second(began + 4).unwrap();
         asked.graph.start = Some(start.to_string());
         // The runs' jobs are nobody's in this world.
@@ -442,10 +464,10 @@
             };
             simulation.expect_run(&run);
         }
-        simulation.keep_graph(5_000, &asked);
+        simulation.store_graph(5_000, &asked);
         simulation.run(200_000);
-        assert_eq!(simulation.broken, Vec::<String>::new(), "seed {seed}");
-        let dump = simulation.state.dump();
+        assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
+        let dump = simulation.kv_store.dump();
         let runs: BTreeMap<String, u64> = dump
             .iter()
             .filter_map(|line| {
@@ -459,7 +481,10 @@
             .take_while(|from| from + 7_000 + 2_000 < 200_000)
             .map(|from| {
                 (
-                    run_of(jiff::Timestamp::from_millisecond((BEGAN + from) as i64).unwrap()),
+                    run_of(
+                        jiff::Timestamp::from_millisecond((WALL_CLOCK_START_MS + from) as i64)
+                            .unwrap(),
+                    ),
                     from + 7_000,
                 )
             })
@@ -468,10 +493,10 @@
             let over = due
                 .iter()
                 .find(|(r, _)| r == run)
-                .map(|(_, over)| BEGAN + over);
+                .map(|(_, over)| WALL_CLOCK_START_MS + over);
             // The clock that told it may be fast by as much as clocks may differ.
             assert!(
-                over.is_none_or(|over| *at >= over + SKEW_MS),
+                over.is_none_or(|over| *at >= over + MAX_CLOCK_SKEW_MS),
                 "seed {seed}: {run} at {at}"
             );
         }
@@ -508,7 +533,7 @@
 #[test]
 fn a_users_own_job_is_never_the_runs() {
     let mut simulation = simulation(4, CALM, 0);
-    simulation.run_ms = 20_000;
+    simulation.task_run_ms = 20_000;
     let asked = harvest("r1");
     let plan =
         snowshelf_dag::plan::expand(&asked.graph, &asked.mapping, &asked.facts(), "g").unwrap();
@@ -521,26 +546,26 @@
     let run = simulation.add_run(15_000, &asked);
     // Who asks for the run's job of that name is told of the user's.
     simulation.users[1].tasks = 2;
-    simulation.runners[run].cancel_at = Some(20_000);
+    simulation.run_clients[run].cancel_at = Some(20_000);
     simulation.run(30_000);
     simulation.run(150_000);
     assert!(
         done(&simulation, &theirs),
         "{:?} {:?}",
-        simulation.broken,
-        simulation.unsettled()
+        simulation.violations,
+        simulation.describe_unsettled()
     );
     assert!(
-        simulation.broken.iter().all(|b| !b.contains(&theirs)),
+        simulation.violations.iter().all(|b| !b.contains(&theirs)),
         "{:?}",
-        simulation.broken
+        simulation.violations
     );
     assert!(
         matches!(
-            simulation.runners[run].state.as_str(),
+            simulation.run_clients[run].state.as_str(),
             "cancelled" | "failed"
         ),
         "{}",
-        simulation.runners[run].state
+        simulation.run_clients[run].state
     );
 }
--- a/tests/user_answers.rs
+++ b/tests/user_answers.rs
@@ -2,11 +2,12 @@
 
 use serde_json::{Value, json};
 use snowshelf_simulation::fault_combinations::{
-    FaultSchedule, OVER_MS, endless_jobs, holds, play, running, shifted,
+    FAULTS_END_MS, FaultSchedule, assert_rules_hold, run_schedule, running_tasks, shift_schedule,
+    with_endless_jobs,
 };
 use snowshelf_simulation::faults::Fault;
-use snowshelf_simulation::faults::odd_requests::{malformed, never_runs};
-use snowshelf_simulation::{DisabledSafeguards, NODES, NetworkConditions, Simulation};
+use snowshelf_simulation::faults::invalid_requests::{malformed_fields, unrunnable_specs};
+use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 
 const NEVER: Vec<String> = Vec::new();
 
@@ -20,17 +21,17 @@
 /// has said, jobs are submitted again and some cancelled at once, with nothing else wrong.
 #[test]
 fn asked_at_all_controllers_within_milliseconds_none_answers_what_is_older() {
-    holds(|_| all_day(&[Fault::CloseLooks], vec![]));
+    assert_rules_hold(|_| all_day(&[Fault::RequestBursts], vec![]));
 }
 
 /// Guards against a controller that answers before it knows: it has just started, one or all at a time.
 #[test]
 fn a_controller_that_has_just_started_answers_nothing_older() {
     use Fault::*;
-    holds(|node| {
+    assert_rules_hold(|node| {
         let ends = [3_000, 12_000, 15_500, 19_000, 28_000, 60_000].map(|at| (at, 0, Crash(node)));
         let all = [(22_000, 0, CrashAll(300)), (40_000, 0, CrashAll(0))];
-        all_day(&[CloseLooks], ends.into_iter().chain(all).collect())
+        all_day(&[RequestBursts], ends.into_iter().chain(all).collect())
     });
 }
 
@@ -39,16 +40,16 @@
 #[test]
 fn asked_closely_while_writes_are_late_and_owners_end() {
     use Fault::*;
-    holds(|node| {
+    assert_rules_hold(|node| {
         let schedule = vec![
             (4_000, 30_000, LateWrites(0.3)),
             (14_000, 0, Crash(node)),
-            (24_000, 8_000, Refused((node + 1) % NODES)),
-            (32_000, 10_000, AnswersLost(0.5)),
+            (24_000, 8_000, KvRefusal((node + 1) % NODES)),
+            (32_000, 10_000, LostKvResponses(0.5)),
             (45_000, 30_000, LateWrites(0.6)),
             (52_000, 0, CrashAll(1_000)),
         ];
-        all_day(&[CloseLooks], schedule)
+        all_day(&[RequestBursts], schedule)
     });
 }
 
@@ -57,16 +58,16 @@
 #[test]
 fn asked_closely_in_an_outage_and_around_it() {
     use Fault::*;
-    holds(|node| {
+    assert_rules_hold(|node| {
         let schedule = vec![
-            (5_000, 12_000, Slow(900)),
-            (20_000, 6_000, Refused(node)),
-            (23_000, 12_000, Outage),
-            (40_000, 9_000, Apart((node + 1) % NODES)),
-            (60_000, 45_000, Outage),
+            (5_000, 12_000, SlowKv(900)),
+            (20_000, 6_000, KvRefusal(node)),
+            (23_000, 12_000, KvOutage),
+            (40_000, 9_000, KvAndPeerIsolation((node + 1) % NODES)),
+            (60_000, 45_000, KvOutage),
             (62_000, 0, Crash(node)),
         ];
-        all_day(&[CloseLooks], schedule)
+        all_day(&[RequestBursts], schedule)
     });
 }
 
@@ -75,20 +76,20 @@
 #[test]
 fn a_job_called_off_as_it_ends_is_done_or_aborted_for_ever() {
     use Fault::*;
-    let habits = |share| [CancelAtEnd(share), CloseLooks];
-    holds(|_| all_day(&habits(0.5), vec![]));
-    holds(|node| all_day(&habits(1.0), vec![(12_000, 40_000, Refused(node))]));
+    let habits = |share| [CancelAtCompletion(share), RequestBursts];
+    assert_rules_hold(|_| all_day(&habits(0.5), vec![]));
+    assert_rules_hold(|node| all_day(&habits(1.0), vec![(12_000, 40_000, KvRefusal(node))]));
     let ends = (0..4u64).map(|seed| {
-        let simulation = play(
+        let simulation = run_schedule(
             seed,
             DisabledSafeguards::default(),
-            &all_day(&[CancelAtEnd(1.0)], vec![]),
+            &all_day(&[CancelAtCompletion(1.0)], vec![]),
         );
         let off = simulation
             .users
             .iter()
-            .filter(|u| u.wants_cancel && u.cancel_at.is_none());
-        let (done, aborted): (Vec<_>, Vec<_>) = off.partition(|u| u.told_done);
+            .filter(|u| u.cancel_requested && u.cancel_at.is_none());
+        let (done, aborted): (Vec<_>, Vec<_>) = off.partition(|u| u.completion_reported);
         (done.len(), aborted.len())
     });
     let (done, aborted) = ends.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
@@ -100,41 +101,41 @@
 #[test]
 fn odd_requests_are_refused_with_the_reason_and_change_nothing() {
     use Fault::*;
-    let habits = [OddRequests, CloseLooks];
-    holds(|node| {
+    let habits = [InvalidRequests, RequestBursts];
+    assert_rules_hold(|node| {
         let schedule = vec![
             (12_000, 0, Crash(node)),
-            (20_000, 9_000, Refused((node + 1) % NODES)),
-            (30_000, 10_000, Outage),
+            (20_000, 9_000, KvRefusal((node + 1) % NODES)),
+            (30_000, 10_000, KvOutage),
         ];
         all_day(&habits, schedule)
     });
-    let simulation = play(3, DisabledSafeguards::default(), &all_day(&habits, vec![]));
-    let kinds = (never_runs().len() + malformed().len()) as u64;
+    let simulation = run_schedule(3, DisabledSafeguards::default(), &all_day(&habits, vec![]));
+    let kinds = (unrunnable_specs().len() + malformed_fields().len()) as u64;
     assert!(
-        simulation.odd_refused > 3 * kinds,
+        simulation.refused_invalid_requests > 3 * kinds,
         "{}",
-        simulation.odd_refused
+        simulation.refused_invalid_requests
     );
 }
 
 /// Jobs that run on, and what is written of them and on the machines, with these reports sent beside the workers' own.
 fn with_odd_reports(fields: &[Value]) -> (Vec<String>, Vec<String>, usize, u64) {
-    let mut simulation = endless_jobs(5, 6, |_| None);
+    let mut simulation = with_endless_jobs(5, 6, |_| None);
     for (n, fields) in fields.iter().enumerate() {
         for node in 0..NODES {
-            simulation.impossible_report(60_000 + 50 * n as u64, node, fields.clone());
+            simulation.send_invalid_heartbeat_at(60_000 + 50 * n as u64, node, fields.clone());
         }
     }
     simulation.run(59_000);
-    let before = simulation.state.dump();
+    let before = simulation.kv_store.dump();
     simulation.run(80_000);
-    assert_eq!(simulation.broken, NEVER);
+    assert_eq!(simulation.violations, NEVER);
     (
         before,
-        simulation.state.dump(),
-        running(&simulation),
-        simulation.expired(),
+        simulation.kv_store.dump(),
+        running_tasks(&simulation),
+        simulation.lease_expirations(),
     )
 }
 
@@ -155,8 +156,8 @@
         json!({"task": {"Tarefa": "wk-000001"}}),
         json!({"task": {"Estado": "odd"}}),
     ];
-    let (before, after, running, expired) = with_odd_reports(&odd);
-    assert_eq!((after, running, expired), (before, 18, 0));
+    let (before, after, running_tasks, expired) = with_odd_reports(&odd);
+    assert_eq!((after, running_tasks, expired), (before, 18, 0));
 }
 
 /// Shows that answers are looked at: a controller that tells what was true once and a state service without conditions
@@ -166,28 +167,28 @@
     use Fault::*;
     let none = DisabledSafeguards::default();
     let old_answers = DisabledSafeguards {
-        old_answers: true,
+        stale_responses: true,
         ..none
     };
     let no_conditions = DisabledSafeguards {
-        no_conditions: true,
+        ignore_txn_conditions: true,
         ..none
     };
     let no_needs = DisabledSafeguards {
-        no_needs: true,
+        drop_dependencies: true,
         ..none
     };
     for (safeguards, habits, rules) in [
-        (old_answers, vec![CloseLooks], ["went_back", "forgotten"]),
+        (old_answers, vec![RequestBursts], ["went_back", "forgotten"]),
         (
             no_conditions,
-            vec![CloseLooks, CancelAtEnd(1.0)],
+            vec![RequestBursts, CancelAtCompletion(1.0)],
             ["went_back", "forgotten"],
         ),
-        (no_needs, vec![OddRequests], ["not refused"; 2]),
+        (no_needs, vec![InvalidRequests], ["not refused"; 2]),
     ] {
         let told = |b: &String| rules.iter().any(|rule| b.starts_with(rule));
-        let red = |seed| play(seed, safeguards, &all_day(&habits, vec![])).broken;
+        let red = |seed| run_schedule(seed, safeguards, &all_day(&habits, vec![])).violations;
         assert!((0..8).any(|seed| red(seed).iter().any(told)), "{habits:?}");
     }
 }
@@ -197,8 +198,8 @@
 #[test]
 fn no_controller_says_what_is_older_than_what_it_has_said() {
     for seed in 0..9 {
-        let habits = [Fault::CloseLooks, Fault::CancelAtEnd(0.5)];
-        let simulation = play(
+        let habits = [Fault::RequestBursts, Fault::CancelAtCompletion(0.5)];
+        let simulation = run_schedule(
             seed,
             DisabledSafeguards::default(),
             &all_day(&habits, vec![]),
@@ -211,19 +212,22 @@
 /// cannot be: it is known, whatever its repeat says.
 #[test]
 fn a_malformed_repeat_of_an_accepted_job_is_answered_by_its_state() {
-    let mut simulation = endless_jobs(1, 3, |n| (n == 0).then_some(20_000));
+    let mut simulation = with_endless_jobs(1, 3, |n| (n == 0).then_some(20_000));
     simulation.run(40_000);
     assert!(
-        simulation.users.iter().all(|u| u.accepted) && simulation.users[0].told_cancelled.is_some()
+        simulation.users.iter().all(|u| u.accepted)
+            && simulation.users[0].cancel_reported_at.is_some()
     );
-    let named = malformed().into_iter().filter(|(field, _)| *field != "Ref");
+    let named = malformed_fields()
+        .into_iter()
+        .filter(|(field, _)| *field != "Ref");
     for (field, value) in named {
         for (u, node) in (0..3).flat_map(|u| (0..NODES).map(move |node| (u, node))) {
-            simulation.repeat(u, node, &json!({field: value}));
+            simulation.resubmit(u, node, &json!({field: value}));
         }
     }
     simulation.run(50_000);
-    assert_eq!(simulation.broken.first(), None);
+    assert_eq!(simulation.violations.first(), None);
 }
 
 /// Guards against a report that cannot be, though its fields are of the right type: sessions start at 1, attempts too,
@@ -236,8 +240,9 @@
         json!({"task": {"Tarefa": "wk-000001/100000"}}),
     ];
     for fields in odd {
-        let (before, after, running, expired) = with_odd_reports(std::slice::from_ref(&fields));
-        assert_eq!((after, running, expired), (before, 18, 0), "{fields}");
+        let (before, after, running_tasks, expired) =
+            with_odd_reports(std::slice::from_ref(&fields));
+        assert_eq!((after, running_tasks, expired), (before, 18, 0), "{fields}");
     }
 }
 
@@ -248,9 +253,12 @@
 fn a_job_submitted_again_while_its_batch_meets_a_conflict_is_taken_once() {
     use Fault::*;
     let (until, looks) = (139_000, 9_790);
-    let habits = vec![(5_590, until, CancelAtEnd(1.0)), (looks, until, CloseLooks)];
-    let found = habits.into_iter().chain([(12_390, 40_000, Refused(2))]);
-    play(83, DisabledSafeguards::default(), &found.collect()).assert_sound(83);
+    let habits = vec![
+        (5_590, until, CancelAtCompletion(1.0)),
+        (looks, until, RequestBursts),
+    ];
+    let found = habits.into_iter().chain([(12_390, 40_000, KvRefusal(2))]);
+    run_schedule(83, DisabledSafeguards::default(), &found.collect()).assert_rules_held(83);
 }
 
 /// The same with nothing but these questions: each of the later jobs shares a transaction with a repeat of the first.
@@ -259,25 +267,27 @@
     for ms in 1..15u64 {
         let mut simulation = Simulation::new(
             ms,
-            NetworkConditions::CALM,
+            SimulationConditions::FAULT_FREE,
             DisabledSafeguards::default(),
             0,
             60_000,
         );
         simulation.add_user(2_000, json!({}));
         let first = simulation.users[0].job.clone();
-        simulation.endless.insert(first);
+        simulation.endless_jobs.insert(first);
         for n in 1..5 {
             simulation.add_user(20_000, json!({"Tarefas": 4}));
             simulation.run(7_000 + 200 * n);
-            simulation.repeat(0, 0, &json!({}));
-            simulation.repeat(n as usize, 0, &json!({}));
+            simulation.resubmit(0, 0, &json!({}));
+            simulation.resubmit(n as usize, 0, &json!({}));
             simulation.run(7_000 + 200 * n + ms);
-            simulation.repeat(n as usize, 0, &json!({}));
+            simulation.resubmit(n as usize, 0, &json!({}));
         }
         simulation.run(100_000);
-        let done = simulation.users[1..].iter().all(|user| user.told_done);
-        assert_eq!((&simulation.broken, done), (&NEVER, true), "{ms}");
+        let done = simulation.users[1..]
+            .iter()
+            .all(|user| user.completion_reported);
+        assert_eq!((&simulation.violations, done), (&NEVER, true), "{ms}");
     }
 }
 
@@ -285,10 +295,10 @@
 fn called_off_as_they_begin(seed: u64, schedule: FaultSchedule) -> Simulation {
     let mut simulation = Simulation::new(
         seed,
-        NetworkConditions::CALM,
+        SimulationConditions::FAULT_FREE,
         DisabledSafeguards::default(),
         0,
-        OVER_MS,
+        FAULTS_END_MS,
     );
     for n in 0..24u64 {
         let (at, team) = (5_000 + 4_000 * n, ["red", "blue"][n as usize % 2]);
@@ -298,10 +308,10 @@
         );
         simulation.users[n as usize].cancel_at = Some(at + 350 * (n % 12));
     }
-    for (at, for_ms, fault) in shifted(seed, schedule) {
-        simulation.bring(at, for_ms, fault);
+    for (at, for_ms, fault) in shift_schedule(seed, schedule) {
+        simulation.inject(at, for_ms, fault);
     }
-    simulation.run(OVER_MS + 20_000);
+    simulation.run(FAULTS_END_MS + 20_000);
     simulation
 }
 
@@ -314,24 +324,27 @@
         (0, vec![]),
         (
             0,
-            vec![(30_000, 14_000, Refused(0)), (31_000, 45_000, Outage)],
+            vec![(30_000, 14_000, KvRefusal(0)), (31_000, 45_000, KvOutage)],
         ),
         (
             0,
             vec![
-                (29_000, 12_000, Deaf(1)),
+                (29_000, 12_000, WorkerIsolation(1)),
                 (30_000, 25_000, LateWrites(0.3)),
-                (74_000, 10_000, Refused(1)),
+                (74_000, 10_000, KvRefusal(1)),
             ],
         ),
         (
             0,
-            vec![(20_000, 40_000, Apart(0)), (70_000, 40_000, Apart(1))],
+            vec![
+                (20_000, 40_000, KvAndPeerIsolation(0)),
+                (70_000, 40_000, KvAndPeerIsolation(1)),
+            ],
         ),
         (
             4_000,
             vec![
-                (20_000, 90_000, HeldAnswers(0.5)),
+                (20_000, 90_000, DelayedHeartbeatResponses(0.5)),
                 (40_000, 0, Crash(0)),
                 (70_000, 0, Crash(1)),
             ],
@@ -341,14 +354,17 @@
     for (n, (latest, schedule)) in fault_combinations.iter().enumerate() {
         for seed in 0..3 {
             let simulation = called_off_as_they_begin(seed, schedule.clone());
-            let late = (simulation.starts_after_cancel, simulation.latest_start);
+            let late = (
+                simulation.starts_after_cancel,
+                simulation.latest_start_after_cancel_ms,
+            );
             seen += late.0;
             assert!(
-                simulation.latest_start <= *latest,
+                simulation.latest_start_after_cancel_ms <= *latest,
                 "meeting {n}, seed {seed}: {late:?}"
             );
             assert_eq!(
-                simulation.broken,
+                simulation.violations,
                 Vec::<String>::new(),
                 "meeting {n}, seed {seed}"
             );
