--- a/crates/simulation/src/controllers.rs
+++ b/crates/simulation/src/controllers.rs
@@ -54,7 +54,8 @@
         let Some(controller) = &mut node.controller else {
             return;
         };
-        // The first clock is slow, the second one right, the third one fast, each by at most the allowed skew.
+        // With a calendar or DAG runs the first clock is slow, the second one right and the third one fast, by
+        // the largest allowed skew. Otherwise all clocks are right.
         let skew = if self.conditions.calendar || self.conditions.graphs {
             MAX_CLOCK_SKEW_MS * i as u64
         } else {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -57,7 +57,7 @@
 /// Number of users that send invalid requests per round of user steps, on average. At most one step in ten
 /// does.
 const INVALID_REQUEST_USERS: f64 = 20.0;
-/// Largest deviation of a controller's clock from true time. It equals `skew_ms` in [`settings`].
+/// Largest deviation of a controller's clock from true time. It equals `skew_ms` in the settings.
 pub const MAX_CLOCK_SKEW_MS: u64 = 100;
 /// Limits of the key-value store after [`Event::ReduceKvLimits`]. The controllers know them as
 /// `deployment.state.next`.
