--- a/crates/simulation/examples/behaviour_digest.rs
+++ b/crates/simulation/examples/behaviour_digest.rs
@@ -1,11 +1,9 @@
-//! Runs seeded simulations and prints a digest of all outputs of the controllers for each: every call,
-//! response and peer message, in order, with its time. Versions of the sources that behave alike print the
-//! same lines.
+//! Prints a digest of all outputs of the controllers for each of a set of seeded simulations. Versions of the
+//! sources that behave alike print the same lines.
 //!
 //!     cargo run --release -p snowshelf-simulation --example behaviour_digest
 //!
-//! With `--records FILE` the values written to the key-value store are saved to a file, one JSON object per
-//! line, as samples of stored data.
+//! `--records FILE` also saves the values written to the key-value store, one JSON object per line.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
