--- a/crates/calendar/src/admission.rs
+++ b/crates/calendar/src/admission.rs
@@ -1,326 +1,370 @@
-//! Whether a reservation or a window may be taken, where it would be had, and what is in the way.
+//! Admission of reservations and windows: the pools that a reservation gets, or why a request is rejected.
 
-use crate::amount::{Amount, WHOLE};
-use crate::calendar::{ARRIVAL_MS, Calendar, MOST_TIMES, Pool};
-use crate::entry::{Name, Reservation, Share, Wanted, When, Window};
-use crate::refusal::{Clash, Kind, Refusal, Short};
+use crate::amount::{Amount, FRACTIONS_PER_AMOUNT};
+use crate::calendar::{Calendar, MAX_OCCURRENCES, MAX_START_AGE_MS, Pool};
+use crate::entry::{Name, Reservation, ReservationSpec, Share, Window, WindowSchedule};
+use crate::rejection::{Conflict, ConflictCause, EntryKind, Rejection};
 use crate::timeline::Timeline;
 use snowshelf_model::ids::WallClockMillis;
 
-/// Times at which a movable reservation is tried, at the most.
-const MOST_TRIES: usize = 2_000;
+/// Maximum number of start times that the search for the earliest fit examines.
+const MAX_START_TIMES: usize = 2_000;
 
-/// Where a piece of an amount would go.
-type Pieces = Vec<(Pool, Amount)>;
+/// An amount divided over pools.
+type PoolAmounts = Vec<(Pool, Amount)>;
 
 impl Calendar {
-    /// Where a reservation would be had, or why not; nothing is taken yet. For a change, ask the
-    /// calendar without the old one.
-    pub fn admit(&self, wanted: &Wanted, now: WallClockMillis) -> Result<Reservation, Refusal> {
-        let bounds = &self.bounds;
-        let limit = bounds.limits.get(&wanted.team);
-        let limit = *limit.ok_or(Refusal::UnknownTeam)?;
-        if wanted.from.0.saturating_add(ARRIVAL_MS) < now.0 || wanted.until <= now {
-            return Err(Refusal::Past);
+    /// Divides a reservation over pools without inserting it. To replace a reservation, call this on a
+    /// calendar without the existing one.
+    ///
+    /// # Errors
+    /// Returns why the reservation is rejected.
+    pub fn admit(
+        &self,
+        spec: &ReservationSpec,
+        now: WallClockMillis,
+    ) -> Result<Reservation, Rejection> {
+        let limits = &self.limits;
+        let limit = limits.teams.get(&spec.team);
+        let limit = *limit.ok_or(Rejection::UnknownTeam)?;
+        if spec.from.0.saturating_add(MAX_START_AGE_MS) < now.0 || spec.until <= now {
+            return Err(Rejection::InPast);
         }
-        if wanted.until > self.planned {
-            return Err(Refusal::TooFar(self.planned));
+        if spec.until > self.planned_until {
+            return Err(Rejection::BeyondHorizon(self.planned_until));
         }
-        let pools = self.allowed(wanted);
+        let pools = self.allowed_pools(spec);
         if pools.is_empty() {
-            return Err(Refusal::NoPlace);
+            return Err(Rejection::NoMatchingPool);
         }
-        if !wanted.amount.fits_in(limit) {
-            return Err(Refusal::OverLimit(limit));
+        if !spec.amount.fits_in(limit) {
+            return Err(Rejection::ExceedsTeamLimit(limit));
         }
-        let most = pools.iter().map(|p| bounds.pools[*p]);
-        let most = most.fold(Amount::ZERO, Amount::plus);
-        let fits: i64 = pools
+        let capacity = pools.iter().map(|p| limits.pools[*p]);
+        let capacity = capacity.fold(Amount::ZERO, Amount::plus);
+        let fitting: i64 = pools
             .iter()
-            .map(|p| wanted.amount.parts_in(bounds.pools[*p]))
+            .map(|p| spec.amount.fractions_in(limits.pools[*p]))
             .sum();
-        if fits < WHOLE {
-            return Err(Refusal::NeverFits(most));
+        if fitting < FRACTIONS_PER_AMOUNT {
+            return Err(Rejection::ExceedsCapacity(capacity));
         }
-        if self.len() >= bounds.most_entries {
-            return Err(Refusal::TooMany(bounds.most_entries));
+        if self.len() >= limits.max_entries {
+            return Err(Rejection::TooManyEntries(limits.max_entries));
         }
-        let long = wanted.until.0 - wanted.from.0;
-        let refusal = match self.pieces(wanted, &pools, limit, wanted.from, wanted.until) {
-            Ok(pieces) => return Ok(taken(wanted, pieces, wanted.from, wanted.until)),
-            Err((short, lacks)) => (short, lacks),
+        let duration_ms = spec.until.0 - spec.from.0;
+        let conflict = match self.divide(spec, &pools, limit, spec.from, spec.until) {
+            Ok(amounts) => return Ok(reservation(spec, amounts, spec.from, spec.until)),
+            Err((cause, shortfall)) => (cause, shortfall),
         };
-        let found = self.first_fit(wanted, &pools, limit);
-        if wanted.movable
-            && let Some((from, pieces)) = found
+        let fit = self.first_fit(spec, &pools, limit);
+        if spec.movable
+            && let Some((from, amounts)) = fit
         {
-            return Ok(taken(wanted, pieces, from, WallClockMillis(from.0 + long)));
+            return Ok(reservation(
+                spec,
+                amounts,
+                from,
+                WallClockMillis(from.0 + duration_ms),
+            ));
         }
-        let (short, lacks) = refusal;
-        Err(Refusal::Clash {
-            short,
-            lacks,
-            clashes: self.in_the_way(wanted, &pools, short),
-            fits_from: found.map(|(from, _)| from),
+        let (cause, shortfall) = conflict;
+        Err(Rejection::Conflict {
+            cause,
+            shortfall,
+            conflicts: self.conflicts(spec, &pools, cause),
+            fits_from: fit.map(|(from, _)| from),
         })
     }
 
-    fn allowed(&self, wanted: &Wanted) -> Vec<&Pool> {
-        let pools = self.bounds.pools.keys();
+    fn allowed_pools(&self, spec: &ReservationSpec) -> Vec<&Pool> {
+        let pools = self.limits.pools.keys();
         pools
             .filter(|p| {
-                wanted.zone.as_deref().is_none_or(|z| z == &*p.zone)
-                    && (wanted.types.as_ref()).is_none_or(|t| t.iter().any(|t| **t == *p.model))
+                spec.zone.as_deref().is_none_or(|z| z == &*p.zone)
+                    && (spec.types.as_ref()).is_none_or(|t| t.iter().any(|t| **t == *p.model))
             })
             .collect()
     }
 
-    /// What a pool has left throughout, if it is never closed.
-    fn free(&self, pool: &Pool, from: WallClockMillis, until: WallClockMillis) -> Amount {
-        let shut = self.closed.get(pool);
-        if shut.is_some_and(|line| line.peak(from, until).cpus > 0) {
+    /// The capacity of a pool that is free for the whole time; zero if it is closed at any time.
+    fn free_capacity(&self, pool: &Pool, from: WallClockMillis, until: WallClockMillis) -> Amount {
+        let closed = self.closed_by_pool.get(pool);
+        if closed.is_some_and(|timeline| timeline.peak(from, until).cpus > 0) {
             return Amount::ZERO;
         }
-        let booked = self.booked.get(pool).map(|line| line.peak(from, until));
-        self.bounds.pools[pool].minus(booked.unwrap_or_default())
+        let reserved = self
+            .reserved_by_pool
+            .get(pool)
+            .map(|timeline| timeline.peak(from, until));
+        self.limits.pools[pool].minus(reserved.unwrap_or_default())
     }
 
-    /// The amount divided over the pools, or what is short and by how much.
-    fn pieces(
+    /// Divides the amount over the pools, those with the most free capacity first. Returns what prevents it
+    /// and how much is missing as an error.
+    fn divide(
         &self,
-        wanted: &Wanted,
+        spec: &ReservationSpec,
         pools: &[&Pool],
         limit: Amount,
         from: WallClockMillis,
         until: WallClockMillis,
-    ) -> Result<Pieces, (Short, Amount)> {
+    ) -> Result<PoolAmounts, (ConflictCause, Amount)> {
         let reserved = self
-            .teams
-            .get(&wanted.team)
-            .map(|line| line.peak(from, until));
-        let reserved = reserved.unwrap_or_default().plus(wanted.amount);
+            .reserved_by_team
+            .get(&spec.team)
+            .map(|timeline| timeline.peak(from, until));
+        let reserved = reserved.unwrap_or_default().plus(spec.amount);
         if !reserved.fits_in(limit) {
-            let lacks = reserved.minus(limit).max(Amount::ZERO);
-            return Err((Short::Limit, lacks));
+            let shortfall = reserved.minus(limit).max(Amount::ZERO);
+            return Err((ConflictCause::TeamLimit, shortfall));
         }
         let mut free: Vec<(i64, &Pool)> = pools
             .iter()
-            .map(|p| (wanted.amount.parts_in(self.free(p, from, until)), *p))
+            .map(|p| {
+                (
+                    spec.amount.fractions_in(self.free_capacity(p, from, until)),
+                    *p,
+                )
+            })
             .collect();
         free.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
-        let mut done = 0;
-        let mut pieces = Vec::new();
-        for (parts, pool) in free {
-            let upto = (done + parts).min(WHOLE);
-            let piece = wanted.amount.piece(done, upto);
-            if !piece.is_zero() {
-                pieces.push((pool.clone(), piece));
+        let mut placed = 0;
+        let mut amounts = Vec::new();
+        for (fractions, pool) in free {
+            let end = (placed + fractions).min(FRACTIONS_PER_AMOUNT);
+            let amount = spec.amount.fraction_range(placed, end);
+            if !amount.is_zero() {
+                amounts.push((pool.clone(), amount));
             }
-            done = upto;
+            placed = end;
         }
-        if done < WHOLE {
-            return Err((Short::Resources, wanted.amount.piece(done, WHOLE)));
+        if placed < FRACTIONS_PER_AMOUNT {
+            return Err((
+                ConflictCause::Capacity,
+                spec.amount.fraction_range(placed, FRACTIONS_PER_AMOUNT),
+            ));
         }
-        Ok(pieces)
+        Ok(amounts)
     }
 
-    /// The first time from the one wanted on at which it fits, within what is planned.
+    /// The earliest time at or after the requested one at which the reservation fits within the planned time.
     fn first_fit(
         &self,
-        wanted: &Wanted,
+        spec: &ReservationSpec,
         pools: &[&Pool],
         limit: Amount,
-    ) -> Option<(WallClockMillis, Pieces)> {
-        let long = wanted.until.0 - wanted.from.0;
-        let lines: Vec<&Timeline> = pools
+    ) -> Option<(WallClockMillis, PoolAmounts)> {
+        let duration_ms = spec.until.0 - spec.from.0;
+        let timelines: Vec<&Timeline> = pools
             .iter()
-            .flat_map(|p| [self.booked.get(*p), self.closed.get(*p)])
-            .chain([self.teams.get(&wanted.team)])
+            .flat_map(|p| [self.reserved_by_pool.get(*p), self.closed_by_pool.get(*p)])
+            .chain([self.reserved_by_team.get(&spec.team)])
             .flatten()
             .collect();
-        let mut from = wanted.from;
-        for _ in 0..MOST_TRIES {
-            let until = WallClockMillis(from.0.checked_add(long)?);
-            if until > self.planned {
+        let mut from = spec.from;
+        for _ in 0..MAX_START_TIMES {
+            let until = WallClockMillis(from.0.checked_add(duration_ms)?);
+            if until > self.planned_until {
                 return None;
             }
-            if let Ok(pieces) = self.pieces(wanted, pools, limit, from, until) {
-                return Some((from, pieces));
+            if let Ok(amounts) = self.divide(spec, pools, limit, from, until) {
+                return Some((from, amounts));
             }
-            // No start up to the moment that is in the way, if there is one, can do.
+            // A start at or before a blocked time cannot fit either, so that the search continues after it.
             let blocked = self
-                .blocked(wanted, pools, limit, from, until)
+                .blocked_time(spec, pools, limit, from, until)
                 .unwrap_or(from);
-            let next = lines
+            let next = timelines
                 .iter()
-                .filter_map(|line| line.next_change(blocked))
+                .filter_map(|timeline| timeline.next_change(blocked))
                 .min();
             from = next?;
         }
         None
     }
 
-    /// A moment at which what is wanted cannot be had, whatever the time around it is like.
-    fn blocked(
+    /// A time at which the reservation can never fit, however much is free before and after it.
+    fn blocked_time(
         &self,
-        wanted: &Wanted,
+        spec: &ReservationSpec,
         pools: &[&Pool],
         limit: Amount,
         from: WallClockMillis,
         until: WallClockMillis,
     ) -> Option<WallClockMillis> {
-        let team = self.teams.get(&wanted.team);
-        let over = team.and_then(|l| l.first_over(from, until, limit.minus(wanted.amount)));
-        if over.is_some() {
-            return over;
+        let reserved = self.reserved_by_team.get(&spec.team);
+        let over_limit = reserved
+            .and_then(|timeline| timeline.first_exceeding(from, until, limit.minus(spec.amount)));
+        if over_limit.is_some() {
+            return over_limit;
         }
         let [pool] = pools else {
             return None;
         };
-        let shut = self.closed.get(*pool);
-        let shut = shut.and_then(|l| l.first_over(from, until, Amount::ZERO));
-        let most = self.bounds.pools[*pool].minus(wanted.amount);
-        let full = self.booked.get(*pool);
-        let full = full.and_then(|l| l.first_over(from, until, most));
-        // Either will do; the later one is further on.
-        shut.max(full)
+        let closed = self.closed_by_pool.get(*pool);
+        let closed =
+            closed.and_then(|timeline| timeline.first_exceeding(from, until, Amount::ZERO));
+        let available = self.limits.pools[*pool].minus(spec.amount);
+        let full = self.reserved_by_pool.get(*pool);
+        let full = full.and_then(|timeline| timeline.first_exceeding(from, until, available));
+        // Both times block it. The later one lets the search skip more.
+        closed.max(full)
     }
 
-    /// Everything that overlaps what is wanted and takes of what is short.
-    fn in_the_way(&self, wanted: &Wanted, pools: &[&Pool], short: Short) -> Vec<Clash> {
-        let mut found = Vec::new();
-        if short == Short::Resources {
-            for (name, closing) in &self.windows {
-                let here = |p: &&Pool| closing.window.concerns(&p.zone, &p.model);
-                if !pools.iter().any(here) {
+    /// The entries that overlap the reservation and use the capacity or team limit that it lacks.
+    fn conflicts(
+        &self,
+        spec: &ReservationSpec,
+        pools: &[&Pool],
+        cause: ConflictCause,
+    ) -> Vec<Conflict> {
+        let mut conflicts = Vec::new();
+        if cause == ConflictCause::Capacity {
+            for (name, planned) in &self.windows {
+                let closes_pool = |p: &&Pool| planned.window.closes(&p.zone, &p.model);
+                if !pools.iter().any(closes_pool) {
                     continue;
                 }
-                let times = overlapping(&closing.times, wanted.from, wanted.until);
-                if let Some((from, until)) = times.first() {
-                    found.push(clash(Kind::Window, name, *from, *until));
+                let occurrences = overlapping(&planned.occurrences, spec.from, spec.until);
+                if let Some((from, until)) = occurrences.first() {
+                    conflicts.push(conflict(EntryKind::Window, name, *from, *until));
                 }
             }
         }
         for (name, r) in &self.reservations {
-            let takes = match short {
-                Short::Limit => r.team == wanted.team,
+            let is_competing = match cause {
+                ConflictCause::TeamLimit => r.team == spec.team,
                 _ => r.shares.iter().any(|s| {
                     let mut pools = pools.iter();
                     pools.any(|p| *p.zone == *s.zone && *p.model == *s.model)
                 }),
             };
-            if takes && r.from < wanted.until && r.until > wanted.from {
-                found.push(clash(Kind::Reservation, name, r.from, r.until));
+            if is_competing && r.from < spec.until && r.until > spec.from {
+                conflicts.push(conflict(EntryKind::Reservation, name, r.from, r.until));
             }
         }
-        found
+        conflicts
     }
 
-    /// Whether a window may be declared: it closes nothing that is reserved. `Ok` lists what it
-    /// closes all the same, if it is forced.
+    /// Checks that a window closes no reserved capacity. If `force` is set, it is accepted all the same, and
+    /// the reservations that it displaces are returned.
+    ///
+    /// # Errors
+    /// Returns why the window is rejected.
     pub fn admit_window(
         &self,
         window: &Window,
         force: bool,
         now: WallClockMillis,
-    ) -> Result<Vec<Clash>, Refusal> {
-        // Another controller may have planned a little further when it took a reservation.
-        let last = self.reservations.values().map(|r| r.until).max();
-        let planned = self.planned.max(last.unwrap_or_default());
-        let times = window.occurrences(now, planned, MOST_TIMES);
-        let Some((first, _)) = times.first() else {
+    ) -> Result<Vec<Conflict>, Rejection> {
+        // A controller that planned further ahead may have accepted reservations beyond this planned time.
+        let last_end = self.reservations.values().map(|r| r.until).max();
+        let planned_until = self.planned_until.max(last_end.unwrap_or_default());
+        let occurrences = window.occurrences(now, planned_until, MAX_OCCURRENCES);
+        let Some((first, _)) = occurrences.first() else {
             return Err(
                 match window
                     .occurrences(now, WallClockMillis(u64::MAX), 1)
                     .is_empty()
                 {
-                    true => Refusal::Past,
-                    false => Refusal::TooFar(self.planned),
+                    true => Rejection::InPast,
+                    false => Rejection::BeyondHorizon(self.planned_until),
                 },
             );
         };
-        if matches!(window.when, When::Once { .. })
-            && times.iter().any(|(_, until)| *until > self.planned)
+        if matches!(window.when, WindowSchedule::Once { .. })
+            && occurrences
+                .iter()
+                .any(|(_, until)| *until > self.planned_until)
         {
-            return Err(Refusal::TooFar(self.planned));
+            return Err(Rejection::BeyondHorizon(self.planned_until));
         }
-        let pools = self.pools_of(window);
+        let pools = self.pools_closed_by(window);
         if pools.is_empty() {
-            return Err(Refusal::NoPlace);
+            return Err(Rejection::NoMatchingPool);
         }
-        if self.len() >= self.bounds.most_entries {
-            return Err(Refusal::TooMany(self.bounds.most_entries));
+        if self.len() >= self.limits.max_entries {
+            return Err(Rejection::TooManyEntries(self.limits.max_entries));
         }
-        let reserved = pools.iter().filter_map(|p| self.booked.get(p));
-        let mut lacks = Amount::ZERO;
-        for line in reserved {
-            for (from, until) in &times {
-                lacks = lacks.max(line.peak(*from, *until));
+        let timelines = pools.iter().filter_map(|p| self.reserved_by_pool.get(p));
+        let mut shortfall = Amount::ZERO;
+        for timeline in timelines {
+            for (from, until) in &occurrences {
+                shortfall = shortfall.max(timeline.peak(*from, *until));
             }
         }
-        if lacks.is_zero() {
+        if shortfall.is_zero() {
             return Ok(Vec::new());
         }
-        let clashes: Vec<Clash> = self
+        let conflicts: Vec<Conflict> = self
             .reservations
             .iter()
             .filter(|(_, r)| {
                 let mut shares = r.shares.iter();
-                shares.any(|s| window.concerns(&s.zone, &s.model))
-                    && !overlapping(&times, r.from, r.until).is_empty()
+                shares.any(|s| window.closes(&s.zone, &s.model))
+                    && !overlapping(&occurrences, r.from, r.until).is_empty()
             })
-            .map(|(name, r)| clash(Kind::Reservation, name, r.from, r.until))
+            .map(|(name, r)| conflict(EntryKind::Reservation, name, r.from, r.until))
             .collect();
         if force {
-            return Ok(clashes);
+            return Ok(conflicts);
         }
-        // Free again from the last change of what is reserved there on.
-        let last = clashes.iter().map(|c| c.until).max().unwrap_or(*first);
-        Err(Refusal::Clash {
-            short: Short::Reserved,
-            lacks,
-            clashes,
-            fits_from: matches!(window.when, When::Once { .. }).then_some(last),
+        // The window may fit once the last conflicting reservation has ended.
+        let last_end = conflicts.iter().map(|c| c.until).max().unwrap_or(*first);
+        Err(Rejection::Conflict {
+            cause: ConflictCause::Reserved,
+            shortfall,
+            conflicts,
+            fits_from: matches!(window.when, WindowSchedule::Once { .. }).then_some(last_end),
         })
     }
 
-    /// The windows that close something of a reservation during its time: only a forced window does.
-    pub fn displaced(&self, r: &Reservation) -> Vec<Clash> {
-        let mut found = Vec::new();
-        // Mostly there is none, and a list of reservations asks for each: windows are looked at only
-        // where one is known to be there.
-        let closed = |s: &Share| {
+    /// The occurrences of windows that close a pool of the reservation during its time. Only a forced window
+    /// does so.
+    pub fn displacing_windows(&self, r: &Reservation) -> Vec<Conflict> {
+        let mut conflicts = Vec::new();
+        // Lists of reservations call this for each entry, and most have no such window. The timelines tell
+        // cheaply whether there is one, before all windows are searched.
+        let is_closed = |s: &Share| {
             let pool = Pool::new(&s.zone, &s.model);
             self.closed_within(&pool, r.from, r.until)
         };
-        if !r.shares.iter().any(closed) {
-            return found;
+        if !r.shares.iter().any(is_closed) {
+            return conflicts;
         }
-        for (name, closing) in &self.windows {
+        for (name, planned) in &self.windows {
             let mut shares = r.shares.iter();
-            if !shares.any(|s| closing.window.concerns(&s.zone, &s.model)) {
+            if !shares.any(|s| planned.window.closes(&s.zone, &s.model)) {
                 continue;
             }
-            let times = overlapping(&closing.times, r.from, r.until).iter();
-            found.extend(times.map(|(a, b)| clash(Kind::Window, name, *a, *b)));
+            let occurrences = overlapping(&planned.occurrences, r.from, r.until).iter();
+            conflicts.extend(
+                occurrences.map(|(from, until)| conflict(EntryKind::Window, name, *from, *until)),
+            );
         }
-        found
+        conflicts
     }
 }
 
-/// Of a window's times, which are all equally long and in order, those that overlap a span.
+/// The occurrences that overlap a time range. They must be in order and of equal duration.
 fn overlapping(
-    times: &[(WallClockMillis, WallClockMillis)],
+    occurrences: &[(WallClockMillis, WallClockMillis)],
     from: WallClockMillis,
     until: WallClockMillis,
 ) -> &[(WallClockMillis, WallClockMillis)] {
-    let first = times.partition_point(|(_, end)| *end <= from);
-    let after = times.partition_point(|(start, _)| *start < until);
-    &times[first..after.max(first)]
+    let first = occurrences.partition_point(|(_, end)| *end <= from);
+    let end = occurrences.partition_point(|(start, _)| *start < until);
+    &occurrences[first..end.max(first)]
 }
 
-fn clash(kind: Kind, name: &Name, from: WallClockMillis, until: WallClockMillis) -> Clash {
-    Clash {
+fn conflict(
+    kind: EntryKind,
+    name: &Name,
+    from: WallClockMillis,
+    until: WallClockMillis,
+) -> Conflict {
+    Conflict {
         kind,
         name: name.clone(),
         from,
@@ -328,22 +372,23 @@
     }
 }
 
-fn taken(
-    wanted: &Wanted,
-    pieces: Pieces,
+/// The record of an accepted reservation.
+fn reservation(
+    spec: &ReservationSpec,
+    amounts: PoolAmounts,
     from: WallClockMillis,
     until: WallClockMillis,
 ) -> Reservation {
     Reservation {
-        team: wanted.team.clone(),
-        amount: wanted.amount,
-        zone: wanted.zone.clone(),
-        types: wanted.types.clone(),
-        spot: wanted.spot,
+        team: spec.team.clone(),
+        amount: spec.amount,
+        zone: spec.zone.clone(),
+        types: spec.types.clone(),
+        spot: spec.spot,
         from,
         until,
-        moved_from: (from != wanted.from).then_some(wanted.from),
-        shares: pieces
+        moved_from: (from != spec.from).then_some(spec.from),
+        shares: amounts
             .into_iter()
             .map(|(pool, amount)| Share {
                 zone: pool.zone.to_string(),
--- a/crates/calendar/src/amount.rs
+++ b/crates/calendar/src/amount.rs
@@ -1,9 +1,9 @@
-//! Amounts of resources as whole thousandths, so that additions and subtractions are exact.
+//! Amounts of resources as integer thousandths, which add and subtract exactly.
 
 use serde::{Deserialize, Serialize};
 use snowshelf_model::records::Resources;
 
-/// An amount of resources, in thousandths.
+/// CPUs, GPUs and memory, in thousandths of their units. Differences may be negative.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct Amount {
     /// Thousandths of CPUs.
@@ -21,11 +21,11 @@
     *number == 0
 }
 
-/// Far more than any deployment has, and far from where sums would overflow.
+/// Bounds converted amounts: above what any deployment has, and low enough that sums do not overflow.
 const MAX_THOUSANDTHS: f64 = 1e15;
 
-/// Number of equal fractions that an amount can be divided into.
-pub const WHOLE: i64 = 1_000_000;
+/// Number of equal fractions into which an amount can be divided.
+pub const FRACTIONS_PER_AMOUNT: i64 = 1_000_000;
 
 fn thousandths(amount: f64) -> i64 {
     (amount * 1000.0)
@@ -34,32 +34,32 @@
 }
 
 impl Amount {
-    /// Nothing.
+    /// Zero of every resource.
     pub const ZERO: Amount = Amount {
         cpus: 0,
         gpus: 0,
         mem: 0,
     };
-    /// No bound.
-    pub const BOUNDLESS: Amount = Amount {
+    /// No limit on any resource. A quarter of the integer range, so that sums do not overflow.
+    pub const UNLIMITED: Amount = Amount {
         cpus: i64::MAX / 4,
         gpus: i64::MAX / 4,
         mem: i64::MAX / 4,
     };
 
-    /// Converts resources, rounded up to thousandths.
+    /// Converts resources, rounding up to whole thousandths.
     #[must_use]
-    pub fn of(room: Resources) -> Amount {
+    pub fn from_resources(resources: Resources) -> Amount {
         Amount {
-            cpus: thousandths(room.cpus),
-            gpus: thousandths(room.gpus),
-            mem: thousandths(room.mem),
+            cpus: thousandths(resources.cpus),
+            gpus: thousandths(resources.gpus),
+            mem: thousandths(resources.mem),
         }
     }
 
-    /// Converts the amount to resources.
+    /// Converts the amount back to CPUs, GPUs and gigabytes.
     #[must_use]
-    pub fn room(self) -> Resources {
+    pub fn to_resources(self) -> Resources {
         Resources {
             cpus: self.cpus as f64 / 1000.0,
             gpus: self.gpus as f64 / 1000.0,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn each(self, other: Amount, f: impl Fn(i64, i64) -> i64) -> Amount {
+    fn combine(self, other: Amount, f: impl Fn(i64, i64) -> i64) -> Amount {
         Amount {
             cpus: f(self.cpus, other.cpus),
             gpus: f(self.gpus, other.gpus),
@@ -75,73 +75,76 @@
         }
     }
 
-    /// The sum of both.
+    /// The sum of both amounts, saturating.
     #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
-        self.each(other, i64::saturating_add)
+        self.combine(other, i64::saturating_add)
     }
 
-    /// This amount less the other; may be negative.
+    /// The difference of both amounts, saturating; may be negative.
     #[must_use]
     pub fn minus(self, other: Amount) -> Amount {
-        self.each(other, i64::saturating_sub)
+        self.combine(other, i64::saturating_sub)
     }
 
-    /// The larger of both, for each resource.
+    /// The maximum of each resource.
     #[must_use]
     pub fn max(self, other: Amount) -> Amount {
-        self.each(other, i64::max)
+        self.combine(other, i64::max)
     }
 
-    /// The smaller of both, for each resource.
+    /// The minimum of each resource.
     #[must_use]
     pub fn min(self, other: Amount) -> Amount {
-        self.each(other, i64::min)
+        self.combine(other, i64::min)
     }
 
-    /// The amount `factor` times.
+    /// Multiplies each resource by `factor`, saturating.
     #[must_use]
     pub fn times(self, factor: i64) -> Amount {
-        self.each(Amount::ZERO, |a, _| a.saturating_mul(factor))
+        self.combine(Amount::ZERO, |a, _| a.saturating_mul(factor))
     }
 
-    /// Whether the amount fits into `free`, for each resource.
+    /// Whether no resource exceeds that of `free`.
     #[must_use]
     pub fn fits_in(self, free: Amount) -> bool {
         self.cpus <= free.cpus && self.gpus <= free.gpus && self.mem <= free.mem
     }
 
-    /// Whether it is nothing.
+    /// Whether every resource is zero.
     #[must_use]
     pub fn is_zero(self) -> bool {
         self == Amount::ZERO
     }
 
-    /// How many of this amount's [`WHOLE`] fractions fit into `free`.
+    /// How many of this amount's [`FRACTIONS_PER_AMOUNT`] fractions fit into `free`, rounded down.
     #[must_use]
-    pub fn parts_in(self, free: Amount) -> i64 {
-        let fits = |need: i64, have: i64| match need {
-            ..=0 => WHOLE,
+    pub fn fractions_in(self, free: Amount) -> i64 {
+        let fitting = |requested: i64, available: i64| match requested {
+            ..=0 => FRACTIONS_PER_AMOUNT,
             _ => {
-                let parts = i128::from(have.max(0)) * i128::from(WHOLE) / i128::from(need);
-                parts.min(i128::from(WHOLE)) as i64
+                let fractions = i128::from(available.max(0)) * i128::from(FRACTIONS_PER_AMOUNT)
+                    / i128::from(requested);
+                fractions.min(i128::from(FRACTIONS_PER_AMOUNT)) as i64
             }
         };
-        fits(self.cpus, free.cpus)
-            .min(fits(self.gpus, free.gpus))
-            .min(fits(self.mem, free.mem))
+        fitting(self.cpus, free.cpus)
+            .min(fitting(self.gpus, free.gpus))
+            .min(fitting(self.mem, free.mem))
     }
 
-    /// The fractions `from..to` of [`WHOLE`]; adjacent pieces add up exactly.
+    /// The fractions `from..to` of [`FRACTIONS_PER_AMOUNT`]. Each end is rounded on its own, so that adjacent
+    /// ranges add up exactly.
     #[must_use]
-    pub fn piece(self, from: i64, to: i64) -> Amount {
-        let upto =
-            |whole: i64, n: i64| (i128::from(whole) * i128::from(n) / i128::from(WHOLE)) as i64;
-        let cut = |whole: i64| upto(whole, to) - upto(whole, from);
+    pub fn fraction_range(self, from: i64, to: i64) -> Amount {
+        let prefix = |total: i64, n: i64| {
+            (i128::from(total) * i128::from(n) / i128::from(FRACTIONS_PER_AMOUNT)) as i64
+        };
+        let range = |total: i64| prefix(total, to) - prefix(total, from);
         Amount {
-            cpus: cut(self.cpus),
-            gpus: cut(self.gpus),
-            mem: cut(self.mem),
+            cpus: range(self.cpus),
+            gpus: range(self.gpus),
+            mem: range(self.mem),
         }
     }
 }
--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -1,4 +1,5 @@
-//! Reservations and maintenance windows: the requests of users, validated field by field, and the records.
+//! Reservations and maintenance windows: user requests, which are validated field by field, and the stored
+//! records.
 
 use crate::amount::Amount;
 use crate::recur::Rule;
@@ -11,7 +12,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The name of a reservation or a window, chosen by its owner.
+/// The name of a calendar entry or a drain, chosen by the user.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Name(Arc<str>);
@@ -23,7 +24,7 @@
         is_valid_name(text, b"._-").then(|| Name(text.into()))
     }
 
-    /// The name's text.
+    /// The name as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -42,13 +43,13 @@
     }
 }
 
-/// A field of a request that is missing or invalid. Its text is part of the response.
+/// A missing or invalid field of a request. The text of the error is sent to the user.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{field}: {why}")]
 pub struct Malformed {
-    /// The path of the field.
+    /// The path of the field in the body, or `body`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub why: String,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-fn is_name(text: &str, _: &()) -> garde::Result {
+fn validate_name(text: &str, _: &()) -> garde::Result {
     match Name::parse(text) {
         Some(_) => Ok(()),
         None => Err(garde::Error::new(
@@ -68,44 +69,44 @@
     }
 }
 
-fn short_text(text: &str) -> garde::Result {
+fn check_length(text: &str) -> garde::Result {
     match (1..=200).contains(&text.len()) {
         true => Ok(()),
         false => Err(garde::Error::new("must have 1 to 200 bytes")),
     }
 }
 
-fn text(text: &str, _: &()) -> garde::Result {
-    short_text(text)
+fn validate_text(text: &str, _: &()) -> garde::Result {
+    check_length(text)
 }
 
-fn some_text(text: &Option<String>, _: &()) -> garde::Result {
-    text.as_deref().map_or(Ok(()), short_text)
+fn validate_optional_text(text: &Option<String>, _: &()) -> garde::Result {
+    text.as_deref().map_or(Ok(()), check_length)
 }
 
-fn texts(list: &Option<Vec<String>>, _: &()) -> garde::Result {
+fn validate_types(list: &Option<Vec<String>>, _: &()) -> garde::Result {
     let Some(list) = list else {
         return Ok(());
     };
     if !(1..=16).contains(&list.len()) {
         return Err(garde::Error::new("must name 1 to 16 machine types"));
     }
-    list.iter().try_for_each(|t| short_text(t))
+    list.iter().try_for_each(|t| check_length(t))
 }
 
-/// A request for a reservation.
+/// A request for a reservation, as users send it. Its type name is part of parse errors sent to users.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize, Validate)]
 pub struct ReservationRequest {
     /// The reservation's name.
-    #[garde(custom(is_name))]
+    #[garde(custom(validate_name))]
     pub name: String,
-    /// The team that it is for.
-    #[garde(custom(text))]
+    /// The team that may use it.
+    #[garde(custom(validate_text))]
     pub team: String,
-    /// CPUs.
+    /// Number of CPUs.
     #[garde(range(min = 0.001, max = 1e9))]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e9))]
     pub gpus: f64,
@@ -113,15 +114,15 @@
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e9))]
     pub mem_gb: f64,
-    /// The zone that is required; `None`: any.
+    /// The required zone. `None`: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[garde(custom(some_text))]
+    #[garde(custom(validate_optional_text))]
     pub zone: Option<String>,
-    /// The machine types that are allowed; `None`: all.
+    /// The allowed machine types. `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[garde(custom(texts))]
+    #[garde(custom(validate_types))]
     pub types: Option<Vec<String>>,
-    /// Whether spot instances will do.
+    /// Whether spot instances may provide it.
     #[serde(default)]
     #[garde(skip)]
     pub spot: bool,
@@ -131,57 +132,61 @@
     /// When it ends.
     #[garde(skip)]
     pub until: Timestamp,
-    /// Whether it may be moved to the first time that fits.
+    /// Whether it may be moved to the earliest time at which it fits.
     #[serde(default)]
     #[garde(skip)]
     pub movable: bool,
 }
 
-/// A request for a maintenance window: either with from and until, or with a rule.
+/// A request for a maintenance window, as users send it: either with `from` and `until`, or with a rule.
+/// Its type name is part of parse errors sent to users.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize, Validate)]
 pub struct WindowRequest {
     /// The window's name.
-    #[garde(custom(is_name))]
+    #[garde(custom(validate_name))]
     pub name: String,
     /// The zone that it closes.
-    #[garde(custom(text))]
+    #[garde(custom(validate_text))]
     pub zone: String,
-    /// The machine types that it closes; `None`: all.
+    /// The machine types that it closes. `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[garde(custom(texts))]
+    #[garde(custom(validate_types))]
     pub types: Option<Vec<String>>,
-    /// When it begins.
+    /// When it begins, unless there is a rule.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub from: Option<Timestamp>,
-    /// When it ends.
+    /// When it ends, unless there is a rule.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub until: Option<Timestamp>,
-    /// Its recurrence.
+    /// The recurrence, if it recurs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub rule: Option<Rule>,
-    /// How long before it, in seconds, no task is started that would run into it; `None`: at any time.
+    /// Lead time in seconds, in which no task is started that would overlap an occurrence. `None`: unlimited
+    /// for tasks with an expected run time, zero for services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 0.0, max = 1e8))]
     pub lead_s: Option<f64>,
-    /// Whether it is accepted although it conflicts with reservations.
+    /// Whether it is accepted even if it conflicts with reservations.
     #[serde(default)]
     #[garde(skip)]
     pub force: bool,
 }
 
-/// Parses a request and validates its fields.
+/// Parses a JSON body and validates its fields.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
-pub fn read<T: DeserializeOwned + Validate<Context = ()>>(body: &[u8]) -> Result<T, Malformed> {
-    let mut reader = serde_json::Deserializer::from_slice(body);
-    let request: T = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
+/// Returns the first field that is missing or invalid.
+pub fn parse_body<T: DeserializeOwned + Validate<Context = ()>>(
+    body: &[u8],
+) -> Result<T, Malformed> {
+    let mut deserializer = serde_json::Deserializer::from_slice(body);
+    let request: T = serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
         let path = e.path().to_string();
         let why = e.inner().to_string();
-        // The parser reports a missing field at the object that lacks it.
+        // The parser reports a missing field at the path of the object, not of the field.
         let missing = why
             .split('`')
             .nth(1)
@@ -194,7 +199,7 @@
         };
         malformed(&field, &why)
     })?;
-    reader
+    deserializer
         .end()
         .map_err(|e| malformed("body", &e.to_string()))?;
     request.validate().map_err(|report| {
@@ -206,56 +211,56 @@
     Ok(request)
 }
 
-/// Converts a time; times before 1970 are invalid.
-fn moment(field: &str, at: Timestamp) -> Result<WallClockMillis, Malformed> {
+/// Converts a timestamp, which must not be before 1970.
+fn wall_clock_millis(field: &str, at: Timestamp) -> Result<WallClockMillis, Malformed> {
     let ms = u64::try_from(at.as_millisecond());
     ms.map(WallClockMillis)
         .map_err(|_| malformed(field, "lies before 1970"))
 }
 
-/// A time as users read it.
+/// Formats a time in RFC 3339, or as milliseconds if it is outside the range of timestamps.
 #[must_use]
-pub fn shown(at: WallClockMillis) -> String {
+pub fn format_time(at: WallClockMillis) -> String {
     let ms = i64::try_from(at.0).unwrap_or(i64::MAX);
     Timestamp::from_millisecond(ms).map_or_else(|_| format!("{ms} ms"), |t| t.to_string())
 }
 
-/// A validated request for a reservation, not yet divided over pools.
+/// A validated request for a reservation, before its amount is divided over pools.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Wanted {
-    /// The team that it is for.
+pub struct ReservationSpec {
+    /// The team that may use it.
     pub team: Team,
-    /// The amount.
+    /// The total amount.
     pub amount: Amount,
-    /// The zone that is required; `None`: any.
+    /// The required zone. `None`: any.
     pub zone: Option<String>,
-    /// The machine types that are allowed, sorted; `None`: all.
+    /// The allowed machine types, sorted. `None`: all.
     pub types: Option<Vec<String>>,
-    /// Whether spot instances will do.
+    /// Whether spot instances may provide it.
     pub spot: bool,
     /// When it begins.
     pub from: WallClockMillis,
     /// When it ends.
     pub until: WallClockMillis,
-    /// Whether it may be moved to the first time that fits.
+    /// Whether it may be moved to the earliest time at which it fits.
     pub movable: bool,
 }
 
 /// Parses a request for a reservation.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
-pub fn parse_reservation(body: &[u8]) -> Result<(Name, Wanted), Malformed> {
-    let request: ReservationRequest = read(body)?;
+/// Returns the first field that is missing or invalid.
+pub fn parse_reservation(body: &[u8]) -> Result<(Name, ReservationSpec), Malformed> {
+    let request: ReservationRequest = parse_body(body)?;
     let name = Name::parse(&request.name).ok_or(malformed("name", "is no name"))?;
     let (from, until) = (
-        moment("from", request.from)?,
-        moment("until", request.until)?,
+        wall_clock_millis("from", request.from)?,
+        wall_clock_millis("until", request.until)?,
     );
     if until.0 < from.0.saturating_add(1000) {
         return Err(malformed("until", "must lie at least a second after from"));
     }
-    let room = Resources {
+    let resources = Resources {
         cpus: request.cpus,
         gpus: request.gpus,
         mem: request.mem_gb,
@@ -265,9 +270,9 @@
         types.sort();
         types.dedup();
     }
-    let wanted = Wanted {
+    let spec = ReservationSpec {
         team: Team::new(&request.team),
-        amount: Amount::of(room),
+        amount: Amount::from_resources(resources),
         zone: request.zone,
         types,
         spot: request.spot,
@@ -275,28 +280,31 @@
         until,
         movable: request.movable,
     };
-    Ok((name, wanted))
+    Ok((name, spec))
 }
 
-/// Parses a request for a maintenance window; also whether it is forced.
+/// Parses a request for a maintenance window. The flag tells whether it is forced over reservations.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
+/// Returns the first field that is missing or invalid.
 pub fn parse_window(body: &[u8]) -> Result<(Name, Window, bool), Malformed> {
-    let request: WindowRequest = read(body)?;
+    let request: WindowRequest = parse_body(body)?;
     let name = Name::parse(&request.name).ok_or(malformed("name", "is no name"))?;
-    let when = match (request.from, request.until, request.rule) {
+    let schedule = match (request.from, request.until, request.rule) {
         (Some(from), Some(until), None) => {
-            let (from, until) = (moment("from", from)?, moment("until", until)?);
+            let (from, until) = (
+                wall_clock_millis("from", from)?,
+                wall_clock_millis("until", until)?,
+            );
             if until.0 < from.0.saturating_add(1000) {
                 return Err(malformed("until", "must lie at least a second after from"));
             }
-            When::Once { from, until }
+            WindowSchedule::Once { from, until }
         }
         (None, None, Some(rule)) => {
             rule.check()
                 .map_err(|invalid| malformed(&format!("rule.{}", invalid.field), invalid.reason))?;
-            When::Again(rule)
+            WindowSchedule::Recurring(rule)
         }
         (Some(_), None, None) => return Err(malformed("until", "is missing")),
         (None, Some(_), None) => return Err(malformed("from", "is missing")),
@@ -306,7 +314,7 @@
     let window = Window {
         zone: request.zone,
         types: request.types,
-        when,
+        when: schedule,
         lead_s: request.lead_s,
     };
     Ok((name, window, request.force))
@@ -321,105 +329,108 @@
     /// The pool's machine type.
     #[serde(rename = "t")]
     pub model: String,
-    /// The amount.
+    /// The reserved amount.
     #[serde(rename = "a")]
     pub amount: Amount,
 }
 
-/// `res/<name>`: a reservation that was accepted.
+/// An accepted reservation, stored under the key `res/<name>`.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The team that it is for.
+    /// The team that may use it.
     pub team: Team,
-    /// The whole amount.
+    /// The total amount over all pools.
     pub amount: Amount,
-    /// The zone that was required, if any.
+    /// The required zone, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The machine types that were allowed, if not all.
+    /// The allowed machine types, sorted. `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// Whether spot instances will do.
+    /// Whether spot instances may provide it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
     /// When it begins.
     pub from: WallClockMillis,
     /// When it ends.
     pub until: WallClockMillis,
-    /// The beginning that was requested, if it was moved.
+    /// The requested start time, if the reservation was moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moved_from: Option<WallClockMillis>,
-    /// The pools that it is divided over.
+    /// The amount in each pool.
     pub shares: Vec<Share>,
 }
 
 impl Reservation {
-    /// Whether a request is for exactly this reservation.
+    /// Whether the request is the one that was accepted as this reservation, so that a repetition of it
+    /// changes nothing.
     #[must_use]
-    pub fn answers(&self, wanted: &Wanted) -> bool {
-        let asked = self.moved_from.unwrap_or(self.from);
-        let long = self.until.0 - self.from.0.min(self.until.0);
-        self.team == wanted.team
-            && self.amount == wanted.amount
-            && self.zone == wanted.zone
-            && self.types == wanted.types
-            && self.spot == wanted.spot
-            && asked == wanted.from
-            && long == wanted.until.0 - wanted.from.0
+    pub fn is_same_request(&self, spec: &ReservationSpec) -> bool {
+        let requested_from = self.moved_from.unwrap_or(self.from);
+        let duration_ms = self.until.0 - self.from.0.min(self.until.0);
+        self.team == spec.team
+            && self.amount == spec.amount
+            && self.zone == spec.zone
+            && self.types == spec.types
+            && self.spot == spec.spot
+            && requested_from == spec.from
+            && duration_ms == spec.until.0 - spec.from.0
     }
 }
 
-/// When a maintenance window is.
+/// When a maintenance window is open.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum When {
-    /// Once.
+pub enum WindowSchedule {
+    /// One occurrence.
     Once {
         /// When it begins.
         from: WallClockMillis,
         /// When it ends.
         until: WallClockMillis,
     },
-    /// It recurs.
-    Again(Rule),
+    /// Occurrences by a rule.
+    #[serde(rename = "again")]
+    Recurring(Rule),
 }
 
-/// `win/<name>`: a maintenance window that was accepted.
+/// An accepted maintenance window, stored under the key `win/<name>`.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Window {
     /// The zone that it closes.
     pub zone: String,
-    /// The machine types that it closes; `None`: all.
+    /// The machine types that it closes. `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// When it is.
-    pub when: When,
-    /// How long before it, in seconds, no task is started that would run into it; `None`: at any time.
+    /// When it is open.
+    pub when: WindowSchedule,
+    /// Lead time in seconds, in which no task is started that would overlap an occurrence. `None`: unlimited
+    /// for tasks with an expected run time, zero for services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lead_s: Option<f64>,
 }
 
 impl Window {
-    /// Its occurrences that end after `from` and begin before `until`, in order, at most `most`.
+    /// The occurrences that end after `from` and begin before `until`, in order, at most `max_count`.
     #[must_use]
     pub fn occurrences(
         &self,
         from: WallClockMillis,
         until: WallClockMillis,
-        most: usize,
+        max_count: usize,
     ) -> Vec<(WallClockMillis, WallClockMillis)> {
         match &self.when {
-            When::Once { from: a, until: b } => {
-                let inside = *b > from && *a < until;
-                inside.then_some((*a, *b)).into_iter().collect()
+            WindowSchedule::Once { from: a, until: b } => {
+                let overlaps = *b > from && *a < until;
+                overlaps.then_some((*a, *b)).into_iter().collect()
             }
-            When::Again(rule) => rule.occurrences(from, until, most),
+            WindowSchedule::Recurring(rule) => rule.occurrences(from, until, max_count),
         }
     }
 
-    /// Whether it closes the pool of this zone and machine type.
+    /// Whether the window closes the pool of this zone and machine type.
     #[must_use]
-    pub fn concerns(&self, zone: &str, model: &str) -> bool {
+    pub fn closes(&self, zone: &str, model: &str) -> bool {
         let mut types = self.types.iter().flatten();
         self.zone == zone && (self.types.is_none() || types.any(|t| t == model))
     }
--- a/crates/calendar/src/lib.rs
+++ b/crates/calendar/src/lib.rs
@@ -1,11 +1,12 @@
-//! Reservations of capacity ahead, and maintenance windows: what fits, what clashes with what, when a
-//! window comes again. Pure: every answer follows from the calendar, the question and the time.
+//! Capacity reservations and maintenance windows: admission, conflicts, recurrence, and the constraints
+//! on placement and scale-out. Every result depends only on the calendar, the request and the time passed
+//! in; nothing here does I/O or reads a clock.
 
 pub mod admission;
 pub mod amount;
 pub mod calendar;
+pub mod constraints;
 pub mod entry;
-pub mod guard;
 pub mod recur;
-pub mod refusal;
+pub mod rejection;
 pub mod timeline;
--- a/crates/calendar/src/timeline.rs
+++ b/crates/calendar/src/timeline.rs
@@ -1,9 +1,8 @@
-//! The amount booked over time, as changes at points of time in a persistent tree.
+//! An amount over time, stored as changes at points in time in a persistent treap.
 //!
-//! Every node stores the sum of the changes below it and the highest level that they reach, so that the
-//! highest level between two times is found in logarithmic time. Nothing is changed in place: a clone
-//! shares everything that is not changed in it. The tree's shape follows from its keys alone (a treap
-//! whose priorities are hashes of the keys).
+//! Each node stores the sum and the peak of the changes in its subtree, so that the peak between two times
+//! is found in logarithmic time. Updates copy the path to the root, and clones share all other nodes. The
+//! priorities are hashes of the keys, so that the shape depends on the keys alone.
 
 use crate::amount::Amount;
 use snowshelf_model::ids::WallClockMillis;
@@ -15,34 +14,36 @@
 struct Node {
     at: WallClockMillis,
     change: Amount,
-    below: Span,
+    subtree: ChangeSummary,
     left: Link,
     right: Link,
 }
 
-/// A sequence of changes: their sum, and the highest level reached, the start included.
+/// A sequence of changes: its sum, and its highest level. The level starts at zero, which counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Span {
+struct ChangeSummary {
     sum: Amount,
     peak: Amount,
 }
 
-impl Span {
-    fn of(change: Amount) -> Span {
-        Span {
+impl ChangeSummary {
+    fn single(change: Amount) -> ChangeSummary {
+        ChangeSummary {
             sum: change,
             peak: change.max(Amount::ZERO),
         }
     }
-    fn then(self, next: Span) -> Span {
-        Span {
+
+    /// The summary of this sequence followed by the next.
+    fn then(self, next: ChangeSummary) -> ChangeSummary {
+        ChangeSummary {
             sum: self.sum.plus(next.sum),
             peak: self.peak.max(self.sum.plus(next.peak)),
         }
     }
 }
 
-/// Spreads keys over priorities (the finalizer of splitmix64).
+/// The priority of a key in the treap: its hash by the finalizer of splitmix64.
 fn priority(at: WallClockMillis) -> u64 {
     let mut x = at.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -50,36 +51,38 @@
     x ^ (x >> 31)
 }
 
-fn below(link: &Link) -> Span {
-    link.as_ref().map(|n| n.below).unwrap_or_default()
+fn subtree(link: &Link) -> ChangeSummary {
+    link.as_ref().map(|n| n.subtree).unwrap_or_default()
 }
 
 fn node(at: WallClockMillis, change: Amount, left: Link, right: Link) -> Link {
-    let below = below(&left).then(Span::of(change)).then(below(&right));
+    let subtree = subtree(&left)
+        .then(ChangeSummary::single(change))
+        .then(subtree(&right));
     Some(Arc::new(Node {
         at,
         change,
-        below,
+        subtree,
         left,
         right,
     }))
 }
 
-/// Keys before `at`, and the others.
+/// Splits a tree into the keys before `at` and the others.
 fn split(link: &Link, at: WallClockMillis) -> (Link, Link) {
     let Some(n) = link else {
         return (None, None);
     };
     if n.at < at {
-        let (less, rest) = split(&n.right, at);
-        (node(n.at, n.change, n.left.clone(), less), rest)
+        let (before, rest) = split(&n.right, at);
+        (node(n.at, n.change, n.left.clone(), before), rest)
     } else {
-        let (less, rest) = split(&n.left, at);
-        (less, node(n.at, n.change, rest, n.right.clone()))
+        let (before, rest) = split(&n.left, at);
+        (before, node(n.at, n.change, rest, n.right.clone()))
     }
 }
 
-/// Joins two trees, all keys of the first before those of the second.
+/// Joins two trees. All keys of the first must be less than those of the second.
 fn join(a: &Link, b: &Link) -> Link {
     match (a, b) {
         (None, rest) | (rest, None) => rest.clone(),
@@ -90,17 +93,17 @@
     }
 }
 
-/// The changes after `from` and before `until`, where these are given.
+/// Summarizes the changes after `from` and before `until`; `None` is unbounded.
 fn changes_between(
     link: &Link,
     from: Option<WallClockMillis>,
     until: Option<WallClockMillis>,
-) -> Span {
+) -> ChangeSummary {
     let Some(n) = link else {
-        return Span::default();
+        return ChangeSummary::default();
     };
     if from.is_none() && until.is_none() {
-        return n.below;
+        return n.subtree;
     }
     if from.is_some_and(|from| n.at <= from) {
         return changes_between(&n.right, from, until);
@@ -109,46 +112,47 @@
         return changes_between(&n.left, from, until);
     }
     changes_between(&n.left, from, None)
-        .then(Span::of(n.change))
+        .then(ChangeSummary::single(n.change))
         .then(changes_between(&n.right, None, until))
 }
 
-/// The first time after `from` and before `until` at which the level, coming from `level`, does not
-/// fit any more; the level at the end otherwise.
-fn first_over(
+/// Searches the changes after `from` and before `until`, where the level starts at `level`. Returns the
+/// first time at which the level exceeds `limit` as an error, or else the level at the end.
+fn first_exceeding(
     link: &Link,
     from: Option<WallClockMillis>,
     until: Option<WallClockMillis>,
     level: Amount,
-    most: Amount,
+    limit: Amount,
 ) -> Result<Amount, WallClockMillis> {
     let Some(n) = link else {
         return Ok(level);
     };
     if from.is_some_and(|from| n.at <= from) {
-        return first_over(&n.right, from, until, level, most);
+        return first_exceeding(&n.right, from, until, level, limit);
     }
     if until.is_some_and(|until| n.at >= until) {
-        return first_over(&n.left, from, until, level, most);
+        return first_exceeding(&n.left, from, until, level, limit);
     }
-    if from.is_none() && until.is_none() && level.plus(n.below.peak).fits_in(most) {
-        return Ok(level.plus(n.below.sum));
+    if from.is_none() && until.is_none() && level.plus(n.subtree.peak).fits_in(limit) {
+        return Ok(level.plus(n.subtree.sum));
     }
-    let level = first_over(&n.left, from, None, level, most)?.plus(n.change);
-    if !level.fits_in(most) {
+    let level = first_exceeding(&n.left, from, None, level, limit)?.plus(n.change);
+    if !level.fits_in(limit) {
         return Err(n.at);
     }
-    first_over(&n.right, None, until, level, most)
+    first_exceeding(&n.right, None, until, level, limit)
 }
 
-/// The amount booked at every time.
+/// An amount as a function of time, zero before the first change.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     root: Link,
 }
 
 impl Timeline {
-    fn change(&self, at: WallClockMillis, change: Amount) -> Timeline {
+    /// The timeline with a change added at a time.
+    fn with_change(&self, at: WallClockMillis, change: Amount) -> Timeline {
         let (before, rest) = split(&self.root, at);
         let (here, after) = split(&rest, WallClockMillis(at.0.saturating_add(1)));
         let change = here.map_or(Amount::ZERO, |n| n.change).plus(change);
@@ -161,14 +165,14 @@
         }
     }
 
-    /// The timeline with `amount` more from `from` to before `until`.
+    /// The timeline with `amount` added from `from` (inclusive) to `until` (exclusive).
     #[must_use]
     pub fn with(&self, from: WallClockMillis, until: WallClockMillis, amount: Amount) -> Timeline {
-        self.change(from, amount)
-            .change(until, Amount::ZERO.minus(amount))
+        self.with_change(from, amount)
+            .with_change(until, Amount::ZERO.minus(amount))
     }
 
-    /// The timeline without what [`Timeline::with`] added.
+    /// The timeline with `amount` subtracted, which reverses [`Timeline::with`].
     #[must_use]
     pub fn without(
         &self,
@@ -179,7 +183,7 @@
         self.with(from, until, Amount::ZERO.minus(amount))
     }
 
-    /// The amount booked at a time.
+    /// The amount at a time.
     #[must_use]
     pub fn level(&self, at: WallClockMillis) -> Amount {
         changes_between(
@@ -190,29 +194,29 @@
         .sum
     }
 
-    /// The most that is booked of each resource from `from` to before `until`.
+    /// The maximum of each resource from `from` (inclusive) to `until` (exclusive).
     #[must_use]
     pub fn peak(&self, from: WallClockMillis, until: WallClockMillis) -> Amount {
         let level = self.level(from);
         level.plus(changes_between(&self.root, Some(from), Some(until)).peak)
     }
 
-    /// The first time from `from` to before `until` at which more than `most` is booked.
+    /// The first time from `from` (inclusive) to `until` (exclusive) at which any resource exceeds `limit`.
     #[must_use]
-    pub fn first_over(
+    pub fn first_exceeding(
         &self,
         from: WallClockMillis,
         until: WallClockMillis,
-        most: Amount,
+        limit: Amount,
     ) -> Option<WallClockMillis> {
         let level = self.level(from);
-        if !level.fits_in(most) {
+        if !level.fits_in(limit) {
             return Some(from);
         }
-        first_over(&self.root, Some(from), Some(until), level, most).err()
+        first_exceeding(&self.root, Some(from), Some(until), level, limit).err()
     }
 
-    /// The next time after `at` at which the level changes.
+    /// The first time after `at` at which the amount changes.
     #[must_use]
     pub fn next_change(&self, at: WallClockMillis) -> Option<WallClockMillis> {
         let (mut link, mut found) = (&self.root, None);
@@ -227,7 +231,7 @@
         found
     }
 
-    /// Whether nothing is ever booked.
+    /// Whether the amount is always zero.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.root.is_none()
--- a/crates/calendar/tests/entries.rs
+++ b/crates/calendar/tests/entries.rs
@@ -1,12 +1,17 @@
-//! Entries as users write them, and recurring windows.
+//! Parsing of requests, recurrence of windows, and the constraints that windows place on task starts.
 
 use jiff::Timestamp;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use serde_json::{Value, json};
-use snowshelf_calendar::entry::{When, parse_reservation, parse_window, shown};
+use snowshelf_calendar::calendar::{Calendar, CalendarLimits, Pool};
+use snowshelf_calendar::constraints::CalendarConstraints;
+use snowshelf_calendar::entry::{
+    Name, Window, WindowSchedule, format_time, parse_reservation, parse_window,
+};
 use snowshelf_calendar::recur::Rule;
 use snowshelf_model::ids::WallClockMillis;
+use std::sync::Arc;
 
 fn ms(text: &str) -> WallClockMillis {
     let at: Timestamp = text.parse().unwrap();
@@ -26,15 +31,15 @@
     let rule: Rule = serde_json::from_value(rule.clone()).unwrap();
     rule.check().unwrap();
     let found = rule.occurrences(ms(from), ms(until), 1_000);
-    found.iter().map(|(a, _)| shown(*a)).collect()
+    found.iter().map(|(a, _)| format_time(*a)).collect()
 }
 
 #[test]
-fn a_wrong_field_is_named() {
-    let (name, wanted) = parse_reservation(reservation().to_string().as_bytes()).unwrap();
+fn parse_reservation_invalid_field_is_named_in_error() {
+    let (name, spec) = parse_reservation(reservation().to_string().as_bytes()).unwrap();
     assert_eq!(name.as_str(), "crush-2027");
-    assert_eq!((wanted.amount.cpus, wanted.amount.mem), (120_000, 480_000));
-    assert_eq!(wanted.until, ms("2027-09-14T19:00:00Z"));
+    assert_eq!((spec.amount.cpus, spec.amount.mem), (120_000, 480_000));
+    assert_eq!(spec.until, ms("2027-09-14T19:00:00Z"));
     let wrong = [
         ("name", json!("no spaces")),
         ("name", json!("../up")),
@@ -70,7 +75,7 @@
 }
 
 #[test]
-fn a_window_has_times_or_a_rule() {
+fn parse_window_requires_times_or_rule() {
     let window = |extra: Value| {
         let mut body = json!({"name": "w", "zone": "campanha"});
         for (k, v) in extra.as_object().unwrap() {
@@ -80,7 +85,7 @@
     };
     let (from, until) = ("2027-01-01T00:00:00Z", "2027-01-01T04:00:00Z");
     let (_, once, force) = window(json!({"from": from, "until": until, "force": true})).unwrap();
-    assert!(force && matches!(once.when, When::Once { .. }));
+    assert!(force && matches!(once.when, WindowSchedule::Once { .. }));
     assert!(window(json!({"rule": rule()})).is_ok());
     for (extra, field) in [
         (json!({}), "from"),
@@ -115,12 +120,13 @@
     }
 }
 
-/// The two hours of a clock change: the one that is left out, and the one that comes twice.
+/// Guards against occurrences that are lost or repeated on the days of clock changes. In one night the
+/// local time of the rule occurs twice, in the other it does not exist.
 #[test]
-fn a_window_comes_once_a_day_whatever_the_clocks_do() {
+fn daily_rule_occurs_once_a_day_across_clock_changes() {
     assert_eq!(
         times(&rule(), "2026-10-24T00:00:00Z", "2026-10-27T00:00:00Z"),
-        // Until the 25th an hour before UTC; 01:30 comes twice that night, and the first one counts.
+        // Up to the 25th, local time is an hour ahead of UTC. 01:30 occurs twice that night; the first counts.
         [
             "2026-10-24T00:30:00Z",
             "2026-10-25T00:30:00Z",
@@ -129,7 +135,7 @@
     );
     assert_eq!(
         times(&rule(), "2027-03-27T00:00:00Z", "2027-03-30T00:00:00Z"),
-        // On the 28th there is no 01:30: it begins an hour later by the clock.
+        // On the 28th there is no 01:30, so that the window begins at 02:30 local time.
         [
             "2027-03-27T01:30:00Z",
             "2027-03-28T01:30:00Z",
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn rules_count_weeks_and_months_from_the_first() {
+fn rule_counts_intervals_from_first_date() {
     let weekly = json!({"every": "week", "interval": 2, "on": ["tue", "fri"], "at": "22:00",
         "zone": "America/Costa_Rica", "first": "2026-12-01", "last": "2026-12-29", "for_s": 7200});
     assert_eq!(
@@ -164,7 +170,7 @@
             "2027-03-31T00:00:00Z"
         ]
     );
-    // Months without a 31st are passed over, not moved.
+    // Months without a 31st are skipped; the occurrence is not moved to another day.
     assert_eq!(
         times(&monthly(31), "2027-01-01T00:00:00Z", "2027-06-01T00:00:00Z"),
         [
@@ -184,56 +190,53 @@
         ..Config::default()
     })]
 
-    /// Guards against occurrences that are lost or come twice where a plan ends and the next begins.
+    /// Guards against occurrences that are lost or repeated at the border between two planned time ranges.
     #[test]
-    fn a_span_of_time_cut_in_two_has_the_same_occurrences(
-        hour in 0..24i8, long in 60..200_000u32, interval in 1..4u32, cut in 0..90u64, every in 0..3usize,
+    fn rule_split_range_has_same_occurrences(
+        hour in 0..24i8, duration_s in 60..200_000u32, interval in 1..4u32, split in 0..90u64, every in 0..3usize,
     ) {
         let every = ["day", "week", "month"][every];
         let rule: Rule = serde_json::from_value(json!({"every": every, "interval": interval,
-            "at": format!("{hour:02}:30"), "zone": "Europe/Lisbon", "first": "2027-01-15", "for_s": long}))
+            "at": format!("{hour:02}:30"), "zone": "Europe/Lisbon", "first": "2027-01-15", "for_s": duration_s}))
             .unwrap();
         let start = ms("2027-01-20T00:00:00Z");
         let day = |n: u64| WallClockMillis(start.0 + n * 86_400_000);
         let whole = rule.occurrences(start, day(90), 1_000);
-        let mut parts = rule.occurrences(start, day(cut), 1_000);
-        let rest = rule.occurrences(day(cut), day(90), 1_000);
-        parts.extend(rest.into_iter().filter(|o| o.0 >= day(cut)));
+        let mut parts = rule.occurrences(start, day(split), 1_000);
+        let rest = rule.occurrences(day(split), day(90), 1_000);
+        parts.extend(rest.into_iter().filter(|o| o.0 >= day(split)));
         prop_assert_eq!(&parts, &whole);
         prop_assert!(whole.windows(2).all(|w| w[0].0 < w[1].0));
-        prop_assert!(whole.iter().all(|(a, b)| b.0 - a.0 == u64::from(long) * 1000));
+        prop_assert!(whole.iter().all(|(a, b)| b.0 - a.0 == u64::from(duration_s) * 1000));
     }
 
+    /// Guards against panics in the parsers on arbitrary bytes and texts.
     #[test]
-    fn no_body_ends_the_process(bytes in prop::collection::vec(any::<u8>(), 0..300), text in "\\PC{0,80}") {
+    fn parsers_arbitrary_input_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), text in "\\PC{0,80}") {
         let _ = parse_reservation(&bytes);
         let _ = parse_window(text.as_bytes());
-        let odd = json!({"name": text, "zone": text, "from": text, "until": "2027-01-01T00:00:00Z"});
-        let _ = parse_window(odd.to_string().as_bytes());
+        let body = json!({"name": text, "zone": text, "from": text, "until": "2027-01-01T00:00:00Z"});
+        let _ = parse_window(body.to_string().as_bytes());
     }
 }
 
-/// Guards against a start that the window would cut off, and against one that two clocks apart allow:
-/// a closing is seen as early and as long as any host may see it.
+/// Guards against starting a task that would overlap a window, also if the clocks of two hosts differ: the
+/// window counts as closed from the earliest to the latest time at which any host may see it so.
 #[test]
-fn nothing_starts_that_would_run_into_a_window() {
-    use snowshelf_calendar::calendar::{Bounds, Calendar, Pool};
-    use snowshelf_calendar::entry::{Name, Window};
-    use snowshelf_calendar::guard::Guard;
-    use std::sync::Arc;
+fn constraints_block_starts_that_overlap_window() {
     let pool = Pool::new("east", "big");
-    let bounds = Arc::new(Bounds {
+    let limits = Arc::new(CalendarLimits {
         pools: [(pool.clone(), Default::default())].into(),
         horizon_ms: 10_000_000,
-        most_entries: 10,
-        ..Bounds::default()
+        max_entries: 10,
+        ..CalendarLimits::default()
     });
-    let guard = |lead_s| {
-        let mut calendar = Calendar::new(bounds.clone(), WallClockMillis(0));
+    let constraints = |lead_s| {
+        let mut calendar = Calendar::new(limits.clone(), WallClockMillis(0));
         let window = Window {
             zone: "east".to_string(),
             types: None,
-            when: When::Once {
+            when: WindowSchedule::Once {
                 from: WallClockMillis(600_000),
                 until: WallClockMillis(900_000),
             },
@@ -241,34 +244,44 @@
         };
         let name = Name::parse("w").unwrap();
         calendar.set_window(&name, Some(Arc::new(window)), WallClockMillis(0));
-        Guard::of(&calendar, WallClockMillis(0), 5_000_000, 1_000)
+        CalendarConstraints::new(&calendar, WallClockMillis(0), 5_000_000, 1_000)
     };
-    let at = |guard: &Guard, run_s: Option<u64>, now_s: u64| {
-        guard
-            .forbids(
+    let blocked = |constraints: &CalendarConstraints, run_s: Option<u64>, now_s: u64| {
+        constraints
+            .blocks_start(
                 &pool,
                 run_s.map(|s| s * 1000),
                 WallClockMillis(now_s * 1000),
             )
             .is_some()
     };
-    let any = guard(None);
-    assert!(!at(&any, Some(100), 499) && at(&any, Some(100), 500));
-    assert!(at(&any, Some(500), 100) && at(&any, Some(1), 700) && at(&any, Some(1), 900));
-    assert!(!at(&any, Some(1), 901));
-    // Services start until the window comes, and again after it.
-    assert!(!at(&any, None, 598) && at(&any, None, 599) && !at(&any, None, 901));
-    let late = guard(Some(60.0));
-    assert!(!at(&late, Some(500), 538) && at(&late, Some(500), 539));
-    assert!(!at(&late, None, 538) && at(&late, None, 539));
-    let empties = |now_s: u64| {
-        any.empties(&pool, WallClockMillis(now_s * 1000), 10_000)
+    let no_lead = constraints(None);
+    assert!(!blocked(&no_lead, Some(100), 499) && blocked(&no_lead, Some(100), 500));
+    assert!(
+        blocked(&no_lead, Some(500), 100)
+            && blocked(&no_lead, Some(1), 700)
+            && blocked(&no_lead, Some(1), 900)
+    );
+    assert!(!blocked(&no_lead, Some(1), 901));
+    // Without a lead time, services may start until the window opens, and again after it ends.
+    assert!(
+        !blocked(&no_lead, None, 598)
+            && blocked(&no_lead, None, 599)
+            && !blocked(&no_lead, None, 901)
+    );
+    let lead = constraints(Some(60.0));
+    assert!(!blocked(&lead, Some(500), 538) && blocked(&lead, Some(500), 539));
+    assert!(!blocked(&lead, None, 538) && blocked(&lead, None, 539));
+    let must_be_empty = |now_s: u64| {
+        no_lead
+            .requires_empty(&pool, WallClockMillis(now_s * 1000), 10_000)
             .is_some()
     };
-    assert!(!empties(588) && empties(589) && empties(900) && !empties(901));
-    let elsewhere = Pool::new("west", "big");
+    assert!(!must_be_empty(588) && must_be_empty(589) && must_be_empty(900) && !must_be_empty(901));
+    let other_pool = Pool::new("west", "big");
     assert!(
-        any.forbids(&elsewhere, Some(1), WallClockMillis(700_000))
+        no_lead
+            .blocks_start(&other_pool, Some(1), WallClockMillis(700_000))
             .is_none()
     );
 }
--- a/crates/calendar/tests/model.rs
+++ b/crates/calendar/tests/model.rs
@@ -1,24 +1,24 @@
-//! The calendar against a plain model that looks at every minute.
+//! Compares the calendar with a reference model that evaluates every minute.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use snowshelf_calendar::amount::{Amount, WHOLE};
-use snowshelf_calendar::calendar::{Bounds, Calendar, Pool};
-use snowshelf_calendar::entry::{Name, Reservation, Wanted, When, Window};
-use snowshelf_calendar::refusal::{Kind, Refusal, Short};
+use snowshelf_calendar::amount::{Amount, FRACTIONS_PER_AMOUNT};
+use snowshelf_calendar::calendar::{Calendar, CalendarLimits, Pool};
+use snowshelf_calendar::entry::{Name, Reservation, ReservationSpec, Window, WindowSchedule};
+use snowshelf_calendar::rejection::{ConflictCause, EntryKind, Rejection};
 use snowshelf_calendar::timeline::Timeline;
 use snowshelf_model::ids::{Team, WallClockMillis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 const MINUTE: u64 = 60_000;
-/// Minutes that are planned.
-const PLANNED: u64 = 240;
+/// Length of the planned time in minutes.
+const PLANNED_MINUTES: u64 = 240;
 const ZONES: [&str; 2] = ["east", "west"];
 const TYPES: [&str; 2] = ["big", "small"];
 const TEAMS: [&str; 2] = ["red", "blue"];
 
-fn fixed(cases: u32) -> Config {
+fn config(cases: u32) -> Config {
     Config {
         cases,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -32,50 +32,52 @@
     WallClockMillis(minute * MINUTE)
 }
 
-fn cpus(n: i64) -> Amount {
+fn cpus(count: i64) -> Amount {
     Amount {
-        cpus: n * 1000,
+        cpus: count * 1000,
         gpus: 0,
-        mem: n * 2000,
+        mem: count * 2000,
     }
 }
 
-fn bounds() -> Arc<Bounds> {
+fn calendar_limits() -> Arc<CalendarLimits> {
     let mut pools = BTreeMap::new();
     for (i, zone) in ZONES.iter().enumerate() {
         for (j, model) in TYPES.iter().enumerate() {
-            // Memory is what runs out first in one of them.
-            let mut most = cpus(30 + 10 * (i as i64) + 5 * (j as i64));
-            most.mem /= 1 + i as i64;
-            pools.insert(Pool::new(zone, model), most);
+            // In one zone, memory is the first resource to run out.
+            let mut capacity = cpus(30 + 10 * (i as i64) + 5 * (j as i64));
+            capacity.mem /= 1 + i as i64;
+            pools.insert(Pool::new(zone, model), capacity);
         }
     }
-    Arc::new(Bounds {
+    Arc::new(CalendarLimits {
         pools,
-        limits: TEAMS.iter().map(|t| (Team::new(t), cpus(70))).collect(),
-        horizon_ms: PLANNED * MINUTE,
-        most_entries: 10_000,
+        teams: TEAMS.iter().map(|t| (Team::new(t), cpus(70))).collect(),
+        horizon_ms: PLANNED_MINUTES * MINUTE,
+        max_entries: 10_000,
     })
 }
 
+/// A random operation; times and durations are in minutes.
 #[derive(Clone, Debug)]
 enum Op {
     Reserve {
         team: usize,
-        n: i64,
+        cpu_count: i64,
         zone: Option<usize>,
         model: Option<usize>,
         from: u64,
-        long: u64,
+        duration: u64,
         movable: bool,
     },
-    Close {
+    DeclareWindow {
         zone: usize,
         model: Option<usize>,
         from: u64,
-        long: u64,
+        duration: u64,
         force: bool,
     },
+    /// Cancels the entry that was accepted as the n-th, if there is one.
     Cancel(usize),
 }
 
@@ -91,7 +93,7 @@
         1..60u64,
         any::<bool>(),
     );
-    let close = (
+    let window = (
         0..2usize,
         model,
         0..200u64,
@@ -99,85 +101,90 @@
         prop::bool::weighted(0.2),
     );
     prop_oneof![
-        6 => reserve.prop_map(|(team, n, zone, model, from, long, movable)|
-            Op::Reserve { team, n, zone, model, from, long, movable }),
-        2 => close.prop_map(|(zone, model, from, long, force)| Op::Close { zone, model, from, long, force }),
+        6 => reserve.prop_map(|(team, cpu_count, zone, model, from, duration, movable)|
+            Op::Reserve { team, cpu_count, zone, model, from, duration, movable }),
+        2 => window.prop_map(|(zone, model, from, duration, force)|
+            Op::DeclareWindow { zone, model, from, duration, force }),
         1 => (0..60usize).prop_map(Op::Cancel),
     ]
 }
 
-/// What was taken, as a plain list.
+/// The accepted entries; a window's flag tells whether it was forced over reservations.
 #[derive(Default)]
-struct Plain {
+struct ReferenceModel {
     reservations: BTreeMap<String, Reservation>,
     windows: BTreeMap<String, (Window, bool)>,
 }
 
-impl Plain {
-    fn booked(&self, pool: &Pool, minute: u64) -> Amount {
+impl ReferenceModel {
+    fn reserved_in_pool(&self, pool: &Pool, minute: u64) -> Amount {
         let t = at(minute);
-        let here = self
+        let current = self
             .reservations
             .values()
             .filter(|r| r.from <= t && t < r.until);
-        here.flat_map(|r| &r.shares)
+        current
+            .flat_map(|r| &r.shares)
             .filter(|s| *s.zone == *pool.zone && *s.model == *pool.model)
             .fold(Amount::ZERO, |sum, s| sum.plus(s.amount))
     }
 
-    fn reserved(&self, team: &Team, minute: u64) -> Amount {
+    fn reserved_by_team(&self, team: &Team, minute: u64) -> Amount {
         let t = at(minute);
-        let here = self
+        let current = self
             .reservations
             .values()
             .filter(|r| r.from <= t && t < r.until);
-        here.filter(|r| r.team == *team)
+        current
+            .filter(|r| r.team == *team)
             .fold(Amount::ZERO, |sum, r| sum.plus(r.amount))
     }
 
-    fn closed(&self, pool: &Pool, minute: u64) -> bool {
+    fn is_closed(&self, pool: &Pool, minute: u64) -> bool {
         let t = at(minute);
         self.windows.values().any(|(w, _)| {
-            let When::Once { from, until } = &w.when else {
+            let WindowSchedule::Once { from, until } = &w.when else {
                 return false;
             };
-            w.concerns(&pool.zone, &pool.model) && *from <= t && t < *until
+            w.closes(&pool.zone, &pool.model) && *from <= t && t < *until
         })
     }
 
-    /// Whether what is wanted fits from this minute on.
-    fn fits(&self, wanted: &Wanted, from: u64, long: u64) -> bool {
-        let bounds = bounds();
-        let minutes = from..from + long;
-        let limit = bounds.limits[&wanted.team];
-        let team = minutes.clone().all(|m| {
-            self.reserved(&wanted.team, m)
-                .plus(wanted.amount)
+    /// Whether the reservation fits if it begins at this minute.
+    fn fits(&self, spec: &ReservationSpec, from: u64, duration: u64) -> bool {
+        let limits = calendar_limits();
+        let minutes = from..from + duration;
+        let limit = limits.teams[&spec.team];
+        let team_fits = minutes.clone().all(|m| {
+            self.reserved_by_team(&spec.team, m)
+                .plus(spec.amount)
                 .fits_in(limit)
         });
-        let parts: i64 = bounds
+        let fractions: i64 = limits
             .pools
             .iter()
-            .filter(|(p, _)| allowed(wanted, p))
-            .map(|(p, most)| {
-                if minutes.clone().any(|m| self.closed(p, m)) {
+            .filter(|(p, _)| allowed(spec, p))
+            .map(|(p, capacity)| {
+                if minutes.clone().any(|m| self.is_closed(p, m)) {
                     return 0;
                 }
-                let peak = minutes.clone().map(|m| self.booked(p, m));
+                let peak = minutes.clone().map(|m| self.reserved_in_pool(p, m));
                 let peak = peak.fold(Amount::ZERO, Amount::max);
-                wanted.amount.parts_in(most.minus(peak))
+                spec.amount.fractions_in(capacity.minus(peak))
             })
             .sum();
-        team && parts >= WHOLE
+        team_fits && fractions >= FRACTIONS_PER_AMOUNT
     }
 
-    fn first_fit(&self, wanted: &Wanted, from: u64, long: u64) -> Option<u64> {
-        (from..=PLANNED.saturating_sub(long)).find(|m| self.fits(wanted, *m, long))
+    /// The first minute from `from` on at which the reservation fits, within the planned time.
+    fn first_fit(&self, spec: &ReservationSpec, from: u64, duration: u64) -> Option<u64> {
+        (from..=PLANNED_MINUTES.saturating_sub(duration)).find(|m| self.fits(spec, *m, duration))
     }
 
-    /// Nothing is over what there is, nothing shrunk, nothing reserved in closed places but by force.
+    /// Checks that no capacity or team limit is exceeded, that each reservation has its whole amount, and
+    /// that nothing is reserved in a closed pool unless a window was forced.
     fn check(&self) -> Result<(), TestCaseError> {
-        let bounds = bounds();
+        let limits = calendar_limits();
         let forced = self.windows.values().any(|(_, forced)| *forced);
         for r in self.reservations.values() {
             let sum = r
@@ -186,254 +193,257 @@
                 .fold(Amount::ZERO, |sum, s| sum.plus(s.amount));
             prop_assert_eq!(sum, r.amount);
         }
-        for minute in 0..PLANNED {
-            for (pool, most) in &bounds.pools {
-                let booked = self.booked(pool, minute);
-                prop_assert!(booked.fits_in(*most), "{:?} at {}", pool, minute);
-                prop_assert!(forced || booked.is_zero() || !self.closed(pool, minute));
+        for minute in 0..PLANNED_MINUTES {
+            for (pool, capacity) in &limits.pools {
+                let reserved = self.reserved_in_pool(pool, minute);
+                prop_assert!(reserved.fits_in(*capacity), "{:?} at {}", pool, minute);
+                prop_assert!(forced || reserved.is_zero() || !self.is_closed(pool, minute));
             }
-            for (team, most) in &bounds.limits {
-                prop_assert!(self.reserved(team, minute).fits_in(*most));
+            for (team, limit) in &limits.teams {
+                prop_assert!(self.reserved_by_team(team, minute).fits_in(*limit));
             }
         }
         Ok(())
     }
 }
 
-fn allowed(wanted: &Wanted, pool: &Pool) -> bool {
-    wanted.zone.as_deref().is_none_or(|z| z == &*pool.zone)
-        && wanted
+fn allowed(spec: &ReservationSpec, pool: &Pool) -> bool {
+    spec.zone.as_deref().is_none_or(|z| z == &*pool.zone)
+        && spec
             .types
             .as_ref()
             .is_none_or(|t| t.iter().any(|t| **t == *pool.model))
 }
 
-/// Every clash named is an entry that overlaps and takes of what is short.
-#[expect(clippy::too_many_lines, reason = "one case for each refusal")]
-fn named_are_real(plain: &Plain, wanted: &Wanted, refusal: &Refusal) -> Result<(), TestCaseError> {
-    let Refusal::Clash {
-        short,
-        clashes,
-        lacks,
+/// Checks that each reported conflict is an entry that overlaps the reservation and uses the capacity or
+/// limit that it lacks, and that it would fit without them.
+#[expect(clippy::too_many_lines, reason = "one case for each kind of entry")]
+fn check_conflicts(
+    reference: &ReferenceModel,
+    spec: &ReservationSpec,
+    rejection: &Rejection,
+) -> Result<(), TestCaseError> {
+    let Rejection::Conflict {
+        cause,
+        conflicts,
+        shortfall,
         ..
-    } = refusal
+    } = rejection
     else {
         return Ok(());
     };
-    prop_assert!(!clashes.is_empty() && !lacks.is_zero());
-    for c in clashes {
-        prop_assert!(c.from < wanted.until && c.until > wanted.from);
-        let pools = bounds();
-        let mut pools = pools.pools.keys().filter(|p| allowed(wanted, p));
+    prop_assert!(!conflicts.is_empty() && !shortfall.is_zero());
+    for c in conflicts {
+        prop_assert!(c.from < spec.until && c.until > spec.from);
+        let limits = calendar_limits();
+        let mut pools = limits.pools.keys().filter(|p| allowed(spec, p));
         match c.kind {
-            Kind::Window => {
-                let (w, _) = &plain.windows[c.name.as_str()];
-                prop_assert!(pools.any(|p| w.concerns(&p.zone, &p.model)));
+            EntryKind::Window => {
+                let (w, _) = &reference.windows[c.name.as_str()];
+                prop_assert!(pools.any(|p| w.closes(&p.zone, &p.model)));
             }
-            Kind::Reservation => {
-                let r = &plain.reservations[c.name.as_str()];
+            EntryKind::Reservation => {
+                let r = &reference.reservations[c.name.as_str()];
                 prop_assert_eq!((r.from, r.until), (c.from, c.until));
-                let shares = pools.any(|p| {
+                let shares_pool = pools.any(|p| {
                     r.shares
                         .iter()
                         .any(|s| *s.zone == *p.zone && *s.model == *p.model)
                 });
-                let takes = match short {
-                    Short::Limit => r.team == wanted.team,
-                    _ => shares,
+                let is_competing = match cause {
+                    ConflictCause::TeamLimit => r.team == spec.team,
+                    _ => shares_pool,
                 };
-                prop_assert!(takes);
+                prop_assert!(is_competing);
             }
         }
     }
-    // Without all of them it would have fitted.
-    let rest = Plain {
-        reservations: plain
+    // Without the reported entries, the reservation fits.
+    let remaining = ReferenceModel {
+        reservations: reference
             .reservations
             .iter()
             .filter(|(n, _)| {
-                !clashes
+                !conflicts
                     .iter()
-                    .any(|c| c.kind == Kind::Reservation && c.name.as_str() == *n)
+                    .any(|c| c.kind == EntryKind::Reservation && c.name.as_str() == *n)
             })
             .map(|(n, r)| (n.clone(), r.clone()))
             .collect(),
-        windows: plain
+        windows: reference
             .windows
             .iter()
             .filter(|(n, _)| {
-                !clashes
+                !conflicts
                     .iter()
-                    .any(|c| c.kind == Kind::Window && c.name.as_str() == *n)
+                    .any(|c| c.kind == EntryKind::Window && c.name.as_str() == *n)
             })
             .map(|(n, w)| (n.clone(), w.clone()))
             .collect(),
     };
-    let (from, long) = (
-        wanted.from.0 / MINUTE,
-        (wanted.until.0 - wanted.from.0) / MINUTE,
-    );
-    // Both limits may be short at once: those of the other kind are not named.
-    if rest.fits(wanted, from, long) {
+    let (from, duration) = (spec.from.0 / MINUTE, (spec.until.0 - spec.from.0) / MINUTE);
+    // If both the team limit and the capacity are exceeded, only the entries of one cause are reported.
+    if remaining.fits(spec, from, duration) {
         return Ok(());
     }
-    let other = Plain {
-        reservations: rest.reservations,
+    let without_windows = ReferenceModel {
+        reservations: remaining.reservations,
         windows: BTreeMap::new(),
     };
-    prop_assert!(*short == Short::Limit || !other.fits(wanted, from, long));
+    prop_assert!(*cause == ConflictCause::TeamLimit || !without_windows.fits(spec, from, duration));
     Ok(())
 }
 
 proptest! {
-    #![proptest_config(fixed(120))]
+    #![proptest_config(config(120))]
 
-    /// Books, closes and cancels a few hundred overlapping entries: never over what there is, never
-    /// shrunk, moved to the very first time that fits, every named clash real.
+    /// Submits and cancels a few hundred overlapping reservations and windows. Guards against overbooking,
+    /// reduced amounts, moves to a later time than the earliest that fits, and wrong conflicts.
     #[test]
-    fn the_calendar_does_as_a_plain_model_says(ops in prop::collection::vec(op(), 1..260)) {
-        let mut calendar = Calendar::new(bounds(), at(0));
-        let mut plain = Plain::default();
+    fn calendar_random_operations_match_reference(ops in prop::collection::vec(op(), 1..260)) {
+        let mut calendar = Calendar::new(calendar_limits(), at(0));
+        let mut reference = ReferenceModel::default();
         let mut names: Vec<String> = Vec::new();
         for (i, op) in ops.iter().enumerate() {
             let text = format!("e{i}");
             let name = Name::parse(&text).unwrap();
             match op {
-                Op::Reserve { team, n, zone, model, from, long, movable } => {
-                    let wanted = Wanted {
+                Op::Reserve { team, cpu_count, zone, model, from, duration, movable } => {
+                    let spec = ReservationSpec {
                         team: Team::new(TEAMS[*team]),
-                        amount: cpus(*n),
+                        amount: cpus(*cpu_count),
                         zone: zone.map(|z| ZONES[z].to_string()),
                         types: model.map(|m| vec![TYPES[m].to_string()]),
                         spot: false,
                         from: at(*from),
-                        until: at(from + long),
+                        until: at(from + duration),
                         movable: *movable,
                     };
-                    let fits = *from + long <= PLANNED && plain.fits(&wanted, *from, *long);
-                    match calendar.admit(&wanted, at(0)) {
+                    let fits = *from + duration <= PLANNED_MINUTES && reference.fits(&spec, *from, *duration);
+                    match calendar.admit(&spec, at(0)) {
                         Ok(r) => {
-                            prop_assert!(r.answers(&wanted));
+                            prop_assert!(r.is_same_request(&spec));
                             prop_assert!(fits || *movable);
-                            let first = plain.first_fit(&wanted, *from, *long);
+                            let first = reference.first_fit(&spec, *from, *duration);
                             prop_assert_eq!(Some(r.from), first.map(at));
                             calendar.set_reservation(&name, Some(Arc::new(r.clone())));
-                            plain.reservations.insert(text.clone(), r);
+                            reference.reservations.insert(text.clone(), r);
                             names.push(text);
                         }
-                        Err(refusal) => {
-                            prop_assert!(!fits, "{:?}", refusal);
-                            if let Refusal::Clash { fits_from, .. } = &refusal {
-                                let first = plain.first_fit(&wanted, *from, *long);
+                        Err(rejection) => {
+                            prop_assert!(!fits, "{:?}", rejection);
+                            if let Rejection::Conflict { fits_from, .. } = &rejection {
+                                let first = reference.first_fit(&spec, *from, *duration);
                                 prop_assert_eq!(*fits_from, first.map(at));
                                 prop_assert!(!*movable || first.is_none());
                             }
-                            named_are_real(&plain, &wanted, &refusal)?;
+                            check_conflicts(&reference, &spec, &rejection)?;
                         }
                     }
                 }
-                Op::Close { zone, model, from, long, force } => {
+                Op::DeclareWindow { zone, model, from, duration, force } => {
                     let window = Window {
                         zone: ZONES[*zone].to_string(),
                         types: model.map(|m| vec![TYPES[m].to_string()]),
-                        when: When::Once { from: at(*from), until: at(from + long) },
+                        when: WindowSchedule::Once { from: at(*from), until: at(from + duration) },
                         lead_s: None,
                     };
-                    let over: Vec<&String> = plain.reservations.iter()
-                        .filter(|(_, r)| r.from < at(from + long) && r.until > at(*from)
-                            && r.shares.iter().any(|s| window.concerns(&s.zone, &s.model)))
+                    let overlapping: Vec<&String> = reference.reservations.iter()
+                        .filter(|(_, r)| r.from < at(from + duration) && r.until > at(*from)
+                            && r.shares.iter().any(|s| window.closes(&s.zone, &s.model)))
                         .map(|(n, _)| n)
                         .collect();
                     match calendar.admit_window(&window, *force, at(0)) {
                         Ok(displaced) => {
-                            let told: Vec<&str> = displaced.iter().map(|c| c.name.as_str()).collect();
-                            prop_assert_eq!(told, over.clone());
-                            prop_assert!(over.is_empty() || *force);
-                            let forced = !over.is_empty();
+                            let reported: Vec<&str> = displaced.iter().map(|c| c.name.as_str()).collect();
+                            prop_assert_eq!(reported, overlapping.clone());
+                            prop_assert!(overlapping.is_empty() || *force);
+                            let forced = !overlapping.is_empty();
                             calendar.set_window(&name, Some(Arc::new(window.clone())), at(0));
-                            for n in over {
-                                let told = calendar.displaced(&plain.reservations[n]);
-                                prop_assert!(told.iter().any(|c| c.name == name));
+                            for n in overlapping {
+                                let reported = calendar.displacing_windows(&reference.reservations[n]);
+                                prop_assert!(reported.iter().any(|c| c.name == name));
                             }
-                            plain.windows.insert(text.clone(), (window, forced));
+                            reference.windows.insert(text.clone(), (window, forced));
                             names.push(text);
                         }
-                        Err(Refusal::Clash { clashes, .. }) => {
-                            prop_assert!(!force && !over.is_empty());
-                            let told: Vec<&str> = clashes.iter().map(|c| c.name.as_str()).collect();
-                            prop_assert_eq!(told, over);
+                        Err(Rejection::Conflict { conflicts, .. }) => {
+                            prop_assert!(!force && !overlapping.is_empty());
+                            let reported: Vec<&str> = conflicts.iter().map(|c| c.name.as_str()).collect();
+                            prop_assert_eq!(reported, overlapping);
                         }
-                        Err(other) => prop_assert!(from + long > PLANNED, "{:?}", other),
+                        Err(other) => prop_assert!(from + duration > PLANNED_MINUTES, "{:?}", other),
                     }
                 }
                 Op::Cancel(n) => {
                     let Some(text) = names.get(*n).cloned() else { continue };
                     let name = Name::parse(&text).unwrap();
-                    if plain.reservations.remove(&text).is_some() {
+                    if reference.reservations.remove(&text).is_some() {
                         calendar.set_reservation(&name, None);
                     }
-                    if plain.windows.remove(&text).is_some() {
+                    if reference.windows.remove(&text).is_some() {
                         calendar.set_window(&name, None, at(0));
                     }
                 }
             }
         }
-        plain.check()?;
-        prop_assert_eq!(calendar.len(), plain.reservations.len() + plain.windows.len());
-        for pool in bounds().pools.keys() {
-            for minute in 0..PLANNED {
-                prop_assert_eq!(calendar.reserved_at(pool, at(minute)), plain.booked(pool, minute));
+        reference.check()?;
+        prop_assert_eq!(calendar.len(), reference.reservations.len() + reference.windows.len());
+        for pool in calendar_limits().pools.keys() {
+            for minute in 0..PLANNED_MINUTES {
+                prop_assert_eq!(calendar.reserved_at(pool, at(minute)), reference.reserved_in_pool(pool, minute));
                 let closed = calendar.closed_within(pool, at(minute), at(minute + 1));
-                prop_assert_eq!(closed, plain.closed(pool, minute));
+                prop_assert_eq!(closed, reference.is_closed(pool, minute));
             }
         }
     }
 
-    /// The tree of changes says of every span of time what an array says.
+    /// Compares levels, peaks and changes of a timeline with an array of levels. Guards against errors in the
+    /// treap's subtree summaries, and against an update that alters an earlier clone.
     #[test]
-    fn a_timeline_is_an_array(
-        puts in prop::collection::vec((0..60u64, 1..30u64, 1..9i64), 0..60),
-        asks in prop::collection::vec((0..80u64, 1..40u64, 0..30i64), 20),
+    fn timeline_random_changes_match_array(
+        changes in prop::collection::vec((0..60u64, 1..30u64, 1..9i64), 0..60),
+        queries in prop::collection::vec((0..80u64, 1..40u64, 0..30i64), 20),
     ) {
-        let mut line = Timeline::default();
+        let mut timeline = Timeline::default();
         let mut levels = vec![0i64; 130];
-        let mut half = Vec::new();
-        for (i, (from, long, n)) in puts.iter().enumerate() {
-            line = line.with(WallClockMillis(*from), WallClockMillis(from + long), cpus(*n));
+        let mut versions = Vec::new();
+        for (i, (from, duration, n)) in changes.iter().enumerate() {
+            timeline = timeline.with(WallClockMillis(*from), WallClockMillis(from + duration), cpus(*n));
             if i % 3 == 0 {
-                line = line.without(WallClockMillis(*from), WallClockMillis(from + long), cpus(*n));
+                timeline = timeline.without(WallClockMillis(*from), WallClockMillis(from + duration), cpus(*n));
             } else {
-                levels[*from as usize..(from + long) as usize].iter_mut().for_each(|l| *l += n);
+                levels[*from as usize..(from + duration) as usize].iter_mut().for_each(|l| *l += n);
             }
-            if i == puts.len() / 2 {
-                half.push((line.clone(), levels.clone()));
+            if i == changes.len() / 2 {
+                versions.push((timeline.clone(), levels.clone()));
             }
         }
-        half.push((line, levels));
-        // The earlier one is as it was, though the later one grew from it.
-        for (line, levels) in half {
-            for (from, long, most) in &asks {
-                let span = &levels[*from as usize..(from + long) as usize];
-                let (a, b) = (WallClockMillis(*from), WallClockMillis(from + long));
-                prop_assert_eq!(line.peak(a, b), cpus(*span.iter().max().unwrap()));
-                prop_assert_eq!(line.level(a), cpus(span[0]));
-                let over = span.iter().position(|l| l > most).map(|i| WallClockMillis(from + i as u64));
-                prop_assert_eq!(line.first_over(a, b, cpus(*most)), over);
-                let here = levels[*from as usize];
-                let next = (*from as usize + 1..levels.len()).find(|i| levels[*i] != here);
+        versions.push((timeline, levels));
+        // The earlier version is unchanged, although the later one was derived from it.
+        for (timeline, levels) in versions {
+            for (from, duration, limit) in &queries {
+                let span = &levels[*from as usize..(from + duration) as usize];
+                let (a, b) = (WallClockMillis(*from), WallClockMillis(from + duration));
+                prop_assert_eq!(timeline.peak(a, b), cpus(*span.iter().max().unwrap()));
+                prop_assert_eq!(timeline.level(a), cpus(span[0]));
+                let first_exceeding = span.iter().position(|l| l > limit).map(|i| WallClockMillis(from + i as u64));
+                prop_assert_eq!(timeline.first_exceeding(a, b, cpus(*limit)), first_exceeding);
+                let level = levels[*from as usize];
+                let next = (*from as usize + 1..levels.len()).find(|i| levels[*i] != level);
                 let next = next.map(|i| WallClockMillis(i as u64));
-                // Two changes at one moment may cancel out and be forgotten, never the other way.
-                prop_assert!(line.next_change(a) <= next || next.is_none());
+                // Changes at one time that cancel out may be dropped; a change of the level must not be missed.
+                prop_assert!(timeline.next_change(a) <= next || next.is_none());
             }
         }
     }
 }
 
-/// The plain model's check can fail: two that do not fit together, one that was shrunk, and one that
-/// lies in a window.
+/// Guards against a check of the reference model that accepts everything. It must reject an exceeded
+/// capacity, a reduced amount, and a reservation in a window.
 #[test]
-fn the_check_finds_what_must_not_be() {
-    let wanted = |n, zone: &str| Wanted {
+fn reference_check_rejects_invalid_state() {
+    let spec = |n, zone: &str| ReservationSpec {
         team: Team::new("red"),
         amount: cpus(n),
         zone: Some(zone.to_string()),
@@ -443,9 +453,9 @@
         until: at(20),
         movable: false,
     };
-    let calendar = Calendar::new(bounds(), at(0));
-    let taken = calendar.admit(&wanted(20, "east"), at(0)).unwrap();
-    let plain = |list: &[&Reservation]| Plain {
+    let calendar = Calendar::new(calendar_limits(), at(0));
+    let accepted = calendar.admit(&spec(20, "east"), at(0)).unwrap();
+    let reference = |list: &[&Reservation]| ReferenceModel {
         reservations: list
             .iter()
             .enumerate()
@@ -453,21 +463,21 @@
             .collect(),
         windows: BTreeMap::new(),
     };
-    assert!(plain(&[&taken]).check().is_ok());
-    assert!(plain(&[&taken, &taken]).check().is_err());
-    let mut shrunk = taken.clone();
-    shrunk.shares[0].amount = cpus(19);
-    assert!(plain(&[&shrunk]).check().is_err());
-    let mut closed = plain(&[&taken]);
+    assert!(reference(&[&accepted]).check().is_ok());
+    assert!(reference(&[&accepted, &accepted]).check().is_err());
+    let mut reduced = accepted.clone();
+    reduced.shares[0].amount = cpus(19);
+    assert!(reference(&[&reduced]).check().is_err());
+    let mut with_window = reference(&[&accepted]);
     let window = Window {
         zone: "east".to_string(),
         types: None,
-        when: When::Once {
+        when: WindowSchedule::Once {
             from: at(19),
             until: at(30),
         },
         lead_s: None,
     };
-    closed.windows.insert("w".to_string(), (window, false));
-    assert!(closed.check().is_err());
+    with_window.windows.insert("w".to_string(), (window, false));
+    assert!(with_window.check().is_err());
 }
--- a/crates/drain/src/entry.rs
+++ b/crates/drain/src/entry.rs
@@ -5,7 +5,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use snowshelf_calendar::entry::{Malformed, Name, shown};
+use snowshelf_calendar::entry::{Malformed, Name, format_time};
 use snowshelf_model::ids::{MachineId, WallClockMillis};
 use std::collections::BTreeMap;
 
@@ -312,7 +312,7 @@
 
 /// Parses and validates a request for a drain, received at `now`.
 pub fn parse_drain(body: &[u8], now: WallClockMillis) -> Result<(Name, Drain), Malformed> {
-    let request: DrainRequest = snowshelf_calendar::entry::read(body)?;
+    let request: DrainRequest = snowshelf_calendar::entry::parse_body(body)?;
     request.to_drain(now)
 }
 
@@ -466,7 +466,7 @@
     /// The drain as operators read it.
     pub fn to_json(&self, name: &Name) -> Value {
         let mut body = json!({"name": name.as_str(), "state": self.state.as_str(),
-            "then": self.options.then, "asked": shown(self.requested_at),
+            "then": self.options.then, "asked": format_time(self.requested_at),
             "steps": self.finished_steps, "emptied": self.emptied_machines});
         if let Some(plan) = &self.plan {
             body["left"] = json!(plan.machines);
@@ -478,18 +478,18 @@
         if let Some(step) = &self.step {
             let names: Vec<&str> = step.machines.iter().map(|m| m.as_str()).collect();
             body["step"] =
-                json!({"stage": step.stage, "since": shown(step.since), "machines": names});
+                json!({"stage": step.stage, "since": format_time(step.since), "machines": names});
         }
         if let Some(next_step) = &self.next_step {
             let names: Vec<&str> = next_step.machines.iter().map(|m| m.as_str()).collect();
-            body["ahead"] = json!({"since": shown(next_step.since), "machines": names});
+            body["ahead"] = json!({"since": format_time(next_step.since), "machines": names});
         }
         if !self.kept_machines.is_empty() {
             let names: Vec<&str> = self.kept_machines.iter().map(|m| m.as_str()).collect();
             body["kept"] = json!(names);
         }
         if let Some(by) = self.options.by {
-            body["by"] = json!(shown(by));
+            body["by"] = json!(format_time(by));
             body["late"] = json!(self.options.late);
         }
         if let Some(reason) = &self.reason {
--- a/crates/simulation/src/booking.rs
+++ b/crates/simulation/src/booking.rs
@@ -4,7 +4,7 @@
 use super::{Asked, Event, NODES, Simulation, TEAM_LIMIT};
 use rand::RngExt;
 use serde_json::{Value, json};
-use snowshelf_calendar::entry::shown;
+use snowshelf_calendar::entry::format_time;
 use snowshelf_model::ids::WallClockMillis;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -54,14 +54,16 @@
     ) {
         let name = format!("r{}", self.bookers.len());
         let body = json!({"name": name, "team": team, "cpus": cpus, "zone": zone,
-            "from": shown(WallClockMillis(BEGAN + from)), "until": shown(WallClockMillis(BEGAN + until))});
+            "from": format_time(WallClockMillis(BEGAN + from)),
+            "until": format_time(WallClockMillis(BEGAN + until))});
         self.add_booker(at, "/api/reservations", body, from, until);
     }
 
     pub fn add_window(&mut self, at: u64, zone: &str, from: u64, until: u64) {
         let name = format!("w{}", self.bookers.len());
         let body = json!({"name": name, "zone": zone,
-            "from": shown(WallClockMillis(BEGAN + from)), "until": shown(WallClockMillis(BEGAN + until))});
+            "from": format_time(WallClockMillis(BEGAN + from)),
+            "until": format_time(WallClockMillis(BEGAN + until))});
         self.add_booker(at, "/api/windows", body, from, until);
     }
 
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -4,7 +4,7 @@
 use crate::coordination::context::Context;
 use crate::coordination::placement::{estimate, patience_s};
 use crate::coordination::shard::reservations::{expected_stay_ms, provisioning_lead_ms};
-use snowshelf_calendar::guard::Hold;
+use snowshelf_calendar::constraints::PoolReservation;
 use snowshelf_model::ids::{JobId, Team, WallClockMillis, seconds_to_ms};
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Resources};
 use std::collections::BTreeMap;
@@ -116,12 +116,15 @@
 /// Zones and types that close before a machine that is requested now could run for so long.
 fn closed_pools(expected_stay_ms: Option<u64>, context: &Context<'_>) -> Vec<ZoneModel> {
     let now = WallClockMillis(context.effects.wall_ms);
-    let pools = context.guard.closings.keys();
+    let pools = context.calendar_constraints.windows.keys();
     pools
         .filter(|pool| {
             let ready_s = context.types.get(&*pool.model).map_or(0.0, |t| t.ready_s);
             let stay = expected_stay_ms.map(|ms| ms.saturating_add(seconds_to_ms(ready_s)));
-            context.guard.forbids(pool, stay, now).is_some()
+            context
+                .calendar_constraints
+                .blocks_start(pool, stay, now)
+                .is_some()
         })
         .map(|pool| ZoneModel {
             zone: pool.zone.to_string(),
@@ -136,12 +139,17 @@
     let now = WallClockMillis(context.effects.wall_ms);
     let ahead_ms = provisioning_lead_ms(context);
     let mut demand = Vec::new();
-    for hold in &context.guard.holds {
+    for hold in &context.calendar_constraints.reservations {
         let opens = hold.from.0.saturating_sub(ahead_ms);
         let Some(machine_type) = context.types.get(&*hold.pool.model) else {
             continue;
         };
-        if now.0 < opens || now >= hold.until || context.guard.empties(&hold.pool, now, 0).is_some()
+        if now.0 < opens
+            || now >= hold.until
+            || context
+                .calendar_constraints
+                .requires_empty(&hold.pool, now, 0)
+                .is_some()
         {
             continue;
         }
@@ -167,8 +175,8 @@
 }
 
 /// What of a reservation its team's jobs do not need themselves; what they need counts once.
-fn uncovered_by_jobs(hold: &Hold, jobs: &mut [JobDemand]) -> Resources {
-    let mut uncovered = hold.amount.room();
+fn uncovered_by_jobs(hold: &PoolReservation, jobs: &mut [JobDemand]) -> Resources {
+    let mut uncovered = hold.amount.to_resources();
     for job in jobs {
         let may_use_pool = job.team == hold.team
             && job.zone.as_ref().is_none_or(|z| **z == *hold.pool.zone)
--- a/src/coordination/context.rs
+++ b/src/coordination/context.rs
@@ -14,7 +14,7 @@
 use crate::storage::kv_client::KvClient;
 use crate::storage::record_cache::RecordCache;
 use serde_json::Value;
-use snowshelf_calendar::guard::Guard;
+use snowshelf_calendar::constraints::CalendarConstraints;
 use snowshelf_model::ids::{FencingToken, JobId, MonotonicMillis, ShardId, WallClockMillis};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::{JobRecord, StorageLimits};
@@ -69,7 +69,7 @@
     /// Which jobs are ready, as of the last computation.
     pub dependency_graph: &'a DependencyGraph,
     /// What placement and scaling must respect of the reservations.
-    pub guard: &'a Guard,
+    pub calendar_constraints: &'a CalendarConstraints,
     /// What placement and scaling must respect of the drains.
     pub drains: &'a mut DrainConstraints,
     /// When this process started.
--- a/src/coordination/controller/environment.rs
+++ b/src/coordination/controller/environment.rs
@@ -12,7 +12,7 @@
 use crate::effects::Effects;
 use crate::storage::kv_client::KvClient;
 use crate::storage::record_cache::RecordCache;
-use snowshelf_calendar::guard::Guard;
+use snowshelf_calendar::constraints::CalendarConstraints;
 use snowshelf_model::ids::MonotonicMillis;
 use snowshelf_model::records::{RecordFormat, StorageLimits};
 
@@ -33,7 +33,7 @@
     pub(super) storage_limits: StorageLimits,
     pub(super) dependencies: DependencyTracker,
     /// What placement and scaling must respect of the reservations.
-    pub(super) guard: Guard,
+    pub(super) calendar_constraints: CalendarConstraints,
     pub(super) drains: DrainTracker,
     pub(super) job_lookups: JobLookups,
     pub(super) cancellations: CancellationKnowledge,
@@ -57,7 +57,7 @@
             machine_types: MachineTypes::default(),
             storage_limits,
             dependencies: DependencyTracker::default(),
-            guard: Guard::default(),
+            calendar_constraints: CalendarConstraints::default(),
             drains: DrainTracker::default(),
             job_lookups: JobLookups::default(),
             cancellations: CancellationKnowledge::default(),
@@ -76,7 +76,7 @@
             types: self.machine_types.by_name(),
             storage_limits: &self.storage_limits,
             dependency_graph: self.dependencies.graph(),
-            guard: &self.guard,
+            calendar_constraints: &self.calendar_constraints,
             drains: self.drains.constraints_mut(),
             started_at: self.started_at,
             absent_jobs: self.job_lookups.absent(),
--- a/src/coordination/controller/peer_status.rs
+++ b/src/coordination/controller/peer_status.rs
@@ -63,7 +63,7 @@
 
     /// The statuses of the shards led here.
     fn shard_statuses(&mut self) -> Vec<ShardStatus> {
-        let is_reserved = !self.env.guard.holds.is_empty();
+        let is_reserved = !self.env.calendar_constraints.reservations.is_empty();
         let shards = self.shards.values();
         let mut statuses: Vec<ShardStatus> = shards
             .map(|shard| shard_status(shard, is_reserved))
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -58,11 +58,11 @@
         if !self.env.is_served() {
             self.reservations.refuse_all(&mut self.env.context());
         }
-        let guard = self
+        let constraints = self
             .reservations
             .tick(leads_cluster, &mut self.env.context());
-        if let Some(guard) = guard {
-            self.env.guard = guard;
+        if let Some(constraints) = constraints {
+            self.env.calendar_constraints = constraints;
         }
     }
 
@@ -150,7 +150,7 @@
     fn tick_pool_sizes(&mut self) {
         let now = self.env.now();
         let is_due = now.since(self.pool_sizes_shared_at) >= POOL_SIZES_INTERVAL_MS;
-        if self.env.guard.holds.is_empty() || !is_due {
+        if self.env.calendar_constraints.reservations.is_empty() || !is_due {
             return;
         }
         self.pool_sizes_shared_at = now;
--- a/src/coordination/reservations/capacity.rs
+++ b/src/coordination/reservations/capacity.rs
@@ -1,48 +1,49 @@
-//! The bounds of the calendar: what the deployment can have at most.
+//! The limits of the calendar: the capacity of each pool and the reservable amount of each team.
 
 use super::DAY_MS;
 use crate::operator::{CalendarSettings, KnownCapacity};
 use crate::settings::TeamLimits;
 use snowshelf_calendar::amount::Amount;
-use snowshelf_calendar::calendar::{Bounds, Pool};
+use snowshelf_calendar::calendar::{CalendarLimits, Pool};
 use snowshelf_model::ids::Team;
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::Resources;
 use std::collections::BTreeMap;
 
-/// What the deployment can have at most, as far as its operators and the cloud say. Prices do not
-/// matter to it.
+/// The limits that follow from the cloud's machine types, the team limits and the settings. A pool whose
+/// capacity the settings do not name is unlimited. Prices are not considered, so that a change of prices
+/// does not rebuild the calendar.
 #[must_use]
-pub fn bounds(
+pub fn calendar_limits(
     types: &BTreeMap<String, MachineType>,
     teams: &[TeamLimits],
     settings: &CalendarSettings,
-) -> Bounds {
+) -> CalendarLimits {
     let mut pools = BTreeMap::new();
     for machine_type in types.values() {
         for zone in &machine_type.zones {
             let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.label;
-            let most = match settings.capacity.iter().find(is_known) {
-                Some(c) => Amount::of(machine_type.room()).times(i64::from(c.machines)),
-                None => Amount::BOUNDLESS,
+            let capacity = match settings.capacity.iter().find(is_known) {
+                Some(c) => Amount::from_resources(machine_type.room()).times(i64::from(c.machines)),
+                None => Amount::UNLIMITED,
             };
-            pools.insert(Pool::new(zone, &machine_type.label), most);
+            pools.insert(Pool::new(zone, &machine_type.label), capacity);
         }
     }
-    let limits = teams.iter().map(|team| {
-        let quota = Resources {
+    let team_limits = teams.iter().map(|team| {
+        let resources = Resources {
             cpus: team.cpus_max,
             gpus: team.gpus_max,
             mem: 0.0,
         };
-        let mut quota = Amount::of(quota);
-        quota.mem = Amount::BOUNDLESS.mem;
-        (Team::new(&team.name), quota)
+        let mut limit = Amount::from_resources(resources);
+        limit.mem = Amount::UNLIMITED.mem;
+        (Team::new(&team.name), limit)
     });
-    Bounds {
+    CalendarLimits {
         pools,
-        limits: limits.collect(),
+        teams: team_limits.collect(),
         horizon_ms: u64::from(settings.horizon_days) * DAY_MS,
-        most_entries: settings.most_entries,
+        max_entries: settings.most_entries,
     }
 }
--- a/src/coordination/reservations/commit.rs
+++ b/src/coordination/reservations/commit.rs
@@ -1,4 +1,4 @@
-//! Decisions in batches: requests are decided on a copy of the calendar and written in one transaction.
+//! Batches of decisions: requests are decided on a copy of the calendar and written in one transaction.
 
 use super::decisions::{CalendarDecision, decide};
 use super::requests::CalendarRequest;
@@ -14,28 +14,28 @@
 use snowshelf_model::records::CALENDAR_KEY;
 use std::collections::BTreeSet;
 
-/// The pause after another change came first, in milliseconds.
+/// Delay before requests are decided again after a compare-and-swap conflict, in milliseconds.
 const CONFLICT_BACKOFF_MS: u64 = 50;
 /// Timeout of a transaction that only compares versions, in milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 1_500;
 
-/// A request, and what was decided on it.
+/// A request and the decision on it.
 struct DecidedRequest {
     pending: PendingRequest<CalendarRequest>,
     decision: CalendarDecision,
 }
 
-/// Decisions that wait for the outcome of one transaction.
+/// Decisions whose transaction is in flight.
 pub(super) struct DecisionBatch {
     id: u64,
-    /// The version of the calendar's key on which they rest.
+    /// The version of the calendar key on which the decisions are conditional.
     calendar_version: Version,
     requests: Vec<DecidedRequest>,
 }
 
 impl Reservations {
-    /// Decides all pending requests, one after the other on a copy of the calendar, and writes what they
-    /// change in one transaction.
+    /// Decides pending requests in order on a copy of the calendar, and writes their changes in one
+    /// transaction. One batch is in flight at a time.
     pub(super) fn decide_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         self.pending.expire(context);
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The decisions on as many pending requests as one transaction takes, and that transaction.
+    /// Decides as many pending requests as fit into one transaction. Returns the transaction and the
+    /// decisions.
     fn collect_decisions(
         &mut self,
         context: &mut Context<'_>,
@@ -96,7 +97,8 @@
         while let Some(first) = self.pending.front() {
             let decision = decide(&first.request, &mut calendar, context);
             if let Some(write) = &decision.write {
-                // The common key takes one change, each entry another, and none two.
+                // One write is for the calendar key and one for each entry. A transaction must not write a
+                // key twice, so a second change of an entry waits for the next batch.
                 if keys.len() + 2 > max_writes || !keys.insert(write.key.clone()) {
                     break;
                 }
@@ -106,13 +108,13 @@
             requests.extend(pending.map(|pending| DecidedRequest { pending, decision }));
         }
         if !keys.is_empty() {
-            let count = json!({"revision": context.records.revision});
-            swap = swap.mutate(Mutation::put(CALENDAR_KEY.to_string(), &count));
+            let value = json!({"revision": context.records.revision});
+            swap = swap.mutate(Mutation::put(CALENDAR_KEY.to_string(), &value));
         }
         (swap, requests)
     }
 
-    /// Handles the outcome of a transaction; what has changed by it.
+    /// Handles the outcome of a transaction. Returns the record changes that it made.
     pub(super) fn on_decided(
         &mut self,
         id: u64,
@@ -125,7 +127,7 @@
         match outcome {
             SwapOutcome::Applied(revision) => return respond(batch.requests, revision, context),
             SwapOutcome::Conflict(keys) => {
-                // The watch brings what was changed; then it is decided again.
+                // The requests are decided again once the watch has delivered the other change.
                 if keys.iter().any(|key| key == CALENDAR_KEY) {
                     self.conflicted_version = Some(batch.calendar_version);
                 }
@@ -147,7 +149,7 @@
     }
 }
 
-/// Answers requests whose decisions are durable; what has changed by them.
+/// Responds to requests whose decisions are durable. Returns the record changes that they made.
 fn respond(
     requests: Vec<DecidedRequest>,
     revision: Version,
--- a/src/coordination/reservations/decisions.rs
+++ b/src/coordination/reservations/decisions.rs
@@ -1,4 +1,4 @@
-//! The response to one request and what it writes: a function of the request, the calendar and the time.
+//! Decides one request: its response and its write, as a function of the request, the calendar and the time.
 
 use super::requests::{CalendarRequest, SubmissionMode};
 use super::responses;
@@ -9,21 +9,21 @@
 use serde::Serialize;
 use serde_json::Value;
 use snowshelf_calendar::calendar::Calendar;
-use snowshelf_calendar::entry::{Name, Wanted, Window};
-use snowshelf_calendar::refusal::{Kind, Refusal};
+use snowshelf_calendar::entry::{Name, ReservationSpec, Window};
+use snowshelf_calendar::rejection::{EntryKind, Rejection};
 use snowshelf_model::ids::{Version, WallClockMillis};
 use std::sync::Arc;
 
-/// The text for a record that exceeds the size of a value in the key-value store.
+/// The error if a record exceeds the maximum size of a value in the key-value store.
 const RECORD_TOO_LARGE: &str = "its record would be too large: name fewer types, or a zone";
 
-/// What becomes of a request.
+/// The decision on a request.
 pub(super) struct CalendarDecision {
-    /// The response once the write is durable.
+    /// The response, which is sent once the write is durable.
     pub(super) response: Response,
-    /// The change of the entry, if there is one.
+    /// The write of the entry's record, if the request changes it.
     pub(super) write: Option<ConditionalWrite>,
-    /// Reservations that a forced window displaces, for the log.
+    /// The reservations that a forced window displaces, for the log.
     pub(super) displaced: Vec<Name>,
 }
 
@@ -37,19 +37,19 @@
     }
 }
 
-fn ok(status: u16, body: &Value) -> CalendarDecision {
+fn json_response(status: u16, body: &Value) -> CalendarDecision {
     Response::json(status, body).into()
 }
 
-fn refused(refusal: &Refusal) -> CalendarDecision {
-    ok(refusal.status(), &refusal.body())
+fn rejected(rejection: &Rejection) -> CalendarDecision {
+    json_response(rejection.status(), &rejection.body())
 }
 
 fn no_such_entry() -> CalendarDecision {
     Response::error(404, "no such entry").into()
 }
 
-/// The status of a submission that is taken.
+/// The HTTP status of an accepted submission.
 fn submitted_status(exists: bool, mode: SubmissionMode) -> u16 {
     if exists || mode == SubmissionMode::Check {
         200
@@ -59,7 +59,7 @@
 }
 
 impl CalendarDecision {
-    /// The decision with a write of a record, unless that is too large.
+    /// Adds the write of a record to the decision, or replaces it by an error if the record is too large.
     fn with_record<T: Serialize>(
         self,
         key: String,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Decides a request on the calendar, which is left as it would be afterwards.
+/// Decides a request and applies its change, if there is one, to the calendar.
 pub(super) fn decide(
     request: &CalendarRequest,
     calendar: &mut Calendar,
@@ -90,8 +90,8 @@
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
     match request {
-        CalendarRequest::Reserve { name, wanted, mode } => {
-            reserve(name, wanted, *mode, calendar, context)
+        CalendarRequest::Reserve { name, spec, mode } => {
+            reserve(name, spec, *mode, calendar, context)
         }
         CalendarRequest::DeclareWindow {
             name,
@@ -99,100 +99,102 @@
             force,
             mode,
         } => {
-            let forced = ForcedWindow {
+            let submission = WindowSubmission {
                 window,
                 force: *force,
             };
-            declare_window(name, &forced, *mode, calendar, context)
+            declare_window(name, &submission, *mode, calendar, context)
         }
         CalendarRequest::Cancel(kind, name) => cancel(*kind, name, calendar, context),
-        CalendarRequest::Show(Kind::Reservation, name) => match calendar.reservation(name) {
-            Some(r) => ok(200, &responses::reservation(name, r, calendar, now)),
+        CalendarRequest::Show(EntryKind::Reservation, name) => match calendar.reservation(name) {
+            Some(r) => json_response(200, &responses::reservation(name, r, calendar, now)),
             None => no_such_entry(),
         },
-        CalendarRequest::Show(Kind::Window, name) => match calendar.window(name) {
-            Some(w) => ok(200, &responses::window(name, w, calendar, now)),
+        CalendarRequest::Show(EntryKind::Window, name) => match calendar.window(name) {
+            Some(w) => json_response(200, &responses::window(name, w, calendar, now)),
             None => no_such_entry(),
         },
-        CalendarRequest::List(kind, page) => ok(200, &responses::list(*kind, page, calendar, now)),
+        CalendarRequest::List(kind, page) => {
+            json_response(200, &responses::list(*kind, page, calendar, now))
+        }
     }
 }
 
 fn reserve(
     name: &Name,
-    wanted: &Wanted,
+    spec: &ReservationSpec,
     mode: SubmissionMode,
     calendar: &mut Calendar,
     context: &Context<'_>,
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
-    let old = calendar.reservation(name).cloned();
-    match (&old, mode) {
-        (Some(old), _) if old.answers(wanted) => {
-            return ok(200, &responses::reservation(name, old, calendar, now));
+    let existing = calendar.reservation(name).cloned();
+    match (&existing, mode) {
+        (Some(existing), _) if existing.is_same_request(spec) => {
+            return json_response(200, &responses::reservation(name, existing, calendar, now));
         }
-        (Some(_), SubmissionMode::Create) => return refused(&Refusal::Taken),
+        (Some(_), SubmissionMode::Create) => return rejected(&Rejection::NameTaken),
         (None, SubmissionMode::Replace) => return no_such_entry(),
         _ => {}
     }
-    // A replacement is admitted as if the old entry were not there.
-    let mut without = calendar.clone();
-    without.set_reservation(name, None);
-    let admitted = match without.admit(wanted, now) {
+    // A replacement is admitted against a calendar without the existing entry.
+    let mut updated = calendar.clone();
+    updated.set_reservation(name, None);
+    let admitted = match updated.admit(spec, now) {
         Ok(admitted) => admitted,
-        Err(refusal) => return refused(&refusal),
+        Err(rejection) => return rejected(&rejection),
     };
     let body = responses::reservation(name, &admitted, calendar, now);
-    let decision = ok(submitted_status(old.is_some(), mode), &body);
+    let decision = json_response(submitted_status(existing.is_some(), mode), &body);
     if mode == SubmissionMode::Check {
         return decision;
     }
     let version = context.records.reservations.get(name).map(|v| v.version);
     let decision = decision.with_record(reservation_key(name), version, &admitted, context);
     if decision.write.is_some() {
-        without.set_reservation(name, Some(Arc::new(admitted)));
-        *calendar = without;
+        updated.set_reservation(name, Some(Arc::new(admitted)));
+        *calendar = updated;
     }
     decision
 }
 
-/// A window, and whether it may displace reservations.
-struct ForcedWindow<'a> {
+/// A submitted window, and whether it may displace reservations.
+struct WindowSubmission<'a> {
     window: &'a Window,
     force: bool,
 }
 
 fn declare_window(
     name: &Name,
-    ForcedWindow { window, force }: &ForcedWindow<'_>,
+    WindowSubmission { window, force }: &WindowSubmission<'_>,
     mode: SubmissionMode,
     calendar: &mut Calendar,
     context: &Context<'_>,
 ) -> CalendarDecision {
     let now = WallClockMillis(context.effects.wall_ms);
-    let old = calendar.window(name).cloned();
-    match (&old, mode) {
-        (Some(old), _) if **old == **window => {
-            return ok(200, &responses::window(name, old, calendar, now));
+    let existing = calendar.window(name).cloned();
+    match (&existing, mode) {
+        (Some(existing), _) if **existing == **window => {
+            return json_response(200, &responses::window(name, existing, calendar, now));
         }
-        (Some(_), SubmissionMode::Create) => return refused(&Refusal::Taken),
+        (Some(_), SubmissionMode::Create) => return rejected(&Rejection::NameTaken),
         (None, SubmissionMode::Replace) => return no_such_entry(),
         _ => {}
     }
-    let mut without = calendar.clone();
-    without.set_window(name, None, now);
-    let displaced = match without.admit_window(window, *force, now) {
+    let mut updated = calendar.clone();
+    updated.set_window(name, None, now);
+    let displaced = match updated.admit_window(window, *force, now) {
         Ok(displaced) => displaced,
-        Err(refusal) => return refused(&refusal),
+        Err(rejection) => return rejected(&rejection),
     };
-    without.set_window(name, Some(Arc::new((*window).clone())), now);
-    let mut body = responses::window(name, window, &without, now);
+    updated.set_window(name, Some(Arc::new((*window).clone())), now);
+    let mut body = responses::window(name, window, &updated, now);
     if !displaced.is_empty() {
-        body["displaces"] = responses::clashes(&displaced);
+        body["displaces"] = responses::conflicts(&displaced);
     }
     let decision = CalendarDecision {
         displaced: displaced.into_iter().map(|c| c.name).collect(),
-        ..ok(submitted_status(old.is_some(), mode), &body)
+        ..json_response(submitted_status(existing.is_some(), mode), &body)
     };
     if mode == SubmissionMode::Check {
         return decision;
@@ -200,24 +202,24 @@
     let version = context.records.windows.get(name).map(|v| v.version);
     let decision = decision.with_record(window_key(name), version, *window, context);
     if decision.write.is_some() {
-        *calendar = without;
+        *calendar = updated;
     }
     decision
 }
 
 fn cancel(
-    kind: Kind,
+    kind: EntryKind,
     name: &Name,
     calendar: &mut Calendar,
     context: &Context<'_>,
 ) -> CalendarDecision {
     let records = &context.records;
     let (key, version) = match kind {
-        Kind::Reservation => (
+        EntryKind::Reservation => (
             reservation_key(name),
             records.reservations.get(name).map(|v| v.version),
         ),
-        Kind::Window => (
+        EntryKind::Window => (
             window_key(name),
             records.windows.get(name).map(|v| v.version),
         ),
@@ -226,8 +228,8 @@
         return no_such_entry();
     };
     match kind {
-        Kind::Reservation => calendar.set_reservation(name, None),
-        Kind::Window => {
+        EntryKind::Reservation => calendar.set_reservation(name, None),
+        EntryKind::Window => {
             let now = WallClockMillis(context.effects.wall_ms);
             calendar.set_window(name, None, now);
         }
@@ -238,6 +240,6 @@
             version,
             update: RecordUpdate::Delete,
         }),
-        ..ok(200, &responses::cancelled(name))
+        ..json_response(200, &responses::cancelled(name))
     }
 }
--- a/src/coordination/reservations/expiry.rs
+++ b/src/coordination/reservations/expiry.rs
@@ -1,19 +1,19 @@
-//! Removal of entries that have long been over, with writes that nobody else needs.
+//! Removal of ended entries after a retention time, with writes of background priority.
 
 use super::{DAY_MS, Reservations, ReservationsRequest};
 use crate::coordination::context::{Context, KvRequest};
 use crate::storage::kv_client::{RequestPriority, SwapOutcome};
 use crate::storage::record_cache::{RecordChange, reservation_key, window_key};
-use snowshelf_calendar::entry::When;
+use snowshelf_calendar::entry::WindowSchedule;
 use snowshelf_model::ids::{MonotonicMillis, Version, WallClockMillis};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 
-/// How long an entry is retained after its end, in milliseconds.
+/// Retention of an entry after its end, in milliseconds.
 const RETENTION_MS: u64 = DAY_MS;
-/// Time between two searches for expired entries, in milliseconds.
+/// Interval between searches for expired entries, in milliseconds.
 const SEARCH_INTERVAL_MS: u64 = 10_000;
 
-/// The search for expired entries, and the removal in flight.
+/// When expired entries were last searched for, and whether a removal is in flight.
 #[derive(Default)]
 pub(super) struct Expiry {
     searched_at: MonotonicMillis,
@@ -21,7 +21,7 @@
 }
 
 impl Reservations {
-    /// Removes an entry whose retention is over.
+    /// Removes one entry whose retention time is over, if there is one. One removal is in flight at a time.
     pub(super) fn remove_expired(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.expiry.is_removing || now.since(self.expiry.searched_at) < SEARCH_INTERVAL_MS {
@@ -42,7 +42,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of a removal; what has changed by it.
+    /// Handles the outcome of a removal. Returns the record changes that it made.
     pub(super) fn on_removed(
         &mut self,
         key: &str,
@@ -59,17 +59,17 @@
     }
 }
 
-/// The key and version of an entry whose retention is over.
+/// The key and version of an entry whose retention time is over; reservations before windows.
 fn expired_entry(context: &Context<'_>) -> Option<(String, Version)> {
-    let limit = WallClockMillis(context.effects.wall_ms.saturating_sub(RETENTION_MS));
-    let is_over = |when: &When| match when {
-        When::Once { until, .. } => *until < limit,
-        When::Again(rule) => rule
-            .occurrences(limit, WallClockMillis(u64::MAX), 1)
+    let cutoff = WallClockMillis(context.effects.wall_ms.saturating_sub(RETENTION_MS));
+    let is_over = |when: &WindowSchedule| match when {
+        WindowSchedule::Once { until, .. } => *until < cutoff,
+        WindowSchedule::Recurring(rule) => rule
+            .occurrences(cutoff, WallClockMillis(u64::MAX), 1)
             .is_empty(),
     };
     let mut reservations = context.records.reservations.iter();
-    let reservation = reservations.find(|(_, v)| v.value.until < limit);
+    let reservation = reservations.find(|(_, v)| v.value.until < cutoff);
     if let Some((name, v)) = reservation {
         return Some((reservation_key(name), v.version));
     }
--- a/src/coordination/reservations/mod.rs
+++ b/src/coordination/reservations/mod.rs
@@ -1,9 +1,9 @@
-//! Reservations and maintenance windows: requests are decided on the calendar, and made durable before
-//! they are answered.
+//! Reservations and maintenance windows: requests are decided on the calendar, and the response is sent
+//! once the decision is durable.
 //!
-//! Every change also changes one common key, on whose version each decision is conditional, so that two
-//! controllers never both promise the same capacity. A response that changes nothing is conditional on it
-//! too: nobody reads less than another controller has answered.
+//! Every change also writes the calendar key, and each decision is conditional on that key's version, so
+//! that two controllers never reserve the same capacity. Responses that change nothing are conditional on
+//! it too, so that a read never misses a change to which another controller has responded.
 
 mod capacity;
 mod commit;
@@ -12,7 +12,7 @@
 mod requests;
 mod responses;
 
-pub use capacity::bounds;
+pub use capacity::calendar_limits;
 pub use requests::{CalendarRequest, SubmissionMode, parse_request};
 
 use super::context::Context;
@@ -22,79 +22,80 @@
 use commit::DecisionBatch;
 use expiry::Expiry;
 use snowshelf_calendar::calendar::Calendar;
-use snowshelf_calendar::guard::Guard;
+use snowshelf_calendar::constraints::CalendarConstraints;
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version, WallClockMillis};
 use snowshelf_model::records::Capability;
 use std::sync::Arc;
 
-/// Milliseconds of a day.
+/// Length of a day in milliseconds.
 const DAY_MS: u64 = 86_400_000;
-/// How far ahead windows and reserved amounts matter for what starts now, in milliseconds: no task is
+/// How far ahead windows and reservations constrain tasks that start now, in milliseconds. No task is
 /// assumed to run longer.
-const GUARD_HORIZON_MS: u64 = 3 * DAY_MS;
-/// How often the guard is computed, in milliseconds.
-const GUARD_INTERVAL_MS: u64 = 1_000;
+const CONSTRAINTS_HORIZON_MS: u64 = 3 * DAY_MS;
+/// Interval at which the calendar constraints are computed, in milliseconds.
+const CONSTRAINTS_INTERVAL_MS: u64 = 1_000;
 
-/// A request of the calendar to the key-value store.
+/// A request of this actor to the key-value store.
 #[derive(Clone, Debug)]
 pub enum ReservationsRequest {
-    /// Writes, or checks, what requests decided, by the number of the batch.
+    /// Writes a batch of decisions, or checks its versions if it changes nothing; holds the batch's id.
     Decide(u64),
-    /// Deletes an entry whose time is over.
+    /// Deletes an entry whose retention time is over.
     RemoveExpired {
-        /// The entry's key.
+        /// The key of the entry's record.
         key: String,
     },
 }
 
-/// The actor that serves requests on reservations and maintenance windows.
+/// The actor that serves requests for reservations and maintenance windows.
 #[derive(Default)]
 pub struct Reservations {
     calendar: Calendar,
     is_built: bool,
-    /// The machine types have been read again, perhaps with other prices only.
+    /// Whether the machine types have been read again; perhaps only their prices changed.
     types_changed: bool,
     pending: PendingRequests<CalendarRequest>,
     in_flight: Option<DecisionBatch>,
     last_request_id: u64,
-    /// The version of the calendar's key that met a conflict: decided again once a newer one is cached.
+    /// The version of the calendar key at which a transaction conflicted. Requests are decided again once
+    /// the record cache has another version.
     conflicted_version: Option<Version>,
     retry_at: MonotonicMillis,
-    /// When the guard was computed; 0 if it is out of date.
-    guard_computed_at: MonotonicMillis,
+    /// When the calendar constraints were computed; 0 if they are out of date.
+    constraints_computed_at: MonotonicMillis,
     expiry: Expiry,
 }
 
 impl Reservations {
-    /// Queues a request. That the key-value store serves has been checked before.
+    /// Queues a request. The caller has checked that the key-value store is available.
     pub fn handle(
         &mut self,
         connection: ConnectionId,
         request: CalendarRequest,
         context: &mut Context<'_>,
     ) {
-        let refusal = if !context.records.all_support(&Capability::calendar()) {
+        let rejection = if !context.records.all_support(&Capability::calendar()) {
             Some("not every controller takes reservations yet")
         } else if !context.records.loaded || context.types.is_empty() {
             Some("not able to decide yet")
         } else {
             None
         };
-        self.pending.push(connection, request, refusal, context);
+        self.pending.push(connection, request, rejection, context);
     }
 
-    /// Refuses all pending requests: the key-value store does not serve.
+    /// Rejects all pending requests, because the key-value store is unavailable.
     pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         self.pending.refuse_all(context);
     }
 
-    /// Whether there is a calendar that changes concern.
+    /// Whether the calendar has been built, so that record changes must be applied to it.
     #[must_use]
     pub fn is_built(&self) -> bool {
         self.is_built
     }
 
-    /// Brings the calendar up to date with changed records.
+    /// Applies changed records to the calendar.
     pub fn on_changes(&mut self, changes: &[RecordChange], context: &Context<'_>) {
         let now = WallClockMillis(context.effects.wall_ms);
         for change in changes {
@@ -115,11 +116,12 @@
                 }
                 _ => continue,
             }
-            self.guard_computed_at = MonotonicMillis(0);
+            self.constraints_computed_at = MonotonicMillis(0);
         }
     }
 
-    /// Builds the calendar from the records if there is none, or if it is planned too little ahead.
+    /// Builds the calendar from the records if it does not exist, has other limits or does not reach far
+    /// enough ahead.
     fn build(&mut self, context: &Context<'_>) {
         let is_needed = context.config.ops.calendar.enabled
             || !context.records.reservations.is_empty()
@@ -128,17 +130,18 @@
             return;
         }
         let now = WallClockMillis(context.effects.wall_ms);
-        // Guards against building it again with every change of a price.
+        // The limits are compared only if the machine types were read again, and a change of prices alone
+        // does not rebuild the calendar.
         let types_changed = std::mem::take(&mut self.types_changed);
-        if self.is_built && !types_changed && self.calendar.plans_ahead(now) {
+        if self.is_built && !types_changed && self.calendar.covers_horizon(now) {
             return;
         }
         let teams = &context.config.settings.deployment.teams;
-        let bounds = bounds(context.types, teams, &context.config.ops.calendar);
-        if self.is_built && self.calendar.serves(&bounds, now) {
+        let limits = calendar_limits(context.types, teams, &context.config.ops.calendar);
+        if self.is_built && self.calendar.is_current(&limits, now) {
             return;
         }
-        self.calendar = Calendar::new(Arc::new(bounds), now);
+        self.calendar = Calendar::new(Arc::new(limits), now);
         for (name, v) in &context.records.windows {
             let window = Arc::new((*v.value).clone());
             self.calendar.set_window(name, Some(window), now);
@@ -148,31 +151,40 @@
             self.calendar.set_reservation(name, Some(reservation));
         }
         self.is_built = true;
-        self.guard_computed_at = MonotonicMillis(0);
+        self.constraints_computed_at = MonotonicMillis(0);
         tracing::info!(entries = self.calendar.len(), "calendar built");
     }
 
-    /// Periodic work. Returns what placement and scale-out must respect, if that was computed again.
+    /// Periodic work. Returns the constraints on placement and scale-out if they were recomputed.
     #[must_use]
-    pub fn tick(&mut self, is_leader: bool, context: &mut Context<'_>) -> Option<Guard> {
+    pub fn tick(
+        &mut self,
+        is_leader: bool,
+        context: &mut Context<'_>,
+    ) -> Option<CalendarConstraints> {
         self.build(context);
         self.decide_pending(context);
         if is_leader {
             self.remove_expired(context);
         }
         let now = context.now();
-        let is_current = self.guard_computed_at != MonotonicMillis(0)
-            && now.since(self.guard_computed_at) < GUARD_INTERVAL_MS;
+        let is_current = self.constraints_computed_at != MonotonicMillis(0)
+            && now.since(self.constraints_computed_at) < CONSTRAINTS_INTERVAL_MS;
         if !self.is_built || is_current {
             return None;
         }
-        self.guard_computed_at = now;
+        self.constraints_computed_at = now;
         let skew_ms = context.config.settings.skew_ms();
         let wall = WallClockMillis(context.effects.wall_ms);
-        Some(Guard::of(&self.calendar, wall, GUARD_HORIZON_MS, skew_ms))
+        Some(CalendarConstraints::new(
+            &self.calendar,
+            wall,
+            CONSTRAINTS_HORIZON_MS,
+            skew_ms,
+        ))
     }
 
-    /// Handles a response of the key-value store; the records that have changed by it.
+    /// Handles a response of the key-value store. Returns the record changes that it made.
     pub fn on_response(
         &mut self,
         request: ReservationsRequest,
--- a/src/coordination/reservations/requests.rs
+++ b/src/coordination/reservations/requests.rs
@@ -1,57 +1,57 @@
-//! Requests on reservations and maintenance windows, parsed from method, path and body.
+//! Requests for reservations and maintenance windows, parsed from method, path and body.
 
 use crate::coordination::list_request::ListRequest;
 use crate::coordination::query::split;
 use crate::coordination::request_error::RequestError;
-use snowshelf_calendar::entry::{Name, Wanted, Window, parse_reservation, parse_window};
-use snowshelf_calendar::refusal::Kind;
+use snowshelf_calendar::entry::{Name, ReservationSpec, Window, parse_reservation, parse_window};
+use snowshelf_calendar::rejection::EntryKind;
 
-/// A request on the calendar.
+/// A parsed request for the calendar.
 #[derive(Clone, Debug)]
 pub enum CalendarRequest {
     /// Reserves capacity.
     Reserve {
         /// The reservation's name.
         name: Name,
-        /// What is to be reserved.
-        wanted: Wanted,
-        /// Whether it is made, replaced or only checked.
+        /// The requested reservation.
+        spec: ReservationSpec,
+        /// Whether it is created, replaced or only checked.
         mode: SubmissionMode,
     },
     /// Declares a maintenance window.
     DeclareWindow {
         /// The window's name.
         name: Name,
-        /// The window.
+        /// The requested window.
         window: Window,
         /// Whether it may displace reservations.
         force: bool,
-        /// Whether it is made, replaced or only checked.
+        /// Whether it is created, replaced or only checked.
         mode: SubmissionMode,
     },
     /// Cancels an entry.
-    Cancel(Kind, Name),
+    Cancel(EntryKind, Name),
     /// Shows an entry.
-    Show(Kind, Name),
-    /// Lists entries of one kind.
-    List(Kind, ListRequest),
+    Show(EntryKind, Name),
+    /// Lists entries of one kind, page by page.
+    List(EntryKind, ListRequest),
 }
 
-/// Whether an entry is made, replaced, or only checked.
+/// Whether a submission creates or replaces an entry, or is only checked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SubmissionMode {
-    /// A new entry.
+    /// Creates an entry. Repeating the same submission is accepted; another entry must not have the name.
     Create,
-    /// In place of an entry that exists.
+    /// Replaces an existing entry.
     Replace,
-    /// A dry run, which changes nothing.
+    /// Dry run: responds as if the entry were submitted, and changes nothing.
     Check,
 }
 
 const RESERVATIONS: &str = "/api/reservations";
 const WINDOWS: &str = "/api/windows";
 
-/// Parses a request; `None` if its path is none of the calendar's.
+/// Parses a request. `None` if the path does not belong to the calendar.
 pub fn parse_request(
     method: &str,
     path: &str,
@@ -59,8 +59,8 @@
 ) -> Option<Result<CalendarRequest, RequestError>> {
     let (path, query) = split(path);
     let (kind, rest) = match (path.strip_prefix(RESERVATIONS), path.strip_prefix(WINDOWS)) {
-        (Some(rest), _) => (Kind::Reservation, rest),
-        (_, Some(rest)) => (Kind::Window, rest),
+        (Some(rest), _) => (EntryKind::Reservation, rest),
+        (_, Some(rest)) => (EntryKind::Window, rest),
         _ => return None,
     };
     if !rest.is_empty() && !rest.starts_with('/') {
@@ -76,14 +76,14 @@
     })
 }
 
-/// Parses a request on one entry; `rest` is the path behind the kind.
+/// Parses a request for one entry; `rest` is the path after the kind.
 fn parse_entry_request(
-    kind: Kind,
+    kind: EntryKind,
     method: &str,
     rest: &str,
     body: &[u8],
 ) -> Result<CalendarRequest, RequestError> {
-    let (name, cancels) = match rest.strip_suffix("/cancel") {
+    let (name, is_cancel) = match rest.strip_suffix("/cancel") {
         Some(name) => (name, true),
         None => (rest, false),
     };
@@ -91,7 +91,7 @@
         return Err(RequestError::NoSuchPath);
     }
     let name = Name::parse(name).ok_or(RequestError::NoSuchEntry)?;
-    match (method, cancels) {
+    match (method, is_cancel) {
         ("POST", true) => Ok(CalendarRequest::Cancel(kind, name)),
         ("GET", false) => Ok(CalendarRequest::Show(kind, name)),
         ("PUT", false) => parse_submission(kind, SubmissionMode::Replace, Some(&name), body),
@@ -99,9 +99,9 @@
     }
 }
 
-/// Parses an entry; `path_name` is the name that the path has, which must be the entry's.
+/// Parses a submission. If the path has a name, `path_name`, the body must have the same.
 fn parse_submission(
-    kind: Kind,
+    kind: EntryKind,
     mode: SubmissionMode,
     path_name: Option<&Name>,
     body: &[u8],
@@ -114,12 +114,12 @@
         _ => Ok(()),
     };
     match kind {
-        Kind::Reservation => {
-            let (name, wanted) = parse_reservation(body)?;
+        EntryKind::Reservation => {
+            let (name, spec) = parse_reservation(body)?;
             check_name(&name)?;
-            Ok(CalendarRequest::Reserve { name, wanted, mode })
+            Ok(CalendarRequest::Reserve { name, spec, mode })
         }
-        Kind::Window => {
+        EntryKind::Window => {
             let (name, window, force) = parse_window(body)?;
             check_name(&name)?;
             Ok(CalendarRequest::DeclareWindow {
--- a/src/coordination/reservations/responses.rs
+++ b/src/coordination/reservations/responses.rs
@@ -1,22 +1,25 @@
-//! The bodies of responses: reservations and maintenance windows as users read them.
+//! JSON bodies of responses for reservations and maintenance windows.
 
 use crate::coordination::list_request::ListRequest;
 use serde_json::{Value, json};
 use snowshelf_calendar::calendar::Calendar;
-use snowshelf_calendar::entry::{Name, Reservation, When, Window, shown};
-use snowshelf_calendar::refusal::{Clash, Kind};
+use snowshelf_calendar::entry::{Name, Reservation, Window, WindowSchedule, format_time};
+use snowshelf_calendar::rejection::{Conflict, EntryKind};
 use snowshelf_model::ids::WallClockMillis;
 
-/// How many occurrences of a recurring window a response has.
+/// Maximum number of occurrences of a recurring window in a response.
 const MAX_OCCURRENCES: usize = 3;
 
-/// Entries that clash with another.
-pub(super) fn clashes(list: &[Clash]) -> Value {
-    let one = |c: &Clash| json!({"name": c.name.as_str(), "from": shown(c.from), "until": shown(c.until)});
-    list.iter().map(one).collect()
+/// The entries that conflict with another.
+pub(super) fn conflicts(list: &[Conflict]) -> Value {
+    let entry = |c: &Conflict| {
+        json!({"name": c.name.as_str(), "from": format_time(c.from),
+            "until": format_time(c.until)})
+    };
+    list.iter().map(entry).collect()
 }
 
-/// An entry that is cancelled.
+/// The response to a cancellation.
 pub(super) fn cancelled(name: &Name) -> Value {
     json!({"name": name.as_str(), "state": "cancelled"})
 }
@@ -33,19 +36,19 @@
         _ if now < r.until => "open",
         _ => "over",
     };
-    let total = r.amount.room();
+    let total = r.amount.to_resources();
     let places: Vec<Value> = r
         .shares
         .iter()
         .map(|s| {
-            let room = s.amount.room();
-            json!({"zone": s.zone, "type": s.model, "cpus": room.cpus, "gpus": room.gpus,
-                "mem_gb": room.mem})
+            let resources = s.amount.to_resources();
+            json!({"zone": s.zone, "type": s.model, "cpus": resources.cpus, "gpus": resources.gpus,
+                "mem_gb": resources.mem})
         })
         .collect();
     let mut body = json!({"name": name.as_str(), "state": state, "team": r.team.as_str(),
         "cpus": total.cpus, "gpus": total.gpus, "mem_gb": total.mem, "spot": r.spot,
-        "from": shown(r.from), "until": shown(r.until), "places": places});
+        "from": format_time(r.from), "until": format_time(r.until), "places": places});
     if let Some(zone) = &r.zone {
         body["zone"] = json!(zone);
     }
@@ -53,19 +56,18 @@
         body["types"] = json!(types);
     }
     if let Some(requested) = r.moved_from {
-        body["moved_from"] = json!(shown(requested));
+        body["moved_from"] = json!(format_time(requested));
     }
-    // Windows that were forced over it.
-    let displaced = calendar.displaced(r);
-    if !displaced.is_empty() {
-        body["displaced_by"] = clashes(&displaced);
+    let displaced_by = calendar.displacing_windows(r);
+    if !displaced_by.is_empty() {
+        body["displaced_by"] = conflicts(&displaced_by);
     }
     body
 }
 
 /// A maintenance window, with its next occurrences.
 pub(super) fn window(name: &Name, w: &Window, calendar: &Calendar, now: WallClockMillis) -> Value {
-    let occurrences = w.occurrences(now, calendar.planned(), MAX_OCCURRENCES);
+    let occurrences = w.occurrences(now, calendar.planned_until(), MAX_OCCURRENCES);
     let state = match occurrences.first() {
         Some((from, _)) if *from <= now => "open",
         Some(_) => "ahead",
@@ -79,15 +81,15 @@
         body["lead_s"] = json!(lead_s);
     }
     match &w.when {
-        When::Once { from, until } => {
-            body["from"] = json!(shown(*from));
-            body["until"] = json!(shown(*until));
+        WindowSchedule::Once { from, until } => {
+            body["from"] = json!(format_time(*from));
+            body["until"] = json!(format_time(*until));
         }
-        When::Again(rule) => {
+        WindowSchedule::Recurring(rule) => {
             body["rule"] = json!(rule);
             let next: Vec<Value> = occurrences
                 .iter()
-                .map(|(from, until)| json!({"from": shown(*from), "until": shown(*until)}))
+                .map(|(from, until)| json!({"from": format_time(*from), "until": format_time(*until)}))
                 .collect();
             body["next"] = json!(next);
         }
@@ -97,19 +99,19 @@
 
 /// A page of entries, in the order of their names.
 pub(super) fn list(
-    kind: Kind,
+    kind: EntryKind,
     page: &ListRequest,
     calendar: &Calendar,
     now: WallClockMillis,
 ) -> Value {
     let mut entries: Vec<Value> = match kind {
-        Kind::Reservation => calendar
+        EntryKind::Reservation => calendar
             .reservations()
             .filter(|(name, _)| page.includes(name))
             .take(page.limit + 1)
             .map(|(name, r)| reservation(name, r, calendar, now))
             .collect(),
-        Kind::Window => calendar
+        EntryKind::Window => calendar
             .windows()
             .filter(|(name, _, _)| page.includes(name))
             .take(page.limit + 1)
--- a/src/coordination/shard/preemption.rs
+++ b/src/coordination/shard/preemption.rs
@@ -97,7 +97,7 @@
     /// Begins to evict from machines whose pool closes as soon as a task, with its checkpoint, can just be stopped in
     /// time. They are released once nothing is on them.
     pub(super) fn drain_closing_pools(&mut self, context: &Context<'_>) {
-        if context.guard.closings.is_empty() {
+        if context.calendar_constraints.windows.is_empty() {
             return;
         }
         let now = WallClockMillis(context.effects.wall_ms);
@@ -112,7 +112,10 @@
             let specs = reported.filter_map(|t| jobs.get(&t.task.job)?.spec());
             let grace_s = specs.map(|s| s.checkpoint_duration_s).fold(0.0, f64::max);
             let lead_ms = 2 * heartbeat_ms + COMMAND_LATENCY_MS + seconds_to_ms(grace_s);
-            if let Some(closing) = context.guard.empties(pool, now, lead_ms) {
+            if let Some(closing) = context
+                .calendar_constraints
+                .requires_empty(pool, now, lead_ms)
+            {
                 tracing::info!(machine = %name, shard = %self.id, window = %closing.window,
                     "machine cordoned: maintenance window");
                 m.retirement = Some(RetirementReason::Window);
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -8,7 +8,7 @@
 use crate::coordination::placement::{estimate, slowest_fetch};
 use snowshelf_calendar::amount::Amount;
 use snowshelf_calendar::calendar::Pool;
-use snowshelf_calendar::guard::Hold;
+use snowshelf_calendar::constraints::PoolReservation;
 use snowshelf_model::ids::{
     JobId, MachineId, ShardId, Team, WallClockMillis, seconds_to_ms, shard_of,
 };
@@ -93,7 +93,7 @@
         reservation: Option<&MachineReservation>,
         context: &Context<'_>,
     ) -> bool {
-        if context.guard.is_empty() {
+        if context.calendar_constraints.is_empty() {
             return false;
         }
         let Some(pool) = pool else {
@@ -101,14 +101,18 @@
         };
         let now = WallClockMillis(context.effects.wall_ms);
         let stay_ms = expected_stay_ms(spec, context);
-        if context.guard.forbids(pool, stay_ms, now).is_some() {
+        if context
+            .calendar_constraints
+            .blocks_start(pool, stay_ms, now)
+            .is_some()
+        {
             return true;
         }
         reservation.is_some_and(|reservation| {
             let end = now.0.saturating_add(stay_ms.unwrap_or(u64::MAX));
             reservation.team != spec.team
                 && now < reservation.until
-                && end.saturating_add(context.guard.skew_ms) > reservation.from.0
+                && end.saturating_add(context.calendar_constraints.skew_ms) > reservation.from.0
         })
     }
 
@@ -129,13 +133,13 @@
     /// already.
     pub(super) fn reserve_machines(&mut self, context: &Context<'_>) {
         self.reservations.by_machine.clear();
-        if context.guard.holds.is_empty() {
+        if context.calendar_constraints.reservations.is_empty() {
             return;
         }
         let now = WallClockMillis(context.effects.wall_ms);
         let begins_by = self.reservation_horizon(now, context);
         let mut reserved = BTreeMap::new();
-        for hold in &context.guard.holds {
+        for hold in &context.calendar_constraints.reservations {
             if hold.until <= now || hold.from.0 > begins_by {
                 continue;
             }
@@ -171,13 +175,13 @@
         let ahead_ms = longest_stay.max(provisioning_lead_ms(context));
         now.0
             .saturating_add(ahead_ms)
-            .saturating_add(context.guard.skew_ms)
+            .saturating_add(context.calendar_constraints.skew_ms)
     }
 
     /// The machines that may be reserved and what each has for it, in the order in which they are taken.
     fn reservable_machines(
         &self,
-        hold: &Hold,
+        hold: &PoolReservation,
         reserved: &BTreeMap<MachineId, MachineReservation>,
         context: &Context<'_>,
     ) -> Vec<(Amount, MachineId)> {
@@ -193,7 +197,7 @@
                     let theirs = self.used_by_team(&hold.team, name);
                     theirs.for_each(|used| resources.add(used));
                 }
-                Some((Amount::of(resources), name.clone()))
+                Some((Amount::from_resources(resources), name.clone()))
             })
             .collect();
         if open {
@@ -213,13 +217,13 @@
 
     /// What of a reservation this shard takes: shards take it one after the other, each as much as it has, beginning
     /// with one that the reservation's name tells, so that small ones are not splintered and many are spread.
-    fn reserved_amount(&self, hold: &Hold, context: &Context<'_>) -> Amount {
+    fn reserved_amount(&self, hold: &PoolReservation, context: &Context<'_>) -> Amount {
         let shard_count = context.config.shard_count.max(1);
         let first = shard_of(hold.reservation.as_str(), shard_count).0;
         let Some(machine_type) = context.types.get(&*hold.pool.model) else {
             return Amount::ZERO;
         };
-        let per_machine = Amount::of(machine_type.room());
+        let per_machine = Amount::from_resources(machine_type.room());
         let mut remaining = hold.amount;
         for shard_id in (0..shard_count).map(|i| ShardId((first + i) % shard_count)) {
             let machines = self.machines_for(hold, shard_id);
@@ -233,7 +237,7 @@
     }
 
     /// How many machines a shard has that may be taken for a reservation.
-    fn machines_for(&self, hold: &Hold, shard_id: ShardId) -> u32 {
+    fn machines_for(&self, hold: &PoolReservation, shard_id: ShardId) -> u32 {
         if shard_id == self.id {
             let machines = self.machines.values();
             return machines.filter(|m| may_reserve(hold, m)).count() as u32;
@@ -280,7 +284,7 @@
     }
 }
 
-fn may_reserve(hold: &Hold, m: &Machine) -> bool {
+fn may_reserve(hold: &PoolReservation, m: &Machine) -> bool {
     m.pool.as_ref() == Some(&hold.pool)
         && (hold.spot || !m.spot)
         && m.retirement.is_none()
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -466,19 +466,19 @@
 /// all that is in it; a new type or more machines do change it, and so does time.
 #[test]
 fn prices_do_not_concern_the_calendar() {
-    use snowshelf::coordination::reservations::bounds;
+    use snowshelf::coordination::reservations::calendar_limits;
     use snowshelf::operator::{CalendarSettings, KnownCapacity};
     use snowshelf_calendar::calendar::Calendar;
     use snowshelf_model::ids::WallClockMillis;
     use std::sync::Arc;
     let ops = CalendarSettings::default();
     let types = |price| BTreeMap::from([machine_type("a", 8.0, price, Some(price / 3.0))]);
-    let first = bounds(&types(0.5), &[], &ops);
+    let first = calendar_limits(&types(0.5), &[], &ops);
     let calendar = Calendar::new(Arc::new(first), WallClockMillis(0));
-    assert!(calendar.serves(&bounds(&types(0.6), &[], &ops), WallClockMillis(0)));
+    assert!(calendar.is_current(&calendar_limits(&types(0.6), &[], &ops), WallClockMillis(0)));
     let mut more = types(0.5);
     more.extend([machine_type("b", 4.0, 0.1, None)]);
-    assert!(!calendar.serves(&bounds(&more, &[], &ops), WallClockMillis(0)));
+    assert!(!calendar.is_current(&calendar_limits(&more, &[], &ops), WallClockMillis(0)));
     let known = KnownCapacity {
         zone: "a".to_string(),
         model: "a".to_string(),
@@ -488,10 +488,13 @@
         capacity: vec![known],
         ..ops.clone()
     };
-    assert!(!calendar.serves(&bounds(&types(0.5), &[], &known), WallClockMillis(0)));
+    assert!(!calendar.is_current(
+        &calendar_limits(&types(0.5), &[], &known),
+        WallClockMillis(0)
+    ));
     let day = 86_400_000;
     assert!(
-        calendar.plans_ahead(WallClockMillis(day))
-            && !calendar.plans_ahead(WallClockMillis(day + 1))
+        calendar.covers_horizon(WallClockMillis(day))
+            && !calendar.covers_horizon(WallClockMillis(day + 1))
     );
 }
--- a/tests/draining.rs
+++ b/tests/draining.rs
@@ -310,7 +310,7 @@
         let mut simulation = busy(3, CALM, 4, 200_000);
         simulation.budget.cpus = 0.0;
         (0..NODES).for_each(|node| simulation.again(node));
-        let by = snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(
+        let by = snowshelf_calendar::entry::format_time(snowshelf_model::ids::WallClockMillis(
             snowshelf_simulation::booking::BEGAN + 90_000,
         ));
         let mut body = replace_all();
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -479,5 +479,5 @@
     let now = std::time::SystemTime::now();
     let since = now.duration_since(std::time::UNIX_EPOCH).unwrap();
     let at = since.as_millis() as u64 + hours * 3_600_000;
-    snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(at))
+    snowshelf_calendar::entry::format_time(snowshelf_model::ids::WallClockMillis(at))
 }
