--- a/crates/calendar/src/entry.rs
+++ b/crates/calendar/src/entry.rs
@@ -378,7 +378,7 @@
     }
 }
 
-/// When a maintenance window is open.
+/// When a maintenance window is in effect.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WindowSchedule {
@@ -402,7 +402,7 @@
     /// The machine types that it closes. `None`: all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// When it is open.
+    /// When it is in effect.
     pub when: WindowSchedule,
     /// Lead time in seconds, in which no task is started that would overlap an occurrence. `None`: unlimited
     /// for tasks with an expected run time, zero for services.
--- a/crates/calendar/src/rejection.rs
+++ b/crates/calendar/src/rejection.rs
@@ -62,7 +62,7 @@
     Conflict {
         /// What causes the conflict.
         cause: ConflictCause,
-        /// How much capacity is missing; for a window, the most that is reserved while it is open.
+        /// How much capacity is missing; for a window, the most that is reserved while it is in effect.
         shortfall: Amount,
         /// All conflicting entries.
         conflicts: Vec<Conflict>,
--- a/crates/calendar/tests/entries.rs
+++ b/crates/calendar/tests/entries.rs
@@ -263,7 +263,7 @@
             && blocked(&no_lead, Some(1), 900)
     );
     assert!(!blocked(&no_lead, Some(1), 901));
-    // Without a lead time, services may start until the window opens, and again after it ends.
+    // Without a lead time, services may start until the window begins, and again after it ends.
     assert!(
         !blocked(&no_lead, None, 598)
             && blocked(&no_lead, None, 599)
