--- a/crates/simulation/src/calendar.rs
+++ b/crates/simulation/src/calendar.rs
@@ -4,7 +4,7 @@
 use super::{Event, NODES, PendingRequest, Simulation, TEAM_LIMIT};
 use rand::RngExt;
 use serde_json::{Value, json};
-use snowshelf_calendar::entry::shown;
+use snowshelf_calendar::entry::format_time;
 use snowshelf_model::ids::WallClockMillis;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -58,7 +58,8 @@
     ) {
         let name = format!("r{}", self.calendar_clients.len());
         let body = json!({"name": name, "team": team, "cpus": cpus, "zone": zone,
-            "from": shown(WallClockMillis(WALL_CLOCK_START_MS + from)), "until": shown(WallClockMillis(WALL_CLOCK_START_MS + until))});
+            "from": format_time(WallClockMillis(WALL_CLOCK_START_MS + from)),
+            "until": format_time(WallClockMillis(WALL_CLOCK_START_MS + until))});
         self.add_calendar_client(at, "/api/reservations", body, from, until);
     }
 
@@ -66,7 +67,8 @@
     pub fn add_window(&mut self, at: u64, zone: &str, from: u64, until: u64) {
         let name = format!("w{}", self.calendar_clients.len());
         let body = json!({"name": name, "zone": zone,
-            "from": shown(WallClockMillis(WALL_CLOCK_START_MS + from)), "until": shown(WallClockMillis(WALL_CLOCK_START_MS + until))});
+            "from": format_time(WallClockMillis(WALL_CLOCK_START_MS + from)),
+            "until": format_time(WallClockMillis(WALL_CLOCK_START_MS + until))});
         self.add_calendar_client(at, "/api/windows", body, from, until);
     }
 
