--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of submissions: from a request until the job waits to be committed.
+//! Admission of submissions: parsing, validation and dependency lookups, until a job is ready to commit.
 
 use super::dependency_chunks::ChunkedSubmission;
 use super::feasibility::{RejectionReason, check_dependencies, check_feasible};
@@ -13,46 +13,48 @@
 use snowshelf_model::records::{JobSpec, RecordFormat, job_key};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Most dependencies that are looked up for one submission; the watch brings the others soon.
+/// Maximum dependency records read for one submission. If more are missing, the client is asked to retry,
+/// because the watch soon adds them to the record cache.
 const MAX_DEPENDENCY_LOOKUPS: usize = 16;
-/// Pending submissions beside which one of a DAG run is still taken.
-const MAX_PENDING_BESIDE_RUN: usize = 4;
-/// Keys that accepting a job mostly writes: its own and one or two allocations.
+/// Number of pending submissions at which jobs of DAG runs are no longer admitted, so that users'
+/// submissions take precedence.
+const MAX_PENDING_FOR_RUN_JOBS: usize = 4;
+/// Typical number of keys written to accept a job: its record and one or two allocations.
 const WRITES_PER_JOB: usize = 3;
-/// Seconds' worth of writes that pending submissions may make up.
+/// Maximum backlog of ready submissions, in seconds at the controller's write rate.
 const MAX_BACKLOG_S: f64 = 0.7;
-/// Timeout of the read of a dependency's record, in milliseconds.
+/// Timeout for reading a dependency's record, in milliseconds.
 const LOOKUP_TIMEOUT_MS: u64 = 1_500;
 
-/// A submission that is not durable yet.
+/// A submission whose job record is not yet written.
 pub(super) struct PendingSubmission {
-    /// Who waits for the response: several users if the request was repeated, nobody for a DAG run's job.
+    /// Connections awaiting the response: several if the request was repeated, none for a job of a DAG run.
     pub(super) connections: Vec<ConnectionId>,
     pub(super) job: JobId,
     pub(super) spec: JobSpec,
     pub(super) dependencies: Vec<JobId>,
-    /// In how many records of their own its dependencies have been written.
+    /// Number of dependency chunk records written; 0 if the job's record holds the dependencies.
     pub(super) chunk_count: u32,
     pub(super) queued_at: MonotonicMillis,
-    /// Whether a DAG run submits it.
-    pub(super) from_run: bool,
+    /// Whether a DAG run submitted the job.
+    pub(super) from_dag_run: bool,
     pub(super) pause_ms: u64,
 }
 
-/// A submission some of whose dependencies are being read, since the record cache lacks them.
+/// A submission whose dependencies are being read because the record cache lacks them.
 struct DependencyLookup {
     submission: PendingSubmission,
     missing: BTreeSet<JobId>,
 }
 
-/// Submissions that are admitted or about to be, before their transaction is sent.
+/// Submissions whose transaction has not been sent yet.
 #[derive(Default)]
 pub(super) struct AdmissionQueue {
-    /// Those that only wait to be committed, oldest first.
+    /// Submissions ready to commit, oldest first.
     pub(super) ready: VecDeque<PendingSubmission>,
-    /// Those whose dependencies are being looked up, by request number.
+    /// Submissions with dependency lookups in flight, by request number.
     lookups: HashMap<u64, DependencyLookup>,
-    /// Those whose dependencies are being written in chunks, by request number.
+    /// Submissions whose dependencies are being written in chunks, by request number.
     pub(super) chunked: BTreeMap<u64, ChunkedSubmission>,
 }
 
@@ -63,7 +65,7 @@
         self.ready.iter_mut().chain(looked_up).chain(chunked)
     }
 
-    /// The pending submission of a job.
+    /// Returns the pending submission of a job.
     pub(super) fn find_mut(&mut self, job: &JobId) -> Option<&mut PendingSubmission> {
         self.iter_mut().find(|s| s.job == *job)
     }
@@ -73,23 +75,23 @@
     }
 }
 
-/// Why a submission is not admitted now.
-enum NotAdmitted {
-    /// It can never run.
+/// Why a submission is not admitted.
+enum AdmissionError {
+    /// The job can never run.
     Rejected(RejectionReason),
-    /// It cannot be decided on now.
+    /// The submission cannot be decided now; the client may retry.
     Unavailable(Unavailable),
 }
 
-impl From<RejectionReason> for NotAdmitted {
-    fn from(reason: RejectionReason) -> NotAdmitted {
-        NotAdmitted::Rejected(reason)
+impl From<RejectionReason> for AdmissionError {
+    fn from(reason: RejectionReason) -> AdmissionError {
+        AdmissionError::Rejected(reason)
     }
 }
 
-impl From<Unavailable> for NotAdmitted {
-    fn from(reason: Unavailable) -> NotAdmitted {
-        NotAdmitted::Unavailable(reason)
+impl From<Unavailable> for AdmissionError {
+    fn from(reason: Unavailable) -> AdmissionError {
+        AdmissionError::Unavailable(reason)
     }
 }
 
@@ -110,22 +112,22 @@
         }
         match check_admissible(&submission, context) {
             Ok(()) => {}
-            Err(NotAdmitted::Rejected(reason)) => {
-                // Guards against forgetting a job that was accepted under other limits: only the key-value
-                // store knows that it was not.
+            Err(AdmissionError::Rejected(reason)) => {
+                // The job may have been accepted under earlier limits; only the key-value store can rule
+                // that out.
                 self.read_job(connection, job, JobReadPurpose::Reject(reason), context);
                 return;
             }
-            Err(NotAdmitted::Unavailable(reason)) => {
+            Err(AdmissionError::Unavailable(reason)) => {
                 context.effects.respond(connection, reason.into());
                 return;
             }
         }
-        if let Some(same) = self.admission.find_mut(job) {
-            same.connections.push(connection);
+        if let Some(pending) = self.admission.find_mut(job) {
+            pending.connections.push(connection);
             return;
         }
-        // More than can be written within about a second is refused at once.
+        // Refuses the submission if the backlog could not be written within about a second.
         let backlog = self.admission.ready.len() * WRITES_PER_JOB;
         if backlog as f64 > MAX_BACKLOG_S * context.kv.write_rate() {
             let unavailable = Unavailable::TooManySubmissions.into();
@@ -139,7 +141,7 @@
             dependencies: submission.dependencies,
             chunk_count: 0,
             queued_at: context.now(),
-            from_run: false,
+            from_dag_run: false,
             pause_ms: 0,
         };
         if let Err(reason) = self.admit(pending, context) {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Answers a submission that cannot be parsed.
+    /// Responds to a submission that cannot be parsed.
     fn reject_malformed(
         &mut self,
         connection: ConnectionId,
@@ -157,8 +159,7 @@
     ) {
         tracing::info!(%error, "submission rejected: malformed");
         match user::submitted_job(body) {
-            // Guards against forgetting a job that was accepted: only the key-value store knows that it
-            // was not.
+            // The job may have been accepted before; only the key-value store can rule that out.
             Some(job) => {
                 self.read_job(connection, &job, JobReadPurpose::Malformed(error), context);
             }
@@ -169,17 +170,18 @@
         }
     }
 
-    /// Queues a submission, at once or when its dependencies have been looked up.
+    /// Queues a submission for commit, after reading those dependencies that the record cache lacks.
     fn admit(
         &mut self,
         submission: PendingSubmission,
         context: &mut Context<'_>,
     ) -> Result<(), Unavailable> {
-        let is_cached = !submission.from_run && context.records.jobs.contains_key(&submission.job);
+        let is_accepted =
+            !submission.from_dag_run && context.records.jobs.contains_key(&submission.job);
         let missing: BTreeSet<JobId> = submission
             .dependencies
             .iter()
-            .filter(|dependency| !is_cached && !context.records.contains_job(dependency))
+            .filter(|dependency| !is_accepted && !context.records.contains_job(dependency))
             .cloned()
             .collect();
         if missing.is_empty() {
@@ -193,8 +195,8 @@
         {
             return Err(Unavailable::DependenciesNotCached);
         }
-        // That the record cache lacks a job proves nothing: one accepted a moment ago has not come yet,
-        // and one that ended long ago may have been dropped.
+        // A job absent from the record cache may still exist: the watch may not have delivered a recently
+        // accepted job, and a job that ended long ago may have been dropped from the cache.
         let id = self.next_request_id();
         for dependency in &missing {
             let request = KvRequest::JobApi(JobApiRequest::ReadDependency {
@@ -214,8 +216,8 @@
         Ok(())
     }
 
-    /// Submits a job of a DAG run, if users' submissions leave room; false if not now. Once it is
-    /// accepted the record cache has it; an attempt that fails is repeated by the run.
+    /// Submits a job of a DAG run if users' submissions leave enough budget; returns false otherwise. An
+    /// accepted job appears in the record cache. The run repeats an attempt that fails.
     #[must_use]
     pub fn submit_for_run(
         &mut self,
@@ -226,7 +228,7 @@
         let job = &submission.job;
         if self.admission.find_mut(job).is_some()
             || self.commits.contains(job)
-            || self.admission.len() >= MAX_PENDING_BESIDE_RUN
+            || self.admission.len() >= MAX_PENDING_FOR_RUN_JOBS
             || !context
                 .kv
                 .has_budget(context.now(), RequestPriority::TaskStarts, WRITES_PER_JOB)
@@ -240,13 +242,14 @@
             dependencies: submission.dependencies.clone(),
             chunk_count: 0,
             queued_at: context.now(),
-            from_run: true,
+            from_dag_run: true,
             pause_ms,
         };
         self.admit(pending, context).is_ok()
     }
 
-    /// Handles the read of a dependency of the submission `id`; the record cache has it by now.
+    /// Handles the read of a dependency of the submission `id`. A record that was found is already in the
+    /// record cache.
     pub(super) fn on_dependency_read(
         &mut self,
         id: u64,
@@ -264,7 +267,7 @@
                 let PendingSubmission {
                     job, dependencies, ..
                 } = &lookup.submission;
-                check_dependencies(job, dependencies, context).map_err(NotAdmitted::from)
+                check_dependencies(job, dependencies, context).map_err(AdmissionError::from)
             }
             GetOutcome::NotFound(_) => Err(RejectionReason::UnknownDependency.into()),
             GetOutcome::Failed => Err(Unavailable::StoreNotResponding.into()),
@@ -274,13 +277,13 @@
         };
         match result {
             Ok(()) => self.admission.ready.push_back(submission),
-            Err(NotAdmitted::Rejected(reason)) => {
+            Err(AdmissionError::Rejected(reason)) => {
                 let purpose = JobReadPurpose::Reject(reason);
                 for connection in submission.connections {
                     self.read_job(connection, &submission.job, purpose, context);
                 }
             }
-            Err(NotAdmitted::Unavailable(reason)) => {
+            Err(AdmissionError::Unavailable(reason)) => {
                 for connection in submission.connections {
                     context.effects.respond(connection, reason.into());
                 }
@@ -289,9 +292,9 @@
     }
 }
 
-/// Checks whether a submission can be decided on now, and whether its job can ever run. A job that is
-/// accepted already is answered by its state, whatever the limits are now.
-fn check_admissible(submission: &Submission, context: &Context<'_>) -> Result<(), NotAdmitted> {
+/// Checks whether a submission can be decided now and whether its job can ever run. A job that is already
+/// accepted passes regardless of the current limits, because the response reports its state.
+fn check_admissible(submission: &Submission, context: &Context<'_>) -> Result<(), AdmissionError> {
     let Submission {
         job,
         spec,
@@ -312,7 +315,7 @@
         return Err(Unavailable::DependenciesUnsupported.into());
     }
     if !cancellations_known(context) {
-        // A dependency may have been cancelled long ago.
+        // Another controller may have cancelled a dependency some time ago without this one knowing.
         return Err(Unavailable::CancellationsUnknown.into());
     }
     Ok(())
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations: by a user, by a DAG run, and of jobs that depend on a cancelled one.
+//! Job cancellation: requested by a user or a DAG run, or cascaded to jobs that depend on a cancelled job.
 
 use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
@@ -11,61 +11,61 @@
 use snowshelf_model::records::{JobRecord, JobState, job_key};
 use std::collections::{BTreeSet, HashMap};
 
-/// How often a cancellation that conflicted with another write is retried before the user is asked to.
+/// Maximum retries of a cancellation that conflicts with other writes; after them the user is asked to retry.
 const MAX_CANCEL_RETRIES: u32 = 5;
-/// Time between two searches for jobs that depend on a cancelled one, in milliseconds.
+/// Minimum time between two cascades, in milliseconds.
 const CASCADE_INTERVAL_MS: u64 = 200;
-/// How long such a job is left out after its cancellation failed, in milliseconds.
+/// How long a cascade skips a job after its cancellation failed, in milliseconds.
 const CASCADE_BACKOFF_MS: u64 = 400;
-/// Timeout of the read of a job whose cancellation conflicted, in milliseconds.
+/// Timeout for reading a job whose cancellation conflicted, in milliseconds.
 const LOOKUP_TIMEOUT_MS: u64 = 1_500;
 
-/// A cancellation that a user waits for.
+/// A cancellation that a user requested.
 struct UserCancellation {
     connection: ConnectionId,
     job: JobId,
-    /// The job's record once it is cancelled.
-    cancelled: Value,
+    /// The job's record in the state cancelled.
+    cancelled_record: Value,
     purpose: JobReadPurpose,
     retries: u32,
 }
 
-/// A job in a cascade, and its record once it is cancelled.
+/// A job in a cascade, and its record in the state cancelled.
 struct CascadeCancellation {
     job: JobId,
-    cancelled: Value,
+    cancelled_record: Value,
 }
 
-/// Cancellations in flight, and jobs that are to be cancelled.
+/// Cancellations in flight, and jobs that await cancellation.
 #[derive(Default)]
 pub(super) struct Cancellations {
-    /// Users' cancellations in flight, by request number.
-    by_users: HashMap<u64, UserCancellation>,
-    /// Retries so far, while the job is read again.
+    /// Cancellations requested by users and in flight, by request number.
+    user_cancellations: HashMap<u64, UserCancellation>,
+    /// Retries so far of cancellations whose job is being read again.
     retries: HashMap<ConnectionId, u32>,
-    /// Cascades in flight, by request number: one at a time.
+    /// The cascade in flight, by request number; at most one.
     cascades: HashMap<u64, Vec<CascadeCancellation>>,
     last_cascade_at: MonotonicMillis,
-    /// Jobs of DAG runs that these want cancelled.
-    requested_by_runs: BTreeSet<JobId>,
-    /// Jobs that the cascade leaves out, and until when.
+    /// Jobs of DAG runs whose cancellation their run has requested.
+    requested_by_dag_runs: BTreeSet<JobId>,
+    /// Jobs that cascades skip, and until when.
     backoff_until: HashMap<JobId, MonotonicMillis>,
 }
 
 impl Cancellations {
-    /// Forgets the retries of a request that is answered.
+    /// Discards the retry count of a request that has been answered.
     pub(super) fn forget_retries(&mut self, connection: ConnectionId) {
         self.retries.remove(&connection);
     }
 }
 
 impl JobApi {
-    /// Has jobs of a DAG run cancelled with the next cascade.
+    /// Schedules jobs of a DAG run for cancellation by the next cascade.
     pub fn cancel_for_run(&mut self, jobs: impl IntoIterator<Item = JobId>) {
-        self.cancellations.requested_by_runs.extend(jobs);
+        self.cancellations.requested_by_dag_runs.extend(jobs);
     }
 
-    /// Cancels a job on condition that its record is still the one given.
+    /// Cancels a job, provided that its record still has the given version.
     pub(super) fn cancel_job(
         &mut self,
         connection: ConnectionId,
@@ -74,11 +74,11 @@
         record: &VersionedRecord<JobRecord>,
         context: &mut Context<'_>,
     ) {
-        let cancelled = context.job_value(&context.cancelled(&record.value));
+        let cancelled_record = context.job_value(&context.cancelled(&record.value));
         let may_write = context
             .kv
             .has_budget(context.now(), RequestPriority::Admission, 1);
-        let Some(cancelled) = cancelled.filter(|_| may_write) else {
+        let Some(cancelled_record) = cancelled_record.filter(|_| may_write) else {
             let unavailable = Unavailable::RateLimited.into();
             context.effects.respond(connection, unavailable);
             return;
@@ -86,20 +86,22 @@
         let id = self.next_request_id();
         let swap = CompareAndSwap::default()
             .compare(job_key(job), record.version)
-            .mutate(Mutation::put(job_key(job), &cancelled));
+            .mutate(Mutation::put(job_key(job), &cancelled_record));
         let cancellation = UserCancellation {
             connection,
             job: job.clone(),
-            cancelled,
+            cancelled_record,
             purpose,
             retries: self.cancellations.retries.remove(&connection).unwrap_or(0),
         };
-        self.cancellations.by_users.insert(id, cancellation);
+        self.cancellations
+            .user_cancellations
+            .insert(id, cancellation);
         let request = KvRequest::JobApi(JobApiRequest::Cancel(id));
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of a user's cancellation; the job, if its record has changed.
+    /// Handles the outcome of a user's cancellation. Returns the job if its record has changed.
     pub(super) fn on_cancelled(
         &mut self,
         id: u64,
@@ -109,23 +111,23 @@
         let UserCancellation {
             connection,
             job,
-            cancelled,
+            cancelled_record,
             purpose,
             retries,
-        } = self.cancellations.by_users.remove(&id)?;
+        } = self.cancellations.user_cancellations.remove(&id)?;
         match outcome {
             SwapOutcome::Applied(revision) => {
                 tracing::info!(%job, "job cancelled");
                 context
                     .records
-                    .apply(&job_key(&job), Some(&cancelled), *revision);
-                let end = FinishedJob {
+                    .apply(&job_key(&job), Some(&cancelled_record), *revision);
+                let finished = FinishedJob {
                     state: JobState::Cancelled,
                     tasks: 0,
                     ended: None,
                     run: false,
                 };
-                self.respond_final(connection, &job, end, purpose, context);
+                self.respond_final(connection, &job, finished, purpose, context);
                 Some(job)
             }
             SwapOutcome::Conflict(_) if retries < MAX_CANCEL_RETRIES => {
@@ -141,9 +143,9 @@
         }
     }
 
-    /// Cancels jobs that depend on a cancelled one, and those that DAG runs want cancelled: of jobs whose
-    /// first shard this controller leads, as many as go into a transaction. Works on the present records,
-    /// not on events, so nothing is ever missed.
+    /// Cancels jobs that depend on a cancelled job and whose first shard this controller leads, and jobs
+    /// whose DAG run requested it, as many as one transaction allows. Scans the cached records instead of
+    /// reacting to events, so a missed event does not leave a job uncancelled.
     pub fn cascade_cancellations(
         &mut self,
         led_shards: &BTreeSet<ShardId>,
@@ -160,28 +162,32 @@
         cancellations.backoff_until.retain(|_, until| *until > now);
         let budget = context.kv.write_budget(now, RequestPriority::Admission);
         let max_writes = context.storage_limits.txn_ops.min(budget);
-        cancellations.requested_by_runs.retain(|job| {
+        cancellations.requested_by_dag_runs.retain(|job| {
             let cached = context.records.jobs.get(job);
             cached.is_some_and(|v| !v.value.is_final())
         });
         let mut swap = CompareAndSwap::default();
         let mut batch = Vec::new();
         let dependents = context.dependency_graph.unsatisfiable.iter();
-        for job in dependents.chain(&cancellations.requested_by_runs) {
+        for job in dependents.chain(&cancellations.requested_by_dag_runs) {
             if swap.mutations.len() >= max_writes {
                 break;
             }
             let Some(record) = cancellations.cascade_target(job, led_shards, context) else {
                 continue;
             };
-            let Some(cancelled) = context.job_value(&context.cancelled(&record.value)) else {
+            let Some(cancelled_record) = context.job_value(&context.cancelled(&record.value))
+            else {
                 continue;
             };
             swap = swap
                 .compare(job_key(job), record.version)
-                .mutate(Mutation::put(job_key(job), &cancelled));
+                .mutate(Mutation::put(job_key(job), &cancelled_record));
             let job = job.clone();
-            batch.push(CascadeCancellation { job, cancelled });
+            batch.push(CascadeCancellation {
+                job,
+                cancelled_record,
+            });
         }
         let writes = swap.mutations.len();
         if batch.is_empty()
@@ -197,7 +203,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of a cascade; the jobs whose records have changed.
+    /// Handles the outcome of a cascade. Returns the jobs whose records have changed.
     pub(super) fn on_cascaded(
         &mut self,
         id: u64,
@@ -209,11 +215,15 @@
         let retry_at = context.now().plus(CASCADE_BACKOFF_MS);
         match outcome {
             SwapOutcome::Applied(revision) => {
-                for CascadeCancellation { job, cancelled } in &batch {
-                    tracing::info!(%job, "job cancelled: dependency or run cancelled");
+                for CascadeCancellation {
+                    job,
+                    cancelled_record,
+                } in &batch
+                {
+                    tracing::info!(%job, "job cancelled: dependency or DAG run cancelled");
                     context
                         .records
-                        .apply(&job_key(job), Some(cancelled), revision);
+                        .apply(&job_key(job), Some(cancelled_record), revision);
                 }
                 return batch.into_iter().map(|c| c.job).collect();
             }
@@ -236,7 +246,7 @@
 }
 
 impl Cancellations {
-    /// The record of a job that the cascade is to cancel now.
+    /// Returns the record of a job if a cascade by this controller is to cancel it now.
     fn cascade_target<'a>(
         &self,
         job: &JobId,
@@ -244,9 +254,9 @@
         context: &'a Context<'_>,
     ) -> Option<&'a VersionedRecord<JobRecord>> {
         let record = context.records.jobs.get(job)?;
-        let from_run = self.requested_by_runs.contains(job) && record.value.run;
+        let from_dag_run = self.requested_by_dag_runs.contains(job) && record.value.run;
         let first_shard = record.value.shards.first();
-        let is_responsible = from_run || first_shard.is_some_and(|s| led_shards.contains(s));
+        let is_responsible = from_dag_run || first_shard.is_some_and(|s| led_shards.contains(s));
         let is_due = !self.backoff_until.contains_key(job);
         (is_responsible && is_due && !record.value.is_final()).then_some(record)
     }
--- a/src/coordination/api/capacity.rs
+++ b/src/coordination/api/capacity.rs
@@ -1,31 +1,32 @@
-//! The job API's estimate of free capacity, by which jobs are partitioned over shards.
+//! Estimate of the shards' free capacity, used to partition jobs over shards.
 
 use crate::coordination::shard_capacity::ShardCapacity;
 use snowshelf_model::ids::{MonotonicMillis, ShardId, Team};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long an assignment is counted beside the capacity that its shard reports of itself.
+/// How long an assignment is deducted from its shard's reported capacity, in milliseconds. After that the
+/// shard's report includes it.
 const RECENT_ASSIGNMENT_MS: u64 = 1_000;
 
-/// CPUs of a job assigned to a shard that its reported capacity does not include yet.
+/// CPUs assigned to a shard that its reported capacity does not reflect yet.
 struct RecentAssignment {
     at: MonotonicMillis,
     shard: ShardId,
     cpus: f64,
 }
 
-/// Free capacity of all shards, with what was assigned since they reported it.
+/// Reported capacity of all shards and the assignments made since the reports.
 #[derive(Default)]
 pub(super) struct CapacityEstimate {
     /// Capacity as last reported, by shard.
     pub(super) reported: BTreeMap<ShardId, ShardCapacity>,
-    /// CPUs that shards reserve for a team beside that.
+    /// CPUs that shards reserve for a team, not included in `reported`.
     pub(super) reserved_cpus: BTreeMap<(ShardId, Team), f64>,
     recent: VecDeque<RecentAssignment>,
 }
 
 impl CapacityEstimate {
-    /// The capacity by shard after all recent assignments.
+    /// Returns the capacity by shard after deducting recent assignments.
     pub(super) fn current(&mut self, now: MonotonicMillis) -> BTreeMap<ShardId, ShardCapacity> {
         self.recent
             .retain(|a| now.since(a.at) < RECENT_ASSIGNMENT_MS);
@@ -37,7 +38,7 @@
         shards
     }
 
-    /// `shards` with the capacity that is reserved for a team.
+    /// Returns `shards` with the CPUs reserved for a team added to the free CPUs.
     pub(super) fn with_reserved(
         &self,
         shards: &BTreeMap<ShardId, ShardCapacity>,
@@ -52,7 +53,7 @@
         shards
     }
 
-    /// Records that tasks of so many CPUs were assigned to a shard.
+    /// Records an assignment of tasks that need `cpus` in total to a shard.
     pub(super) fn record_assignment(&mut self, at: MonotonicMillis, shard: ShardId, cpus: f64) {
         self.recent.push_back(RecentAssignment { at, shard, cpus });
     }
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -1,4 +1,4 @@
-//! Acceptance of submissions: several are written in one transaction.
+//! Commit of admitted submissions: several are written in one transaction.
 
 use super::admission::PendingSubmission;
 use super::dependency_chunks::ChunkedSubmission;
@@ -18,26 +18,27 @@
 use snowshelf_model::records::{JobRecord, JobState, ShardAllocation, allocation_key, job_key};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long submissions gather to share a transaction, in milliseconds.
+/// How long submissions are collected to share a transaction, in milliseconds.
 const BATCH_DELAY_MS: u64 = 15;
-/// How long a submission may wait to be written before it is refused, in milliseconds.
+/// How long the oldest submission may wait for its transaction before all waiting submissions are refused,
+/// in milliseconds.
 const COMMIT_DEADLINE_MS: u64 = 1_500;
-/// Transactions of submissions in flight at once.
+/// Maximum transactions of submissions in flight.
 const MAX_COMMITS_IN_FLIGHT: usize = 3;
-/// Bytes after which no more submissions join a transaction.
+/// Transaction size in bytes above which no more submissions are added.
 const MAX_BATCH_BYTES: usize = 40 * 1024;
-/// Bytes that a write takes in a transaction beside its key and value.
+/// Overhead of a write in a transaction, in bytes, in addition to its key and value.
 const WRITE_OVERHEAD_BYTES: usize = 40;
-/// Timeout of the read of a run's job whose commit conflicted, in milliseconds.
+/// Timeout for reading a DAG run's job whose commit conflicted, in milliseconds.
 const LOOKUP_TIMEOUT_MS: u64 = 1_500;
 
-/// A record as it is written.
+/// A record written by a transaction.
 pub(super) struct RecordWrite {
     key: String,
     value: Value,
 }
 
-/// Submissions in one transaction, and the records that it writes.
+/// The submissions of one transaction and the records that it writes.
 #[derive(Default)]
 pub(super) struct CommitBatch {
     submissions: Vec<PendingSubmission>,
@@ -51,19 +52,19 @@
 }
 
 impl Commits {
-    /// Whether a transaction in flight accepts this job.
+    /// Returns whether a transaction in flight contains this job.
     pub(super) fn contains(&self, job: &JobId) -> bool {
         let mut submissions = self.in_flight.values().flat_map(|b| &b.submissions);
         submissions.any(|s| s.job == *job)
     }
 }
 
-/// A transaction of submissions while it is put together.
+/// A transaction of submissions under construction.
 struct BatchBuilder {
     batch: CommitBatch,
     swap: CompareAndSwap,
     bytes: usize,
-    /// Capacity by shard after the assignments in the batch.
+    /// Capacity by shard after deducting the assignments in the batch.
     capacity: BTreeMap<ShardId, ShardCapacity>,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl JobApi {
-    /// Refuses all submissions that wait to be written: the key-value store does not serve.
+    /// Refuses all submissions ready to commit because the key-value store is not responding.
     pub fn refuse_pending(&mut self, context: &mut Context<'_>) {
         for submission in self.admission.ready.drain(..) {
             for connection in submission.connections {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Writes submissions that wait, as many as one transaction takes.
+    /// Commits waiting submissions, as many as one transaction allows.
     pub fn commit_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let Some(oldest) = self.admission.ready.front().map(|s| s.queued_at) else {
@@ -124,8 +125,8 @@
     /// Moves submissions from the queue into a transaction.
     fn collect_batch(&mut self, context: &mut Context<'_>) -> BatchBuilder {
         let now = context.now();
-        // A batch larger than the budget has room for would wait until the bucket is full, while
-        // smaller writes keep drawing on it.
+        // A batch larger than the current budget would wait for the token bucket to refill, while smaller
+        // writes keep consuming its tokens.
         let budget = context.kv.write_budget(now, RequestPriority::Admission);
         let max_writes = context.storage_limits.txn_ops.min(budget);
         let mut builder = BatchBuilder {
@@ -148,7 +149,8 @@
         builder
     }
 
-    /// The shards that run a submission: one only if a transaction has no room for more.
+    /// Partitions a submission over shards. The whole job goes to a single shard if a transaction cannot hold
+    /// the allocations of several.
     fn assign_shards(
         &self,
         submission: &PendingSubmission,
@@ -166,7 +168,7 @@
         assignments
     }
 
-    /// Adds the records of one submission: its job's, and an allocation for each shard.
+    /// Adds the records of one submission to the batch: the job and an allocation for each shard.
     fn add_to_batch(
         &mut self,
         submission: PendingSubmission,
@@ -179,7 +181,7 @@
             assignments.clear();
         }
         let Some(value) = context.job_value(&record) else {
-            self.divert_oversized(submission, &record, context);
+            self.handle_oversized(submission, &record, context);
             return;
         };
         builder.put(job_key(&submission.job), value);
@@ -193,7 +195,7 @@
                 waiting: tasks,
                 ..ShardAllocation::default()
             };
-            // A single range is never too large.
+            // An allocation with a single task range always fits into a value.
             let value = context
                 .storage_limits
                 .encode_allocation(&allocation)
@@ -205,9 +207,9 @@
         builder.batch.submissions.push(submission);
     }
 
-    /// Takes a submission whose record is too large out of the queue: its dependencies are written in
-    /// chunks, or it is rejected.
-    fn divert_oversized(
+    /// Handles a submission whose record is too large: starts writing its dependencies in chunks, or rejects
+    /// it if it has none.
+    fn handle_oversized(
         &mut self,
         submission: PendingSubmission,
         record: &JobRecord,
@@ -258,15 +260,15 @@
             }
             SwapOutcome::Conflict(keys) => {
                 for submission in submissions {
-                    let is_known = keys.contains(&job_key(&submission.job));
-                    self.retry_after_conflict(submission, is_known, context);
+                    let is_own_key = keys.contains(&job_key(&submission.job));
+                    self.retry_after_conflict(submission, is_own_key, context);
                 }
             }
             SwapOutcome::NotApplied
             | SwapOutcome::LeaseExpired
             | SwapOutcome::Rejected
             | SwapOutcome::Unknown => {
-                // If it was carried out after all, the repeated submission finds the job.
+                // The transaction may have been applied; a repeated submission then finds the job.
                 for connection in submissions.into_iter().flat_map(|s| s.connections) {
                     let unavailable = Unavailable::StoreNotResponding.into();
                     context.effects.respond(connection, unavailable);
@@ -275,13 +277,13 @@
         }
     }
 
-    /// Answers the users of a submission that is durable.
+    /// Responds to the users of a submission that has been committed.
     fn confirm_acceptance(&mut self, submission: PendingSubmission, context: &mut Context<'_>) {
         let PendingSubmission { job, spec, .. } = &submission;
         tracing::info!(job = %job, team = %spec.team, class = %spec.class, tasks = spec.tasks,
             dependencies = submission.dependencies.len(), "job accepted");
-        let end = context.records.finished_job(job);
-        let state = end.map_or(JobState::Open, |end| end.state);
+        let finished = context.records.finished_job(job);
+        let state = finished.map_or(JobState::Open, |finished| finished.state);
         if state == JobState::Cancelled {
             self.confirmed_cancellations.record(job, context.now());
         }
@@ -292,16 +294,17 @@
         }
     }
 
-    /// Handles a submission whose transaction conflicted, on its own key (`is_known`) or on another's.
+    /// Handles a submission whose transaction conflicted: on the job's own key (`is_own_key`) or on that of
+    /// another submission in the batch.
     fn retry_after_conflict(
         &mut self,
         submission: PendingSubmission,
-        is_known: bool,
+        is_own_key: bool,
         context: &mut Context<'_>,
     ) {
-        if is_known {
-            if submission.from_run {
-                // It is there already, or somebody else's is.
+        if is_own_key {
+            if submission.from_dag_run {
+                // The job was committed before, or another submission used its id.
                 let request = KvRequest::JobLookup(submission.job.clone());
                 let key = job_key(&submission.job);
                 context
@@ -316,18 +319,18 @@
                     context,
                 );
             }
-        } else if let Some(same) = self.admission.find_mut(&submission.job) {
-            // Guards against a transaction that has a job twice, partitioned anew each time: its idempotent
-            // repeat has come while this one was in flight.
-            same.connections.extend(submission.connections);
+        } else if let Some(pending) = self.admission.find_mut(&submission.job) {
+            // The request was repeated while the transaction was in flight. Merging both prevents a
+            // transaction that contains the job twice with different partitions.
+            pending.connections.extend(submission.connections);
         } else {
             self.admission.ready.push_front(submission);
         }
     }
 }
 
-/// The record by which a job is accepted. Dependencies that are done are left out; if one of them is
-/// cancelled, the job is accepted as cancelled.
+/// Returns the record with which a job is accepted. Completed dependencies are omitted. If a dependency is
+/// cancelled, the job is accepted in the state cancelled.
 fn initial_record(
     submission: &PendingSubmission,
     assignments: &[ShardAssignment],
@@ -337,7 +340,7 @@
         context
             .records
             .finished_job(dependency)
-            .map(|end| end.state)
+            .map(|finished| finished.state)
     };
     let is_cancelled = |dependency: &JobId| {
         state_of(dependency) == Some(JobState::Cancelled)
@@ -352,7 +355,7 @@
         dependencies: Vec::new(),
         dependency_chunks: submission.chunk_count,
         ended: None,
-        run: submission.from_run,
+        run: submission.from_dag_run,
         pause_ms: submission.pause_ms,
     };
     if submission.dependencies.iter().any(is_cancelled) {
--- a/src/coordination/api/dependency_chunks.rs
+++ b/src/coordination/api/dependency_chunks.rs
@@ -1,4 +1,4 @@
-//! Long dependency lists, which are written as records of their own before the job that has them.
+//! Dependency lists too long for a job's record: written as separate chunk records before the job's record.
 
 use super::admission::PendingSubmission;
 use super::{JobApi, JobApiRequest, JobReadPurpose};
@@ -9,19 +9,21 @@
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{dependency_chunk_key, job_key};
 
-/// A submission whose dependencies are being written in chunks; its own record makes them count.
+/// A submission whose dependencies are being written in chunks. The chunks take effect only when the job's
+/// record is written.
 pub(super) struct ChunkedSubmission {
     pub(super) submission: PendingSubmission,
     pub(super) chunks: Vec<Vec<JobId>>,
-    /// Chunks that are durable.
+    /// Number of chunks written.
     pub(super) written: usize,
-    /// Chunks in the transaction in flight.
+    /// Number of chunks in the transaction in flight; 0 if there is none.
     pub(super) in_flight: usize,
 }
 
 impl JobApi {
-    /// Writes the next dependency chunks of each long submission, a transaction at a time, on condition
-    /// that no job of that name is accepted. One whose chunks are all written joins the queue of commits.
+    /// Writes the next dependency chunks of each chunked submission, one transaction at a time, provided that
+    /// no job with its id has been accepted. A submission whose chunks are all written becomes ready to
+    /// commit.
     pub fn write_dependency_chunks(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let mut complete = Vec::new();
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Handles the outcome of a write of dependency chunks.
+    /// Handles the outcome of a transaction that writes dependency chunks.
     pub(super) fn on_chunks_written(
         &mut self,
         id: u64,
@@ -90,7 +92,7 @@
                     context,
                 );
             } else {
-                // The retry writes the same chunks again.
+                // A repeated submission overwrites the chunks with the same values.
                 let unavailable = Unavailable::StoreNotResponding.into();
                 context.effects.respond(connection, unavailable);
             }
--- a/src/coordination/api/feasibility.rs
+++ b/src/coordination/api/feasibility.rs
@@ -1,25 +1,25 @@
-//! Whether a job can ever run: its shape against machine types and quotas, and its dependencies.
+//! Checks whether a job can ever run, given the machine types, its team's quota and its dependencies.
 
 use crate::coordination::context::Context;
 use snowshelf_model::ids::JobId;
 use snowshelf_model::records::{Grant, JobKind, JobSpec};
 
-/// Why a submission is rejected for good; its `Display` is the text that the user reads.
+/// Why a submission is rejected permanently; its `Display` is the error text of the response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum RejectionReason {
-    /// The deployment has no team of this name.
+    /// No team with this name is configured.
     #[error("unknown team")]
     UnknownTeam,
-    /// A task needs more than any allowed machine type has.
+    /// A task needs more resources than any machine type that the job allows offers.
     #[error("a task fits no allowed machine type")]
-    NoMachineType,
-    /// The least that must run at once is more than the team's quota.
+    NoFittingMachineType,
+    /// The tasks that must run concurrently need more than the team's quota.
     #[error("the job needs more than the team's limit")]
     ExceedsQuota,
-    /// Gang scheduling on one machine and anti-affinity exclude each other.
+    /// The job requests both gang scheduling on one machine and anti-affinity.
     #[error("the job must be both together and apart")]
-    TogetherAndApart,
-    /// The job is among its own dependencies.
+    GangWithAntiAffinity,
+    /// The job depends on itself.
     #[error("it needs itself")]
     DependsOnItself,
     /// A dependency is a service, which never completes.
@@ -28,27 +28,27 @@
     /// A dependency has never been accepted.
     #[error("it needs a job that was never accepted")]
     UnknownDependency,
-    /// The job's record would exceed the size of a value in the key-value store.
+    /// The job's record would exceed the maximum size of a value in the key-value store.
     #[error("its record would be too large")]
     RecordTooLarge,
 }
 
-/// Checks a job against the deployment's teams and machine types.
+/// Checks a job against the configured teams and the machine types.
 ///
 /// # Errors
-/// The first reason for which it can never run.
+/// Returns the first reason why the job can never run.
 pub fn check_feasible(spec: &JobSpec, context: &Context<'_>) -> Result<(), RejectionReason> {
     let mut teams = context.config.settings.deployment.teams.iter();
     let team = teams
         .find(|t| t.name == spec.team.as_str())
         .ok_or(RejectionReason::UnknownTeam)?;
-    let fits = context.types.values().any(|t| {
+    let has_fitting_type = context.types.values().any(|t| {
         spec.types.as_ref().is_none_or(|l| l.contains(&t.label))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
             && spec.resources.fits_in(t.room())
     });
-    if !fits {
-        return Err(RejectionReason::NoMachineType);
+    if !has_fitting_type {
+        return Err(RejectionReason::NoFittingMachineType);
     }
     let concurrent_tasks = match spec.kind {
         JobKind::Batch => 1,
@@ -58,20 +58,20 @@
         cpus: team.cpus_max,
         gpus: team.gpus_max,
     };
-    let least = spec.resources.times(f64::from(concurrent_tasks));
-    if !quota.covers(Grant::from(least)) {
+    let required = spec.resources.times(f64::from(concurrent_tasks));
+    if !quota.covers(Grant::from(required)) {
         return Err(RejectionReason::ExceedsQuota);
     }
     if spec.gang && spec.spread && spec.tasks > 1 {
-        return Err(RejectionReason::TogetherAndApart);
+        return Err(RejectionReason::GangWithAntiAffinity);
     }
     Ok(())
 }
 
-/// Checks a job's dependencies, as far as the record cache has them.
+/// Checks a job's dependencies. One that is absent from the record cache passes.
 ///
 /// # Errors
-/// The reason for which they can never be met.
+/// Returns the reason why a dependency can never be satisfied.
 pub(super) fn check_dependencies(
     job: &JobId,
     dependencies: &[JobId],
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -1,4 +1,4 @@
-//! Responses about one job, from the record cache or a read of its record.
+//! Responses about a single job, from the record cache or from a read of its record.
 
 use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
@@ -14,17 +14,19 @@
 use snowshelf_watermark::renewal::is_covered;
 use std::rc::Rc;
 
-/// Timeout of the read of a job's record, in milliseconds.
+/// Timeout for reading a job's record, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1_500;
 
-/// Whether this controller knows the cancellations that others have confirmed, but for the last moments.
+/// Returns whether this controller knows the cancellations that other controllers have confirmed, except
+/// possibly the most recent ones.
 pub(super) fn cancellations_known(context: &Context<'_>) -> bool {
     let answering_ms = context.config.settings.answering_ms();
     is_covered(context.watermark, context.now(), answering_ms)
 }
 
 impl JobApi {
-    /// Answers a request about a job: at once if it has ended, else after asking the key-value store.
+    /// Responds to a request about a job: immediately if the job has ended, otherwise after a request to the
+    /// key-value store.
     pub fn read_job(
         &mut self,
         connection: ConnectionId,
@@ -32,8 +34,8 @@
         purpose: JobReadPurpose,
         context: &mut Context<'_>,
     ) {
-        if let Some(end) = context.records.finished_job(job) {
-            self.respond_final(connection, job, end, purpose, context);
+        if let Some(finished) = context.records.finished_job(job) {
+            self.respond_final(connection, job, finished, purpose, context);
             return;
         }
         if purpose == JobReadPurpose::Poll
@@ -46,7 +48,7 @@
         self.read_record(connection, job, purpose, context);
     }
 
-    /// Reads the record of one job.
+    /// Reads a job's record from the key-value store.
     pub(super) fn read_record(
         &mut self,
         connection: ConnectionId,
@@ -77,7 +79,7 @@
             .get(context.effects, request, &key, READ_TIMEOUT_MS);
     }
 
-    /// Handles the read of a job's record.
+    /// Responds to the user for whom a job's record was read.
     pub(super) fn on_job_read(
         &mut self,
         connection: ConnectionId,
@@ -102,33 +104,35 @@
                 return;
             }
         };
-        // Guards against a response that was in flight while the job was accepted or ended, and its user
-        // answered so here: the record cache goes first where it is newer.
-        let end = context.records.finished_job(job).or_else(|| {
+        // The job may have been accepted or ended, and reported so to its user, while this read was in
+        // flight. The record cache takes precedence where it is newer.
+        let finished = context.records.finished_job(job).or_else(|| {
             let record = found.as_ref().map(|v| &*v.value);
             record.filter(|r| r.is_final()).map(FinishedJob::from)
         });
-        if let Some(end) = end {
-            self.respond_final(connection, job, end, purpose, context);
+        if let Some(finished) = finished {
+            self.respond_final(connection, job, finished, purpose, context);
             return;
         }
         let cached = context.records.jobs.get(job).cloned();
         let newest = found.into_iter().chain(cached).max_by_key(|v| v.version);
         let Some(record) = newest else {
             self.cancellations.forget_retries(connection);
-            context.effects.respond(connection, absent(purpose));
+            context
+                .effects
+                .respond(connection, not_found_response(purpose));
             return;
         };
-        // A job with a cancelled dependency is not reported as waiting: it is cancelled first.
-        let is_doomed = context.dependency_graph.unsatisfiable.contains(job);
-        if purpose == JobReadPurpose::Cancel || is_doomed {
+        // A job with a cancelled dependency is cancelled before its state is reported.
+        let is_unsatisfiable = context.dependency_graph.unsatisfiable.contains(job);
+        if purpose == JobReadPurpose::Cancel || is_unsatisfiable {
             self.cancel_job(connection, job, purpose, &record, context);
         } else {
             self.respond_open(connection, job, &record.value, purpose, context);
         }
     }
 
-    /// Answers with the state of a job that has not ended.
+    /// Responds with the state of a job that has not ended.
     pub(super) fn respond_open(
         &self,
         connection: ConnectionId,
@@ -137,8 +141,8 @@
         purpose: JobReadPurpose,
         context: &mut Context<'_>,
     ) {
-        // Guards against calling a job open whose dependency another controller has confirmed as cancelled
-        // over `cancel_s` ago, while this one could not learn it.
+        // Otherwise the job could be reported as open although another controller confirmed the
+        // cancellation of a dependency more than `cancel_s` ago.
         let is_dependent = !record.dependencies.is_empty() || record.dependency_chunks > 0;
         if is_dependent && !cancellations_known(context) {
             let unavailable = Unavailable::CancellationsUnknown.into();
@@ -160,23 +164,23 @@
             .respond(connection, Response::new(200, body));
     }
 
-    /// Answers with the state of a job that has ended.
+    /// Responds with the state of a job that has ended.
     pub(super) fn respond_final(
         &mut self,
         connection: ConnectionId,
         job: &JobId,
-        end: FinishedJob,
+        finished: FinishedJob,
         purpose: JobReadPurpose,
         context: &mut Context<'_>,
     ) {
-        if end.state == JobState::Cancelled {
+        if finished.state == JobState::Cancelled {
             self.confirmed_cancellations.record(job, context.now());
         }
-        let state = user::job_state_label(end.state, 0);
+        let state = user::job_state_label(finished.state, 0);
         let body = match purpose {
             JobReadPurpose::Poll => {
-                let done = match end.state {
-                    JobState::Done => end.tasks,
+                let done = match finished.state {
+                    JobState::Done => finished.tasks,
                     _ => 0,
                 };
                 user::job_status_body(job, state, done, 0)
@@ -193,7 +197,7 @@
     }
 }
 
-/// Decodes a job's record and brings the record cache up to date with it.
+/// Decodes a job's record and applies it to the record cache.
 fn decode_record(
     item: &KeyValue,
     context: &mut Context<'_>,
@@ -208,8 +212,8 @@
     })
 }
 
-/// The response about a job that was never accepted.
-fn absent(purpose: JobReadPurpose) -> Response {
+/// Returns the response about a job that was never accepted.
+fn not_found_response(purpose: JobReadPurpose) -> Response {
     match purpose {
         JobReadPurpose::Reject(reason) => Response::error(422, &reason.to_string()),
         JobReadPurpose::Malformed(error) => Response::error(400, &error.to_string()),
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,7 +1,7 @@
 //! The job API: users' submissions, status polls and cancellations.
 //!
-//! What a user reads in a response is durable, and nothing is older than what any controller has
-//! answered: only final states are answered without asking the key-value store.
+//! Responses report only durable state, and never an older state than any controller has reported before.
+//! Only final states are therefore reported without a request to the key-value store.
 
 mod admission;
 mod cancellation;
@@ -30,53 +30,53 @@
 use status_polls::StatusPolls;
 use std::collections::BTreeMap;
 
-/// A request of the job API to the key-value store; numbers identify requests in flight.
+/// A request from the job API to the key-value store; numbers identify requests in flight.
 #[derive(Clone, Debug)]
 pub enum JobApiRequest {
-    /// Writes accepted submissions.
+    /// Commits a batch of submissions.
     Commit(u64),
     /// Reads a job's record for a user's request.
     Read {
-        /// Who waits for the response.
+        /// The user's connection.
         connection: ConnectionId,
-        /// The job that is read.
+        /// The job whose record is read.
         job: JobId,
-        /// What the response is for.
+        /// What the user requested.
         purpose: JobReadPurpose,
     },
-    /// Writes a chunk of the long list of jobs that a submission depends on.
+    /// Writes chunks of a dependency list that is too long for the job's record.
     WriteDependencies(u64),
-    /// Compares versions for polls that the record cache can answer.
+    /// Checks that the cached records of polled jobs are current.
     CheckPolls(u64),
     /// Cancels a job for a user.
     Cancel(u64),
-    /// Reads the record of a job that a submission depends on.
+    /// Reads the record of a dependency of a submission.
     ReadDependency {
         /// The request number of the submission.
         submission: u64,
-        /// The dependency that is read.
+        /// The dependency whose record is read.
         job: JobId,
     },
-    /// Cancels jobs that depend on cancelled ones.
+    /// Cancels jobs that depend on cancelled jobs, or whose DAG run requested it.
     Cascade(u64),
 }
 
-/// Why a job's record is read for a user.
+/// The user's request for which a job's record is read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobReadPurpose {
     /// A status poll.
     Poll,
-    /// An idempotent request: the job may have been accepted before.
+    /// A repeated submission: the job may have been accepted before.
     Resubmit,
-    /// A submission that can never run, unless the job was accepted before.
+    /// A submission of a job that can never run; rejected unless the job was accepted before.
     Reject(RejectionReason),
-    /// A submission with a field that is wrong or missing, unless the job was accepted before.
+    /// A submission with an invalid or missing field; rejected unless the job was accepted before.
     Malformed(InvalidField),
     /// A cancellation.
     Cancel,
 }
 
-/// The actor that serves users' requests about jobs.
+/// The actor that handles submissions, status polls and cancellations.
 #[derive(Default)]
 pub struct JobApi {
     admission: AdmissionQueue,
@@ -90,7 +90,7 @@
 }
 
 impl JobApi {
-    /// The job API of a process that starts at `now`.
+    /// Creates the job API of a process that starts at `now`.
     #[must_use]
     pub fn new(now: MonotonicMillis) -> JobApi {
         let mut job_api = JobApi::default();
@@ -98,8 +98,8 @@
         job_api
     }
 
-    /// Updates the capacity by which jobs are partitioned: free capacity by shard, and CPUs that shards
-    /// reserve for a team beside that.
+    /// Updates the capacity used to partition jobs: the capacity of each shard, and the CPUs that shards
+    /// reserve for a team, which `reported` does not include.
     pub fn set_capacity(
         &mut self,
         reported: BTreeMap<ShardId, ShardCapacity>,
@@ -114,7 +114,7 @@
         self.last_request_id
     }
 
-    /// Handles a response of the key-value store; the records that have changed by it.
+    /// Handles a response of the key-value store. Returns the records that may have changed.
     pub fn on_response(
         &mut self,
         request: JobApiRequest,
--- a/src/coordination/api/partitioning.rs
+++ b/src/coordination/api/partitioning.rs
@@ -1,4 +1,4 @@
-//! How a job's tasks are partitioned over shards.
+//! Partitioning of a job's tasks over shards.
 
 use crate::coordination::shard_capacity::ShardCapacity;
 use snowshelf_model::ids::{JobId, ShardId, shard_of};
@@ -6,22 +6,22 @@
 use snowshelf_model::task_ranges::TaskRanges;
 use std::collections::BTreeMap;
 
-/// A shard is assigned tasks only if it takes at least one in so many of those that are left.
-const MIN_SHARD_FRACTION: u32 = 4;
-/// Least CPUs that a task counts for, so that divisions by its size are safe.
+/// A shard is assigned tasks only if it can run at least the unassigned tasks divided by this number.
+const MIN_ASSIGNMENT_DIVISOR: u32 = 4;
+/// Lower bound on the CPUs counted for a task; prevents division by zero.
 const MIN_TASK_CPUS: f64 = 0.01;
 
-/// The tasks of a job that one shard is to run.
+/// The tasks of a job that are assigned to one shard.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ShardAssignment {
     /// The shard.
     pub shard: ShardId,
-    /// Its tasks.
+    /// The tasks assigned to it.
     pub tasks: TaskRanges,
 }
 
 impl ShardAssignment {
-    /// All tasks of a job on one shard.
+    /// Assigns all tasks of a job to one shard.
     pub(super) fn whole_job(shard: ShardId, spec: &JobSpec) -> ShardAssignment {
         ShardAssignment {
             shard,
@@ -30,9 +30,9 @@
     }
 }
 
-/// Partitions a job over shards by their free capacity, over no more of them than its tasks need: every
-/// allocation costs a record of its own and several writes. Jobs with the same image prefer the same
-/// shards, so that a shard's machines need few images; `fetch_s` is the time to fetch this one, in seconds.
+/// Partitions a job over shards by their free capacity. Uses no more shards than the tasks need, because
+/// every allocation costs a record and several writes. Jobs with the same image prefer the same shards, so
+/// that each shard's machines fetch few images. `fetch_s` is the time to fetch the image, in seconds.
 #[must_use]
 pub fn partition(
     job: &JobId,
@@ -45,20 +45,21 @@
     let free_cpus = |shard: u32| capacity_of(shard).free.max(0.0);
     if spec.kind == JobKind::Service || spec.zones_bound() || spec.tasks == 1 || shard_count == 1 {
         let first = shard_of(job.as_str(), shard_count).0;
-        let ring = (0..shard_count).map(|i| (first + i) % shard_count);
-        let freest = ring.max_by(|a, b| free_cpus(*a).total_cmp(&free_cpus(*b)));
+        let candidates = (0..shard_count).map(|i| (first + i) % shard_count);
+        let most_free = candidates.max_by(|a, b| free_cpus(*a).total_cmp(&free_cpus(*b)));
         return vec![ShardAssignment::whole_job(
-            ShardId(freest.unwrap_or(first)),
+            ShardId(most_free.unwrap_or(first)),
             spec,
         )];
     }
     let task_cpus = spec.resources.cpus.max(MIN_TASK_CPUS);
-    let image_home = shard_of(&spec.image, shard_count).0;
-    // How long the tasks would wait in a shard, and how far that is from the image's home.
+    let preferred_shard = shard_of(&spec.image, shard_count).0;
+    // The estimated wait in a shard, plus a penalty of `fetch_s` for each step away from the image's
+    // preferred shard.
     let cost = |shard: u32, tasks: u32| {
         let backlog = capacity_of(shard).waiting + f64::from(tasks) * task_cpus - free_cpus(shard);
         let rounds = backlog.max(0.0) / capacity_of(shard).capacity.max(task_cpus);
-        let distance = (shard + shard_count - image_home) % shard_count;
+        let distance = (shard + shard_count - preferred_shard) % shard_count;
         rounds * spec.estimate_s + fetch_s * f64::from(distance)
     };
     let mut by_cost: Vec<(f64, u32)> = (0..shard_count)
@@ -68,21 +69,21 @@
     let mut unassigned = spec.tasks;
     let mut task_counts: BTreeMap<u32, u32> = BTreeMap::new();
     for (_, shard) in &by_cost {
-        let fit = ((free_cpus(*shard) / task_cpus) as u32).min(unassigned);
-        if fit > 0 && fit.saturating_mul(MIN_SHARD_FRACTION) >= unassigned {
-            task_counts.insert(*shard, fit);
-            unassigned -= fit;
+        let fitting_tasks = ((free_cpus(*shard) / task_cpus) as u32).min(unassigned);
+        if fitting_tasks > 0 && fitting_tasks.saturating_mul(MIN_ASSIGNMENT_DIVISOR) >= unassigned {
+            task_counts.insert(*shard, fitting_tasks);
+            unassigned -= fitting_tasks;
         }
     }
     if unassigned > 0 {
-        // What must wait goes to the shard where it waits least.
-        let cheapest = by_cost.first().map_or(image_home, |(_, shard)| *shard);
+        // Tasks that must wait go to the shard with the lowest cost.
+        let cheapest = by_cost.first().map_or(preferred_shard, |(_, shard)| *shard);
         *task_counts.entry(cheapest).or_default() += unassigned;
     }
     consecutive_ranges(task_counts)
 }
 
-/// Gives each shard the next tasks of the job, in the order of shards.
+/// Assigns consecutive task ranges to the shards, in the order of their ids.
 fn consecutive_ranges(task_counts: BTreeMap<u32, u32>) -> Vec<ShardAssignment> {
     let mut first_task = 0;
     let mut assignments = Vec::new();
--- a/src/coordination/api/status_polls.rs
+++ b/src/coordination/api/status_polls.rs
@@ -1,4 +1,4 @@
-//! Status polls: several share one request, which only asks whether the record cache is up to date.
+//! Status polls: several share one request, which only checks whether the cached records are current.
 
 use super::{JobApi, JobApiRequest, JobReadPurpose};
 use crate::coordination::context::{Context, KvRequest};
@@ -9,24 +9,24 @@
 use snowshelf_model::records::job_key;
 use std::collections::{BTreeSet, HashMap};
 
-/// How long polls gather to share a request, in milliseconds.
+/// How long polls are collected to share a request, in milliseconds.
 const BATCH_DELAY_MS: u64 = 25;
-/// Timeout of a comparison of versions, in milliseconds.
+/// Timeout of a version check, in milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 1_500;
-/// Comparisons in one request, in multiples of a transaction's mutations.
+/// Maximum version comparisons in one request, as a multiple of the mutations that a transaction allows.
 const COMPARISONS_PER_MUTATION: usize = 4;
 
-/// A user's question for the state of a job that the record cache has.
+/// A user's status poll of a job in the record cache.
 struct StatusPoll {
     connection: ConnectionId,
     job: JobId,
 }
 
-/// Polls that wait for a comparison of versions, and those whose comparison is in flight.
+/// Polls that wait for a version check, and polls whose check is in flight.
 #[derive(Default)]
 pub(super) struct StatusPolls {
     waiting: Vec<StatusPoll>,
-    /// Since when the first of `waiting` has waited.
+    /// When the first poll in `waiting` was queued; 0 if the next batch is due immediately.
     waiting_since: MonotonicMillis,
     in_flight: HashMap<u64, Vec<StatusPoll>>,
 }
@@ -40,13 +40,13 @@
         self.waiting.push(StatusPoll { connection, job });
     }
 
-    /// Queues a poll that is compared again without delay.
+    /// Queues a poll and makes the next batch due immediately.
     fn push_urgent(&mut self, poll: StatusPoll) {
         self.waiting_since = MonotonicMillis(0);
         self.waiting.push(poll);
     }
 
-    /// The polls of the next request of at most `max_polls`, if it is due.
+    /// Takes the next batch of at most `max_polls` polls, if it is due.
     fn take_batch(&mut self, max_polls: usize, now: MonotonicMillis) -> Option<Vec<StatusPoll>> {
         let is_due = now.since(self.waiting_since) >= BATCH_DELAY_MS;
         if self.waiting.is_empty() || !(is_due || self.waiting.len() >= max_polls) {
@@ -58,8 +58,8 @@
 }
 
 impl JobApi {
-    /// Asks for the gathered polls, in one request for as many as it may compare, whether the record cache
-    /// is behind: a record that nobody has changed since may be answered from it.
+    /// Checks for each batch of collected polls, in one request, whether the cached records are current. A
+    /// poll of an unchanged record is answered from the cache.
     pub fn check_polls(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let max_polls = COMPARISONS_PER_MUTATION * context.storage_limits.txn_ops;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Handles the outcome of a comparison for polls.
+    /// Handles the outcome of a version check for polls.
     pub(super) fn on_polls_checked(
         &mut self,
         id: u64,
@@ -106,7 +106,7 @@
                         let StatusPoll { connection, job } = poll;
                         self.read_record(connection, &job, JobReadPurpose::Poll, context);
                     } else {
-                        // Compared once more, without those that have changed.
+                        // Checks the unchanged records again; the conflict failed the whole request.
                         self.polls.push_urgent(poll);
                     }
                 }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Answers a poll for which the record cache is known to be up to date.
+    /// Responds to a poll whose cached record is known to be current.
     fn respond_from_cache(&mut self, poll: &StatusPoll, context: &mut Context<'_>) {
         let StatusPoll { connection, job } = poll;
         let purpose = JobReadPurpose::Poll;
