--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -1,4 +1,4 @@
-//! The demand for machines: what jobs need within their teams' quotas, and what is reserved.
+//! Computes the demand for machines from jobs, within their teams' quotas, and from reservations.
 
 use super::planning::{TaskDemand, ZoneModel};
 use crate::coordination::context::Context;
@@ -9,10 +9,10 @@
 use snowshelf_model::records::{JobRecord, JobSpec, JobState, Resources};
 use std::collections::BTreeMap;
 
-/// Memory that stands for no quota, in GB.
+/// Memory quota of every team, in GB: larger than any demand, because memory has no quota.
 const UNLIMITED_MEM_GB: f64 = f64::MAX / 4.0;
 
-/// The CPUs that an open job needs, and where.
+/// The CPUs that an open job needs, and the pools that it may use.
 struct JobDemand {
     team: Team,
     zone: Option<String>,
@@ -20,7 +20,8 @@
     cpus: f64,
 }
 
-/// The demand of all jobs that can run, and of reservations beyond what their teams' jobs need.
+/// Returns the demand of all ready jobs, and of reservations as far as it exceeds the demand of their teams'
+/// jobs.
 pub(super) fn task_demand(context: &Context<'_>) -> Vec<TaskDemand> {
     let mut demand = Vec::new();
     let mut job_demand = Vec::new();
@@ -34,11 +35,11 @@
         }
         let blocked_s = context.dependency_graph.blocked_s(id, &record.value);
         let tasks = unfinished_tasks(id, &record.value, context);
-        // A team cannot use more than its quota, so no more machines are requested for it.
+        // No machines are requested for tasks over the team's quota, because they cannot start.
         let mut within_quota = tasks;
-        if let Some(left) = quotas.get_mut(spec.team.as_str()) {
-            within_quota = tasks.min(spec.resources.count_in(*left));
-            left.sub(spec.resources.times(f64::from(within_quota)));
+        if let Some(remaining) = quotas.get_mut(spec.team.as_str()) {
+            within_quota = tasks.min(spec.resources.count_in(*remaining));
+            remaining.sub(spec.resources.times(f64::from(within_quota)));
         }
         if tasks > 0 {
             job_demand.push(JobDemand {
@@ -47,18 +48,18 @@
                 types: spec.types.clone(),
                 cpus: f64::from(tasks) * spec.resources.cpus,
             });
-            let counts = TaskCounts {
+            let split = QuotaSplit {
                 within_quota,
                 over_quota: tasks - within_quota,
             };
-            demand.push(demand_of(spec, &counts, blocked_s, context));
+            demand.push(demand_of(spec, &split, blocked_s, context));
         }
     }
     demand.extend(reserved_demand(job_demand, context));
     demand
 }
 
-/// The quota of each team, by its name.
+/// Returns the quota of each team, by team name.
 fn team_quotas<'a>(context: &Context<'a>) -> BTreeMap<&'a str, Resources> {
     let teams = context.config.settings.deployment.teams.iter();
     let quotas = teams.map(|team| {
@@ -72,7 +73,7 @@
     quotas.collect()
 }
 
-/// A job's tasks that wait or have started.
+/// Counts a job's tasks that are waiting or started.
 fn unfinished_tasks(id: &JobId, record: &JobRecord, context: &Context<'_>) -> u32 {
     let mut tasks = 0;
     for shard_id in &record.shards {
@@ -84,26 +85,26 @@
     tasks
 }
 
-/// A job's unfinished tasks, divided by its team's quota.
-struct TaskCounts {
+/// A job's unfinished tasks, split by whether they fit into its team's quota.
+struct QuotaSplit {
     within_quota: u32,
     over_quota: u32,
 }
 
 fn demand_of(
     spec: &JobSpec,
-    counts: &TaskCounts,
+    split: &QuotaSplit,
     blocked_s: f64,
     context: &Context<'_>,
 ) -> TaskDemand {
     let settings = &context.config.ops;
     let objectives = &context.config.settings.deployment.objectives;
     let estimate_s = estimate(spec, settings.default_run_s);
-    let tasks = f64::from(counts.within_quota) * settings.capacity_factor;
+    let tasks = f64::from(split.within_quota) * settings.capacity_factor;
     TaskDemand {
         resources: spec.resources,
         tasks: tasks.ceil() as u32,
-        over_quota_cpu_s: f64::from(counts.over_quota) * spec.resources.cpus * estimate_s,
+        over_quota_cpu_s: f64::from(split.over_quota) * spec.resources.cpus * estimate_s,
         types: spec.types.clone(),
         zone: spec.zone.clone(),
         spot: spec.spot,
@@ -113,15 +114,16 @@
     }
 }
 
-/// Zones and types that close before a machine that is requested now could run for so long.
+/// Returns the pools in which a machine requested now would be closed by a maintenance window before it has
+/// run for the expected time.
 fn closed_pools(expected_stay_ms: Option<u64>, context: &Context<'_>) -> Vec<ZoneModel> {
     let now = WallClockMillis(context.effects.wall_ms);
     let pools = context.guard.closings.keys();
     pools
         .filter(|pool| {
             let ready_s = context.types.get(&*pool.model).map_or(0.0, |t| t.ready_s);
-            let stay = expected_stay_ms.map(|ms| ms.saturating_add(seconds_to_ms(ready_s)));
-            context.guard.forbids(pool, stay, now).is_some()
+            let required_ms = expected_stay_ms.map(|ms| ms.saturating_add(seconds_to_ms(ready_s)));
+            context.guard.forbids(pool, required_ms, now).is_some()
         })
         .map(|pool| ZoneModel {
             zone: pool.zone.to_string(),
@@ -130,34 +132,36 @@
         .collect()
 }
 
-/// Machines for what is reserved now, or so soon that they must be requested: beyond what the team's jobs
-/// need there themselves.
+/// Returns the demand of reservations that are active, or that start within the provisioning lead time, as
+/// far as it exceeds the demand of their teams' jobs in the same pool.
 fn reserved_demand(mut jobs: Vec<JobDemand>, context: &Context<'_>) -> Vec<TaskDemand> {
     let now = WallClockMillis(context.effects.wall_ms);
-    let ahead_ms = provisioning_lead_ms(context);
+    let lead_ms = provisioning_lead_ms(context);
     let mut demand = Vec::new();
     for hold in &context.guard.holds {
-        let opens = hold.from.0.saturating_sub(ahead_ms);
+        let demand_from_ms = hold.from.0.saturating_sub(lead_ms);
         let Some(machine_type) = context.types.get(&*hold.pool.model) else {
             continue;
         };
-        if now.0 < opens || now >= hold.until || context.guard.empties(&hold.pool, now, 0).is_some()
+        if now.0 < demand_from_ms
+            || now >= hold.until
+            || context.guard.empties(&hold.pool, now, 0).is_some()
         {
             continue;
         }
         let uncovered = uncovered_by_jobs(hold, &mut jobs);
-        let whole = machine_type.room();
-        let machines = machines_for(uncovered, whole);
+        let machine_resources = machine_type.room();
+        let machines = machines_for(uncovered, machine_resources);
         if machines > 0.0 {
             demand.push(TaskDemand {
-                resources: whole,
+                resources: machine_resources,
                 tasks: machines.min(f64::from(u32::MAX)) as u32,
                 types: Some(vec![hold.pool.model.to_string()]),
                 zone: Some(hold.pool.zone.to_string()),
                 spot: hold.spot,
                 estimate_s: 0.0,
                 over_quota_cpu_s: 0.0,
-                // What is reserved is requested however expensive it is.
+                // Reserved machines are requested at any price.
                 patience_s: 0.0,
                 closed_pools: Vec::new(),
             });
@@ -166,7 +170,8 @@
     demand
 }
 
-/// What of a reservation its team's jobs do not need themselves; what they need counts once.
+/// Returns the part of a reservation that its team's jobs do not cover. CPUs counted as covering it are
+/// deducted from the jobs, so that they cover no other reservation.
 fn uncovered_by_jobs(hold: &Hold, jobs: &mut [JobDemand]) -> Resources {
     let mut uncovered = hold.amount.room();
     for job in jobs {
@@ -185,7 +190,7 @@
     uncovered
 }
 
-/// How many machines it takes for the resource of which most are needed.
+/// Returns how many machines are needed; the resource that needs the most machines decides.
 fn machines_for(needed: Resources, machine: Resources) -> f64 {
     let amounts = [
         (needed.cpus, machine.cpus),
--- a/src/coordination/autoscaler/drain_view.rs
+++ b/src/coordination/autoscaler/drain_view.rs
@@ -1,4 +1,4 @@
-//! The leader's machines as the steps of drains need to know them.
+//! The cluster leader's view of machines, on which drain steps decide.
 
 use super::Autoscaler;
 use crate::coordination::context::Context;
@@ -8,28 +8,28 @@
 use snowshelf_model::protocol::cloud::{ListedMachine, ListedMachineState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine is up if a shard leader has had a heartbeat of it this lately, in milliseconds.
-const HEARTBEAT_MS: u64 = 15_000;
+/// Maximum age of a machine's last heartbeat for it to count as up, in milliseconds.
+const HEARTBEAT_MAX_AGE_MS: u64 = 15_000;
 
-/// What runs on a machine.
+/// The load of a machine's running tasks.
 #[derive(Clone, Copy, Default)]
 struct MachineLoad {
-    /// CPUs in use.
+    /// CPUs that tasks use.
     cpus: f64,
-    /// Work that would be lost if all its tasks were evicted, in CPU seconds.
+    /// Work that would be lost if all tasks were evicted, in CPU seconds.
     unsaved_cpu_s: f64,
 }
 
-/// What runs on each machine, by the records.
-fn loads<'a>(context: &'a Context<'_>) -> BTreeMap<&'a MachineId, MachineLoad> {
+/// Returns the load of each machine, from the cached records.
+fn load_by_machine<'a>(context: &'a Context<'_>) -> BTreeMap<&'a MachineId, MachineLoad> {
     let default_s = context.config.ops.default_run_s;
-    let mut loads: BTreeMap<&MachineId, MachineLoad> = BTreeMap::new();
+    let mut load_by_machine: BTreeMap<&MachineId, MachineLoad> = BTreeMap::new();
     for ((_, id), allocation) in &context.records.allocations {
         let record = context.records.jobs.get(id);
         let Some(spec) = record.and_then(|v| v.value.spec.as_ref()) else {
             continue;
         };
-        // A task with checkpoints loses what it did since the last one.
+        // A task with checkpoints loses at most the work since its last checkpoint.
         let unsaved_s = if spec.checkpoint_interval_s > 0.0 {
             spec.checkpoint_interval_s.min(estimate(spec, default_s))
         } else {
@@ -37,16 +37,17 @@
         };
         for (machine, tasks) in &allocation.value.started {
             let cpus = spec.resources.cpus * f64::from(tasks.len());
-            let load = loads.entry(machine).or_default();
+            let load = load_by_machine.entry(machine).or_default();
             load.cpus += cpus;
             load.unsaved_cpu_s += cpus * unsaved_s;
         }
     }
-    loads
+    load_by_machine
 }
 
 impl Autoscaler {
-    /// All machines that are listed and have not failed, with what they do; `None` before there is a list.
+    /// Returns all listed machines that have not failed, with their load; `None` until the first list is
+    /// complete.
     #[must_use]
     pub fn machines_for_drains(
         &self,
@@ -55,11 +56,14 @@
         if !self.list.is_complete {
             return None;
         }
-        let loads = loads(context);
+        let load_by_machine = load_by_machine(context);
         let listed = self.list.listed.values();
         let working = listed.filter(|l| l.state != ListedMachineState::Failed);
         let machines = working.map(|listed| {
-            let load = loads.get(&listed.machine).copied().unwrap_or_default();
+            let load = load_by_machine
+                .get(&listed.machine)
+                .copied()
+                .unwrap_or_default();
             (
                 listed.machine.clone(),
                 self.machine_for_drains(listed, load, context),
@@ -76,8 +80,8 @@
     ) -> ObservedMachine {
         let now: MonotonicMillis = context.effects.now;
         let heartbeat = self.heartbeats.get(listed.machine.as_str());
-        let has_heartbeat = heartbeat.is_some_and(|at| now.since(*at) <= HEARTBEAT_MS);
-        // The list is some time old, and its ages are as of then.
+        let has_heartbeat = heartbeat.is_some_and(|at| now.since(*at) <= HEARTBEAT_MAX_AGE_MS);
+        // The list lags, and its ages are from the time when it was current.
         let list_lag_s = context.config.settings.deployment.cloud.list_lag_s;
         let age_ms = seconds_to_ms(listed.age_s) + seconds_to_ms(list_lag_s);
         let machine_type = context.types.get(&listed.model);
@@ -93,8 +97,8 @@
         }
     }
 
-    /// How many machines are missing on which the records still have tasks: they failed or were
-    /// interrupted. Those that were released are missing as well, with nothing on them.
+    /// Counts missing machines on which the records still have tasks: they failed or were interrupted.
+    /// Released machines are missing as well but have no tasks.
     #[must_use]
     pub fn lost_machines(&self, context: &Context<'_>) -> usize {
         let allocations = context.records.allocations.values();
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,5 +1,5 @@
-//! The autoscaler, which the cluster leader runs: it observes the cloud's machines, scales out for what the
-//! jobs demand, and scales in machines that do not serve.
+//! The autoscaler, which runs on the cluster leader: it lists the cloud's machines, scales out to meet the
+//! demand, and scales in machines that are out of service.
 
 mod demand;
 mod drain_view;
@@ -19,18 +19,18 @@
 use snowshelf_model::protocol::cloud::{MachineListResponse, MachineType, MachineTypesResponse};
 use std::collections::BTreeMap;
 
-/// How often the leader records which machines send heartbeats, in milliseconds.
+/// Interval at which the cluster leader records which machines send heartbeats, in milliseconds.
 const HEARTBEATS_INTERVAL_MS: u64 = 500;
-/// How often machine types are read, in milliseconds.
+/// Interval at which the machine types are read, in milliseconds.
 const TYPES_INTERVAL_MS: u64 = 30_000;
-/// How long a response of the cloud is awaited before the request is repeated, in milliseconds.
-const RESPONSE_WAIT_MS: u64 = 4_500;
-/// How often scale-out and scale-in are planned, in milliseconds.
+/// Timeout for the machine types, after which the request is repeated while none are known, in milliseconds.
+const RESPONSE_TIMEOUT_MS: u64 = 4_500;
+/// Interval at which scale-out and scale-in are planned, in milliseconds.
 const PLAN_INTERVAL_MS: u64 = 500;
 
 /// The cluster leader's autoscaler.
 pub struct Autoscaler {
-    /// The fencing token of the leadership.
+    /// The fencing token of the cluster leader's lease.
     pub fencing_token: FencingToken,
     cloud: CloudClient,
     started_at: MonotonicMillis,
@@ -38,7 +38,7 @@
     list: MachineList,
     scale_out: ScaleOut,
     planned_at: MonotonicMillis,
-    /// The last heartbeat of each machine, at any shard leader.
+    /// When each machine last sent a heartbeat to any shard leader.
     heartbeats: BTreeMap<String, MonotonicMillis>,
     heartbeats_at: MonotonicMillis,
     /// Whether a request to release machines is in flight.
@@ -46,7 +46,7 @@
 }
 
 impl Autoscaler {
-    /// An autoscaler that makes at most `rps` requests a second to the cloud.
+    /// Creates an autoscaler that makes at most `rps` requests per second to the cloud.
     #[must_use]
     pub fn new(fencing_token: FencingToken, rps: f64, now: MonotonicMillis) -> Autoscaler {
         Autoscaler {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Whether it is time to record again which machines send heartbeats.
+    /// Returns whether the next call of [`Autoscaler::record_heartbeats`] is due.
     #[must_use]
     pub fn needs_heartbeats(&self, now: MonotonicMillis) -> bool {
         now.since(self.heartbeats_at) >= HEARTBEATS_INTERVAL_MS
     }
 
-    /// Records that machines have lately sent heartbeats.
+    /// Records machines that have recently sent heartbeats.
     pub fn record_heartbeats(
         &mut self,
         now: MonotonicMillis,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Machines that were listed once and are not in the newest list, or are listed as failed.
+    /// Returns the machines that are presumed gone because the list lacks them or reports them as failed.
     pub fn missing_machines(&self) -> impl Iterator<Item = &MachineId> + '_ {
         self.list.missing.keys()
     }
 
-    /// Periodic work; `all_shards_led` is whether every shard has a leader that reports.
+    /// Performs periodic work. `all_shards_led` is whether every shard has a leader that reports.
     pub fn tick(&mut self, all_shards_led: bool, context: &mut Context<'_>) {
         let now = context.now();
         self.request_types(context);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Reads the machine types and their prices, if it is time.
+    /// Requests the machine types and their prices if that is due.
     fn request_types(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let is_older_than = |age_ms: u64| {
@@ -110,7 +110,7 @@
                 .is_none_or(|at| now.since(at) > age_ms)
         };
         let is_due = is_older_than(TYPES_INTERVAL_MS)
-            || (context.types.is_empty() && is_older_than(RESPONSE_WAIT_MS));
+            || (context.types.is_empty() && is_older_than(RESPONSE_TIMEOUT_MS));
         if is_due && self.cloud.may_call(now) {
             self.types_requested_at = Some(now);
             let path = "/machine_types".to_string();
@@ -124,23 +124,23 @@
         }
     }
 
-    /// Handles a response of the cloud; the machine types, if it has some.
+    /// Handles a response of the cloud. Returns the machine types if the response contains them.
     pub fn on_cloud_response(
         &mut self,
         id: CallId,
         outcome: &CallOutcome,
         context: &mut Context<'_>,
     ) -> Option<Vec<MachineType>> {
-        let tag = self.cloud.on_response(id, outcome)?;
+        let request = self.cloud.on_response(id, outcome)?;
         let (status, body): (u16, &[u8]) = match outcome {
             CallOutcome::Response { status, body } => (*status, body),
             CallOutcome::NotSent => (503, b""),
             CallOutcome::Unanswered => (0, b""),
         };
-        match tag {
+        match request {
             CloudRequest::ListMachineTypes if status == 200 => {
                 match serde_json::from_slice::<MachineTypesResponse>(body) {
-                    Ok(answer) => return Some(answer.types),
+                    Ok(response) => return Some(response.types),
                     Err(error) => tracing::error!(%error, "machine types response unreadable"),
                 }
             }
--- a/src/coordination/autoscaler/planning.rs
+++ b/src/coordination/autoscaler/planning.rs
@@ -1,21 +1,23 @@
-//! The scale-out plan: which machines to request so that all demand is met where a task is cheapest. Pure.
+//! Scale-out planning: a pure function that chooses the machines to request so that each task runs where it
+//! is cheapest.
 
 use snowshelf_machine_index::capacity_index::{AllowedClasses, CapacityIndex};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine is expensive for a job if a task costs more on it than this many times the least price.
+/// A machine type is expensive for a job if a task costs more than this multiple of its lowest price on any
+/// type.
 const EXPENSIVE_FACTOR: f64 = 1.5;
 
-/// Equal machines of one zone: what one scale-out request asks for.
+/// Machines of one type, zone and purchase option; one scale-out request covers one pool.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Pool {
     /// The label of the machine type.
     pub model: String,
     /// The zone.
     pub zone: String,
-    /// Whether these are spot instances.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
@@ -28,27 +30,27 @@
     pub model: String,
 }
 
-/// A group of equal tasks that need machines.
+/// Demand of a group of identical tasks.
 #[derive(Clone, Debug)]
 pub struct TaskDemand {
-    /// What each task needs.
+    /// Resources that each task needs.
     pub resources: Resources,
-    /// How many tasks there are.
+    /// Number of tasks to place on machines.
     pub tasks: u32,
-    /// The machine types that they may use; `None`: all.
+    /// Labels of the machine types that the tasks may use; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// The zone that they must run in, if any.
+    /// The zone that the tasks must run in; `None` allows all.
     pub zone: Option<String>,
-    /// Whether they may run on spot instances.
+    /// Whether the tasks may run on spot instances.
     pub spot: bool,
-    /// How long a task is expected to run, in seconds.
+    /// Expected run time of a task, in seconds.
     pub estimate_s: f64,
-    /// Work of tasks that the team's quota keeps waiting, in CPU seconds: no machines are requested for
-    /// them, but they will use those that there are.
+    /// Work of tasks over the team's quota, in CPU seconds. No machines are requested for them, but they
+    /// will use existing machines.
     pub over_quota_cpu_s: f64,
-    /// How long its tasks may wait without missing a service-level objective, in seconds.
+    /// How long the tasks may wait without missing a service-level objective, in seconds.
     pub patience_s: f64,
-    /// Where maintenance begins before its tasks would have ended.
+    /// Pools in which a maintenance window begins before the tasks would end.
     pub closed_pools: Vec<ZoneModel>,
 }
 
@@ -65,7 +67,7 @@
                 .any(|closed| closed.zone == pool.zone && closed.model == pool.model)
     }
 
-    /// The price of one task on a full machine, if a task fits.
+    /// Returns the price of one task on a fully used machine; `None` if no task fits.
     fn task_price(&self, machine_type: &MachineType, spot: bool) -> Option<f64> {
         match self.resources.count_in(machine_type.room()) {
             0 => None,
@@ -73,8 +75,8 @@
         }
     }
 
-    /// The least price of one task on any machine type that it may use.
-    fn least_task_price(&self, types: &BTreeMap<String, MachineType>) -> f64 {
+    /// Returns the lowest price of one task on any machine type that the tasks may use.
+    fn min_task_price(&self, types: &BTreeMap<String, MachineType>) -> f64 {
         types
             .values()
             .filter(|t| self.types.as_ref().is_none_or(|l| l.contains(&t.label)))
@@ -82,39 +84,40 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The work of so many tasks, in CPU seconds.
+    /// Returns the work of a number of tasks, in CPU seconds.
     fn work_cpu_s(&self, tasks: u32) -> f64 {
         f64::from(tasks) * self.resources.cpus * self.estimate_s
     }
 }
 
-/// A machine that serves or is about to.
+/// A machine that is in service, starting or requested.
 #[derive(Clone, Debug)]
 pub struct MachineSupply {
-    /// Its pool.
+    /// The pool of the machine.
     pub pool: Pool,
-    /// What it has free.
+    /// Free resources of the machine.
     pub free: Resources,
 }
 
-/// A pool whose machines a demand may use.
+/// A pool whose machines can satisfy a demand.
 struct PoolOption<'a> {
     pool: &'a Pool,
     machine_type: &'a MachineType,
     tasks_per_machine: u32,
 }
 
-/// A plan while it is worked out.
+/// The state of a plan under construction.
 struct Planner<'a> {
     types: &'a BTreeMap<String, MachineType>,
     capacity_index: CapacityIndex<Pool, ()>,
-    orders: BTreeMap<Pool, u32>,
-    /// What fits on no machine at once and waits, in CPU seconds.
+    /// Number of machines to request, by pool.
+    requested: BTreeMap<Pool, u32>,
+    /// Work of tasks that must wait for a free machine, in CPU seconds.
     backlog_cpu_s: f64,
 }
 
-/// Plans how many machines to request of which pools, other than those in `excluded`, so that the demand
-/// fits.
+/// Plans how many machines to request from each pool that is not in `excluded`, in addition to `supply`, to
+/// satisfy the demand.
 #[must_use]
 pub fn plan(
     demand: &[TaskDemand],
@@ -123,28 +126,29 @@
     excluded: &BTreeSet<Pool>,
 ) -> BTreeMap<Pool, u32> {
     let pools = available_pools(types, excluded);
-    // Those that may use fewer machines choose first.
-    let mut by_choice: Vec<&TaskDemand> = demand.iter().collect();
-    by_choice.sort_by_key(|d| (d.spot, d.types.is_none(), d.zone.is_none()));
-    // Jobs that may use spot instances leave the ordinary machines to those that may not.
+    // Demand with the most constraints is placed first.
+    let mut most_constrained_first: Vec<&TaskDemand> = demand.iter().collect();
+    most_constrained_first.sort_by_key(|d| (d.spot, d.types.is_none(), d.zone.is_none()));
+    // Spot instances are filled first, which leaves on-demand machines to jobs that cannot use spot
+    // instances.
     supply.sort_by_key(|machine| !machine.pool.spot);
     let mut planner = Planner {
         types,
         capacity_index: CapacityIndex::default(),
-        orders: BTreeMap::new(),
+        requested: BTreeMap::new(),
         backlog_cpu_s: 0.0,
     };
     for MachineSupply { pool, free } in supply {
         let index = &mut planner.capacity_index;
         index.push(|other| *other == pool, || pool.clone(), free, ());
     }
-    for demand in by_choice {
-        planner.meet(demand, &pools);
+    for demand in most_constrained_first {
+        planner.satisfy(demand, &pools);
     }
-    planner.orders
+    planner.requested
 }
 
-/// All pools that machines may be requested of.
+/// Returns all pools from which machines may be requested.
 fn available_pools(types: &BTreeMap<String, MachineType>, excluded: &BTreeSet<Pool>) -> Vec<Pool> {
     let mut pools = Vec::new();
     for machine_type in types.values() {
@@ -168,14 +172,14 @@
 }
 
 impl Planner<'_> {
-    /// Places the tasks of one demand on the machines that there are, and plans machines for the rest.
-    fn meet(&mut self, demand: &TaskDemand, pools: &[Pool]) {
+    /// Places the tasks of one demand on the supply, and plans machines for the remaining tasks.
+    fn satisfy(&mut self, demand: &TaskDemand, pools: &[Pool]) {
         let allowed = self.capacity_index.allowed(|pool| demand.allows(pool));
         let mut left = self.place_on_supply(demand, &allowed);
         let cpus = |pool: &Pool| self.types.get(&pool.model).map_or(0.0, |t| t.cpus);
         let sizes = self.capacity_index.class_sizes(&allowed);
         let mut usable_cpus: f64 = sizes.map(|(pool, n)| n as f64 * cpus(pool)).sum();
-        let least_price = demand.least_task_price(self.types);
+        let min_price = demand.min_task_price(self.types);
         let options = self.options(demand, left, pools);
         while left > 0 {
             let Some(option) = self.cheapest_option(&options, left) else {
@@ -185,9 +189,9 @@
                 pool, machine_type, ..
             } = option;
             let price = demand.task_price(machine_type, pool.spot);
-            let is_expensive = price.is_none_or(|p| p > EXPENSIVE_FACTOR * least_price);
+            let is_expensive = price.is_none_or(|p| p > EXPENSIVE_FACTOR * min_price);
             if is_expensive {
-                // Expensive machines are requested only for what would wait too long for the others.
+                // Requests expensive machines only if the work would wait too long for the usable ones.
                 let work = self.backlog_cpu_s + demand.over_quota_cpu_s + demand.work_cpu_s(left);
                 if demand.patience_s > 0.0 && work <= usable_cpus * demand.patience_s {
                     break;
@@ -200,27 +204,27 @@
             self.capacity_index
                 .push(|other| other == *pool, || (*pool).clone(), free, ());
             left -= tasks;
-            *self.orders.entry((*pool).clone()).or_default() += 1;
+            *self.requested.entry((*pool).clone()).or_default() += 1;
         }
         self.backlog_cpu_s += demand.over_quota_cpu_s + demand.work_cpu_s(left);
     }
 
-    /// Places tasks on the machines that there are; how many are left.
+    /// Places tasks on the supply. Returns how many do not fit.
     fn place_on_supply(&mut self, demand: &TaskDemand, allowed: &AllowedClasses) -> u32 {
         let mut left = demand.tasks;
         if left > 0 {
-            for at in self.capacity_index.fitting(demand.resources, allowed) {
-                let free = self.capacity_index.entries()[at].free;
+            for index in self.capacity_index.fitting(demand.resources, allowed) {
+                let free = self.capacity_index.entries()[index].free;
                 let tasks = demand.resources.count_in(free).min(left);
                 self.capacity_index
-                    .allocate(at, demand.resources.times(f64::from(tasks)));
+                    .allocate(index, demand.resources.times(f64::from(tasks)));
                 left -= tasks;
             }
         }
         left
     }
 
-    /// The pools whose machines a demand with tasks left may use.
+    /// Returns the pools that can satisfy a demand; none if it has no tasks left.
     fn options<'p>(&self, demand: &TaskDemand, left: u32, pools: &'p [Pool]) -> Vec<PoolOption<'p>>
     where
         Self: 'p,
@@ -241,18 +245,19 @@
             .collect()
     }
 
-    /// The option with the least price for each task, and among equals the one with the fewest orders.
+    /// Returns the option with the lowest price per task; among equals, the one with the fewest machines
+    /// planned.
     fn cheapest_option<'o, 'p>(
         &self,
         options: &'o [PoolOption<'p>],
         left: u32,
     ) -> Option<&'o PoolOption<'p>> {
         let priced = options.iter().map(|option| {
-            // The last machine may stay partly empty: price what is used of it.
+            // The last machine may be partly empty, so its price is divided by the tasks placed on it.
             let tasks = option.tasks_per_machine.min(left);
             let price = option.machine_type.price(option.pool.spot) / f64::from(tasks);
-            let orders = self.orders.get(option.pool).copied().unwrap_or(0);
-            (price, orders, option)
+            let requested = self.requested.get(option.pool).copied().unwrap_or(0);
+            (price, requested, option)
         });
         let cheapest = priced.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         cheapest.map(|(_, _, option)| option)
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale-in by the leader: machines that failed, never came up, or serve no shard leader.
+//! Scale-in by the cluster leader: releases machines that failed, never became ready, or send no heartbeats
+//! to any shard leader.
 
 use super::Autoscaler;
 use crate::coordination::cloud_client::CloudRequest;
@@ -6,39 +7,40 @@
 use snowshelf_model::ids::{MachineId, seconds_to_ms};
 use snowshelf_model::protocol::cloud::{ListedMachine, ListedMachineState};
 
-/// Machines released by one request at most.
-const MAX_RELEASED: usize = 100;
-/// How long a machine of an unknown type takes until it is up, in seconds.
+/// Maximum machines released by one request.
+const MAX_RELEASED_PER_REQUEST: usize = 100;
+/// Assumed time until a machine of unknown type is ready, in seconds.
 const DEFAULT_READY_S: f64 = 60.0;
-/// How many times the expected time is waited for a machine.
-const PATIENCE_FACTOR: f64 = 3.0;
-/// What is added to that, in seconds.
-const PATIENCE_MARGIN_S: f64 = 20.0;
+/// Multiple of the expected boot time or lease duration after which a machine counts as out of service.
+const TIMEOUT_FACTOR: f64 = 3.0;
+/// Margin added to timeouts, in seconds.
+const TIMEOUT_MARGIN_S: f64 = 20.0;
 
 impl Autoscaler {
-    /// Releases machines that do not serve.
+    /// Releases machines that are out of service; at most one such request is in flight.
     pub(super) fn scale_in(&mut self, all_shards_led: bool, context: &mut Context<'_>) {
         let now = context.now();
         if self.is_releasing {
             return;
         }
-        let mut unused = Vec::new();
+        let mut out_of_service = Vec::new();
         for listed in self.list.listed.values() {
-            if self.is_unused(listed, all_shards_led, context) {
+            if self.is_out_of_service(listed, all_shards_led, context) {
                 tracing::info!(machine = %listed.machine, state = ?listed.state,
-                    age_s = listed.age_s, "machine scaled in by the leader");
-                unused.push(listed.machine.clone());
+                    age_s = listed.age_s, "machine selected for scale-in by cluster leader");
+                out_of_service.push(listed.machine.clone());
             }
         }
-        unused.truncate(MAX_RELEASED);
-        if !unused.is_empty() && self.cloud.may_call(now) {
+        out_of_service.truncate(MAX_RELEASED_PER_REQUEST);
+        if !out_of_service.is_empty() && self.cloud.may_call(now) {
             self.is_releasing = true;
-            let tag = CloudRequest::LeaderScaleIn(unused.clone());
-            self.cloud.release(context.effects, tag, &unused);
+            let request = CloudRequest::LeaderScaleIn(out_of_service.clone());
+            self.cloud
+                .release(context.effects, request, &out_of_service);
         }
     }
 
-    fn is_unused(
+    fn is_out_of_service(
         &self,
         listed: &ListedMachine,
         all_shards_led: bool,
@@ -52,21 +54,22 @@
         match listed.state {
             ListedMachineState::Failed => true,
             ListedMachineState::Booting => {
-                heartbeat.is_none() && listed.age_s > PATIENCE_FACTOR * ready_s + PATIENCE_MARGIN_S
+                heartbeat.is_none() && listed.age_s > TIMEOUT_FACTOR * ready_s + TIMEOUT_MARGIN_S
             }
-            // Up for long, and without a heartbeat while all shards had leaders.
+            // The machine has been up for long enough, and sends no heartbeats although every shard has a
+            // leader that would receive them.
             ListedMachineState::Running => {
-                let observed_ms = seconds_to_ms(PATIENCE_FACTOR * lease_s + PATIENCE_MARGIN_S);
-                let silent_ms = seconds_to_ms(PATIENCE_FACTOR * lease_s);
+                let min_observation_ms = seconds_to_ms(TIMEOUT_FACTOR * lease_s + TIMEOUT_MARGIN_S);
+                let heartbeat_timeout_ms = seconds_to_ms(TIMEOUT_FACTOR * lease_s);
                 all_shards_led
-                    && now.since(self.started_at) > observed_ms
-                    && listed.age_s > PATIENCE_FACTOR * ready_s + PATIENCE_FACTOR * lease_s
-                    && heartbeat.is_none_or(|at| now.since(at) > silent_ms)
+                    && now.since(self.started_at) > min_observation_ms
+                    && listed.age_s > TIMEOUT_FACTOR * ready_s + TIMEOUT_FACTOR * lease_s
+                    && heartbeat.is_none_or(|at| now.since(at) > heartbeat_timeout_ms)
             }
         }
     }
 
-    /// Handles the response to a release.
+    /// Handles the response to a release request.
     pub(super) fn on_released(
         &mut self,
         machines: Vec<MachineId>,
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: requests for machines, repeated under the same name until the cloud has answered.
+//! Scale-out: requests for machines, repeated under the same name until the cloud responds conclusively.
 
 use super::Autoscaler;
 use super::demand::task_demand;
@@ -10,14 +10,14 @@
 use snowshelf_model::protocol::cloud::{ListedMachineState, ScaleOutResponse, scale_out_body};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in one request at most.
+/// Maximum machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// How long a pool is left out of plans when the cloud has no capacity in it, in milliseconds.
+/// How long plans exclude a pool in which the cloud has no capacity, in milliseconds.
 const NO_CAPACITY_BACKOFF_MS: u64 = 8_000;
-/// How long a pool is left out of plans when the cloud has rejected a request, in milliseconds.
+/// How long plans exclude a pool for which the cloud rejected a request as malformed, in milliseconds.
 const REJECTED_BACKOFF_MS: u64 = 60_000;
-/// The first pause before a request is repeated, in milliseconds.
-const FIRST_RETRY_MS: u64 = 1_000;
+/// Delay before the first retry of a request, in milliseconds.
+const INITIAL_RETRY_DELAY_MS: u64 = 1_000;
 
 /// A request for machines of one pool.
 struct ScaleOutRequest {
@@ -29,41 +29,41 @@
     failures: u32,
 }
 
-/// A machine that the cloud has started.
+/// A machine that the cloud has started and does not list yet.
 struct StartedMachine {
     pool: Pool,
     started_at: MonotonicMillis,
 }
 
-/// Machines that are requested or have started and are not listed yet.
+/// Requests for machines, and started machines that are not listed yet.
 #[derive(Default)]
 pub(super) struct ScaleOut {
     last_request: u64,
-    /// Requests without a final response, by name.
+    /// Requests without a conclusive response, by name.
     requests: BTreeMap<String, ScaleOutRequest>,
     started: BTreeMap<MachineId, StartedMachine>,
-    /// Pools that are left out of plans, and until when.
+    /// Pools that plans exclude, and until when.
     backoff_until: BTreeMap<Pool, MonotonicMillis>,
 }
 
 impl ScaleOut {
-    /// Whether a machine has started and is not listed yet.
+    /// Returns whether a machine has started and is not listed yet.
     pub(super) fn has_started(&self, machine: &MachineId) -> bool {
         self.started.contains_key(machine)
     }
 
-    /// Forgets a machine that has started.
+    /// Stops tracking a started machine.
     pub(super) fn forget_started(&mut self, machine: &MachineId) {
         self.started.remove(machine);
     }
 
-    /// Forgets all machines but those that meet a condition on their name and the time of their start.
+    /// Keeps only the started machines for which `keep` returns true, given their name and start time.
     pub(super) fn retain_started(&mut self, keep: impl Fn(&MachineId, MonotonicMillis) -> bool) {
         self.started.retain(|name, m| keep(name, m.started_at));
     }
 
-    /// Whether the cloud has lately had no capacity in some pool.
-    pub(super) fn has_refusals(&self) -> bool {
+    /// Returns whether plans exclude some pool after a failed or partially fulfilled request.
+    pub(super) fn has_pools_in_backoff(&self) -> bool {
         !self.backoff_until.is_empty()
     }
 
@@ -83,7 +83,7 @@
         match status {
             200 => {
                 match serde_json::from_slice::<ScaleOutResponse>(body) {
-                    Ok(answer) => self.on_started(name, answer.machines, now),
+                    Ok(response) => self.on_started(name, response.machines, now),
                     Err(error) => tracing::error!(%error, "scale-out response unreadable"),
                 }
                 self.requests.remove(name);
@@ -100,15 +100,17 @@
                 self.backoff_until.insert(request.pool.clone(), until);
                 self.requests.remove(name);
             }
-            // Repeated under the same name: carried out or not, it starts machines once.
+            // Repeated under the same name, a request starts machines once, whether or not the cloud
+            // carried it out before.
             _ => {
-                request.retry_at = effects.retry_at(FIRST_RETRY_MS, request.failures);
+                request.retry_at = effects.retry_at(INITIAL_RETRY_DELAY_MS, request.failures);
                 request.failures += 1;
             }
         }
     }
 
-    /// Records the machines that a request has started: fewer than requested if the cloud has no more.
+    /// Records the machines that a request has started. Fewer than requested means that the pool has no more
+    /// capacity.
     fn on_started(&mut self, name: &str, machines: Vec<MachineId>, now: MonotonicMillis) {
         let Some(request) = self.requests.get(name) else {
             return;
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Pools that no machines are requested of now: in backoff, or with a request in flight.
+    /// Returns the pools excluded from plans: in backoff, or with a request without a conclusive response.
     fn excluded_pools(&mut self, now: MonotonicMillis) -> BTreeSet<Pool> {
         self.backoff_until.retain(|_, until| *until > now);
         let in_backoff = self.backoff_until.keys().cloned();
@@ -138,20 +140,20 @@
     }
 }
 
-/// Machines of one pool that a plan asks for.
-struct PlannedOrder {
+/// Machines of one pool that a plan requests.
+struct PlannedRequest {
     pool: Pool,
     machines: u32,
 }
 
 impl Autoscaler {
-    /// Whether the cloud has lately had no capacity in some pool.
+    /// Returns whether plans exclude some pool after a failed or partially fulfilled request.
     #[must_use]
-    pub fn has_refusals(&self) -> bool {
-        self.scale_out.has_refusals()
+    pub fn has_pools_in_backoff(&self) -> bool {
+        self.scale_out.has_pools_in_backoff()
     }
 
-    /// Repeats requests whose pause is over.
+    /// Repeats requests whose retry delay has passed.
     pub(super) fn retry_scale_out(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let requests = self.scale_out.requests.iter();
@@ -166,32 +168,32 @@
         }
     }
 
-    /// Requests machines for the demand that the present ones do not meet.
+    /// Requests machines for the demand that exceeds the supply.
     pub(super) fn scale_out(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         let demand = task_demand(context);
         let supply = self.supply(context);
         let excluded = self.scale_out.excluded_pools(now);
-        let cpus = |order: &PlannedOrder| {
-            let machine_type = context.types.get(&order.pool.model);
-            machine_type.map_or(0.0, |t| t.cpus) * f64::from(order.machines)
+        let cpus = |request: &PlannedRequest| {
+            let machine_type = context.types.get(&request.pool.model);
+            machine_type.map_or(0.0, |t| t.cpus) * f64::from(request.machines)
         };
-        let mut orders: Vec<PlannedOrder> = plan(&demand, supply, context.types, &excluded)
+        let mut planned: Vec<PlannedRequest> = plan(&demand, supply, context.types, &excluded)
             .into_iter()
-            .map(|(pool, machines)| PlannedOrder {
+            .map(|(pool, machines)| PlannedRequest {
                 pool,
                 machines: machines.min(MAX_MACHINES_PER_REQUEST),
             })
             .collect();
-        // What brings most goes first, and what cannot be sent now is planned again: small orders
-        // made before most jobs were known kept the cloud's few calls busy.
-        orders.sort_by(|a, b| cpus(b).total_cmp(&cpus(a)));
-        for PlannedOrder { pool, machines } in orders {
+        // The request with the most CPUs goes first, and requests that exceed the call rate are planned
+        // again: small requests planned before most jobs are known would use up the few calls.
+        planned.sort_by(|a, b| cpus(b).total_cmp(&cpus(a)));
+        for PlannedRequest { pool, machines } in planned {
             if !self.cloud.may_call(now) {
                 break;
             }
             self.scale_out.last_request += 1;
-            // The name has the leadership's fencing token, so no other leader ever uses it.
+            // The fencing token makes the name unique across cluster leaders.
             let name = format!("r-{}-{}", self.fencing_token, self.scale_out.last_request);
             let body = scale_out_body(&name, &pool.model, &pool.zone, pool.spot, machines);
             let request = ScaleOutRequest {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// All machines that serve, have started or are requested.
+    /// Returns all machines that are listed and not failed, started or requested.
     fn supply(&self, context: &Context<'_>) -> Vec<MachineSupply> {
         let mut supply = Vec::new();
         let mut add = |pool: Pool| {
@@ -217,7 +219,8 @@
             }
         };
         for listed in self.list.listed.values() {
-            // What a drain empties is replaced while it still serves, and not counted twice.
+            // A machine that a drain empties does not count as supply, so that its replacement is requested
+            // while it is still in service.
             let is_leaving = context.drains.leaving.contains(&listed.machine);
             if listed.state != ListedMachineState::Failed && !is_leaving {
                 add(Pool {
@@ -239,12 +242,17 @@
     }
 
     fn send_request(&mut self, name: &str, context: &mut Context<'_>) {
-        if let Some(request) = self.scale_out.requests.get_mut(name) {
-            request.in_flight = true;
-            let body = request.body.clone();
-            let tag = CloudRequest::ScaleOut(name.to_string());
-            self.cloud
-                .call(context.effects, tag, Method::Post, "/hosts".into(), body);
+        if let Some(pending) = self.scale_out.requests.get_mut(name) {
+            pending.in_flight = true;
+            let body = pending.body.clone();
+            let request = CloudRequest::ScaleOut(name.to_string());
+            self.cloud.call(
+                context.effects,
+                request,
+                Method::Post,
+                "/hosts".into(),
+                body,
+            );
         }
     }
 }
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -164,7 +164,7 @@
                 claimed_zones: &others.zones,
                 complete: status.complete,
                 lost_machines,
-                capacity_refused: autoscaler.has_refusals(),
+                capacity_refused: autoscaler.has_pools_in_backoff(),
                 list_lag_ms: list_lag_ms.max(MIN_LIST_LAG_MS),
                 slowest_ready_ms: seconds_to_ms(slowest_ready_s),
                 report_ms: settings.report_ms(),
