--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -18,7 +18,7 @@
 const MAX_DEPENDENCY_LOOKUPS: usize = 16;
 /// Number of pending submissions at which jobs of DAG runs are no longer admitted, so that users'
 /// submissions take precedence.
-const MAX_PENDING_FOR_RUN_JOBS: usize = 4;
+const MAX_PENDING_FOR_DAG_RUN_JOBS: usize = 4;
 /// Typical number of keys written to accept a job: its record and one or two allocations.
 const WRITES_PER_JOB: usize = 3;
 /// Maximum backlog of ready submissions, in seconds at the controller's write rate.
@@ -228,7 +228,7 @@
         let job = &submission.job;
         if self.admission.find_mut(job).is_some()
             || self.commits.contains(job)
-            || self.admission.len() >= MAX_PENDING_FOR_RUN_JOBS
+            || self.admission.len() >= MAX_PENDING_FOR_DAG_RUN_JOBS
             || !context
                 .kv
                 .has_budget(context.now(), RequestPriority::TaskStarts, WRITES_PER_JOB)
--- a/src/coordination/api/partitioning.rs
+++ b/src/coordination/api/partitioning.rs
@@ -14,7 +14,7 @@
 /// The tasks of a job that are assigned to one shard.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ShardAssignment {
-    /// The shard.
+    /// The shard that runs the tasks.
     pub shard: ShardId,
     /// The tasks assigned to it.
     pub tasks: TaskRanges,
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -30,7 +30,7 @@
 
 /// The cluster leader's autoscaler.
 pub struct Autoscaler {
-    /// The fencing token of the cluster leader's lease.
+    /// The fencing token of this term as cluster leader.
     pub fencing_token: FencingToken,
     cloud: CloudClient,
     started_at: MonotonicMillis,
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Returns the machines that are presumed gone because the list lacks them or reports them as failed.
+    /// Returns the machines presumed gone: no longer listed, listed as failed, or released by the cluster
+    /// leader.
     pub fn missing_machines(&self) -> impl Iterator<Item = &MachineId> + '_ {
         self.list.missing.keys()
     }
--- a/src/coordination/autoscaler/planning.rs
+++ b/src/coordination/autoscaler/planning.rs
@@ -6,8 +6,8 @@
 use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine type is expensive for a job if a task costs more than this multiple of its lowest price on any
-/// type.
+/// A machine type is expensive for a job if a task costs more on it than this multiple of the lowest price on
+/// any type that the job allows.
 const EXPENSIVE_FACTOR: f64 = 1.5;
 
 /// Machines of one type, zone and purchase option; one scale-out request covers one pool.
@@ -15,7 +15,7 @@
 pub struct Pool {
     /// The label of the machine type.
     pub model: String,
-    /// The zone.
+    /// The zone in which the machines run.
     pub zone: String,
     /// Whether the machines are spot instances.
     pub spot: bool,
@@ -24,7 +24,7 @@
 /// A machine type in a zone.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ZoneModel {
-    /// The zone.
+    /// The name of the zone.
     pub zone: String,
     /// The label of the machine type.
     pub model: String,
@@ -84,7 +84,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns the work of a number of tasks, in CPU seconds.
+    /// Returns the total work of `tasks` tasks, in CPU seconds.
     fn work_cpu_s(&self, tasks: u32) -> f64 {
         f64::from(tasks) * self.resources.cpus * self.estimate_s
     }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -13,7 +13,7 @@
 const DEFAULT_READY_S: f64 = 60.0;
 /// Multiple of the expected boot time or lease duration after which a machine counts as out of service.
 const TIMEOUT_FACTOR: f64 = 3.0;
-/// Margin added to timeouts, in seconds.
+/// Margin added to the boot timeout and to the observation period of a new cluster leader, in seconds.
 const TIMEOUT_MARGIN_S: f64 = 20.0;
 
 impl Autoscaler {
