--- a/src/coordination/controller/readiness.rs
+++ b/src/coordination/controller/readiness.rs
@@ -21,7 +21,7 @@
         } else {
             let reads = self.list_watch.stage_label().unwrap_or("nothing");
             let reason = format!("not ready, reads {reads}");
-            Response::later(503, &reason, NOT_READY_RETRY_S)
+            Response::retry_later(503, &reason, NOT_READY_RETRY_S)
         };
         self.env.effects.respond(conn, response);
     }
--- a/src/coordination/dag_runs/advance.rs
+++ b/src/coordination/dag_runs/advance.rs
@@ -1,4 +1,5 @@
-//! The progress of runs whose shard this controller leads: jobs are submitted and cancelled, ends recorded.
+//! Advances the runs of the shards that this controller leads: submits and cancels their jobs, and records
+//! which jobs failed and how the run ended.
 
 use super::open_run::OpenRun;
 use super::run_records::RunWrite;
@@ -16,26 +17,27 @@
 use snowshelf_model::records::{RunId, RunRecord, RunState, job_key, shard_key};
 use std::collections::BTreeMap;
 
-/// How often a run is advanced if none of its jobs has changed, in milliseconds.
+/// Time between two advances of a run while no job changes, in milliseconds.
 const ADVANCE_INTERVAL_MS: u64 = 500;
-/// The least time between two advances of one run, in milliseconds.
+/// Shortest time between two advances of a run, in milliseconds.
 const MIN_ADVANCE_INTERVAL_MS: u64 = 100;
-/// Jobs submitted, or looked up, in one advance.
+/// Most jobs submitted, or read from earlier runs, in one advance.
 const MAX_JOBS_AT_ONCE: usize = 8;
-/// Expanded runs that are not advanced here but were polled, at most.
+/// Most runs kept expanded only because their status was queried.
 const MAX_POLLED_RUNS: usize = 4;
-/// How long such a run stays expanded after a poll, in milliseconds.
+/// How long a run stays expanded after its last status query, in milliseconds.
 const POLLED_RUN_MS: u64 = 60_000;
-/// Timeout of the read of a job of an earlier run, in milliseconds.
+/// Timeout for reading a job of an earlier run, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 1_500;
 
 impl DagRuns {
-    /// Periodic work: writes submissions, starts scheduled runs, and advances the next of the runs that
-    /// this controller is responsible for. `errors` is how often the worst task of a job has failed.
+    /// Periodic work: writes submissions, starts scheduled runs, and advances the next open run of the
+    /// shards that this controller leads. `task_failures` is, for each job, the number of failures of the
+    /// task that has failed most often.
     pub fn tick(
         &mut self,
         leases: &Leases,
-        errors: &BTreeMap<JobId, u32>,
+        task_failures: &BTreeMap<JobId, u32>,
         job_api: &mut JobApi,
         context: &mut Context<'_>,
     ) {
@@ -44,7 +46,7 @@
         if context.records.runs.is_empty() && self.open_runs.is_empty() {
             return;
         }
-        self.drop_unused(leases, context);
+        self.drop_unused_runs(leases, context);
         let next = self.next_run(leases, context);
         self.last_advanced.clone_from(&next);
         let Some(id) = next else {
@@ -62,35 +64,35 @@
             return;
         };
         let now = context.now();
-        let age = now.since(run.advanced_at);
+        let since_advance_ms = now.since(run.advanced_at);
         let job_changes = context.records.job_changes;
-        if age < MIN_ADVANCE_INTERVAL_MS
-            || (age < ADVANCE_INTERVAL_MS && run.advanced_change == job_changes)
+        if since_advance_ms < MIN_ADVANCE_INTERVAL_MS
+            || (since_advance_ms < ADVANCE_INTERVAL_MS && run.advanced_at_change == job_changes)
         {
             return;
         }
-        (run.advanced_at, run.advanced_change) = (now, job_changes);
-        if !run.has_inherited() {
-            look_up_earlier_jobs(&id, run, context);
+        (run.advanced_at, run.advanced_at_change) = (now, job_changes);
+        if !run.has_looked_up_earlier_jobs() {
+            read_earlier_jobs(&id, run, context);
             return;
         }
         let decision = run.decide(&record.value, MAX_JOBS_AT_ONCE, context);
         apply_to_jobs(run, &decision, job_api, context);
-        let failed = run.failed_jobs(errors, context);
+        let failed = run.failed_jobs(task_failures, context);
         let wall = WallClockMillis(context.effects.wall_ms);
         let advanced = advanced_record(&record.value, &decision, &failed, wall);
         self.write_advanced(&id, &record, advanced, leases, context);
     }
 
-    /// Forgets the plans of runs that are neither advanced here nor polled.
-    fn drop_unused(&mut self, leases: &Leases, context: &Context<'_>) {
+    /// Drops the expansions of runs that this controller does not advance, except some queried recently.
+    fn drop_unused_runs(&mut self, leases: &Leases, context: &Context<'_>) {
         let now = context.now();
         let mut polled = 0;
         let records = &context.records;
         self.open_runs.retain(|id, run| {
             let record = records.runs.get(id).map(|v| &v.value);
             let is_open = record.is_some_and(|r| r.state == RunState::Open);
-            if is_open && is_responsible(id, leases, context) {
+            if is_open && leads_shard_of(id, leases, context) {
                 return true;
             }
             polled += 1;
@@ -98,11 +100,11 @@
         });
     }
 
-    /// The run to advance after the last one, round robin.
+    /// The next open run to advance, round robin in the order of ids.
     fn next_run(&self, leases: &Leases, context: &Context<'_>) -> Option<RunId> {
         let runs = &context.records.runs;
         let is_candidate = |id: &&RunId| {
-            runs[*id].value.state == RunState::Open && is_responsible(id, leases, context)
+            runs[*id].value.state == RunState::Open && leads_shard_of(id, leases, context)
         };
         let last = self.last_advanced.as_ref();
         let mut candidates = runs.keys().filter(is_candidate);
@@ -110,7 +112,8 @@
         later.or_else(|| runs.keys().find(is_candidate)).cloned()
     }
 
-    /// Writes what has become of a run, on condition that this controller leads its shard.
+    /// Writes the record of a run if it has changed. The write applies only if this controller still leads
+    /// the run's shard and the record still has the version that the decision was based on.
     fn write_advanced(
         &mut self,
         id: &RunId,
@@ -144,7 +147,8 @@
         self.write_run(write, before.version, swap, context);
     }
 
-    /// Handles the read of a job of an earlier run; the record cache has it by now, if there is one.
+    /// Handles the response to reading a job of an earlier run. The caller has added the record, if it
+    /// exists, to the record cache.
     pub(super) fn on_earlier_job_read(&mut self, run: &RunId, job: &JobId, is_absent: bool) {
         if let Some(run) = self.open_runs.get_mut(run) {
             run.advanced_at = MonotonicMillis(0);
@@ -155,15 +159,15 @@
     }
 }
 
-/// Whether this controller leads the shard that a run belongs to.
-fn is_responsible(id: &RunId, leases: &Leases, context: &Context<'_>) -> bool {
+/// Whether this controller leads the shard of a run.
+fn leads_shard_of(id: &RunId, leases: &Leases, context: &Context<'_>) -> bool {
     let shard_id = shard_of(&id.to_string(), context.config.shard_count);
     leases.fencing_token(shard_id).is_some()
 }
 
-/// Reads jobs of earlier runs that the record cache lacks.
-fn look_up_earlier_jobs(id: &RunId, run: &mut OpenRun, context: &mut Context<'_>) {
-    for job in run.inherit(MAX_JOBS_AT_ONCE, context) {
+/// Reads the next jobs of earlier runs that are missing from the record cache.
+fn read_earlier_jobs(id: &RunId, run: &mut OpenRun, context: &mut Context<'_>) {
+    for job in run.look_up_earlier_jobs(MAX_JOBS_AT_ONCE, context) {
         if context
             .kv
             .has_budget(context.now(), RequestPriority::Reads, 0)
@@ -180,7 +184,7 @@
     }
 }
 
-/// Submits and cancels jobs as decided.
+/// Submits and cancels the jobs of a decision. Stops submitting at the first job that is not accepted.
 fn apply_to_jobs(
     run: &OpenRun,
     decision: &Decision,
@@ -188,8 +192,8 @@
     context: &mut Context<'_>,
 ) {
     for index in &decision.submit {
-        let pause_ms = seconds_to_ms(run.plan.jobs[*index].retry_delay_s);
-        if !job_api.submit_for_run(&run.submission(*index), pause_ms, context) {
+        let retry_delay_ms = seconds_to_ms(run.plan.jobs[*index].retry_delay_s);
+        if !job_api.submit_for_run(&run.submission(*index), retry_delay_ms, context) {
             break;
         }
     }
@@ -198,7 +202,7 @@
     job_api.cancel_for_run(cancelled.map(|index| jobs[*index].submission.job.clone()));
 }
 
-/// A run's record with the jobs that have failed for good, and its end.
+/// The record of a run, updated with the jobs that have failed permanently and with the end of the run.
 fn advanced_record(
     before: &RunRecord,
     decision: &Decision,
@@ -217,7 +221,7 @@
         };
         record.counts = count_states(&decision.stands);
         record.ended = Some(now);
-        // The counts have what failed from now on.
+        // Not needed after the end of the run, because the counts include the failed jobs.
         record.failed = Default::default();
     }
     record
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -1,9 +1,8 @@
-//! DAG runs: accepted, stored, and advanced by the leader of the shard that a run belongs to.
+//! DAG runs: accepts and stores them, and advances each as the leader of its shard.
 //!
-//! A run is durable before its request is answered. Its jobs are submitted like users' jobs, and their
-//! records say that a run has submitted them. After a failover the next leader expands the same plan from
-//! the same record and goes on, so that nothing is submitted twice or forgotten. A run cancels only jobs
-//! that a run has submitted.
+//! A run is durable before its request is answered. Its jobs are submitted like users' jobs; their records
+//! mark them as submitted by a run. After a failover the next shard leader expands the same plan from the
+//! same record, so no job is submitted twice or omitted. A run cancels only jobs that a run submitted.
 
 mod advance;
 mod open_run;
@@ -33,55 +32,55 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use submissions::PendingDefinition;
 
-/// Seconds after which a request should be repeated that some controller cannot serve yet.
+/// Seconds after which to retry a request that at least one controller does not support yet.
 const UNSUPPORTED_RETRY_AFTER_S: u64 = 2;
 
-/// A request of DAG runs to the key-value store; numbers identify requests in flight.
+/// A request of [`DagRuns`] to the key-value store. Numbers identify the requests in flight.
 #[derive(Clone, Debug)]
 pub enum DagRunsRequest {
-    /// Writes chunks of a run's or a DAG's definition, or the record that makes them count.
+    /// Writes chunks of the definition of a run or a DAG, or the record that refers to them.
     WriteDefinition,
-    /// Compares versions to answer a status query.
+    /// Compares the cached version of a run's record with the stored one, for a status query.
     CheckStatus(u64),
     /// Writes a run's record.
     WriteRun(u64),
-    /// Reads a job of an earlier run with the same plan.
+    /// Reads a job of an earlier run that this run repeats.
     ReadEarlierJob {
-        /// The run that depends on the outcome.
+        /// The run that repeats the earlier one.
         run: RunId,
         /// The job of the earlier run.
         job: JobId,
     },
     /// Writes a DAG's record.
     WriteDag(u64),
-    /// Deletes keys of runs that have ended.
+    /// Deletes definitions or records of runs whose retention has expired.
     RemoveEnded {
-        /// The keys.
+        /// The keys of the records to delete.
         keys: Vec<String>,
     },
 }
 
-/// The actor that serves requests on DAGs and advances their runs.
+/// Serves requests for DAGs and their runs, and advances the runs of the shards that this controller leads.
 #[derive(Default)]
 pub struct DagRuns {
-    /// Runs and DAGs that are not durable yet, oldest first.
+    /// Definitions of runs and DAGs that are not durable yet, oldest first.
     pending: VecDeque<PendingDefinition>,
-    /// Runs that are expanded here: those that are advanced, and some that were polled.
+    /// Expanded runs: those that this controller advances, and some whose status was queried recently.
     open_runs: BTreeMap<RunId, OpenRun>,
     /// Writes of runs' records in flight.
     writes: BTreeMap<u64, RunWrite>,
     /// Status queries in flight.
     status_queries: BTreeMap<u64, StatusQuery>,
-    /// Runs that cannot be expanded here, which are logged once.
-    broken: BTreeSet<RunId>,
+    /// Runs that could not be expanded. Each is logged once and not tried again.
+    unexpandable: BTreeSet<RunId>,
     last_request_id: u64,
-    /// The run that was last advanced.
+    /// The run considered in the last tick; the round robin continues after it.
     last_advanced: Option<RunId>,
     schedules: Schedules,
     retention: Retention,
 }
 
-fn state_name(state: RunState, is_cancelling: bool) -> &'static str {
+fn run_state_name(state: RunState, is_cancelling: bool) -> &'static str {
     match (state, is_cancelling) {
         (RunState::Open, true) => "cancelling",
         (RunState::Open, false) => "running",
@@ -91,13 +90,13 @@
     }
 }
 
-/// A run as users read it, without its steps.
+/// The body of a response that describes a run, without its steps.
 fn run_body(id: &RunId, record: &RunRecord) -> Value {
-    let state = state_name(record.state, record.cancel);
+    let state = run_state_name(record.state, record.cancel);
     json!({"graph": id.graph, "run": id.run, "state": state, "jobs": record.jobs})
 }
 
-/// How many jobs are in each state, by its name.
+/// Counts the jobs in each state, by the serialized name of the state.
 fn count_states(states: &[Stand]) -> BTreeMap<String, u32> {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for state in states {
@@ -109,7 +108,7 @@
 }
 
 impl DagRuns {
-    /// Handles a request. That the key-value store serves has been checked before.
+    /// Handles a request. The caller has checked that the key-value store is available.
     pub fn handle(
         &mut self,
         connection: ConnectionId,
@@ -118,8 +117,8 @@
     ) {
         if !context.records.all_support(&Capability::graphs()) {
             let why = "not every controller takes graphs yet";
-            let later = Response::later(503, why, UNSUPPORTED_RETRY_AFTER_S);
-            context.effects.respond(connection, later);
+            let response = Response::retry_later(503, why, UNSUPPORTED_RETRY_AFTER_S);
+            context.effects.respond(connection, response);
             return;
         }
         if !context.records.loaded || context.machine_types.is_empty() {
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Whether there is nothing to advance, to write, or to remove.
+    /// Whether there are no runs or DAGs to advance, write or remove.
     #[must_use]
     pub fn is_idle(&self, records: &RecordCache) -> bool {
         let no_records =
@@ -200,9 +199,9 @@
         no_records && self.pending.is_empty() && self.open_runs.is_empty()
     }
 
-    /// Expands a run, if it is not expanded yet and its definition is cached.
+    /// Expands a run unless it is expanded already. Does nothing until its definition is cached.
     fn expand(&mut self, id: &RunId, record: &RunRecord, context: &Context<'_>) {
-        if self.open_runs.contains_key(id) || self.broken.contains(id) {
+        if self.open_runs.contains_key(id) || self.unexpandable.contains(id) {
             return;
         }
         match OpenRun::expand(id, record, context) {
@@ -211,7 +210,7 @@
             }
             Some(Err(error)) => {
                 tracing::error!(run = %id, %error, "DAG run expansion failed");
-                self.broken.insert(id.clone());
+                self.unexpandable.insert(id.clone());
             }
             None => {}
         }
--- a/src/coordination/dag_runs/open_run.rs
+++ b/src/coordination/dag_runs/open_run.rs
@@ -1,4 +1,4 @@
-//! A run as this controller has expanded it, and what it has observed of its jobs.
+//! An expanded run: its plan, and the states of its jobs as this controller has observed them.
 
 use crate::coordination::context::Context;
 use crate::storage::record_cache::ChunkKey;
@@ -13,15 +13,15 @@
 /// Why the definition of a run cannot be expanded.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub(super) enum ExpansionError {
-    /// Its chunks cannot be unpacked.
+    /// The chunks of the definition cannot be unpacked.
     #[error("{0}")]
     Unpack(String),
-    /// The definition has problems, one after the other.
+    /// The definition is invalid; holds all problems, separated by semicolons.
     #[error("{0}")]
     Problems(String),
 }
 
-/// The definition of a run, once all its chunks are cached.
+/// Unpacks the definition of a run; `None` until all its chunks are cached.
 pub(super) fn unpack_run(
     id: &RunId,
     record: &RunRecord,
@@ -42,33 +42,33 @@
     Some(definition.map_err(ExpansionError::Unpack))
 }
 
-/// A run's plan and the observed state of its jobs, by their index in the plan.
+/// A run's plan and the observed states of its jobs. Jobs are identified by their index in the plan.
 pub(super) struct OpenRun {
-    /// The jobs, and what each depends on.
+    /// The jobs and their dependencies.
     pub(super) plan: Plan,
     max_active_tasks: Option<usize>,
-    /// What was last observed of each job; ends stay, whatever the record cache drops.
+    /// The last observed state of each job. The end of a job is kept after the record cache has dropped it.
     observed: Vec<Seen>,
-    /// Ids of each job in earlier runs that have not been looked up yet.
+    /// For each job, its ids in the earlier runs that have not been looked up yet.
     earlier_jobs: Vec<Vec<JobId>>,
-    /// Whether a job succeeded in an earlier run; known once all those have been looked up.
+    /// Whether each job succeeded in an earlier run; final once `earlier_jobs` is empty for the job.
     inherited: Vec<bool>,
-    /// Since when a job with a timeout has run.
+    /// When each open job with a timeout was first observed with running tasks.
     running_since: BTreeMap<usize, MonotonicMillis>,
-    /// When its jobs were last observed.
+    /// When the jobs were last observed, to advance the run or to answer a status query.
     pub(super) observed_at: MonotonicMillis,
-    /// When it was last advanced. Guards against a run that makes no progress because it is polled all the
-    /// time.
+    /// When the run was last advanced. Separate from `observed_at`, because frequent status queries would
+    /// otherwise keep the run from being advanced.
     pub(super) advanced_at: MonotonicMillis,
-    /// As of which change of jobs it was last advanced.
-    pub(super) advanced_change: u64,
+    /// The value of the record cache's `job_changes` when the run was last advanced.
+    pub(super) advanced_at_change: u64,
 }
 
 impl OpenRun {
-    /// Expands a run, once all its chunks are cached.
+    /// Expands a run; `None` until all its chunks are cached.
     ///
     /// # Errors
-    /// Why it cannot be expanded.
+    /// Returns why the definition cannot be expanded.
     pub(super) fn expand(
         id: &RunId,
         record: &RunRecord,
@@ -99,13 +99,17 @@
             running_since: BTreeMap::new(),
             observed_at: MonotonicMillis(0),
             advanced_at: MonotonicMillis(0),
-            advanced_change: 0,
+            advanced_at_change: 0,
         })
     }
 
-    /// Looks up what became of jobs in earlier runs. Returns ids of some that must be read first, if any;
-    /// no more jobs are looked up after `max_reads` of them.
-    pub(super) fn inherit(&mut self, max_reads: usize, context: &Context<'_>) -> Vec<JobId> {
+    /// Looks up in the record cache which jobs succeeded in earlier runs. Returns at most `max_reads` ids of
+    /// jobs that are not cached as finished and must be read from the key-value store.
+    pub(super) fn look_up_earlier_jobs(
+        &mut self,
+        max_reads: usize,
+        context: &Context<'_>,
+    ) -> Vec<JobId> {
         let mut unknown = Vec::new();
         for (i, ids) in self.earlier_jobs.iter_mut().enumerate() {
             ids.retain(|id| match context.records.finished_job(id) {
@@ -113,7 +117,7 @@
                     self.inherited[i] |= end.run && end.state == JobState::Done;
                     false
                 }
-                // Open, or not known here.
+                // Still open, or not in the record cache.
                 None => !self.inherited[i],
             });
             if self.inherited[i] {
@@ -126,19 +130,19 @@
         unknown
     }
 
-    /// Notes that a job was never submitted in an earlier run.
+    /// Records that a job of an earlier run does not exist: it was never submitted.
     pub(super) fn exclude_earlier_job(&mut self, id: &JobId) {
         for ids in &mut self.earlier_jobs {
             ids.retain(|other| other != id);
         }
     }
 
-    /// Whether all earlier runs have been looked up.
-    pub(super) fn has_inherited(&self) -> bool {
+    /// Whether all jobs have been looked up in all earlier runs.
+    pub(super) fn has_looked_up_earlier_jobs(&self) -> bool {
         self.earlier_jobs.iter().all(Vec::is_empty)
     }
 
-    /// A job as it is submitted: without the dependencies that an earlier run has met.
+    /// The submission of a job, without the dependencies that succeeded in an earlier run.
     pub(super) fn submission(&self, index: usize) -> Submission {
         let job = &self.plan.jobs[index];
         let mut submission = job.submission.clone();
@@ -150,7 +154,8 @@
         submission
     }
 
-    /// Observes all jobs anew, and decides what to submit, at most `max_submissions`, and what to cancel.
+    /// Updates the observed states of all jobs and decides which jobs to cancel and which to submit, at most
+    /// `max_submissions`.
     pub(super) fn decide(
         &mut self,
         record: &RunRecord,
@@ -190,11 +195,11 @@
         )
     }
 
-    /// Open jobs that have failed for good: too often, or for too long. `errors` is how often the worst
-    /// task of a job has failed.
+    /// Open jobs that have failed permanently, because their retries are exhausted or they timed out.
+    /// `task_failures` is, for each job, the number of failures of the task that has failed most often.
     pub(super) fn failed_jobs(
         &mut self,
-        errors: &BTreeMap<JobId, u32>,
+        task_failures: &BTreeMap<JobId, u32>,
         context: &Context<'_>,
     ) -> Vec<u32> {
         let mut failed = Vec::new();
@@ -204,7 +209,7 @@
                 continue;
             }
             let id = &job.submission.job;
-            let retries_exhausted = errors.get(id).is_some_and(|n| *n > job.retries);
+            let retries_exhausted = task_failures.get(id).is_some_and(|n| *n > job.retries);
             let timed_out = job.timeout_s.is_some_and(|timeout_s| {
                 let record = context.records.jobs.get(id).map(|v| &v.value);
                 let counts = record.map(|r| context.records.task_counts(id, &r.shards, r.tasks));
--- a/src/coordination/dag_runs/requests.rs
+++ b/src/coordination/dag_runs/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on DAGs and their runs, parsed from method, path and body.
+//! Parses requests for DAGs and their runs from method, path and body.
 
 use crate::coordination::query::{param, split};
 use crate::coordination::request_error::RequestError;
@@ -7,45 +7,45 @@
 use snowshelf_dag::run::Asked;
 use snowshelf_model::records::{RunId, is_valid_run_name};
 
-/// A definition of a DAG or of one run, with its packed text.
+/// A definition of a DAG or of a single run, parsed and packed.
 #[derive(Debug)]
 pub struct PackedDefinition {
-    /// The definition.
+    /// The parsed definition.
     pub definition: Box<Asked>,
-    /// The same, packed.
+    /// The definition in packed form, as it is stored.
     pub text: String,
 }
 
-/// A request on DAGs or their runs.
+/// A request for DAGs or their runs. A DAG is identified by its name.
 #[derive(Debug)]
 pub enum DagRequest {
-    /// Starts a run.
+    /// Starts a run with its own definition.
     StartRun(RunId, PackedDefinition),
-    /// Shows a run and some of its steps.
+    /// Shows the state of a run and a page of its steps.
     ShowRun {
-        /// The run.
+        /// The id of the run.
         run: RunId,
-        /// How many steps are skipped.
+        /// Number of steps before the page.
         after: usize,
-        /// How many steps are shown at most.
+        /// Most steps on the page.
         limit: usize,
     },
-    /// Cancels a run.
+    /// Cancels the open jobs of a run and ends it.
     CancelRun(RunId),
-    /// Starts a run of what did not succeed in another, with a new name.
+    /// Repeats the jobs of a run that did not succeed, in a new run. The string is the name of the new run.
     Rerun(RunId, String),
-    /// Stores a DAG under its name.
+    /// Stores a DAG, replacing any DAG of that name.
     Define(String, PackedDefinition),
-    /// Shows a DAG's schedule.
+    /// Shows the state of a DAG's schedule.
     ShowDag(String),
-    /// Pauses or resumes a DAG's schedule.
+    /// Pauses (true) or resumes (false) a DAG's schedule.
     SetPaused(String, bool),
 }
 
-/// What names of DAGs and runs must be.
+/// The rule for names of DAGs and runs, as sent to the user.
 const NAME_RULE: &str = "must be 1 to 64 letters, digits, '.', '_', ':', '+' or '-'";
 
-/// What is wrong with the body of a request; its `Display` is the text that the user reads.
+/// Why the body of a request is invalid. Its `Display` is the text sent to the user.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidDagBody {
     /// The body is not JSON.
@@ -54,28 +54,29 @@
     /// The packed definition cannot be unpacked.
     #[error("packed: {0}")]
     Packed(String),
-    /// The definition has a wrong or missing field.
+    /// The definition has an invalid or missing field.
     #[error("{0}")]
     Definition(#[source] serde_json::Error),
-    /// The definition's name is not the one in the path.
+    /// The definition's name differs from the name in the path.
     #[error("graph.name: is another than the path's")]
-    OtherName,
+    NameMismatch,
     /// The name of the DAG is malformed.
     #[error("graph.name: {}", NAME_RULE)]
     DagName,
     /// The name of the run is malformed.
     #[error("run: {}, and so must the graph's name", NAME_RULE)]
     RunName,
-    /// The new name of a repeated run is missing, malformed or its old one.
+    /// The new name of a repeated run is missing, malformed, or the name of the run to repeat.
     #[error("run: must name another run, and {}", NAME_RULE)]
     RerunName,
 }
 
-/// Steps of a run in one response if the request has no limit, and at most.
+/// Steps of a run in one response if the request has no limit.
 const DEFAULT_STEPS: usize = 100;
+/// Most steps of a run in one response.
 const MAX_STEPS: usize = 500;
 
-/// Parses a request; `None` if its path is none of the DAGs'.
+/// Parses a request; `None` if the path does not belong to DAGs.
 pub fn parse_request(
     method: &str,
     path: &str,
@@ -103,8 +104,8 @@
         ("POST", [dag, "runs"]) => parse_start(dag, body),
         ("GET", [dag, "runs", run]) => Ok(DagRequest::ShowRun {
             run: run_id(dag, run)?,
-            after: number(query, "after", 0),
-            limit: number(query, "limit", DEFAULT_STEPS).min(MAX_STEPS),
+            after: number_param(query, "after", 0),
+            limit: number_param(query, "limit", DEFAULT_STEPS).min(MAX_STEPS),
         }),
         ("POST", [dag, "runs", run, "cancel"]) => Ok(DagRequest::CancelRun(run_id(dag, run)?)),
         ("POST", [dag, "runs", run, "rerun"]) => parse_rerun(run_id(dag, run)?, body),
@@ -119,12 +120,12 @@
     }
 }
 
-fn number(query: &str, name: &str, default: usize) -> usize {
+fn number_param(query: &str, name: &str, default: usize) -> usize {
     let value = param(query, name).and_then(|v| v.parse().ok());
     value.unwrap_or(default)
 }
 
-/// Parses `{"packed": TEXT}`, or a definition as it is.
+/// Parses a definition, either packed as `{"packed": TEXT}` or as plain JSON.
 fn parse_definition(dag: &str, body: &[u8]) -> Result<Asked, InvalidDagBody> {
     let value: Value = serde_json::from_slice(body).map_err(InvalidDagBody::NotJson)?;
     let definition: Asked = match value.get("packed").and_then(Value::as_str) {
@@ -134,11 +135,11 @@
     if definition.graph.name == dag {
         Ok(definition)
     } else {
-        Err(InvalidDagBody::OtherName)
+        Err(InvalidDagBody::NameMismatch)
     }
 }
 
-fn packed(definition: Asked) -> PackedDefinition {
+fn pack_definition(definition: Asked) -> PackedDefinition {
     let text = packing::pack(&definition);
     PackedDefinition {
         definition: Box::new(definition),
@@ -149,7 +150,7 @@
 fn parse_start(dag: &str, body: &[u8]) -> Result<DagRequest, RequestError> {
     let definition = parse_definition(dag, body)?;
     let id = RunId::new(dag, &definition.run).ok_or(InvalidDagBody::RunName)?;
-    Ok(DagRequest::StartRun(id, packed(definition)))
+    Ok(DagRequest::StartRun(id, pack_definition(definition)))
 }
 
 fn parse_rerun(id: RunId, body: &[u8]) -> Result<DagRequest, RequestError> {
@@ -165,5 +166,8 @@
     if !is_valid_run_name(dag) {
         return Err(InvalidDagBody::DagName.into());
     }
-    Ok(DagRequest::Define(dag.to_string(), packed(definition)))
+    Ok(DagRequest::Define(
+        dag.to_string(),
+        pack_definition(definition),
+    ))
 }
--- a/src/coordination/dag_runs/retention.rs
+++ b/src/coordination/dag_runs/retention.rs
@@ -1,4 +1,4 @@
-//! Removal of what is no longer retained of runs that have ended, with writes that nobody else needs.
+//! Removes definitions and records of ended runs after their retention, with writes of background priority.
 
 use super::{DagRuns, DagRunsRequest};
 use crate::coordination::context::{Context, KvRequest};
@@ -7,33 +7,32 @@
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{RunRecord, plan_key, run_key};
 
-/// How long after its end a run's definition is retained, in milliseconds.
+/// How long a run's definition is retained after the end of the run, in milliseconds (1 day).
 const DEFINITION_RETENTION_MS: u64 = 86_400_000;
-/// How long after its end a run's record is retained, in milliseconds.
+/// How long a run's record is retained after the end of the run, in milliseconds (30 days).
 const RECORD_RETENTION_MS: u64 = 30 * 86_400_000;
-/// Time between two searches, in milliseconds.
-const SEARCH_INTERVAL_MS: u64 = 5_000;
-/// Chunks of definitions removed at once, at most.
+/// Time between two scans for expired runs, in milliseconds.
+const SCAN_INTERVAL_MS: u64 = 5_000;
+/// Most chunks of definitions removed in one transaction.
 const MAX_REMOVED_CHUNKS: usize = 8;
 
-/// The search for what is no longer retained, and the removal in flight.
+/// The state of the scan for expired runs and of the removal in flight.
 #[derive(Default)]
 pub(super) struct Retention {
-    searched_at: MonotonicMillis,
+    scanned_at: MonotonicMillis,
     is_removing: bool,
 }
 
 impl DagRuns {
-    /// Removes chunks of definitions, or else one record, whose retention is over.
+    /// Removes chunks of expired definitions or, if there are none, one expired record.
     pub fn remove_ended(&mut self, context: &mut Context<'_>) {
         let now = context.now();
-        if self.retention.is_removing || now.since(self.retention.searched_at) < SEARCH_INTERVAL_MS
-        {
+        if self.retention.is_removing || now.since(self.retention.scanned_at) < SCAN_INTERVAL_MS {
             return;
         }
-        self.retention.searched_at = now;
+        self.retention.scanned_at = now;
         let wall = context.effects.wall_ms;
-        let is_over = |record: &RunRecord, retention_ms: u64| {
+        let is_expired = |record: &RunRecord, retention_ms: u64| {
             let ended = record.ended;
             ended.is_some_and(|at| wall.saturating_sub(at.0) > retention_ms)
         };
@@ -41,7 +40,7 @@
         let max_chunks = context.storage_limits.txn_ops.min(MAX_REMOVED_CHUNKS);
         let chunks = records.plan_chunks.keys().filter(|key| {
             let record = records.runs.get(&key.owner).map(|v| &v.value);
-            record.is_some_and(|r| is_over(r, DEFINITION_RETENTION_MS))
+            record.is_some_and(|r| is_expired(r, DEFINITION_RETENTION_MS))
         });
         let mut keys: Vec<String> = chunks
             .map(|key| plan_key(&key.owner, &key.hash, key.chunk))
@@ -50,7 +49,7 @@
         let mut swap = CompareAndSwap::default();
         let mut runs = records.runs.iter();
         if keys.is_empty()
-            && let Some((run, v)) = runs.find(|(_, v)| is_over(&v.value, RECORD_RETENTION_MS))
+            && let Some((run, v)) = runs.find(|(_, v)| is_expired(&v.value, RECORD_RETENTION_MS))
         {
             swap = swap.compare(run_key(run), v.version);
             keys.push(run_key(run));
@@ -70,7 +69,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of such a removal.
+    /// Handles the outcome of a removal. A removal that failed is repeated by a later scan.
     pub(super) fn on_removed(
         &mut self,
         keys: &[String],
--- a/src/coordination/dag_runs/run_records.rs
+++ b/src/coordination/dag_runs/run_records.rs
@@ -1,7 +1,7 @@
-//! Writes of runs' records: cancellations by users, and what the progress of a run changes.
+//! Writes records of runs: cancellations by users, and updates when a run advances.
 
 use super::status::StatusQuery;
-use super::{DagRuns, DagRunsRequest, run_body, state_name};
+use super::{DagRuns, DagRunsRequest, run_body, run_state_name};
 use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::unavailable::Unavailable;
 use crate::effects::Response;
@@ -10,16 +10,17 @@
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
 use snowshelf_model::records::{RunId, RunRecord, RunState, run_key};
 
-/// A write of a run's record.
+/// A write of a run's record that is in flight.
 pub(super) struct RunWrite {
-    /// Who waits for the response to a cancellation; nobody if the run has advanced.
+    /// The connection to respond on, for a cancellation; `None` for an update as the run advances.
     pub(super) connection: Option<ConnectionId>,
     pub(super) run: RunId,
     pub(super) record: RunRecord,
 }
 
 impl DagRuns {
-    /// Cancels a run for a user.
+    /// Cancels a run at a user's request. Responds without a write if the run has ended or is being cancelled
+    /// already.
     pub(super) fn cancel(
         &mut self,
         connection: ConnectionId,
@@ -27,7 +28,7 @@
         context: &mut Context<'_>,
     ) {
         let Some(v) = context.records.runs.get(&id).cloned() else {
-            // The record may not be cached yet.
+            // The record may exist without being cached yet. The status check responds with 404 or a retry.
             let query = StatusQuery {
                 connection,
                 run: id,
@@ -63,7 +64,7 @@
         self.write_run(write, v.version, CompareAndSwap::default(), context);
     }
 
-    /// Writes a run's record, on condition of its version and of what `swap` compares already.
+    /// Writes a run's record if it still has this version and the comparisons in `swap` hold.
     pub(super) fn write_run(
         &mut self,
         write: RunWrite,
@@ -81,8 +82,8 @@
         self.writes.insert(id, write);
     }
 
-    /// Handles the outcome of such a write. Whatever one of the run's own leaves open, the watch brings, and
-    /// it is decided again.
+    /// Handles the outcome of a write of a run's record. If an update by an advance was not applied, the
+    /// watch delivers the present record and the run is decided again.
     pub(super) fn on_run_written(
         &mut self,
         id: u64,
@@ -103,9 +104,9 @@
                 .records
                 .apply(&run_key(&run), Some(&value), *revision);
             if connection.is_some() {
-                tracing::info!(run = %run, "DAG run cancelled");
+                tracing::info!(run = %run, "DAG run cancellation stored");
             } else if record.state != RunState::Open {
-                let state = state_name(record.state, false);
+                let state = run_state_name(record.state, false);
                 tracing::info!(run = %run, state, "DAG run ended");
             }
             Response::json(200, &run_body(&run, &record))
--- a/src/coordination/dag_runs/schedules.rs
+++ b/src/coordination/dag_runs/schedules.rs
@@ -1,8 +1,10 @@
-//! Stored DAGs, and the runs that their schedules start: one for each interval. That a run's key did not
-//! exist when it was written proves that the interval has only one.
+//! Stored DAGs, and the runs that their schedules start: one for each interval. A run is written only if its
+//! key does not exist, which guarantees at most one run per interval.
 
 use super::requests::PackedDefinition;
-use super::submissions::{PendingDefinition, PlanRejection, check_run_limits, chunks, plan_run};
+use super::submissions::{
+    PendingDefinition, PlanRejection, check_run_limits, plan_run, split_into_chunks,
+};
 use super::{DagRuns, DagRunsRequest};
 use crate::coordination::context::{Context, KvRequest};
 use crate::coordination::leases::Leases;
@@ -21,22 +23,22 @@
 use snowshelf_model::records::{GraphRecord, RunId, definition_key, graph_key, run_key, shard_key};
 use std::collections::BTreeMap;
 
-/// Time between two evaluations of all schedules, in milliseconds.
+/// Time between two evaluations of the schedules, in milliseconds.
 const EVALUATION_INTERVAL_MS: u64 = 500;
-/// Characters of the reason for which a schedule was paused that are stored.
+/// Most characters stored of the reason why a schedule was paused.
 const MAX_REASON_CHARS: usize = 200;
 
-/// A stored DAG as it was last unpacked.
+/// A stored DAG, unpacked from its chunks.
 struct UnpackedDag {
     hash: String,
     definition: Asked,
-    /// `None`: it has no schedule.
+    /// `None` if the DAG has no schedule.
     timetable: Option<Timetable>,
 }
 
-/// A write of a DAG's record.
+/// A write of a DAG's record that is in flight.
 struct DagWrite {
-    /// Who waits for the response; nobody if the schedule has advanced.
+    /// The connection to respond on; `None` for an update by the schedule.
     connection: Option<ConnectionId>,
     name: String,
     record: GraphRecord,
@@ -64,7 +66,7 @@
     text?.parse().ok()
 }
 
-/// A DAG's schedule as users read it.
+/// The body of a response that describes a DAG's schedule.
 fn dag_body(name: &str, record: &GraphRecord) -> Value {
     let mut body = json!({"graph": name, "paused": record.paused, "missed": record.missed,
         "done_until": timestamp(record.since).to_string()});
@@ -75,8 +77,8 @@
 }
 
 impl Schedules {
-    /// Unpacks a DAG, if it has changed and all its chunks are cached; whether its present definition is
-    /// unpacked.
+    /// Unpacks a DAG if its definition has changed and all its chunks are cached. Returns whether the
+    /// present definition is unpacked.
     fn unpack(&mut self, name: &str, record: &GraphRecord, context: &Context<'_>) -> bool {
         let unpacked = self.dags.get(name);
         if unpacked.is_some_and(|dag| dag.hash == record.hash) {
@@ -106,22 +108,23 @@
     }
 }
 
-/// An interval of a schedule whose run is due, and how many before it are skipped.
+/// A run that is due for an interval of a schedule.
 struct DueRun {
     id: RunId,
     from: Timestamp,
     until: Timestamp,
+    /// Number of earlier intervals that get no run because the DAG does not catch up.
     skipped: u64,
 }
 
-/// The run that a DAG's schedule asks for now.
+/// The run that is due now by a DAG's schedule, if any.
 fn due_run(
     name: &str,
     dag: &UnpackedDag,
     record: &GraphRecord,
     context: &Context<'_>,
 ) -> Option<DueRun> {
-    // No interval is over before it is over by every clock.
+    // The clock may be ahead by the skew. An interval is over only when it is over by every host's clock.
     let skew_ms = context.config.settings.skew_ms();
     let wall_ms = context.effects.wall_ms.saturating_sub(skew_ms);
     let now = timestamp(WallClockMillis(wall_ms));
@@ -138,7 +141,7 @@
     };
     let (from, until) = interval.copied()?;
     let id = RunId::new(name, &run_of(from))?;
-    // An interval whose run was started before a later one was over is not skipped.
+    // An interval that has a run already does not count as skipped.
     let has_run = |from: &Timestamp| {
         let id = RunId::new(name, &run_of(*from));
         id.is_some_and(|id| context.records.runs.contains_key(&id))
@@ -153,7 +156,7 @@
 }
 
 impl DagRuns {
-    /// Stores a DAG, in place of the one that had its name.
+    /// Stores a DAG, replacing any DAG of that name.
     pub(super) fn define(
         &mut self,
         connection: ConnectionId,
@@ -161,7 +164,8 @@
         PackedDefinition { definition, text }: &PackedDefinition,
         context: &mut Context<'_>,
     ) {
-        // Planned with its defaults, so that its user and not its schedule finds out what is wrong.
+        // Plans a run with the default parameters, so that errors are reported to the user now and not when
+        // the schedule starts a run.
         if let Err(rejection) = plan_run(definition, context) {
             let response = Response::json(422, &rejection.body());
             context.effects.respond(connection, response);
@@ -170,10 +174,10 @@
         let now = WallClockMillis(context.effects.wall_ms);
         let before = context.records.graphs.get(name);
         let hash = packing::hash(text);
-        let chunks = chunks(text, |i| definition_key(name, &hash, i), context);
+        let chunks = split_into_chunks(text, |i| definition_key(name, &hash, i), context);
         let start = parse_timestamp(definition.graph.start.as_deref());
         let start = start.map_or(now, wall_clock);
-        // Without catching up, nothing before now is run.
+        // Without catch-up, intervals before now get no run.
         let since = if definition.graph.catch_up {
             start
         } else {
@@ -196,7 +200,7 @@
         self.pending.push_back(pending);
     }
 
-    /// Answers with a DAG's schedule.
+    /// Responds with the state of a DAG's schedule.
     pub(super) fn show_dag(&self, connection: ConnectionId, name: &str, context: &mut Context<'_>) {
         let response = match context.records.graphs.get(name) {
             Some(v) => Response::json(200, &dag_body(name, &v.value)),
@@ -238,7 +242,7 @@
         self.write_dag(write, v.version, CompareAndSwap::default(), context);
     }
 
-    /// Writes a DAG's record, on condition of its version and of what `swap` compares already.
+    /// Writes a DAG's record if it still has this version and the comparisons in `swap` hold.
     fn write_dag(
         &mut self,
         write: DagWrite,
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Starts runs for intervals that are over, of the DAGs whose shard this controller leads.
+    /// Starts the runs that are due of the DAGs whose shards this controller leads.
     pub(super) fn start_scheduled_runs(&mut self, leases: &Leases, context: &mut Context<'_>) {
         let now = context.now();
         if context.records.graphs.is_empty()
@@ -319,7 +323,8 @@
         }
     }
 
-    /// Starts the run that is due of one DAG, or notes in its record that it has started.
+    /// Queues the run of a DAG that is due or, if it exists already, advances the DAG's record past its
+    /// interval. Pauses the schedule if the run cannot be planned.
     fn start_due_run(
         &mut self,
         name: &str,
@@ -336,13 +341,13 @@
         let mut next = (*record.value).clone();
         next.missed += due.skipped;
         if context.records.runs.contains_key(&due.id) {
-            // It has started, by whichever controller: on to the next.
+            // The run has been started, possibly by another controller.
             next.since = wall_clock(due.until);
         } else {
             let Err(rejection) = self.queue_due_run(name, &due, context) else {
                 return;
             };
-            // Only the interval can make a difference to what was planned before.
+            // The definition was planned successfully when it was stored; only the interval differs.
             let why = rejection.body().to_string();
             next.paused = true;
             next.why = Some(why.chars().take(MAX_REASON_CHARS).collect());
@@ -369,10 +374,10 @@
         }
     }
 
-    /// Queues the run that is due to be written, unless it is already or a limit is reached.
+    /// Queues a due run to be written, unless it is queued already or a limit of open runs is reached.
     ///
     /// # Errors
-    /// Why the run cannot be planned.
+    /// Returns why the run cannot be planned.
     fn queue_due_run(
         &mut self,
         name: &str,
@@ -396,7 +401,7 @@
         };
         let plan = plan_run(&definition, context)?;
         let text = packing::pack(&definition);
-        let pending = PendingDefinition::of_run(&due.id, plan.jobs.len(), &text, context);
+        let pending = PendingDefinition::new_run(&due.id, plan.jobs.len(), &text, context);
         self.pending.push_back(pending);
         Ok(())
     }
--- a/src/coordination/dag_runs/status.rs
+++ b/src/coordination/dag_runs/status.rs
@@ -1,4 +1,4 @@
-//! Status of runs, answered from the record cache once that is known to be up to date.
+//! Answers status queries from the record cache, after checking that it has the stored version of the run.
 
 use super::{DagRuns, DagRunsRequest, count_states, run_body};
 use crate::coordination::context::{Context, KvRequest};
@@ -12,25 +12,25 @@
 use snowshelf_model::protocol::state::CompareAndSwap;
 use snowshelf_model::records::{RunId, RunState, run_key};
 
-/// Timeout of a comparison of versions, in milliseconds.
+/// Timeout of the version check, in milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 1_500;
-/// The text if the record cache is behind, or it is not known whether it is.
-const CACHE_BEHIND: &str = "the picture is behind, or the state service did not answer";
-/// Seconds after which the question should then be repeated.
+/// The error sent if the record cache is stale, or the version check failed.
+const CACHE_STALE: &str = "the picture is behind, or the state service did not answer";
+/// Seconds after which to repeat a status query that failed with that error.
 const RETRY_AFTER_S: u64 = 1;
 
-/// A user's question for the state of a run and some of its steps.
+/// A user's query for the state of a run and a page of its steps.
 pub(super) struct StatusQuery {
     pub(super) connection: ConnectionId,
     pub(super) run: RunId,
-    /// How many steps are skipped.
+    /// Number of steps before the page.
     pub(super) after: usize,
-    /// How many steps are shown at most.
+    /// Most steps on the page.
     pub(super) limit: usize,
 }
 
 impl DagRuns {
-    /// Asks the key-value store whether the record cache is up to date with a run.
+    /// Starts a status query by comparing the cached version of the run's record with the stored one.
     pub(super) fn check_status(&mut self, query: StatusQuery, context: &mut Context<'_>) {
         if !context
             .kv
@@ -51,7 +51,7 @@
         self.status_queries.insert(id, query);
     }
 
-    /// Handles the outcome of such a comparison.
+    /// Handles the outcome of the version check and responds to the query.
     pub(super) fn on_status_checked(
         &mut self,
         id: u64,
@@ -63,12 +63,12 @@
         };
         let response = match outcome {
             SwapOutcome::Applied(_) => self.status(&query, context),
-            _ => Response::later(503, CACHE_BEHIND, RETRY_AFTER_S),
+            _ => Response::retry_later(503, CACHE_STALE, RETRY_AFTER_S),
         };
         context.effects.respond(query.connection, response);
     }
 
-    /// The state of a run, and its steps as long as its definition is retained.
+    /// The response to a query: the state of the run, and its steps as long as its definition is retained.
     fn status(&mut self, query: &StatusQuery, context: &Context<'_>) -> Response {
         let StatusQuery {
             run, after, limit, ..
--- a/src/coordination/dag_runs/submissions.rs
+++ b/src/coordination/dag_runs/submissions.rs
@@ -1,5 +1,5 @@
-//! How a run, or the definition of a DAG, becomes durable: its chunks first, then the record that makes them
-//! count, and only then is the request answered.
+//! Stores runs and definitions of DAGs: writes the chunks, then the record that refers to them, and answers
+//! the request once that record is durable.
 
 use super::open_run::unpack_run;
 use super::requests::PackedDefinition;
@@ -19,46 +19,46 @@
 use snowshelf_model::records::{RunId, RunRecord, RunState, plan_key, run_key};
 use std::collections::BTreeMap;
 
-/// Submissions that wait to be written at most.
+/// Number of pending submissions from which further runs of users are rejected.
 const MAX_PENDING: usize = 16;
 /// How long a submission may wait for its next write, in milliseconds.
 const DEADLINE_MS: u64 = 4_000;
-/// Bytes of a value that are left for its encoding.
+/// Bytes of a value reserved for the encoding of the chunk.
 const SPARE_BYTES: usize = 64;
-/// Seconds after which a run that exceeds a limit should be submitted again.
+/// Seconds after which to submit a run again that exceeded a limit.
 const LIMIT_RETRY_AFTER_S: u64 = 5;
-/// Seconds after which a submission that was not written in time should be repeated.
+/// Seconds after which to repeat a submission that was not written in time.
 const DEADLINE_RETRY_AFTER_S: u64 = 2;
 
-/// A chunk of a packed definition.
+/// A chunk of a packed definition, small enough for one value of the key-value store.
 pub(super) struct Chunk {
     key: String,
     text: String,
 }
 
-/// A run or a DAG that is being written.
+/// A definition of a run or a DAG that is being written.
 pub(super) struct PendingDefinition {
-    /// Who waits for the response; nobody for a run that a schedule starts.
+    /// The connection to respond on; `None` for a run started by a schedule.
     pub(super) connection: Option<ConnectionId>,
-    /// The key of the record that makes the chunks count.
-    key: String,
-    /// The version of the record that is replaced.
+    /// The key of the record that refers to the chunks.
+    record_key: String,
+    /// The expected version of the record; 0 if it must not exist.
     version: Version,
     record: Value,
-    /// The body of the response once it is durable.
+    /// The body of the response, sent once the record is durable.
     pub(super) body: Value,
     chunks: Vec<Chunk>,
-    /// Chunks that are durable.
+    /// Number of chunks that are durable.
     written: usize,
-    /// Writes in the transaction in flight.
+    /// Number of writes in the transaction in flight; 0 if there is none.
     in_flight: usize,
     last_progress_at: MonotonicMillis,
 }
 
 impl PendingDefinition {
-    /// A definition for which nobody waits yet; `chunk_key` is the key of each chunk.
+    /// A definition without a connection to respond on and with an empty response body.
     pub(super) fn new(
-        key: String,
+        record_key: String,
         version: Version,
         record: &impl Serialize,
         chunks: Vec<Chunk>,
@@ -66,7 +66,7 @@
     ) -> PendingDefinition {
         PendingDefinition {
             connection: None,
-            key,
+            record_key,
             version,
             record: serde_json::to_value(record).unwrap_or_default(),
             body: Value::Null,
@@ -77,15 +77,15 @@
         }
     }
 
-    /// A run as it starts.
-    pub(super) fn of_run(
+    /// A new, open run with `jobs` jobs; `text` is its packed definition.
+    pub(super) fn new_run(
         id: &RunId,
         jobs: usize,
         text: &str,
         context: &Context<'_>,
     ) -> PendingDefinition {
         let hash = packing::hash(text);
-        let chunks = chunks(text, |i| plan_key(id, &hash, i), context);
+        let chunks = split_into_chunks(text, |i| plan_key(id, &hash, i), context);
         let record = RunRecord {
             state: RunState::Open,
             at: WallClockMillis(context.effects.wall_ms),
@@ -104,8 +104,8 @@
     }
 }
 
-/// A text in chunks that are small enough to be values.
-pub(super) fn chunks(
+/// Splits a packed definition into chunks that fit into values; `chunk_key` returns the key of each.
+pub(super) fn split_into_chunks(
     text: &str,
     chunk_key: impl Fn(u32) -> String,
     context: &Context<'_>,
@@ -118,21 +118,21 @@
         .collect()
 }
 
-/// Why a DAG cannot have another run now; its `Display` is the text that the user reads.
+/// Why a DAG cannot have another run now. Its `Display` is the text sent to the user.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub(super) enum RunLimit {
-    /// The DAG's own limit of active runs.
+    /// The DAG has `max_active_runs` open runs.
     #[error("the graph has as many active runs as it may")]
-    OfDag,
-    /// The deployment's limit of runs.
+    Dag,
+    /// The deployment has the most open runs that it allows, or this controller the most pending submissions.
     #[error("too many runs")]
-    OfDeployment,
+    Deployment,
 }
 
-/// Checks the limits of runs that have not ended.
+/// Checks whether the limits of open runs allow another run of a DAG.
 ///
 /// # Errors
-/// The limit that is reached.
+/// Returns the limit that is reached.
 pub(super) fn check_run_limits(
     dag: &str,
     max_active_runs: Option<u32>,
@@ -140,33 +140,33 @@
 ) -> Result<(), RunLimit> {
     let runs = context.records.runs.iter();
     let open = runs.filter(|(_, v)| v.value.state == RunState::Open);
-    let of_dag = open.clone().filter(|(id, _)| id.graph == dag).count();
-    if max_active_runs.is_some_and(|limit| of_dag >= limit as usize) {
-        Err(RunLimit::OfDag)
+    let open_of_dag = open.clone().filter(|(id, _)| id.graph == dag).count();
+    if max_active_runs.is_some_and(|limit| open_of_dag >= limit as usize) {
+        Err(RunLimit::Dag)
     } else if open.count() >= context.config.ops.graphs.most_runs {
-        Err(RunLimit::OfDeployment)
+        Err(RunLimit::Deployment)
     } else {
         Ok(())
     }
 }
 
-/// Why a definition cannot run.
+/// Why a definition is rejected.
 pub(super) enum PlanRejection {
-    /// Its expansion has problems, as they are sent to the user.
+    /// Its expansion failed; holds the problems as sent to the user.
     Invalid(Value),
-    /// It has more jobs than a run may have.
+    /// It has more jobs than this limit.
     TooManyJobs(usize),
-    /// The job of a step can never run.
+    /// The job of a step can never be placed.
     Infeasible {
-        /// The step.
+        /// The id of the step.
         step: String,
-        /// Why its job cannot run.
+        /// Why its job cannot be placed.
         reason: RejectionReason,
     },
 }
 
 impl PlanRejection {
-    /// The body of the response.
+    /// The body of the response to the user.
     pub(super) fn body(&self) -> Value {
         match self {
             PlanRejection::Invalid(problems) => {
@@ -182,10 +182,10 @@
     }
 }
 
-/// Expands a definition to the plan of its jobs.
+/// Expands a definition into the plan of its jobs.
 ///
 /// # Errors
-/// Why it cannot run here.
+/// Returns why the definition is rejected.
 pub(super) fn plan_run(definition: &Asked, context: &Context<'_>) -> Result<Plan, PlanRejection> {
     let facts = definition.facts();
     let plan = expand(&definition.graph, &definition.mapping, &facts, "graph")
@@ -204,8 +204,8 @@
 }
 
 impl DagRuns {
-    /// Starts a run, unless there is one of its name: a repeated request is recognized by that, since its
-    /// text may be written otherwise.
+    /// Starts a run. If a run of that id exists, responds with it: a retry is recognized by the id alone,
+    /// since its definition may be serialized differently.
     pub(super) fn start_run(
         &mut self,
         connection: ConnectionId,
@@ -221,16 +221,16 @@
         }
         let mut limits = check_run_limits(&id.graph, definition.graph.max_active_runs, context);
         if self.pending.len() >= MAX_PENDING {
-            limits = limits.and(Err(RunLimit::OfDeployment));
+            limits = limits.and(Err(RunLimit::Deployment));
         }
         if let Err(limit) = limits {
-            let later = Response::later(503, &limit.to_string(), LIMIT_RETRY_AFTER_S);
-            context.effects.respond(connection, later);
+            let response = Response::retry_later(503, &limit.to_string(), LIMIT_RETRY_AFTER_S);
+            context.effects.respond(connection, response);
             return;
         }
         match plan_run(definition, context) {
             Ok(plan) => {
-                let pending = PendingDefinition::of_run(id, plan.jobs.len(), text, context);
+                let pending = PendingDefinition::new_run(id, plan.jobs.len(), text, context);
                 self.pending.push_back(PendingDefinition {
                     connection: Some(connection),
                     ..pending
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Starts a run of what did not succeed in a run that has ended.
+    /// Repeats a run that has ended, without the jobs that succeeded in it or in the runs that it repeats.
     pub(super) fn rerun(
         &mut self,
         connection: ConnectionId,
@@ -251,21 +251,21 @@
         new_run: String,
         context: &mut Context<'_>,
     ) {
-        let refuse = |context: &mut Context<'_>, status: u16, why: &str| {
+        let reject = |context: &mut Context<'_>, status: u16, why: &str| {
             let response = Response::error(status, why);
             context.effects.respond(connection, response);
         };
         let Some(record) = context.records.runs.get(id).map(|v| v.value.clone()) else {
-            refuse(context, 404, "no such run");
+            reject(context, 404, "no such run");
             return;
         };
         if record.state == RunState::Open {
-            refuse(context, 409, "the run has not ended");
+            reject(context, 409, "the run has not ended");
             return;
         }
         let Some(Ok(mut definition)) = unpack_run(id, &record, context) else {
             let why = "what the run was asked for is not kept any more";
-            refuse(context, 409, why);
+            reject(context, 409, why);
             return;
         };
         let old_run = std::mem::replace(&mut definition.run, new_run);
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Gives the oldest submission up.
-    fn drop_first(&mut self, response: Response, context: &mut Context<'_>) {
+    /// Drops the oldest submission and sends the response to its client, if any.
+    fn reject_oldest(&mut self, response: Response, context: &mut Context<'_>) {
         if let Some(dropped) = self.pending.pop_front()
             && let Some(connection) = dropped.connection
         {
@@ -288,7 +288,8 @@
         }
     }
 
-    /// Writes the chunks of the oldest submission, and then its record.
+    /// Writes the next chunks of the oldest submission, or its record once all chunks are durable. Drops
+    /// submissions that have waited too long for a write.
     pub(super) fn write_pending(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         while let Some(first) = self.pending.front()
@@ -296,12 +297,15 @@
             && now.since(first.last_progress_at) > DEADLINE_MS
         {
             let why = "could not be written yet";
-            self.drop_first(Response::later(503, why, DEADLINE_RETRY_AFTER_S), context);
+            self.reject_oldest(
+                Response::retry_later(503, why, DEADLINE_RETRY_AFTER_S),
+                context,
+            );
         }
         let Some(first) = self.pending.front_mut().filter(|p| p.in_flight == 0) else {
             return;
         };
-        let mut swap = CompareAndSwap::default().compare(first.key.clone(), first.version);
+        let mut swap = CompareAndSwap::default().compare(first.record_key.clone(), first.version);
         let max_writes = context
             .kv
             .write_budget(now, RequestPriority::Admission)
@@ -310,7 +314,7 @@
             swap = swap.mutate(Mutation::put(chunk.key.clone(), &chunk.text));
         }
         if first.written == first.chunks.len() {
-            swap = swap.mutate(Mutation::put(first.key.clone(), &first.record));
+            swap = swap.mutate(Mutation::put(first.record_key.clone(), &first.record));
         }
         let writes = swap.mutations.len();
         if writes == 0
@@ -325,7 +329,7 @@
         context.kv.compare_and_swap(context.effects, request, &swap);
     }
 
-    /// Handles the outcome of a write of chunks or of the record that makes them count.
+    /// Handles the outcome of a write of chunks, or of the record that refers to them.
     pub(super) fn on_definition_written(
         &mut self,
         outcome: &SwapOutcome,
@@ -346,28 +350,28 @@
                 };
                 context
                     .records
-                    .apply(&done.key, Some(&done.record), *revision);
-                tracing::info!(key = done.key, "DAG run or graph accepted");
+                    .apply(&done.record_key, Some(&done.record), *revision);
+                tracing::info!(key = done.record_key, "definition of DAG or DAG run stored");
                 let status = if done.version == Version(0) { 201 } else { 200 };
                 if let Some(connection) = done.connection {
                     let response = Response::json(status, &done.body);
                     context.effects.respond(connection, response);
                 }
             }
-            // A retry finds it, or writes the same chunks again.
-            _ => self.drop_first(Unavailable::StoreNotResponding.into(), context),
+            // If the write was applied, a retry finds the record; otherwise it writes the same chunks again.
+            _ => self.reject_oldest(Unavailable::StoreNotResponding.into(), context),
         }
     }
 
-    /// Refuses all submissions: the key-value store does not serve.
+    /// Rejects all pending submissions because the key-value store is unavailable.
     pub fn refuse_all(&mut self, context: &mut Context<'_>) {
         while !self.pending.is_empty() {
-            self.drop_first(Unavailable::StoreDown.into(), context);
+            self.reject_oldest(Unavailable::StoreDown.into(), context);
         }
     }
 
     /// Whether a record with this key is being written.
     pub(super) fn is_pending(&self, key: &str) -> bool {
-        self.pending.iter().any(|p| p.key == key)
+        self.pending.iter().any(|p| p.record_key == key)
     }
 }
--- a/src/coordination/pending_requests.rs
+++ b/src/coordination/pending_requests.rs
@@ -43,7 +43,7 @@
     ) {
         let is_full = self.0.len() >= MAX_PENDING;
         if let Some(reason) = refusal.or(is_full.then_some("too many requests")) {
-            let refused = Response::later(503, reason, RETRY_AFTER_S);
+            let refused = Response::retry_later(503, reason, RETRY_AFTER_S);
             context.effects.respond(connection, refused);
             return;
         }
--- a/src/coordination/shard/heartbeats.rs
+++ b/src/coordination/shard/heartbeats.rs
@@ -80,7 +80,7 @@
         // A heartbeat may arrive late, after the release of its machine was confirmed.
         let released = self.scale_in.released.contains(&heartbeat.machine);
         if released {
-            let response = Response::later(503, "this machine was returned", 5);
+            let response = Response::retry_later(503, "this machine was returned", 5);
             context.effects.respond(connection, response);
         }
         released
--- a/src/coordination/shard/scale_in.rs
+++ b/src/coordination/shard/scale_in.rs
@@ -217,7 +217,7 @@
         for name in machines {
             let machine = self.machines.remove(name);
             if let Some(deferred) = machine.and_then(|m| m.deferred_response) {
-                let response = Response::later(503, "this machine was returned", 5);
+                let response = Response::retry_later(503, "this machine was returned", 5);
                 context.effects.respond(deferred.connection, response);
             }
             self.scale_in.released.insert(name);
--- a/src/coordination/unavailable.rs
+++ b/src/coordination/unavailable.rs
@@ -57,6 +57,6 @@
 
 impl From<Unavailable> for Response {
     fn from(reason: Unavailable) -> Response {
-        Response::later(503, &reason.to_string(), reason.retry_after_s())
+        Response::retry_later(503, &reason.to_string(), reason.retry_after_s())
     }
 }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,5 +1,5 @@
-//! What the controller asks the transport to do, and the events that the transport delivers. The controller itself does no
-//! I/O: it takes a [`ControllerEvent`] and returns [`Effect`]s.
+//! The interface between controller and transport. The controller does no I/O: it handles a
+//! [`ControllerEvent`] and returns [`Effect`]s, which the transport executes.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -8,31 +8,32 @@
 use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
 use std::net::SocketAddrV4;
 
-/// The longest pause between retries, unless the first one is longer already.
+/// Longest pause between retries before jitter, in milliseconds. A longer initial pause is not shortened.
 const MAX_RETRY_PAUSE_MS: u64 = 4_000;
-/// After so many failures in a row the pause between retries grows no further.
+/// Number of consecutive failures after which the pause between retries stops doubling.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
+
 /// The method of an HTTP call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
-    /// Reads.
+    /// GET, without a body.
     Get,
-    /// Changes something.
+    /// POST, with a body.
     Post,
 }
 
-/// Where an HTTP call goes.
+/// The target of an HTTP call.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Target {
     /// The key-value store.
     KvStore,
     /// The cloud's API.
     Cloud,
-    /// A worker, for commands sent straight to it.
+    /// A worker, for commands sent to it directly.
     Worker(SocketAddrV4),
 }
 
-/// What came of an HTTP call.
+/// The outcome of an HTTP call.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
     /// The target responded.
@@ -42,25 +43,25 @@
         /// The body.
         body: Vec<u8>,
     },
-    /// Not a byte of the request left this process.
+    /// No byte of the request was sent.
     NotSent,
-    /// No response: the request may have been carried out, or may still be.
+    /// No response was received. The request may have been executed, or may still be executed later.
     Unanswered,
 }
 
-/// The response to an HTTP request of a user, a worker or a health check.
+/// The response to an HTTP request of a user, a worker or a probe.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// After how many seconds the client should retry.
+    /// Seconds after which the client should retry, sent as `Retry-After`.
     pub retry_after_s: Option<u64>,
 }
 
 impl Response {
-    /// A response with any body.
+    /// A response with the given body and without `Retry-After`.
     #[must_use]
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
@@ -76,23 +77,23 @@
         Response::new(status, body.to_string().into_bytes())
     }
 
-    /// An error response that says why.
+    /// An error response with a message for the client.
     #[must_use]
-    pub fn error(status: u16, why: &str) -> Response {
-        Response::new(status, snowshelf_model::protocol::user::error_body(why))
+    pub fn error(status: u16, message: &str) -> Response {
+        Response::new(status, snowshelf_model::protocol::user::error_body(message))
     }
 
-    /// An error response to a request that cannot be served now, with when to retry.
+    /// An error response to a request that cannot be served now, with the seconds after which to retry.
     #[must_use]
-    pub fn later(status: u16, why: &str, after_s: u64) -> Response {
+    pub fn retry_later(status: u16, message: &str, retry_after_s: u64) -> Response {
         Response {
-            retry_after_s: Some(after_s.max(1)),
-            ..Response::error(status, why)
+            retry_after_s: Some(retry_after_s.max(1)),
+            ..Response::error(status, message)
         }
     }
 }
 
-/// An HTTP request of a user, a worker or a health check.
+/// An HTTP request of a user, a worker or a probe.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method, in upper case.
@@ -103,33 +104,33 @@
     pub body: Vec<u8>,
 }
 
-/// What happened that the controller must handle.
+/// An event that the transport delivers to the controller.
 #[derive(Debug)]
 pub enum ControllerEvent {
-    /// A request came on this connection, which waits for [`Effect::Respond`].
+    /// A request was received. The connection waits for [`Effect::Respond`].
     Request(ConnectionId, Request),
-    /// An HTTP call has ended.
+    /// An HTTP call has finished.
     CallDone(CallId, CallOutcome),
-    /// The status of another controller, by which nothing is decided that must be safe.
+    /// The status of another controller. No decision that must be safe depends on it.
     PeerStatus(PeerStatus),
-    /// A message of another controller that safety depends on.
+    /// A message of another controller on which safety depends.
     PeerMessage(PeerMessage),
-    /// How many connections this controller has.
+    /// The numbers of this controller's connections, and counts of those refused and closed.
     ConnectionStats(ConnectionStats),
-    /// Time for the periodic work.
+    /// The periodic work is due.
     Tick,
 }
 
-/// What the transport must do.
+/// An action that the transport must execute.
 #[derive(Debug)]
 pub enum Effect {
     /// Respond to a request.
     Respond(ConnectionId, Response),
     /// Call the key-value store, the cloud or a worker.
     Call {
-        /// Names the call in [`ControllerEvent::CallDone`].
+        /// Identifies the call in [`ControllerEvent::CallDone`].
         id: CallId,
-        /// Where it goes.
+        /// The target of the call.
         target: Target,
         /// The HTTP method.
         method: Method,
@@ -137,53 +138,54 @@
         path: String,
         /// The body.
         body: Vec<u8>,
-        /// After this time without a response the call is given up.
+        /// The time after which the call is abandoned if it has no response, in milliseconds.
         timeout_ms: u64,
     },
     /// Send this controller's status to another one.
     PeerStatus(Member, PeerStatus),
-    /// Send a message that safety depends on to another controller.
+    /// Send a message on which safety depends to another controller.
     PeerMessage(Member, PeerMessage),
 }
 
-/// Collects the effects of one event, and tells its time.
+/// Collects the effects of an event, and provides the time of the event and the jitter of retries.
 pub struct Effects {
     rng: SmallRng,
     /// The time of the event, by the monotonic clock.
     pub now: MonotonicMillis,
     /// The time of the event, by the wall clock, in milliseconds since 1970.
     pub wall_ms: u64,
-    last_call: u64,
-    /// The effects so far, in order.
+    last_call_id: u64,
+    /// The effects collected so far, in order of execution.
     pub outputs: Vec<Effect>,
 }
 
 impl Effects {
-    /// No effects yet. The seed only spreads the controllers' retries; nothing else is random.
+    /// An empty collection. `seed` determines the jitter of retries, the only use of randomness.
     #[must_use]
     pub fn new(seed: u64) -> Effects {
         Effects {
             rng: SmallRng::seed_from_u64(seed),
             now: MonotonicMillis(0),
             wall_ms: 0,
-            last_call: 0,
+            last_call_id: 0,
             outputs: Vec::new(),
         }
     }
 
-    /// When to retry after so many failures in a row: exponential backoff from `first_ms`, with a jitter of half the
-    /// pause each way, so that controllers do not retry in step.
+    /// The time of the next retry after a number of consecutive failures: exponential backoff from
+    /// `initial_ms`, with a jitter of up to half the pause in each direction, so that controllers do not retry
+    /// at the same time.
     #[must_use]
-    pub fn retry_at(&mut self, first_ms: u64, failures: u32) -> MonotonicMillis {
-        let doubled_ms = first_ms << failures.min(MAX_RETRY_DOUBLINGS);
-        let pause_ms = doubled_ms.min(MAX_RETRY_PAUSE_MS.max(first_ms));
+    pub fn retry_at(&mut self, initial_ms: u64, failures: u32) -> MonotonicMillis {
+        let doubled_ms = initial_ms << failures.min(MAX_RETRY_DOUBLINGS);
+        let pause_ms = doubled_ms.min(MAX_RETRY_PAUSE_MS.max(initial_ms));
         let jittered_ms = self
             .rng
             .random_range(pause_ms / 2..=pause_ms + pause_ms / 2);
         self.now.plus(jittered_ms)
     }
 
-    /// Makes an HTTP call; its outcome comes as [`ControllerEvent::CallDone`].
+    /// Requests an HTTP call. Its outcome is delivered as [`ControllerEvent::CallDone`].
     pub fn call(
         &mut self,
         target: Target,
@@ -192,8 +194,8 @@
         body: Vec<u8>,
         timeout_ms: u64,
     ) -> CallId {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
         self.outputs.push(Effect::Call {
             id,
             target,
@@ -206,7 +208,7 @@
     }
 
     /// Responds to a request.
-    pub fn respond(&mut self, conn: ConnectionId, response: Response) {
-        self.outputs.push(Effect::Respond(conn, response));
+    pub fn respond(&mut self, connection: ConnectionId, response: Response) {
+        self.outputs.push(Effect::Respond(connection, response));
     }
 }
--- a/src/transport/event_loop/clients.rs
+++ b/src/transport/event_loop/clients.rs
@@ -1,37 +1,37 @@
-//! Connections of workers, users and probes: their admission, their requests and responses, and when they are closed.
+//! Connections of workers, users and probes: admission, requests and responses, and closing.
 
 use super::{SocketId, Transport};
 use crate::effects::{ControllerEvent, Response};
 use crate::transport::http::{self, Parsed};
-use crate::transport::socket::{READ_CHUNK_BYTES, ReadEnd, Socket};
+use crate::transport::socket::{READ_CHUNK_BYTES, ReadStatus, Socket};
 use calloop::RegistrationToken;
 use snowshelf_connections::limits::RETAINED_BUFFER_BYTES;
 use snowshelf_connections::table::{Admission, ClientKind};
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis};
 use std::net::{TcpListener, TcpStream};
 
-/// Connections that are unused for longer are closed, in milliseconds.
+/// Time without activity after which a connection is closed, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 60_000;
-/// Connections on which a partial request makes no progress for longer are closed, in milliseconds.
+/// Time without progress of a partial request after which its connection is closed, in milliseconds.
 const PARTIAL_REQUEST_TIMEOUT_MS: u64 = 10_000;
-/// When a client whose partial request was aborted may retry, in seconds.
+/// Seconds after which a client may retry whose partial request was aborted.
 const ABORTED_RETRY_AFTER_S: u64 = 2;
-/// Connections accepted at once: other work goes on in between.
+/// Most connections accepted in one callback, so that accepting does not delay other events.
 const ACCEPT_BATCH: usize = 64;
-/// Most bytes received and not consumed: a request of the largest size, and the start of the next.
+/// Most bytes received and not consumed: the largest request, and the start of the next one.
 const MAX_INPUT_BYTES: usize =
     http::MAX_HEAD_BYTES + http::MAX_REQUEST_BODY_BYTES + READ_CHUNK_BYTES;
 
-/// A connection that a client has opened.
+/// A connection opened by a client.
 pub(super) struct ClientConnection {
     socket: Socket,
     registration: RegistrationToken,
-    /// The request that awaits the controller's response.
+    /// The request that awaits the controller's response; at most one per connection.
     request: Option<ConnectionId>,
-    /// Whether it is to be closed after the response.
+    /// Whether to close the connection after the response.
     close: bool,
     last_active_at: MonotonicMillis,
-    /// Bytes of a partially received request.
+    /// Bytes of this connection that are counted in the transport's `partial_bytes`.
     partial_bytes: usize,
 }
 
@@ -54,17 +54,17 @@
             match self.connections.admit(id, self.now()) {
                 Admission::Admitted => {}
                 Admission::Replaces(other) => self.drop_client(other),
-                // Closed at once, so that the client can try another controller.
+                // Dropping the stream closes it at once, so that the client can try another controller.
                 Admission::Refused => continue,
             }
-            if !self.add_client(id, stream) {
+            if !self.register_client(id, stream) {
                 self.connections.remove(id);
             }
         }
     }
 
-    /// Registers an admitted connection; false if that fails.
-    fn add_client(&mut self, id: SocketId, stream: TcpStream) -> bool {
+    /// Registers an admitted connection with the event loop. Returns false if that fails.
+    fn register_client(&mut self, id: SocketId, stream: TcpStream) -> bool {
         let Ok(socket) = Socket::new(stream, false) else {
             return false;
         };
@@ -94,16 +94,16 @@
             self.drop_client(id);
             return;
         }
-        if client.socket.receive(MAX_INPUT_BYTES) != ReadEnd::Open {
-            // A client that has closed awaits no response.
+        if client.socket.receive(MAX_INPUT_BYTES) != ReadStatus::Open {
+            // A client that has closed the connection does not wait for a response.
             self.drop_client(id);
             return;
         }
-        self.next_request(id);
+        self.dispatch_next_request(id);
     }
 
-    /// Hands the next request on a connection to the controller, unless one awaits its response.
-    fn next_request(&mut self, id: SocketId) {
+    /// Passes the next request on a connection to the controller, unless an earlier one awaits its response.
+    fn dispatch_next_request(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -111,7 +111,7 @@
             return;
         }
         match http::parse_request(&client.socket.input) {
-            Parsed::Partial => self.await_rest(id),
+            Parsed::Partial => self.track_partial_request(id),
             Parsed::Complete {
                 message: request,
                 consumed,
@@ -135,8 +135,9 @@
         }
     }
 
-    /// Accounts for a partial request, and aborts it if the partial requests together take too much memory.
-    fn await_rest(&mut self, id: SocketId) {
+    /// Accounts for the memory of a partial request. Aborts the request if all partial requests together
+    /// exceed the limit.
+    fn track_partial_request(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -144,23 +145,24 @@
         self.partial_bytes = self.partial_bytes + received - client.partial_bytes;
         client.partial_bytes = received;
         if self.connections.aborts_partial(self.partial_bytes) {
-            let response = Response::later(503, "too much is underway", ABORTED_RETRY_AFTER_S);
+            let response =
+                Response::retry_later(503, "too much is underway", ABORTED_RETRY_AFTER_S);
             self.respond_and_close(id, &response);
         }
     }
 
-    /// Responds to a request that the controller has not seen, and closes the connection.
+    /// Responds to a request that was not passed to the controller, and closes the connection.
     fn respond_and_close(&mut self, id: SocketId, response: &Response) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.close = true;
             client.socket.input = Vec::new();
             self.partial_bytes -= std::mem::take(&mut client.partial_bytes);
             http::write_response(&mut client.socket.output, response, true);
-            self.finish_write(id);
+            self.flush_client(id);
         }
     }
 
-    /// Sends the controller's response to a request; ignored if the client has gone.
+    /// Sends the controller's response to a request. Does nothing if the client has disconnected.
     pub(super) fn respond(&mut self, request: ConnectionId, response: &Response) {
         let now = self.now();
         let Some(id) = self.awaiting_response.remove(&request) else {
@@ -174,20 +176,20 @@
         self.connections.request_finished(id, now);
         http::write_response(&mut client.socket.output, response, client.close);
         let pipelined = !client.socket.input.is_empty();
-        self.finish_write(id);
+        self.flush_client(id);
         if pipelined {
             self.handle
-                .insert_idle(move |transport| transport.next_request(id));
+                .insert_idle(move |transport| transport.dispatch_next_request(id));
         }
     }
 
-    fn finish_write(&mut self, id: SocketId) {
+    fn flush_client(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
         let sent = client.socket.send();
         client.socket.shrink_buffers(RETAINED_BUFFER_BYTES);
-        let finished = client.close && client.socket.flushed() && client.request.is_none();
+        let finished = client.close && client.socket.is_flushed() && client.request.is_none();
         if !sent || finished {
             self.drop_client(id);
         }
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Closes connections that are unused, or whose partial request makes no progress.
+    /// Closes connections that are idle, or whose partial request makes no progress.
     pub(super) fn close_idle_clients(&mut self, now: MonotonicMillis) {
         let idle: Vec<SocketId> = self
             .clients
--- a/src/transport/event_loop/mod.rs
+++ b/src/transport/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: client connections, outgoing calls and peer links around one controller, in one thread.
+//! The single-threaded event loop: a controller with its client connections, outgoing calls and peer links.
 
 mod clients;
 mod outgoing;
@@ -23,14 +23,14 @@
 use std::net::{SocketAddrV4, TcpListener};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often idle connections are looked for and the statistics are updated, in milliseconds.
+/// Time between two sweeps, which close idle connections and update the statistics, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 1_000;
-/// The least time between two log lines on refused and closed connections, in milliseconds.
+/// Shortest time between two log lines on refused and closed connections, in milliseconds.
 const STATS_LOG_INTERVAL_MS: u64 = 5_000;
-/// Bytes in a megabyte, as the settings count them.
+/// Bytes in a megabyte of the settings.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// Why the event loop could not start or go on.
+/// Why the event loop could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
     /// A socket could not be opened or listened on.
@@ -41,23 +41,23 @@
     EventLoop(#[from] calloop::Error),
 }
 
-/// The number of an open socket of this process, whatever it is used for.
+/// Identifies an open socket of this process: a client, outgoing or peer connection.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct SocketId(u64);
 
-/// The controller and everything that it is connected to; the state that the event loop's callbacks share.
+/// The state shared by the event loop's callbacks: the controller and its connections.
 struct Transport {
     handle: LoopHandle<'static, Transport>,
     controller: Controller,
     started: Instant,
-    /// The last number given to a socket or a request.
+    /// The last id assigned to a socket or a request.
     last_id: u64,
     clients: HashMap<SocketId, ClientConnection>,
     /// The sockets of the requests that await the controller's response.
     awaiting_response: HashMap<ConnectionId, SocketId>,
     outgoing: HashMap<SocketId, OutgoingConnection>,
     calls: HashMap<CallId, PendingCall>,
-    /// Calls that wait for a free connection, by target.
+    /// Calls that wait for a free connection, by target, oldest first.
     queued_calls: HashMap<Target, VecDeque<CallId>>,
     peer_links: HashMap<Member, PeerLink>,
     peer_connections: HashMap<SocketId, PeerConnection>,
@@ -65,17 +65,17 @@
     cloud_address: SocketAddrV4,
     limits: ConnectionLimits,
     connections: ConnectionTable<SocketId>,
-    /// Bytes of partially received requests.
+    /// Total bytes of partially received requests.
     partial_bytes: usize,
-    /// The statistics that were last logged, and when.
+    /// The statistics in the last log line.
     logged_stats: ConnectionStats,
     stats_logged_at: MonotonicMillis,
     swept_at: MonotonicMillis,
-    /// Events that the controller has not handled yet.
+    /// Events that the controller has not handled yet, oldest first.
     events: VecDeque<ControllerEvent>,
 }
 
-/// Runs a controller; returns only on an error from which it cannot recover.
+/// Runs a controller. Returns only on an unrecoverable error.
 pub fn run(settings: Settings, operator: OperatorSettings) -> Result<(), TransportError> {
     let mut event_loop: EventLoop<'static, Transport> = EventLoop::try_new()?;
     let handle = event_loop.handle();
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// Listens on an address; `accept` takes the new connections.
+/// Listens on an address; `accept` is called while connections wait to be accepted.
 fn listen(
     handle: &LoopHandle<'static, Transport>,
     address: SocketAddrV4,
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// Has the controller do its regular work every `TICK_MS`.
+/// Schedules the controller's periodic work every `TICK_MS`.
 fn schedule_ticks(handle: &LoopHandle<'static, Transport>) -> Result<(), TransportError> {
     let interval = Duration::from_millis(TICK_MS);
     handle
@@ -136,7 +136,7 @@
         let peer_links = settings
             .peers
             .iter()
-            .map(|peer| (Member::new(&peer.member), PeerLink::to(peer.address)))
+            .map(|peer| (Member::new(&peer.member), PeerLink::new(peer.address)))
             .collect();
         Transport {
             handle,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The time since the start; never 0, which stands for "never".
+    /// The time since the start of the process. Starts at 1, because 0 means "never".
     fn now(&self) -> MonotonicMillis {
         MonotonicMillis(self.started.elapsed().as_millis() as u64 + 1)
     }
@@ -172,7 +172,7 @@
         SocketId(self.last_id)
     }
 
-    /// Hands an event to the controller and executes its effects, until no event is left.
+    /// Queues an event, then handles the queued events and executes their effects until the queue is empty.
     fn handle_event(&mut self, event: ControllerEvent) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Has the event loop call `on_ready` whenever the socket can be read or written.
+    /// Registers a socket with the event loop, which calls `on_ready` whenever the socket becomes readable
+    /// or writable. Returns `None` if the registration fails.
     fn register(
         &mut self,
         socket: &Socket,
@@ -248,7 +249,8 @@
         }
     }
 
-    /// Passes the statistics on to the controller, which serves them to operators, and logs them now and then.
+    /// Passes the statistics to the controller, which serves them to operators. Logs them if they have
+    /// changed, at most once per `STATS_LOG_INTERVAL_MS`.
     fn update_stats(&mut self, now: MonotonicMillis) {
         let stats = self.connections.stats();
         let counters = |stats: &ConnectionStats| {
--- a/src/transport/event_loop/outgoing.rs
+++ b/src/transport/event_loop/outgoing.rs
@@ -1,44 +1,45 @@
-//! Calls to the key-value store, the cloud and single workers, and the connections that they use.
+//! Calls to the key-value store, the cloud and individual workers, and the pool of connections for them.
 
 use super::{SocketId, Transport};
 use crate::effects::{CallOutcome, ControllerEvent, Target};
 use crate::transport::http::{self, Parsed};
-use crate::transport::socket::{ReadEnd, Socket};
+use crate::transport::socket::{ReadStatus, Socket};
 use calloop::RegistrationToken;
 use snowshelf_model::ids::{CallId, MonotonicMillis};
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// Outgoing connections that are unused for longer are closed, in milliseconds.
+/// Time without a call after which an outgoing connection is closed, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 30_000;
-/// Connections to the key-value store at a time: watches, a write for each shard, reads and polls.
+/// Most connections to the key-value store: for watches, one write per shard, reads and polls.
 const MAX_KV_CONNECTIONS: usize = 16;
-/// Connections to the cloud, and to any one worker, at a time.
+/// Most connections to the cloud, and to each worker.
 const MAX_OTHER_CONNECTIONS: usize = 4;
-/// Workers that are called at a time: one, and earlier ones that did not answer.
+/// Workers called at a time: the current one, and earlier ones that did not respond. Not enforced; only counted
+/// in `MAX_OUTGOING_CONNECTIONS`.
 const MAX_CALLED_WORKERS: usize = 4;
-/// All connections that this process opens itself, except those to other controllers.
+/// Connections reserved for those that this process opens, except to other controllers.
 pub(super) const MAX_OUTGOING_CONNECTIONS: usize =
     MAX_KV_CONNECTIONS + MAX_OTHER_CONNECTIONS + MAX_CALLED_WORKERS;
-/// Receive buffers of more bytes are freed after a response.
+/// Capacity in bytes above which a receive buffer is freed after a response.
 const RETAINED_INPUT_BYTES: usize = 64 * 1024;
 
-/// A connection to an outside service; one call at a time uses it.
+/// A connection to an external service or a worker, used by one call at a time.
 pub(super) struct OutgoingConnection {
     socket: Socket,
     registration: RegistrationToken,
     target: Target,
-    /// The call whose response is awaited on it.
+    /// The call that uses the connection; `None` if it is idle.
     call: Option<CallId>,
     idle_since: MonotonicMillis,
 }
 
-/// A call that has not ended.
+/// A call that is queued or awaits its response.
 pub(super) struct PendingCall {
-    /// The request, until a connection takes it over.
+    /// The serialized request; empty once it has moved to the connection's output.
     request: Vec<u8>,
     deadline: MonotonicMillis,
-    /// The connection that it uses, once it has one.
+    /// The connection that the call uses; `None` while it is queued.
     socket: Option<SocketId>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Starts the queued calls of a target, as far as it has connections for them.
+    /// Starts queued calls to a target while it has an idle connection or may open another one.
     pub(super) fn start_calls(&mut self, target: Target) {
         loop {
             let queue = self.queued_calls.get_mut(&target);
@@ -144,27 +145,27 @@
             self.drop_outgoing(id);
             return;
         }
-        let end = connection
+        let read_status = connection
             .socket
             .receive(http::MAX_RESPONSE_BODY_BYTES + http::MAX_HEAD_BYTES);
         match connection.call {
-            Some(call) => self.receive_response(id, call, end),
-            // Nothing is expected on an idle connection.
-            None if end != ReadEnd::Open || !connection.socket.input.is_empty() => {
+            Some(call) => self.receive_response(id, call, read_status),
+            // Data or a close on an idle connection makes it unusable.
+            None if read_status != ReadStatus::Open || !connection.socket.input.is_empty() => {
                 self.drop_outgoing(id);
             }
             None => {}
         }
     }
 
-    /// Ends a call if its response is complete, or cannot be completed any more.
-    fn receive_response(&mut self, id: SocketId, call: CallId, end: ReadEnd) {
+    /// Finishes a call if its response is complete, or if it can no longer be completed.
+    fn receive_response(&mut self, id: SocketId, call: CallId, read_status: ReadStatus) {
         let now = self.now();
         let Some(connection) = self.outgoing.get_mut(&id) else {
             return;
         };
         let socket = &mut connection.socket;
-        match http::parse_response(&socket.input, end == ReadEnd::Closed) {
+        match http::parse_response(&socket.input, read_status == ReadStatus::Closed) {
             Parsed::Complete {
                 message: response,
                 consumed,
@@ -174,7 +175,7 @@
                 connection.call = None;
                 connection.idle_since = now;
                 let target = connection.target;
-                let unusable = close || end != ReadEnd::Open || !socket.input.is_empty();
+                let unusable = close || read_status != ReadStatus::Open || !socket.input.is_empty();
                 if socket.input.capacity() > RETAINED_INPUT_BYTES {
                     socket.input = Vec::new();
                 }
@@ -188,12 +189,12 @@
                 self.finish_call(call, outcome);
                 self.start_calls(target);
             }
-            Parsed::Partial if end == ReadEnd::Open => {}
+            Parsed::Partial if read_status == ReadStatus::Open => {}
             Parsed::Partial | Parsed::Invalid(_) => self.drop_outgoing(id),
         }
     }
 
-    /// Closes an outgoing connection; the call on it, if any, ends without a response.
+    /// Closes an outgoing connection. The call on it, if any, finishes without a response.
     fn drop_outgoing(&mut self, id: SocketId) {
         let Some(connection) = self.outgoing.remove(&id) else {
             return;
@@ -212,21 +213,21 @@
 
     fn finish_call(&mut self, id: CallId, outcome: CallOutcome) {
         if self.calls.remove(&id).is_some() {
-            // Queued, since this may run while the controller's effects are being executed.
+            // The event is queued, because this may run while the effects of another event are being executed.
             self.events
                 .push_back(ControllerEvent::CallDone(id, outcome));
         }
     }
 
-    /// Ends the calls whose deadline has passed.
+    /// Finishes the calls whose deadline has passed.
     pub(super) fn time_out_calls(&mut self, now: MonotonicMillis) {
-        let late: Vec<CallId> = self
+        let expired: Vec<CallId> = self
             .calls
             .iter()
             .filter(|(_, call)| call.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             match self.calls.get(&id).and_then(|call| call.socket) {
                 Some(socket) => self.drop_outgoing(socket),
                 None => self.finish_call(id, CallOutcome::NotSent),
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Closes outgoing connections that are unused, and starts queued calls.
+    /// Closes idle outgoing connections, and starts queued calls.
     pub(super) fn close_idle_outgoing(&mut self, now: MonotonicMillis) {
         let idle: Vec<SocketId> = self
             .outgoing
--- a/src/transport/event_loop/peers.rs
+++ b/src/transport/event_loop/peers.rs
@@ -1,43 +1,44 @@
-//! Links to and from the other controllers: length-delimited messages, each direction over a connection of its own.
+//! Links between controllers: length-delimited messages, with a separate connection for each direction.
 
 use super::{SocketId, Transport};
 use crate::effects::ControllerEvent;
-use crate::transport::socket::{ReadEnd, Socket};
+use crate::transport::socket::{ReadStatus, Socket};
 use calloop::RegistrationToken;
 use prost::Message;
 use snowshelf_model::ids::{Member, MonotonicMillis};
 use snowshelf_model::protocol::peer::{MAX_FRAME, PeerMessage, PeerStatus};
 use std::net::{SocketAddrV4, TcpListener};
 
-/// A link with more unsent bytes is closed: a late status is of no use, and messages are repeated.
-const MAX_BACKLOG_BYTES: usize = MAX_FRAME;
-/// Most bytes of a length prefix.
+/// Unsent bytes above which a link is closed: a late status is useless, and messages are sent again.
+const MAX_UNSENT_BYTES: usize = MAX_FRAME;
+/// Most bytes of a frame's length prefix.
 const MAX_LENGTH_PREFIX_BYTES: usize = 10;
-/// Connections accepted at once: other work goes on in between.
+/// Most connections accepted in one callback, so that accepting does not delay other events.
 const ACCEPT_BATCH: usize = 16;
-/// The least time between two attempts to connect to a peer, in milliseconds.
+/// Shortest time between two attempts to connect to a peer, in milliseconds.
 const RECONNECT_INTERVAL_MS: u64 = 1_000;
-/// A connection that is not established within this time is given up, in milliseconds.
+/// Time after which an attempt to connect to a peer is abandoned, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 3_000;
-/// Most bytes buffered of what a peer sends on a link that only this controller writes to.
+/// Most bytes buffered that a peer sends on an outgoing link, on which it is expected to send nothing.
 const MAX_UNEXPECTED_BYTES: usize = 1024;
 
-/// The way to one other controller: the connection over which this controller sends its messages.
+/// The outgoing link to another controller, over which this controller sends its messages.
 pub(super) struct PeerLink {
     address: SocketAddrV4,
+    /// `None` while the link is down.
     socket: Option<PeerSocket>,
     retry_at: MonotonicMillis,
     connecting_since: MonotonicMillis,
 }
 
-/// An open connection of a link.
+/// The connection of an outgoing link, established or connecting.
 struct PeerSocket {
     id: SocketId,
     socket: Socket,
     registration: RegistrationToken,
 }
 
-/// A connection that another controller has opened, over which it sends its messages.
+/// A connection opened by another controller, over which it sends its messages.
 pub(super) struct PeerConnection {
     last_active_at: MonotonicMillis,
     socket: Socket,
@@ -46,7 +47,7 @@
 
 impl PeerLink {
     /// A link that is not connected yet.
-    pub(super) fn to(address: SocketAddrV4) -> PeerLink {
+    pub(super) fn new(address: SocketAddrV4) -> PeerLink {
         PeerLink {
             address,
             socket: None,
@@ -56,14 +57,14 @@
     }
 }
 
-/// What was decoded of the bytes received from a peer.
+/// The result of decoding the bytes received from a peer.
 struct DecodedFrames {
     events: Vec<ControllerEvent>,
-    /// Whether all of it could be decoded; otherwise the connection is of no more use.
+    /// Whether all complete frames could be decoded. If not, the connection must be closed.
     valid: bool,
 }
 
-/// Takes the complete frames off the bytes received and decodes them.
+/// Removes the complete frames from the bytes received and decodes them.
 fn decode_frames(input: &mut Vec<u8>) -> DecodedFrames {
     let mut events = Vec::new();
     let mut valid = true;
@@ -82,14 +83,15 @@
         }
         let consumed = input.len() - rest.len() + size;
         let frame = &rest[..size];
-        // Both kinds share the link, and their tags differ: a frame of the other kind decodes to the default.
+        // Both message types share the link and have distinct tags, so a frame of one type decodes to the
+        // default value of the other.
         match (PeerMessage::decode(frame), PeerStatus::decode(frame)) {
             (Ok(message), _) if message != PeerMessage::default() => {
                 events.push(ControllerEvent::PeerMessage(message));
             }
             (_, Ok(status)) => events.push(ControllerEvent::PeerStatus(status)),
             (_, Err(error)) => {
-                tracing::info!(%error, "peer message unreadable");
+                tracing::info!(%error, "peer message could not be decoded");
                 valid = false;
             }
         }
@@ -104,7 +106,7 @@
             let Ok((stream, _)) = listener.accept() else {
                 return;
             };
-            self.make_room_for_peer();
+            self.close_oldest_peer_if_full();
             let Ok(socket) = Socket::new(stream, false) else {
                 continue;
             };
@@ -121,9 +123,9 @@
         }
     }
 
-    /// Closes the longest inactive connection if there are too many: those of processes that have ended without
-    /// closing them must not keep a new one out.
-    fn make_room_for_peer(&mut self) {
+    /// Closes the connection that has been inactive longest if the limit is reached, so that connections left
+    /// open by processes that have ended cannot block a new one.
+    fn close_oldest_peer_if_full(&mut self) {
         if self.peer_connections.len() < self.limits.max_peers {
             return;
         }
@@ -141,9 +143,9 @@
             return;
         };
         connection.last_active_at = now;
-        let end = connection.socket.receive(2 * MAX_FRAME);
+        let read_status = connection.socket.receive(2 * MAX_FRAME);
         let frames = decode_frames(&mut connection.socket.input);
-        if end != ReadEnd::Open || !frames.valid {
+        if read_status != ReadStatus::Open || !frames.valid {
             self.drop_peer_connection(id);
         }
         for event in frames.events {
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Sends a message to another controller if the link to it is up; connects it otherwise.
+    /// Sends a message to another controller. Starts to connect the link if it is down; the message is dropped
+    /// unless the link is established.
     pub(super) fn send_to_peer(
         &mut self,
         member: &Member,
@@ -171,9 +174,10 @@
         let Some(PeerSocket { socket, .. }) = &mut link.socket else {
             return;
         };
-        // A silent peer is connected to anew: its machine may have restarted without closing the connection.
-        let stuck = socket.connecting && now.since(link.connecting_since) > CONNECT_TIMEOUT_MS;
-        if stuck || socket.backlog() > MAX_BACKLOG_BYTES {
+        // Reconnects to an unresponsive peer, whose machine may have restarted without closing the connection.
+        let connect_timed_out =
+            socket.connecting && now.since(link.connecting_since) > CONNECT_TIMEOUT_MS;
+        if connect_timed_out || socket.unsent_bytes() > MAX_UNSENT_BYTES {
             self.disconnect_peer(member);
             return;
         }
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Starts to connect a link that is down, unless it was tried just before.
+    /// Starts to connect a link that is down, at most once per `RECONNECT_INTERVAL_MS`.
     fn connect_peer(&mut self, member: &Member, now: MonotonicMillis) {
         let Some(link) = self.peer_links.get_mut(member) else {
             return;
@@ -232,7 +236,7 @@
         };
         let usable = match socket.finish_connect() {
             Ok(false) => return,
-            Ok(true) => socket.send() && socket.receive(MAX_UNEXPECTED_BYTES) == ReadEnd::Open,
+            Ok(true) => socket.send() && socket.receive(MAX_UNEXPECTED_BYTES) == ReadStatus::Open,
             Err(_) => false,
         };
         if !usable && let Some(closed) = peer_socket.take() {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,17 +1,17 @@
-//! Parsing and writing of HTTP/1.1 messages, over `httparse`.
+//! Parses and serializes HTTP/1.1 messages, based on `httparse`.
 
 use crate::effects::{Method, Request, Response};
 use std::net::SocketAddrV4;
 
-/// Most bytes of the head of a message.
+/// Most bytes of the head of a message (start line and header fields).
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Most bytes of the body of a request.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of the body of a response that an outside service may send.
+/// Most bytes of the body of a response from an external service or a worker.
 pub const MAX_RESPONSE_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// Most header fields of a message.
 const MAX_HEADERS: usize = 48;
-/// The end of a line and of a chunk.
+/// The delimiter of lines and of chunks.
 const CRLF: &[u8] = b"\r\n";
 
 /// The result of parsing the bytes received on a connection.
@@ -24,35 +24,35 @@
     Complete {
         /// The message.
         message: T,
-        /// The bytes that it took.
+        /// The number of bytes that the message occupied.
         consumed: usize,
-        /// Whether the connection is to be closed after it.
+        /// Whether the connection must be closed after the message.
         close: bool,
     },
-    /// The message is malformed or too large: the status to respond with. The connection is to be closed.
+    /// The message is malformed or too large; holds the status to respond with. The connection must be closed.
     Invalid(u16),
 }
 
-/// A response of an outside service.
+/// A response of an external service or a worker.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ReceivedResponse {
     /// The status code.
     pub status: u16,
-    /// The body, without its transfer coding.
+    /// The body, with its transfer coding removed.
     pub body: Vec<u8>,
 }
 
-/// A message that breaks the syntax of HTTP, or is larger than allowed.
+/// The message violates the syntax of HTTP or is larger than allowed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("malformed HTTP message")]
 struct MalformedMessage;
 
-/// How the end of a response's body is found.
-
+/// How the end of a response's body is determined.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Framing {
     Length(usize),
     Chunked,
+    /// The body ends when the server closes the connection.
     UntilClose,
 }
 
@@ -63,7 +63,7 @@
         .map(|header| header.value)
 }
 
-/// Whether a header with a comma-separated list has this item.
+/// Whether a header field with a comma-separated list contains an item.
 fn header_lists(headers: &[httparse::Header<'_>], name: &str, item: &str) -> bool {
     header_value(headers, name)
         .and_then(|value| std::str::from_utf8(value).ok())
@@ -74,7 +74,7 @@
         })
 }
 
-/// The `Content-Length`, if any; an error if it is no number, or given twice with different values.
+/// The `Content-Length`, if present; an error if it is not a number, or is repeated with different values.
 fn content_length(headers: &[httparse::Header<'_>]) -> Result<Option<usize>, MalformedMessage> {
     let mut found = None;
     for header in headers {
@@ -95,7 +95,7 @@
     Ok(found)
 }
 
-/// Parses a request from the start of the bytes received.
+/// Parses a request at the start of the bytes received.
 pub fn parse_request(received: &[u8]) -> Parsed<Request> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -137,8 +137,9 @@
     }
 }
 
-/// Parses a response from the start of the bytes received; `ended`: the other side has closed the connection.
-pub fn parse_response(received: &[u8], ended: bool) -> Parsed<ReceivedResponse> {
+/// Parses a response at the start of the bytes received. `closed` says whether the other side has closed the
+/// connection.
+pub fn parse_response(received: &[u8], closed: bool) -> Parsed<ReceivedResponse> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_size = match head.parse(received) {
@@ -171,7 +172,7 @@
         Framing::Length(length) if length > MAX_RESPONSE_BODY_BYTES => Parsed::Invalid(502),
         Framing::Length(length) if rest.len() < length => Parsed::Partial,
         Framing::Length(length) => complete(rest[..length].to_vec(), length, close),
-        Framing::UntilClose if ended => complete(rest.to_vec(), rest.len(), true),
+        Framing::UntilClose if closed => complete(rest.to_vec(), rest.len(), true),
         Framing::UntilClose => Parsed::Partial,
         Framing::Chunked => match decode_chunks(rest) {
             Ok(Some(chunked)) => complete(chunked.body, chunked.consumed, close),
@@ -181,10 +182,10 @@
     }
 }
 
-/// A body in the chunked transfer coding, decoded.
+/// A body decoded from the chunked transfer coding.
 struct ChunkedBody {
     body: Vec<u8>,
-    /// The bytes that its encoded form took.
+    /// The number of bytes of the encoded body.
     consumed: usize,
 }
 
@@ -219,7 +220,7 @@
     }
 }
 
-/// The reason phrase of a status that this program responds with.
+/// The reason phrase of a status code that this process responds with.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -238,7 +239,8 @@
     }
 }
 
-/// Appends a response to `output`; `close` says in its head that the connection ends with it.
+/// Appends a serialized response to `output`. With `close`, its head announces that the connection is closed
+/// after it.
 pub fn write_response(output: &mut Vec<u8>, response: &Response, close: bool) {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
@@ -257,7 +259,7 @@
     output.extend_from_slice(&response.body);
 }
 
-/// The bytes of a request.
+/// Serializes a request. Only a POST request has the body.
 #[must_use]
 pub fn write_request(method: Method, path: &str, host: SocketAddrV4, body: &[u8]) -> Vec<u8> {
     let head = match method {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, HTTP and the event loop around one controller. Nothing here decides anything about jobs or machines.
+//! Sockets, HTTP, and the event loop that drives a controller. Contains no decisions about jobs or machines.
 
 pub mod event_loop;
 pub mod http;
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,39 +1,39 @@
-//! A non-blocking TCP connection with its buffers, made for edge-triggered readiness.
+//! A non-blocking TCP connection with its buffers, for edge-triggered readiness events.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpStream};
 use std::rc::Rc;
 
-/// Bytes received by one system call at the most.
+/// Most bytes received by one system call.
 pub const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A non-blocking connection and what is buffered on it.
+/// A non-blocking connection with its receive and send buffers.
 pub struct Socket {
-    /// The stream, shared with the event loop that watches it.
+    /// The stream, shared with the event loop, which polls it for readiness.
     pub stream: Rc<TcpStream>,
-    /// Bytes received and not consumed yet.
+    /// Bytes received but not consumed yet.
     pub input: Vec<u8>,
-    /// Bytes to send; the first `sent` of them have been sent.
+    /// Bytes to send, of which the first `sent` have been sent already.
     pub output: Vec<u8>,
     sent: usize,
-    /// Whether the connection is not established yet.
+    /// Whether the connection is still being established.
     pub connecting: bool,
 }
 
-/// The state of a connection after all available bytes were received.
+/// The state of a connection after all available bytes have been received.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ReadEnd {
-    /// More may follow.
+pub enum ReadStatus {
+    /// The connection is open; more bytes may follow.
     Open,
-    /// The other side has closed it.
+    /// The other side has closed the connection.
     Closed,
-    /// It failed, or more was received than allowed.
+    /// The connection failed, or more bytes than allowed were received.
     Failed,
 }
 
 impl Socket {
-    /// Makes an accepted or connected stream non-blocking.
+    /// Wraps an accepted or connected stream and makes it non-blocking.
     pub fn new(stream: TcpStream, connecting: bool) -> std::io::Result<Socket> {
         stream.set_nonblocking(true)?;
         let _ = stream.set_nodelay(true);
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Starts to connect, without waiting for the connection to be established.
+    /// Starts to connect to an address without waiting for the connection to be established.
     pub fn connect(address: SocketAddrV4) -> std::io::Result<Socket> {
         use socket2::{Domain, Protocol, Type};
         let socket = socket2::Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether a connection that was started is established now; an error if it failed.
+    /// Whether the connection is established by now; an error if connecting failed.
     pub fn finish_connect(&mut self) -> std::io::Result<bool> {
         if !self.connecting {
             return Ok(true);
@@ -81,24 +81,24 @@
         }
     }
 
-    /// Receives all available bytes, until more than `max_bytes` are buffered.
-    pub fn receive(&mut self, max_bytes: usize) -> ReadEnd {
+    /// Receives all available bytes. Fails if more than `max_bytes` are buffered.
+    pub fn receive(&mut self, max_bytes: usize) -> ReadStatus {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             if self.input.len() > max_bytes {
-                return ReadEnd::Failed;
+                return ReadStatus::Failed;
             }
             match (&*self.stream).read(&mut chunk) {
-                Ok(0) => return ReadEnd::Closed,
+                Ok(0) => return ReadStatus::Closed,
                 Ok(size) => self.input.extend_from_slice(&chunk[..size]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadEnd::Open,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStatus::Open,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return ReadEnd::Failed,
+                Err(_) => return ReadStatus::Failed,
             }
         }
     }
 
-    /// Sends what the kernel takes of the output; false if the connection failed.
+    /// Sends as much of the output as the kernel accepts. Returns false if the connection failed.
     #[must_use]
     pub fn send(&mut self) -> bool {
         if self.connecting {
@@ -118,7 +118,8 @@
         true
     }
 
-    /// Frees empty buffers of more than `retained_bytes`: most connections are idle most of the time.
+    /// Frees empty buffers with a capacity of more than `retained_bytes`, because most connections are idle
+    /// most of the time.
     pub fn shrink_buffers(&mut self, retained_bytes: usize) {
         for buffer in [&mut self.input, &mut self.output] {
             if buffer.is_empty() && buffer.capacity() > retained_bytes {
@@ -129,16 +130,16 @@
 
     /// Whether all of the output has been sent.
     #[must_use]
-    pub fn flushed(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.output.is_empty()
     }
 
-    /// Bytes of the output that have not been sent.
+    /// Number of bytes of the output that have not been sent yet.
     #[must_use]
-    pub fn backlog(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.sent
     }
 }
 
-/// Linux's error number for a connection that is being established.
+/// The error number on Linux for a non-blocking connect that is still in progress.
 const EINPROGRESS: i32 = 115;
