--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! snowshelf, a cluster scheduler. `docs/architecture.md` shows how its modules work together, `docs/design.md` why.
+//! snowshelf, a cluster scheduler. `docs/architecture.md` describes how its modules work together, and
+//! `docs/design.md` explains the design decisions.
 
 pub mod coordination;
 pub mod effects;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line; everything else is in the library.
+//! The command line interface. The scheduler itself is in the library.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use snowshelf::operator::{OperatorFile, OperatorSettings, OperatorSettingsError};
@@ -33,23 +33,23 @@
     Check(Files),
     /// Prints a JSON Schema: of the operators' own settings, of a graph, or of a mapping.
     Schema {
-        #[arg(value_enum, default_value_t = Described::Operator)]
-        of: Described,
+        #[arg(value_enum, default_value_t = SchemaKind::Operator)]
+        of: SchemaKind,
     },
     #[command(flatten)]
     Client(Commands),
 }
 
-/// What a schema describes.
+/// The format that a printed JSON Schema describes.
 #[derive(Clone, Copy, ValueEnum)]
-enum Described {
+enum SchemaKind {
     Operator,
     Graph,
     Mapping,
 }
 
-/// Exit code for a wrong command line or settings that are not valid.
-const USAGE_ERROR: u8 = 2;
+/// Exit code for an invalid command line or invalid settings.
+const USAGE_ERROR_EXIT_CODE: u8 = 2;
 
 /// Why the settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
@@ -65,7 +65,7 @@
     Operator(#[from] OperatorSettingsError),
 }
 
-/// All settings of a controller.
+/// The settings of a controller, read from all files.
 struct LoadedSettings {
     settings: Settings,
     operator: OperatorSettings,
@@ -93,8 +93,9 @@
     Ok(LoadedSettings { settings, operator })
 }
 
-/// Logs to standard error, at the level that the environment variable `LOG_LEVEL` names.
-fn start_logging() {
+/// Starts logging to standard error, at the level given by the environment variable `LOG_LEVEL` (`debug` or
+/// `info`; `error` otherwise).
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("info") => tracing::Level::INFO,
@@ -108,17 +109,17 @@
         .init();
 }
 
-fn print_schema(of: Described) {
+fn print_schema(of: SchemaKind) {
     let schema = match of {
-        Described::Operator => OperatorSettings::schema(),
-        Described::Graph => snowshelf_dag::native::schema(),
-        Described::Mapping => snowshelf_dag::mapping::schema(),
+        SchemaKind::Operator => OperatorSettings::schema(),
+        SchemaKind::Graph => snowshelf_dag::native::schema(),
+        SchemaKind::Mapping => snowshelf_dag::mapping::schema(),
     };
     println!("{schema:#}");
 }
 
 fn run_controller(loaded: LoadedSettings) -> ExitCode {
-    start_logging();
+    init_logging();
     match snowshelf::transport::event_loop::run(loaded.settings, loaded.operator) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -139,14 +140,14 @@
         (Some(Command::Check(files)), _) | (None, Some(files)) => files,
         (None, None) => {
             eprintln!("snowshelf: --config FILE is needed; see --help");
-            return ExitCode::from(USAGE_ERROR);
+            return ExitCode::from(USAGE_ERROR_EXIT_CODE);
         }
     };
     let loaded = match load(files) {
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("snowshelf: {}", error.to_string().replace('\n', " "));
-            return ExitCode::from(USAGE_ERROR);
+            return ExitCode::from(USAGE_ERROR_EXIT_CODE);
         }
     };
     if cli.command.is_some() {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operators' own settings: JSON, described by a schema, every field optional. They may be spread over several
-//! files, one for each feature, which are merged.
+//! The operators' own settings: JSON files, validated against a schema, with every field optional. Several files,
+//! for example one per feature, are merged.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -9,38 +9,38 @@
 use snowshelf_model::records::Capability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why operators' settings were not accepted.
+/// Why operators' settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorSettingsError {
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// The schema itself cannot be used.
+    /// The schema itself is invalid.
     #[error("schema: {0}")]
     Schema(#[source] Box<jsonschema::ValidationError<'static>>),
-    /// A value does not meet the schema.
+    /// A value violates the schema.
     #[error("{instance_path}: {reason} (schema {schema_path})")]
     Invalid {
-        /// The place of the value, as a JSON pointer.
+        /// The location of the value, as a JSON pointer.
         instance_path: String,
-        /// What is wrong with it.
+        /// Why the value is rejected.
         reason: String,
-        /// The place in the schema that it does not meet.
+        /// The location of the violated rule in the schema.
         schema_path: String,
     },
-    /// The settings meet the schema but cannot be read.
+    /// The settings conform to the schema but cannot be deserialized.
     #[error(transparent)]
     Unreadable(#[from] serde_json::Error),
-    /// One of several files was not accepted.
+    /// One of several files is rejected.
     #[error("{file}: {error}")]
     InFile {
         /// The name of the file.
         file: String,
-        /// Why it was not accepted.
+        /// Why the file is rejected.
         #[source]
         error: Box<OperatorSettingsError>,
     },
-    /// Two files give a field different values.
+    /// Two files set a field to different values.
     #[error("{field}: {first} and {second} differ")]
     Conflict {
         /// The field, as a JSON pointer.
@@ -55,9 +55,9 @@
 /// A file of operators' settings.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
-    /// Its name, for error messages.
+    /// The name of the file, for error messages.
     pub name: String,
-    /// Its content.
+    /// The content of the file.
     pub text: String,
 }
 
@@ -231,7 +231,7 @@
         serde_json::to_value(schemars::schema_for!(OperatorSettings)).unwrap_or_default()
     }
 
-    /// The features that are switched on here and that every controller must support.
+    /// The enabled features that are used only once every controller supports them.
     #[must_use]
     pub fn capabilities(&self) -> BTreeSet<Capability> {
         let calendar = self.calendar.enabled.then(Capability::calendar);
@@ -240,32 +240,33 @@
         calendar.into_iter().chain(graphs).chain(drains).collect()
     }
 
-    /// Reads one file of settings.
+    /// Parses and validates a single file of settings.
     ///
     /// # Errors
-    /// Names the value and the place in the schema that it does not meet.
+    /// Returns the invalid value and the rule of the schema that it violates.
     pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
-        let value = Self::validated(text)?;
+        let value = Self::parse_validated(text)?;
         Ok(serde_json::from_value(value)?)
     }
 
-    /// Reads several files and merges them.
+    /// Parses and validates several files and merges them.
     ///
     /// # Errors
-    /// Names the file that is not accepted, or the field that two files give different values, and both files.
+    /// Returns the file that is rejected, or the field that two files set to different values, and both files.
     pub fn merge(files: &[OperatorFile]) -> Result<OperatorSettings, OperatorSettingsError> {
         let mut merged = Value::Object(serde_json::Map::default());
-        let mut given: BTreeMap<String, (&OperatorFile, Value)> = BTreeMap::new();
+        let mut seen: BTreeMap<String, (&OperatorFile, Value)> = BTreeMap::new();
         for file in files {
-            let value =
-                Self::validated(&file.text).map_err(|error| OperatorSettingsError::InFile {
+            let value = Self::parse_validated(&file.text).map_err(|error| {
+                OperatorSettingsError::InFile {
                     file: file.name.clone(),
                     error: Box::new(error),
-                })?;
+                }
+            })?;
             let mut fields = Vec::new();
-            flatten("", &value, &mut fields);
+            collect_fields("", &value, &mut fields);
             for (path, value) in fields {
-                if let Some((earlier, other)) = given.get(&path)
+                if let Some((earlier, other)) = seen.get(&path)
                     && *other != value
                 {
                     return Err(OperatorSettingsError::Conflict {
@@ -274,15 +275,15 @@
                         field: path,
                     });
                 }
-                set_at(&mut merged, &path, &value);
-                given.insert(path, (file, value));
+                set_field(&mut merged, &path, &value);
+                seen.insert(path, (file, value));
             }
         }
         Ok(serde_json::from_value(merged)?)
     }
 
-    /// The JSON value of a file that meets the schema.
-    fn validated(text: &str) -> Result<Value, OperatorSettingsError> {
+    /// Parses a file and validates it against the schema.
+    fn parse_validated(text: &str) -> Result<Value, OperatorSettingsError> {
         let value: Value = serde_json::from_str(text).map_err(OperatorSettingsError::NotJson)?;
         let validator = jsonschema::validator_for(&Self::schema())
             .map_err(|error| OperatorSettingsError::Schema(Box::new(error)))?;
@@ -297,20 +298,20 @@
     }
 }
 
-/// Collects every field that is not an object, with its path as a JSON pointer; a list counts as one value.
-fn flatten(path: &str, value: &Value, fields: &mut Vec<(String, Value)>) {
+/// Collects every value that is not an object, with its path in the form of a JSON pointer. A list is one value.
+fn collect_fields(path: &str, value: &Value, fields: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
-                flatten(&format!("{path}/{key}"), inner, fields);
+                collect_fields(&format!("{path}/{key}"), inner, fields);
             }
         }
         other => fields.push((path.to_string(), other.clone())),
     }
 }
 
-/// Sets the field at a path, creating the objects above it.
-fn set_at(root: &mut Value, path: &str, value: &Value) {
+/// Sets the field at a path, and creates the objects that contain it.
+fn set_field(root: &mut Value, path: &str, value: &Value) {
     let mut target = root;
     for key in path.split('/').skip(1) {
         if !target.is_object() {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,20 +6,20 @@
 use snowshelf_model::ids::{Member, seconds_to_ms};
 use std::net::SocketAddrV4;
 
-/// Bytes in a kilobyte, as the settings count them.
+/// Bytes in a kilobyte of the settings.
 const BYTES_PER_KB: f64 = 1024.0;
-/// Lifetime of a controller's own lease, as a percentage of the workers' lease.
+/// Lifetime of a controller's own lease, as a percentage of the worker lease.
 const MEMBER_TTL_PERCENT: u64 = 35;
-/// The shortest and the longest lifetime of a controller's own lease, in milliseconds.
+/// Shortest and longest lifetime of a controller's own lease, in milliseconds.
 const MEMBER_TTL_RANGE_MS: std::ops::RangeInclusive<u64> = 2_000..=5_000;
 
-/// A field of the settings that is missing or invalid. Displayed in one line.
+/// A missing or invalid field of the settings. Its `Display` is a single line.
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The path of the field, with dots.
+    /// The path of the field, separated by dots.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the field is rejected.
     pub reason: String,
 }
 
@@ -32,25 +32,25 @@
     }
 }
 
-/// The path of the field on the line at a byte offset: its table and its key.
+/// The dotted path of the field (table and key) on the line at a byte offset; `None` if there is no field.
 fn field_at(text: &str, offset: usize) -> Option<String> {
     let start = text.get(..offset)?.rfind('\n').map_or(0, |at| at + 1);
     let line = text.get(start..)?.lines().next()?.trim();
-    let table = |line: &str| {
+    let table_header = |line: &str| {
         line.starts_with('[')
             .then(|| line.trim_matches(['[', ']']).to_string())
     };
-    if let Some(table) = table(line) {
+    if let Some(table) = table_header(line) {
         return Some(table);
     }
     let (key, _) = line.split_once('=')?;
-    let above = text
+    let enclosing_table = text
         .get(..start)?
         .lines()
         .rev()
-        .find_map(|line| table(line.trim()));
-    Some(match above {
-        Some(above) => format!("{above}.{}", key.trim()),
+        .find_map(|line| table_header(line.trim()));
+    Some(match enclosing_table {
+        Some(enclosing_table) => format!("{enclosing_table}.{}", key.trim()),
         None => key.trim().to_string(),
     })
 }
@@ -60,28 +60,28 @@
 pub struct Settings {
     /// The name of this controller.
     pub member: String,
-    /// The site that it runs at; informational.
+    /// The site of this controller; informational.
     #[serde(default)]
     pub site: String,
     /// The address that workers and users connect to.
     pub serve_on: SocketAddrV4,
     /// The address that other controllers connect to.
     pub peer_listen: SocketAddrV4,
-    /// The other controllers.
+    /// All other controllers of the cluster.
     #[serde(default)]
     pub peers: Vec<Peer>,
     /// The services that the controller depends on.
     pub outside: ExternalServices,
-    /// What is the same for all controllers.
+    /// The settings that all controllers share.
     pub deployment: Deployment,
 }
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the controller.
     pub member: String,
-    /// The site that it runs at; informational.
+    /// The site of the controller; informational.
     #[serde(default)]
     pub site: String,
     /// The address on which it listens for other controllers.
@@ -105,7 +105,7 @@
     /// The zones of the cloud.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// How far the clock of a host may be from true time, in milliseconds.
+    /// Largest deviation of a host's clock from true time, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
     /// The teams and their quotas.
@@ -114,17 +114,17 @@
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The timing of workers.
+    /// The intervals and time limits of workers.
     pub workers: WorkerTiming,
     /// The limits of the key-value store.
     pub state: StateLimits,
     /// The limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// The resources of a controller's process.
+    /// The resource limits of a controller's process.
     pub limits: ResourceLimits,
 }
 
-/// The quota of a team.
+/// The quota limits of a team.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamLimits {
     /// The name of the team.
@@ -132,13 +132,13 @@
     /// CPUs guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs that the team may use at the most.
+    /// Most CPUs that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
     /// GPUs guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs that the team may use at the most.
+    /// Most GPUs that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -146,25 +146,25 @@
 /// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it measures.
+    /// The measured quantity.
     pub kind: String,
-    /// The class of jobs that it is for; all classes if none is named.
+    /// The class of jobs that the objective applies to; all classes if absent.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time within which it is to be met, in seconds.
+    /// The time limit of the objective, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of cases in which it is to be met, from 0 to 1.
+    /// The share of cases in which the objective must be met, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// The timing of workers, in seconds.
+/// The intervals and time limits of workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerTiming {
     /// The interval between two heartbeats.
     pub report_s: f64,
-    /// The time after the last response to a heartbeat at which a worker stops its tasks.
+    /// The worker lease: the time after the last response to a heartbeat at which a worker stops its tasks.
     pub lease_s: f64,
     /// The time after a confirmed cancellation within which the job's tasks must have stopped.
     pub cancel_s: f64,
@@ -173,34 +173,34 @@
 /// The limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Writes per second, of all controllers.
+    /// Writes per second, of all controllers together.
     pub write_rps: f64,
     /// The largest value, in kilobytes of 1,024 bytes.
     pub value_kb: f64,
-    /// Operations in a transaction.
+    /// Most operations in a transaction.
     pub txn_ops: usize,
-    /// What these limits become some time after the upgrade, without notice.
+    /// The limits that take effect some time after the upgrade, without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits to come; a limit that is not named stays as it is.
+/// The limits of the key-value store after the upgrade. A limit that is absent does not change.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct NextLimits {
-    /// Requests per second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: Option<f64>,
-    /// Writes per second, of all controllers.
+    /// Writes per second, of all controllers together.
     pub write_rps: Option<f64>,
     /// The largest value, in kilobytes of 1,024 bytes.
     pub value_kb: Option<f64>,
-    /// Operations in a transaction.
+    /// Most operations in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// The limits that hold now and later: the smaller of each limit and what it becomes.
+    /// The limits that are safe before and after the change: the smaller of each present and future limit.
     #[must_use]
     pub fn effective(&self) -> StateLimits {
         let next = self.next.unwrap_or_default();
@@ -213,7 +213,7 @@
         }
     }
 
-    /// The largest value, in bytes.
+    /// The size of the largest value, in bytes.
     #[must_use]
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * BYTES_PER_KB) as usize
@@ -223,22 +223,22 @@
 /// The limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// How long the list of machines may lag behind, in seconds.
+    /// The largest delay until the list of machines shows a change, in seconds.
     #[serde(default)]
     pub list_lag_s: f64,
 }
 
-/// The resources of a controller's process.
+/// The resource limits of a controller's process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ResourceLimits {
-    /// The share of a processor core.
+    /// The share of a CPU core; 1 is a whole core.
     #[serde(default = "whole_core")]
     pub core_share: f64,
     /// Memory, in megabytes of 1,048,576 bytes.
     pub mem_mb: f64,
-    /// Open sockets and files.
+    /// Most open sockets and files.
     pub sockets: usize,
 }
 
@@ -247,10 +247,10 @@
 }
 
 impl Settings {
-    /// Reads and validates a settings file.
+    /// Parses and validates a settings file.
     ///
     /// # Errors
-    /// Names the first field that is missing or invalid.
+    /// Returns the first field that is missing or invalid.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| {
             let field = error.span().and_then(|span| field_at(text, span.start));
@@ -260,7 +260,7 @@
         Ok(settings)
     }
 
-    /// All controllers, in an order that is the same on every one of them.
+    /// The names of all controllers, in the same order on every controller.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         let mut all: Vec<Member> = self.peers.iter().map(|p| Member::new(&p.member)).collect();
@@ -269,13 +269,15 @@
         all
     }
 
-    /// The time after the last response to a heartbeat at which a worker stops its tasks, in milliseconds.
+    /// The worker lease: the time after the last response to a heartbeat at which a worker stops its tasks, in
+    /// milliseconds.
     #[must_use]
     pub fn lease_ms(&self) -> u64 {
         seconds_to_ms(self.deployment.workers.lease_s)
     }
 
-    /// For how long after the cancellation watermark a controller may respond to workers, in milliseconds.
+    /// The time after the cancellation watermark during which a controller may respond to heartbeats, in
+    /// milliseconds.
     #[must_use]
     pub fn answering_ms(&self) -> u64 {
         snowshelf_watermark::answering_ms(self.cancel_ms(), self.lease_ms())
@@ -293,14 +295,15 @@
         seconds_to_ms(self.deployment.workers.report_s)
     }
 
-    /// How far the clock of a host may be from true time, in milliseconds.
+    /// Largest deviation of a host's clock from true time, in milliseconds.
     #[must_use]
     pub fn skew_ms(&self) -> u64 {
         self.deployment.skew_ms.max(0.0) as u64
     }
 
-    /// The lifetime of a controller's own lease in the key-value store, in milliseconds. Short beside the workers'
-    /// lease, so that the machines of a failed shard leader find a new one before their tasks are stopped.
+    /// The lifetime of a controller's own lease in the key-value store, in milliseconds. It is short compared to
+    /// the worker lease, so that after a shard leader has failed, its machines reach a new one before they stop
+    /// their tasks.
     #[must_use]
     pub fn member_ttl_ms(&self) -> u64 {
         let ttl_ms = self.lease_ms() * MEMBER_TTL_PERCENT / 100;
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,17 +1,17 @@
-//! Validation of the settings file.
+//! Validation of the settings beyond the types of their fields.
 
 use super::{Deployment, Settings, SettingsError};
 
-/// The least size of a transaction: a comparison and a write.
+/// Fewest operations of a transaction: a comparison and a write.
 const MIN_TXN_OPS: usize = 2;
-/// The fewest sockets that a controller can run with.
+/// Fewest sockets and files with which a controller can run.
 const MIN_SOCKETS: usize = 32;
-/// Most controllers of a cluster.
+/// Most controllers in a cluster.
 const MAX_NODES: u32 = 64;
 /// Most bytes of a controller's name.
 const MAX_MEMBER_BYTES: usize = 64;
 
-/// An error on `field` unless the condition holds.
+/// Returns an error for `field` unless the condition holds.
 fn ensure(condition: bool, field: &str, reason: &str) -> Result<(), SettingsError> {
     if condition {
         Ok(())
@@ -21,7 +21,7 @@
 }
 
 impl Settings {
-    /// Checks what the types of the fields leave open; the error names the first field that is not valid.
+    /// Checks what the types of the fields do not ensure. The error names the first invalid field.
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         self.validate_members()?;
         self.validate_rates_and_times()?;
