--- a/crates/machine-index/src/unplaceable.rs
+++ b/crates/machine-index/src/unplaceable.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes that a machine is about to fetch an image: tasks that run only where it is may find that one now.
-    pub fn image_fetched(&mut self, image: u32) {
+    pub fn image_pull_started(&mut self, image: u32) {
         self.0.retain(|s| s.image != Some(image));
     }
 }
--- a/crates/machine-index/tests/capacity_index.rs
+++ b/crates/machine-index/tests/capacity_index.rs
@@ -91,7 +91,7 @@
                 if !plain[at].images.contains(&image) {
                     plain[at].images.push(image);
                     capacity_index.machine_mut(at).push(image);
-                    unplaceable.image_fetched(image);
+                    unplaceable.image_pull_started(image);
                 }
             }
         }
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Types for names, numbers, versions and times, so that they cannot be confused.
+//! Newtypes for identifiers, versions and times, so that the compiler tells them apart.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,13 +11,13 @@
         pub struct $name(pub std::sync::Arc<str>);
 
         impl $name {
-            /// The name with this text.
+            /// Creates the name from its text, without validating it.
             #[must_use]
             pub fn new(text: &str) -> Self {
                 Self(text.into())
             }
 
-            /// The name's text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -54,100 +54,102 @@
 }
 
 name_type!(
-    /// A job's name, chosen by its user.
+    /// The ID of a job, chosen by the user who submits it.
     JobId
 );
 name_type!(
-    /// A machine's name, chosen by the cloud and never used twice.
+    /// The ID of a machine, assigned by the cloud and never reused.
     MachineId
 );
 name_type!(
-    /// A controller's name.
+    /// The name of a controller, unique in the cluster.
     Member
 );
 name_type!(
-    /// A team's name.
+    /// The name of a team; quotas and reservations belong to teams.
     Team
 );
 
 number_type!(
-    /// The number of a shard of the fleet.
+    /// The number of a shard of the fleet, from 0.
     ShardId,
     u32
 );
 number_type!(
-    /// A shard leader's fencing token: the version at which it acquired `part/<shard>`. 0: none.
+    /// A shard leader's fencing token: the version at which it acquired `part/<shard>`; 0 means none.
     FencingToken,
     u64
 );
 number_type!(
-    /// The version of a key in the key-value store, or a revision of the store; 0: the key does not exist.
+    /// The version of a key in the key-value store, or a revision of the store; 0 means that the key
+    /// does not exist.
     Version,
     u64
 );
 number_type!(
-    /// The number of a task within its job, from 0.
+    /// The index of a task within its job, from 0.
     TaskIndex,
     u32
 );
 number_type!(
-    /// The attempt of a task, from 1; it never decreases.
+    /// The attempt number of a task, from 1; it never decreases.
     Attempt,
     u32
 );
 number_type!(
-    /// The incarnation of a worker's agent; a new one means that all earlier tasks are gone.
+    /// The agent incarnation of a worker, from 1; with a new one, all tasks of the old one are gone.
     AgentIncarnation,
     u64
 );
 number_type!(
-    /// A lease of the key-value store.
+    /// The ID of a lease in the key-value store.
     LeaseId,
     u64
 );
 number_type!(
-    /// A connection of a user or worker whose request waits for its response.
+    /// The ID of a user's or worker's connection on which a request awaits its response.
     ConnectionId,
     u64
 );
 number_type!(
-    /// An outgoing call.
+    /// The ID of an outgoing request to the key-value store, the cloud or a worker.
     CallId,
     u64
 );
 
 number_type!(
-    /// The number of a heartbeat within its agent's incarnation.
+    /// The sequence number of a heartbeat within its agent incarnation.
     HeartbeatSequence,
     u64
 );
 
-/// A time by this process's monotonic clock, in milliseconds.
+/// A time on the monotonic clock of this process, in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
 pub struct MonotonicMillis(pub u64);
 
 impl MonotonicMillis {
-    /// The milliseconds since `earlier`; 0 if that is later.
+    /// Returns the milliseconds elapsed since `earlier`, or 0 if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: MonotonicMillis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The time `ms` milliseconds later.
+    /// Returns the time `ms` milliseconds later, saturating at the maximum.
     #[must_use]
     pub fn plus(self, ms: u64) -> MonotonicMillis {
         MonotonicMillis(self.0.saturating_add(ms))
     }
 }
 
-/// A time by the wall clock, in milliseconds since 1970; differs between controllers by the allowed skew.
+/// A time on the wall clock, in milliseconds since the Unix epoch. Clocks of controllers may differ
+/// by the allowed skew.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct WallClockMillis(pub u64);
 
-/// Converts seconds to milliseconds; 0 for numbers that are negative or not finite.
+/// Converts seconds to milliseconds; negative and non-finite values give 0.
 #[must_use]
 pub fn seconds_to_ms(seconds: f64) -> u64 {
     const MAX_MS: f64 = 1e15;
@@ -158,18 +160,18 @@
     }
 }
 
-/// Whether a name chosen by a user is valid: 1 to 64 letters, digits and `marks`, a letter or digit first.
-/// Such names are parts of keys in the key-value store.
+/// Whether a name chosen by a user is valid: 1 to 64 bytes of ASCII letters, digits and
+/// `extra_bytes`, of which the first is a letter or digit. Such names become parts of record keys.
 #[must_use]
-pub fn is_valid_name(text: &str, marks: &[u8]) -> bool {
+pub fn is_valid_name(text: &str, extra_bytes: &[u8]) -> bool {
     (1..=64).contains(&text.len())
         && text
             .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || marks.contains(&b))
+            .all(|b| b.is_ascii_alphanumeric() || extra_bytes.contains(&b))
         && text.as_bytes()[0].is_ascii_alphanumeric()
 }
 
-/// The shard that a machine belongs to, by the FNV-1a hash of its name.
+/// Returns the shard that a machine belongs to, by the FNV-1a hash of its name.
 #[must_use]
 pub fn shard_of(machine: &str, shard_count: u32) -> ShardId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -179,7 +181,7 @@
         hash ^= u64::from(byte);
         hash = hash.wrapping_mul(PRIME);
     }
-    // The low bits of similar names take few values: mix the high bits in.
+    // The low bits of similar names take few distinct values, so mix in the high bits.
     hash ^= hash >> 29;
     ShardId((hash % u64::from(shard_count.max(1))) as u32)
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! What snowshelf's packages share: names, versions and times; the records in the key-value store; the
-//! formats on the wire. Plain data and pure functions.
+//! Types shared by all snowshelf packages: identifiers and times, the records in the key-value
+//! store, and the wire formats. Plain data and pure functions, without input or output.
 
 pub mod ids;
 pub mod protocol;
--- a/crates/model/src/protocol/cloud.rs
+++ b/crates/model/src/protocol/cloud.rs
@@ -1,32 +1,32 @@
-//! The cloud's protocol: machine types, scale-out, scale-in, listing.
+//! The cloud protocol: machine types, scale-out, scale-in and the machine list.
 //!
-//! The names on the wire, and what they are called here:
+//! Names on the wire and the terms used in this code base:
 //!
-//! | on the wire | here |
+//! | on the wire | term |
 //! | --- | --- |
 //! | `Modelos`, `Modelo` | machine types, machine type |
 //! | `Prensas` | machines |
 //! | `Ref` | machine |
 //! | `Parcelas`, `Parcela` | zones, zone |
-//! | `Avulsas` | whether spot instances are meant |
+//! | `Avulsas` | whether a request or machine is for spot instances |
 //! | `Estado` | state of a machine |
-//! | `Pedido` | name of a request, which makes it idempotent |
+//! | `Pedido` | idempotency key of a scale-out request |
 
 use crate::ids::MachineId;
 use crate::records::Resources;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// A type of machines that the cloud offers.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// The name of the machine type.
     #[serde(rename = "Label")]
-    pub label: String,
-    /// CPUs.
+    pub name: String,
+    /// Number of CPUs.
     #[serde(rename = "Cpus")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "Gpus", default)]
     pub gpus: f64,
     /// Memory in gigabytes.
@@ -35,32 +35,33 @@
     /// Disk space for images, in gigabytes.
     #[serde(rename = "LocalGb", default = "unlimited_gb")]
     pub local_gb: f64,
-    /// How fast images are pulled, in gigabytes a second.
+    /// Bandwidth of image pulls, in gigabytes per second.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour of an on-demand instance.
+    /// Hourly price of an on-demand instance.
     #[serde(rename = "Hourly")]
-    pub hourly: f64,
-    /// Price an hour of a spot instance, where there are any.
+    pub hourly_price: f64,
+    /// Hourly price of a spot instance; `None` if the cloud offers none of this type.
     #[serde(rename = "SpotPrice", default)]
     pub spot_price: Option<f64>,
-    /// How long a machine takes to be ready, in seconds.
+    /// Time from the scale-out until a machine is ready, in seconds.
     #[serde(rename = "ReadyS", default)]
     pub ready_s: f64,
-    /// The zones that offer the type.
+    /// The zones that offer the machine type.
     #[serde(rename = "Parcelas", default)]
     pub zones: Vec<String>,
 }
 
-/// The disk space of a type that states none: enough for all images (JSON has no infinity).
+/// Default for machine types without a disk size: enough for all images. JSON cannot represent
+/// infinity.
 fn unlimited_gb() -> f64 {
     1e12
 }
 
 impl MachineType {
-    /// The capacity of a machine.
+    /// Returns the resources of an empty machine of this type.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
@@ -68,88 +69,95 @@
         }
     }
 
-    /// Price an hour.
+    /// Returns the hourly price of a spot or on-demand instance.
     #[must_use]
     pub fn price(&self, spot: bool) -> f64 {
         if spot {
-            self.spot_price.unwrap_or(self.hourly)
+            self.spot_price.unwrap_or(self.hourly_price)
         } else {
-            self.hourly
+            self.hourly_price
         }
     }
 }
 
-/// The response with all machine types.
+/// The response to a request for the machine types.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineTypesResponse {
-    /// The machine types.
+    /// All machine types of the cloud.
     #[serde(rename = "Modelos")]
     pub types: Vec<MachineType>,
 }
 
-/// The response to a scale-out.
+/// The response to a scale-out request.
 #[derive(Debug, Deserialize)]
 pub struct ScaleOutResponse {
-    /// The new machines.
+    /// IDs of the new machines.
     #[serde(rename = "Prensas")]
     pub machines: Vec<MachineId>,
 }
 
-/// The state of a machine by the cloud's list.
+/// The state of a machine in the cloud's machine list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedMachineState {
-    /// Not ready yet.
+    /// Started, and not ready yet.
     Booting,
-    /// Ready.
+    /// Ready for tasks.
     Running,
-    /// Failed for good.
+    /// Failed permanently.
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's machine list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
-    /// The machine.
+    /// ID of the machine.
     #[serde(rename = "Ref")]
     pub machine: MachineId,
-    /// Its type.
+    /// The machine type.
     #[serde(rename = "Modelo")]
     pub model: String,
-    /// Its zone.
+    /// The zone of the machine.
     #[serde(rename = "Parcela")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "Avulsas", default)]
     pub spot: bool,
-    /// Its state.
+    /// The state of the machine.
     #[serde(rename = "Estado")]
     pub state: ListedMachineState,
-    /// How long it has existed, in seconds.
+    /// Age of the machine, in seconds.
     #[serde(rename = "AgeS", default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list of machines.
+/// The response to a request for the machine list: one page of machines.
 #[derive(Debug, Deserialize)]
 pub struct MachineListResponse {
-    /// The machines.
+    /// The machines on this page.
     #[serde(rename = "Prensas")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether further pages follow.
     #[serde(rename = "More", default)]
     pub more: bool,
 }
 
-/// The body of a request for `number` new machines; `name` makes it idempotent.
+/// Builds the body of a request for `number` new machines. The request is idempotent by
+/// `idempotency_key`.
 #[must_use]
-pub fn scale_out_body(name: &str, model: &str, zone: &str, spot: bool, number: u32) -> Vec<u8> {
-    json!({"Pedido": name, "Modelo": model, "Parcela": zone, "Avulsas": spot, "Number": number})
+pub fn scale_out_body(
+    idempotency_key: &str,
+    model: &str,
+    zone: &str,
+    spot: bool,
+    number: u32,
+) -> Vec<u8> {
+    json!({"Pedido": idempotency_key, "Modelo": model, "Parcela": zone, "Avulsas": spot, "Number": number})
         .to_string()
         .into_bytes()
 }
 
-/// The body of a request to release machines.
+/// Builds the body of a request to release machines.
 #[must_use]
 pub fn release_body(machines: &[MachineId]) -> Vec<u8> {
     json!({ "Prensas": machines }).to_string().into_bytes()
--- a/crates/model/src/protocol/mod.rs
+++ b/crates/model/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The formats of everything outside the process. The wire's own names appear in this module and nowhere
-//! else; each submodule maps them to the terms that the rest of the code uses.
+//! Wire formats of the messages to users, workers, other controllers, the key-value store and the
+//! cloud. Each submodule maps the names on the wire to the terms that the rest of the code uses.
 
 pub mod cloud;
 pub mod peer;
--- a/crates/model/src/protocol/peer.rs
+++ b/crates/model/src/protocol/peer.rs
@@ -1,34 +1,35 @@
-//! Messages between controllers (protobuf, length-delimited). Statuses are hints: no rule depends on them.
-//! Confirmations are proof, and are messages of their own.
+//! The gossip protocol between controllers: length-delimited protobuf messages. Statuses are hints,
+//! and correctness never depends on them. Confirmations are authoritative, so they are separate
+//! messages.
 
-/// Most bytes of one message; the receiver of a longer one closes the connection.
-pub const MAX_FRAME: usize = 64 * 1024;
+/// Maximum bytes of a message; the receiver of a longer one closes the connection.
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
 
-/// A message that is not a status. Its fields have numbers that statuses never use: a controller of an
-/// earlier version reads it as a status of nobody, and does not respond.
+/// A message other than a status. Its field numbers never occur in [`PeerStatus`], so that
+/// controllers of earlier versions parse it as a status without a member and do not respond.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PeerMessage {
-    /// A request for confirmations.
+    /// A request for confirmed cancellations.
     #[prost(message, optional, tag = "101")]
     pub request: Option<ConfirmationRequest>,
-    /// The response to one.
+    /// The response to a request for confirmed cancellations.
     #[prost(message, optional, tag = "102")]
     pub confirmation: Option<Confirmation>,
 }
 
-/// Requests the jobs whose cancellation was confirmed to users lately.
+/// Requests the jobs whose cancellation was recently confirmed to users.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ConfirmationRequest {
     /// The requesting controller.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Its incarnation.
+    /// Process incarnation of the requesting controller.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The number of the round.
+    /// Sequence number of the request round.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// How far back, in milliseconds.
+    /// How far back the confirmations reach, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub window_ms: u64,
 }
@@ -39,79 +40,80 @@
     /// The responding controller.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Its incarnation.
+    /// Process incarnation of the responding controller.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The incarnation in the request.
+    /// `incarnation` of the request.
     #[prost(uint64, tag = "3")]
     pub asker_incarnation: u64,
-    /// The number of the round in the request.
+    /// `sequence` of the request.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// Whether the list holds all of them.
+    /// Whether `cancelled` contains every confirmation within the requested window.
     #[prost(bool, tag = "5")]
     pub complete: bool,
-    /// The jobs confirmed as cancelled.
+    /// Jobs whose cancellation was confirmed to a user.
     #[prost(string, repeated, tag = "6")]
     pub cancelled: Vec<String>,
 }
 
-/// The status that a controller sends to the others a few times a second.
+/// The status that a controller sends to the other controllers several times per second.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerStatus {
-    /// The controller that sends it.
+    /// The controller that sends the status.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// How long ago the key-value store last served this controller, in milliseconds.
+    /// Time since the key-value store last responded to this controller, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub state_silent_ms: u64,
-    /// How long the process has been up, in milliseconds.
+    /// Uptime of the process, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub up_ms: u64,
-    /// The shards that it leads.
+    /// The shards that the controller leads.
     #[prost(message, repeated, tag = "4")]
     pub shards: Vec<ShardStatus>,
-    /// Teams of which it could start more tasks with a larger quota grant.
+    /// Teams whose quota grant keeps the controller from starting more of their tasks.
     #[prost(string, repeated, tag = "5")]
     pub quota_limited_teams: Vec<String>,
-    /// Machines that the cloud's list lacks or shows as failed; sent by the leader.
+    /// Machines that are absent from the cloud's machine list or failed there. Sent by the leader.
     #[prost(string, repeated, tag = "6")]
     pub missing: Vec<String>,
-    /// How long ago the watch last responded, in milliseconds.
+    /// Time since the watch last responded, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub watch_silent_ms: u64,
-    /// No worker reaches this controller, though others are reached.
+    /// Whether no worker reaches this controller although workers reach other controllers.
     #[prost(bool, tag = "8")]
     pub unreachable_by_workers: bool,
-    /// Shards of other controllers whose machines sent heartbeats here lately.
+    /// Shards led by other controllers whose machines recently sent heartbeats to this one.
     #[prost(message, repeated, tag = "9")]
     pub foreign_heartbeats: Vec<ForeignHeartbeats>,
-    /// What each drain waits for; sent by the leader.
+    /// Conditions that drains are waiting for. Sent by the leader.
     #[prost(message, repeated, tag = "10")]
     pub waits: Vec<DrainProgress>,
 }
 
-/// What a drain waits for.
+/// The condition that a drain is waiting for.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct DrainProgress {
     /// The drain's name.
     #[prost(string, tag = "1")]
     pub drain: String,
-    /// What it waits for, as users read it.
+    /// The condition, in the words of responses to users.
     #[prost(string, tag = "2")]
     pub waits: String,
-    /// What blocks the evictions of its step.
+    /// What blocks the evictions of the drain's current step.
     #[prost(string, repeated, tag = "3")]
     pub blocked_by: Vec<String>,
 }
 
-/// How many of a shard's machines lately sent heartbeats to a controller that does not lead the shard.
+/// The number of a shard's machines that recently sent heartbeats to a controller that does not lead
+/// the shard.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ForeignHeartbeats {
-    /// The shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard_id: u32,
-    /// Number of its machines.
+    /// Number of such machines.
     #[prost(uint32, tag = "2")]
     pub machines: u32,
 }
@@ -119,97 +121,97 @@
 /// The status of a shard, sent by its leader.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ShardStatus {
-    /// The shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard_id: u32,
-    /// Its free CPUs.
+    /// Free CPUs of its machines.
     #[prost(double, tag = "2")]
     pub free_cpus: f64,
-    /// CPUs that its waiting tasks require.
+    /// CPUs that the shard's waiting tasks require.
     #[prost(double, tag = "3")]
     pub waiting_cpus: f64,
-    /// Machines that sent a heartbeat lately.
+    /// Machines that recently sent a heartbeat.
     #[prost(string, repeated, tag = "4")]
     pub recent_heartbeats: Vec<String>,
-    /// CPUs of all its machines.
+    /// CPUs of all machines of the shard.
     #[prost(double, tag = "5")]
     pub capacity_cpus: f64,
-    /// Its machines by zone and type; sent only while something is reserved.
+    /// Number of machines by zone and machine type. Sent only while there are reservations.
     #[prost(message, repeated, tag = "6")]
     pub pools: Vec<PoolSize>,
-    /// CPUs reserved for teams; not counted in `free_cpus`.
+    /// CPUs reserved for teams, which `free_cpus` does not include.
     #[prost(message, repeated, tag = "7")]
     pub reserved: Vec<ReservedCpus>,
-    /// Jobs of graphs' runs that fail there.
+    /// Jobs of DAG runs with failing tasks in this shard.
     #[prost(message, repeated, tag = "8")]
     pub failing: Vec<FailingJob>,
-    /// Machines that a drain keeps empty and that are empty; sent, like the following fields, only while
-    /// there are drains.
+    /// Machines without tasks that a drain keeps empty. This field and the following ones up to
+    /// `restarted` are sent only while there are drains.
     #[prost(string, repeated, tag = "9")]
     pub empty: Vec<String>,
-    /// Machines that failed the tasks they started.
+    /// Machines on which the started tasks failed.
     #[prost(string, repeated, tag = "10")]
     pub failing_machines: Vec<String>,
-    /// What blocks the evictions of drains.
+    /// What blocks evictions for drains.
     #[prost(string, repeated, tag = "11")]
     pub blocked_by: Vec<String>,
-    /// Tasks on machines that are silent or about to be interrupted.
+    /// Tasks on machines that are silent or have an interruption notice, by team.
     #[prost(message, repeated, tag = "12")]
     pub lost: Vec<LostTasks>,
-    /// Tasks of earlier attempts that run again.
+    /// Retried tasks that run again, by job.
     #[prost(message, repeated, tag = "13")]
     pub restarted: Vec<RestartedTasks>,
-    /// Waiting jobs that none of its machines could run, oldest first.
+    /// Waiting jobs that no machine of the shard could run, oldest first.
     #[prost(string, repeated, tag = "14")]
     pub stranded: Vec<String>,
-    /// Jobs that have waited for long and have no task on a machine, oldest first.
+    /// Jobs that have waited long without any task on a machine, oldest first.
     #[prost(string, repeated, tag = "15")]
     pub overdue: Vec<String>,
 }
 
-/// How many of a job's tasks of earlier attempts have been seen to run again.
+/// The number of a job's tasks with earlier attempts that have been reported as running again.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RestartedTasks {
-    /// The job.
+    /// ID of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Number of its tasks.
+    /// Number of such tasks.
     #[prost(uint32, tag = "2")]
     pub tasks: u32,
 }
 
-/// A team's tasks on machines that are silent or about to be interrupted.
+/// A team's tasks on machines that are silent or have an interruption notice.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LostTasks {
-    /// The team.
+    /// Name of the team.
     #[prost(string, tag = "1")]
     pub team: String,
-    /// CPUs that the tasks require.
+    /// CPUs that these tasks require.
     #[prost(double, tag = "2")]
     pub cpus: f64,
-    /// Number of the tasks.
+    /// Number of these tasks.
     #[prost(uint32, tag = "3")]
     pub tasks: u32,
 }
 
-/// How often the worst task of a job has failed.
+/// The failures of a job's most often failing task.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FailingJob {
-    /// The job.
+    /// ID of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Failures of its worst task.
+    /// Number of failures of its most often failing task.
     #[prost(uint32, tag = "2")]
     pub errors: u32,
 }
 
-/// Number of a shard's machines of a zone and type.
+/// The number of a shard's machines in a zone and of a machine type.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PoolSize {
-    /// The zone.
+    /// Name of the zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// The machine type.
+    /// Name of the machine type.
     #[prost(string, tag = "2")]
     pub model: String,
     /// Number of on-demand instances.
@@ -220,13 +222,13 @@
     pub spot: u32,
 }
 
-/// CPUs of a shard that are reserved for a team and not used by it.
+/// The CPUs of a shard that are reserved for a team and not used by it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReservedCpus {
-    /// The team.
+    /// Name of the team.
     #[prost(string, tag = "1")]
     pub team: String,
-    /// The CPUs.
+    /// Number of reserved, unused CPUs.
     #[prost(double, tag = "2")]
     pub cpus: f64,
 }
--- a/crates/model/src/protocol/state.rs
+++ b/crates/model/src/protocol/state.rs
@@ -1,8 +1,8 @@
-//! The protocol of the key-value store: keys, compare-and-swap, leases, watches.
+//! The protocol of the key-value store: reads, compare-and-swap, leases and watches.
 //!
-//! The names on the wire, and what they are called here:
+//! Names on the wire and the terms used in this code base:
 //!
-//! | on the wire | here |
+//! | on the wire | term |
 //! | --- | --- |
 //! | `Path`, `Write`, `Delete` | key (of a value, of a put, of a deletion) |
 //! | `Value` | value |
@@ -17,43 +17,43 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a compare-and-swap: a key has a version.
+/// A condition of a compare-and-swap: a key must have a version.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Comparison {
-    /// The key.
+    /// The key to compare.
     #[serde(rename = "Path")]
     pub key: String,
-    /// Its expected version; 0: it does not exist.
+    /// The expected version; 0 means that the key does not exist.
     #[serde(rename = "Colheita")]
     pub version: Version,
 }
 
-/// A change of one key in a compare-and-swap.
+/// A change of a key in a compare-and-swap.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(untagged)]
 pub enum Mutation {
     /// Sets a key's value.
     Put {
-        /// The key.
+        /// The key to set.
         #[serde(rename = "Write")]
         key: String,
-        /// Its new value.
+        /// The new value.
         #[serde(rename = "Value")]
         value: Value,
-        /// The lease that the key is deleted with, if any.
+        /// The lease whose expiry deletes the key, if it has one.
         #[serde(rename = "Arrendo", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// The key to delete.
         #[serde(rename = "Delete")]
         key: String,
     },
 }
 
 impl Mutation {
-    /// Sets a key's value, without a lease.
+    /// Creates a mutation that sets a key's value without a lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Mutation {
         Mutation::Put {
             key,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The key that changes.
+    /// Returns the key that is set or deleted.
     #[must_use]
     pub fn key(&self) -> &str {
         match self {
@@ -71,26 +71,26 @@
     }
 }
 
-/// A compare-and-swap: all mutations are applied if all comparisons hold, or none.
+/// A compare-and-swap: applies all mutations atomically if all comparisons hold, and none otherwise.
 #[derive(Clone, Debug, Serialize, PartialEq, Default)]
 pub struct CompareAndSwap {
-    /// The conditions.
+    /// The conditions, all of which must hold.
     #[serde(rename = "If")]
     pub comparisons: Vec<Comparison>,
-    /// The changes; without any, only the conditions are checked.
+    /// The changes; if empty, the request only checks the conditions.
     #[serde(rename = "Apply", skip_serializing_if = "Vec::is_empty")]
     pub mutations: Vec<Mutation>,
 }
 
 impl CompareAndSwap {
-    /// Adds a condition.
+    /// Adds the condition that a key has a version.
     #[must_use]
     pub fn compare(mut self, key: String, version: Version) -> CompareAndSwap {
         self.comparisons.push(Comparison { key, version });
         self
     }
 
-    /// Adds a change.
+    /// Adds a change of a key.
     #[must_use]
     pub fn mutate(mut self, mutation: Mutation) -> CompareAndSwap {
         self.mutations.push(mutation);
@@ -101,7 +101,7 @@
 /// The response to a compare-and-swap that was applied.
 #[derive(Debug, Deserialize)]
 pub struct SwapApplied {
-    /// The revision at which it was applied, the new version of all its keys.
+    /// The revision at which the mutations were applied; it is the new version of all their keys.
     #[serde(rename = "Safra")]
     pub revision: Version,
 }
@@ -109,20 +109,20 @@
 /// The response to a compare-and-swap that was not applied.
 #[derive(Debug, Deserialize)]
 pub struct SwapConflict {
-    /// The keys that had another version than expected.
+    /// The keys whose version differed from the expected one.
     pub failed: Vec<String>,
 }
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The key that was read.
     #[serde(rename = "Path")]
     pub key: String,
-    /// Its value.
+    /// The key's value.
     #[serde(rename = "Value")]
     pub value: Value,
-    /// Its version.
+    /// The key's version.
     #[serde(rename = "Colheita")]
     pub version: Version,
 }
@@ -130,49 +130,49 @@
 /// The response to reading a key that does not exist.
 #[derive(Debug, Deserialize)]
 pub struct KeyNotFound {
-    /// The revision at which it did not exist.
+    /// The revision at which the key did not exist.
     #[serde(rename = "Safra")]
     pub revision: Version,
 }
 
-/// A page of a range of keys.
+/// The response to a range read: one page of keys.
 #[derive(Debug, Deserialize)]
 pub struct RangePage {
-    /// The keys, in order.
+    /// The keys and values, sorted by key.
     #[serde(rename = "Items")]
     pub items: Vec<KeyValue>,
-    /// Whether more keys follow.
+    /// Whether further pages follow.
     #[serde(rename = "More", default)]
     pub more: bool,
-    /// The revision at which they were read.
+    /// The revision at which the page was read.
     #[serde(rename = "Safra")]
     pub revision: Version,
 }
 
-/// The events of a watch.
+/// The response to a watch request.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvents {
-    /// The revision up to which they are complete.
+    /// The revision up to which the events are complete.
     #[serde(rename = "Safra")]
     pub revision: Version,
-    /// The events, in order.
+    /// The events, sorted by revision.
     #[serde(rename = "Log")]
-    pub log: Vec<WatchEvent>,
+    pub events: Vec<WatchEvent>,
 }
 
-/// One event of a watch: a key was put or deleted.
+/// An event of a watch: a key was set or deleted.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was put.
+    /// The key, if it was set.
     #[serde(rename = "Write", default)]
     pub put: Option<String>,
-    /// The key that was deleted.
+    /// The key, if it was deleted.
     #[serde(rename = "Delete", default)]
     pub delete: Option<String>,
-    /// The value that was put.
+    /// The value that was set; null for a deletion.
     #[serde(rename = "Value", default)]
     pub value: Value,
-    /// The key's version since.
+    /// The key's version since this event.
     #[serde(rename = "Colheita")]
     pub version: Version,
 }
@@ -180,7 +180,7 @@
 /// The response to a request for a new lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseResponse {
-    /// The lease.
+    /// The ID of the new lease.
     #[serde(rename = "Arrendo")]
     pub lease: LeaseId,
 }
--- a/crates/model/src/protocol/user.rs
+++ b/crates/model/src/protocol/user.rs
@@ -1,8 +1,8 @@
-//! The users' protocol: job submissions and the bodies of responses.
+//! The user protocol: job submissions and the bodies of responses.
 //!
-//! The names on the wire, and what they are called here:
+//! Names on the wire and the terms used in this code base:
 //!
-//! | on the wire | here |
+//! | on the wire | term |
 //! | --- | --- |
 //! | `Ref` | job |
 //! | `Estado` | state of a job |
@@ -13,10 +13,10 @@
 //! | `Tarefas` | number of tasks |
 //! | `Cpus`, `Gpus`, `MemGb` | [`Resources`] of a task |
 //! | `Matriz`, `PullGb` | container image, gigabytes to pull |
-//! | `Modelos` | machine types that are allowed |
+//! | `Modelos` | allowed machine types |
 //! | `Parcela` | zone |
 //! | `Together` | gang: all tasks in one zone |
-//! | `Apart` | spread: tasks in several zones |
+//! | `Apart` | spread: at most half of the tasks in one zone |
 //! | `Avulsas` | whether spot instances may be used |
 //! | `PrevisaoS` | estimated run time of a task, in seconds |
 //! | `MarcoS` | checkpoint interval, in seconds |
@@ -28,15 +28,16 @@
 use crate::records::{JobKind, JobSpec, JobState, Priority, Resources};
 use serde_json::{Map, Value, json};
 
-/// Most tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Most bytes of a text in a submission.
+/// Maximum bytes of a string in a submission.
 const MAX_TEXT_BYTES: usize = 200;
-/// Most letters and digits in a job's name.
+/// Maximum letters before the dash of a job's ID.
 const MAX_JOB_LETTERS: usize = 32;
+/// Maximum digits after the dash of a job's ID.
 const MAX_JOB_DIGITS: usize = 20;
 
-/// Names of fields on the wire.
+/// Names of the JSON fields on the wire.
 mod field {
     pub(super) const BODY: &str = "body";
     pub(super) const JOB: &str = "Ref";
@@ -63,13 +64,13 @@
     pub(super) const DEPENDENCIES: &str = "Aguarda";
 }
 
-/// A field of a submission that is missing or invalid. Its text is part of the response.
+/// The error for a missing or invalid field of a submission. Its text is sent in the response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidField {
     /// The field's name on the wire.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why the field is rejected, completing a sentence that begins with its name.
     pub reason: &'static str,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// Whether `text` has the form of a job's name: lower-case letters, a dash, digits.
+/// Whether `text` has the form of a job's ID: 1 to 32 lower-case letters, a dash, 1 to 20 digits.
 #[must_use]
 pub fn is_job_id(text: &str) -> bool {
     let Some((letters, digits)) = text.split_once('-') else {
@@ -91,7 +92,7 @@
         && digits.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// The fields of a submission.
+/// The fields of a submission, by name.
 struct Fields(Map<String, Value>);
 
 impl Fields {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A field's value, unless it is missing or null.
+    /// Returns a field's value, unless it is missing or null.
     fn optional(&self, field: &'static str) -> Option<&Value> {
         self.0.get(field).filter(|value| !value.is_null())
     }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The dependencies, each once, sorted.
+    /// Parses the dependencies; the result is sorted and free of duplicates.
     fn dependencies(&self) -> Result<Vec<JobId>, InvalidField> {
         const INVALID: InvalidField =
             InvalidField::new(field::DEPENDENCIES, "must be a list of job ids or null");
@@ -219,7 +220,7 @@
         Ok(jobs)
     }
 
-    /// The job's description. The order decides which of several invalid fields is reported.
+    /// Parses the job's description. The first invalid field in the order of parsing is reported.
     fn spec(&self) -> Result<JobSpec, InvalidField> {
         let kind = self.kind()?;
         let priority = self.priority()?;
@@ -253,18 +254,18 @@
     }
 }
 
-/// A job as its user submits it.
+/// A job submitted by its user.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Submission {
-    /// The job's name.
+    /// The ID of the job.
     pub job: JobId,
-    /// The job's description.
+    /// The description of the job.
     pub spec: JobSpec,
-    /// Jobs that must be done first, each once, sorted.
+    /// Jobs that must be done first, sorted and free of duplicates.
     pub dependencies: Vec<JobId>,
 }
 
-/// The job that a submission names, even if another field is invalid.
+/// Returns the job that a submission names, even if other fields are missing or invalid.
 #[must_use]
 pub fn submitted_job(body: &[u8]) -> Option<JobId> {
     let value: Value = serde_json::from_slice(body).ok()?;
@@ -278,7 +279,7 @@
 /// Parses a submission.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
+/// The first field, in the order of parsing, that is missing or invalid.
 pub fn parse_submission(body: &[u8]) -> Result<Submission, InvalidField> {
     let fields = Fields::parse(body)?;
     Ok(Submission {
@@ -288,7 +289,7 @@
     })
 }
 
-/// A submission as its user sends it: what [`parse_submission`] reads.
+/// Builds the body of a submission, the inverse of [`parse_submission`].
 #[must_use]
 pub fn submission_body(submission: &Submission) -> Value {
     let spec = &submission.spec;
@@ -317,7 +318,7 @@
     })
 }
 
-/// The state of a job as users read it.
+/// Returns the name of a job's state in responses to users.
 #[must_use]
 pub fn job_state_label(state: JobState, running_tasks: u32) -> &'static str {
     match state {
@@ -328,7 +329,7 @@
     }
 }
 
-/// The body of a response with a job's state.
+/// Builds the body of a response with the state of a job.
 #[must_use]
 pub fn job_state_body(job: &JobId, state: &str) -> Vec<u8> {
     json!({(field::JOB): job.as_str(), (field::STATE): state})
@@ -336,7 +337,8 @@
         .into_bytes()
 }
 
-/// The body of a response with a job's state and its numbers of finished and running tasks.
+/// Builds the body of a response with the state of a job and its numbers of finished and running
+/// tasks.
 #[must_use]
 pub fn job_status_body(job: &JobId, state: &str, finished: u32, running: u32) -> Vec<u8> {
     json!({
@@ -349,7 +351,7 @@
     .into_bytes()
 }
 
-/// The body of a response with an error.
+/// Builds the body of an error response.
 #[must_use]
 pub fn error_body(text: &str) -> Vec<u8> {
     json!({"error": text}).to_string().into_bytes()
--- a/crates/model/src/protocol/worker.rs
+++ b/crates/model/src/protocol/worker.rs
@@ -1,8 +1,8 @@
-//! The workers' protocol: heartbeats in, commands out.
+//! The worker protocol: heartbeats with task statuses, answered with commands.
 //!
-//! The names on the wire, and what they are called here:
+//! Names on the wire and the terms used in this code base:
 //!
-//! | on the wire | here |
+//! | on the wire | term |
 //! | --- | --- |
 //! | `Prensa` | machine |
 //! | `Modelo` | machine type |
@@ -25,37 +25,37 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat, with its status.
+/// A worker's heartbeat with the status of its machine.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Heartbeat {
     /// The machine that the worker runs on.
     #[serde(rename = "Prensa")]
     pub machine: MachineId,
-    /// Where the worker accepts direct requests.
+    /// The address at which the worker accepts direct requests; `None` if it accepts none.
     #[serde(rename = "Address", default)]
     pub address: Option<String>,
-    /// The machine's type.
+    /// The machine type.
     #[serde(rename = "Modelo")]
     pub model: String,
-    /// The machine's zone.
+    /// The zone of the machine.
     #[serde(rename = "Parcela")]
     pub zone: String,
     /// Whether the machine is a spot instance.
     #[serde(rename = "Avulsas", default)]
     pub spot: bool,
-    /// The worker's incarnation; a new one means that all earlier tasks are gone.
+    /// The agent incarnation; with a new one, all tasks of the old one are gone.
     #[serde(rename = "Jornada")]
     pub incarnation: AgentIncarnation,
-    /// The heartbeat's number within the incarnation.
+    /// The sequence number of the heartbeat within the agent incarnation.
     #[serde(rename = "Contagem")]
     pub sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has received.
     #[serde(rename = "Selo", default)]
     pub fencing_token: FencingToken,
-    /// In how many seconds the cloud interrupts the machine, if it has announced that.
+    /// Seconds until the cloud interrupts the spot instance, if it has sent an interruption notice.
     #[serde(rename = "AvisoS", default)]
     pub notice_s: Option<f64>,
-    /// The tasks on the machine.
+    /// The statuses of all tasks on the machine.
     #[serde(rename = "Tarefas", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -63,16 +63,16 @@
 /// The status of one task on a machine.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// The job and index of the task.
     #[serde(rename = "Tarefa")]
     pub task: TaskRef,
-    /// Its attempt.
+    /// The attempt that is on the machine.
     #[serde(rename = "Tentativa")]
     pub attempt: Attempt,
-    /// Its state.
+    /// The state of the attempt.
     #[serde(rename = "Estado")]
     pub state: TaskState,
-    /// Why it has exited, if it has.
+    /// Why the task exited; `None` while it has not.
     #[serde(rename = "Motivo", default)]
     pub exit_reason: Option<ExitReason>,
 }
@@ -81,52 +81,52 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Its image is being pulled.
+    /// The image is being pulled.
     Pulling,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It has been told to stop and makes a checkpoint.
+    /// The task was told to stop and is making a checkpoint.
     #[serde(rename = "saving")]
     Checkpointing,
-    /// It has exited; its entry remains until it is reaped.
+    /// The task has exited; the worker reports it until a command reaps it.
     Exited,
 }
 
-/// Why a task has exited.
+/// Why a task exited.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// It is done.
+    /// The task is done.
     Done,
-    /// It was halted.
+    /// A command halted the task.
     Stopped,
-    /// It failed, mostly because the machine is faulty.
+    /// The task failed; the usual cause is a faulty machine.
     Error,
-    /// The start was refused: the machine had not enough free resources.
+    /// The start was rejected: the machine lacked free resources.
     Full,
-    /// The start was refused: another attempt of the task was on the machine.
+    /// The start was rejected: another attempt of the task was on the machine.
     InUse,
-    /// The start was refused: the job is not known.
+    /// The start was rejected: the job is unknown.
     Unknown,
 }
 
-/// Why a body is not a worker's heartbeat. Its text is part of the response.
+/// The error for an invalid heartbeat. Its text is sent in the response.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidHeartbeat {
-    /// It is not JSON, or a field is missing or of the wrong type.
+    /// The body is not JSON, or a field is missing or of the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A field's number is out of range: incarnations and attempts begin at 1; tasks are numbered below
-    /// [`MAX_TASKS`](super::user::MAX_TASKS).
+    /// The named field is out of range: incarnations and attempts start at 1, and task indices are
+    /// below [`MAX_TASKS`](super::user::MAX_TASKS).
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
 }
 
 impl Heartbeat {
-    /// Parses a heartbeat.
+    /// Parses and validates a heartbeat.
     ///
     /// # Errors
-    /// If the body is malformed or a number is out of range.
+    /// If the body is malformed or a field is out of range.
     pub fn parse(body: &[u8]) -> Result<Heartbeat, InvalidHeartbeat> {
         let heartbeat: Heartbeat = serde_json::from_slice(body)?;
         if heartbeat.incarnation == AgentIncarnation(0) {
@@ -135,25 +135,25 @@
         if heartbeat.tasks.iter().any(|t| t.attempt == Attempt(0)) {
             return Err(InvalidHeartbeat::OutOfRange("Tentativa"));
         }
-        let is_beyond = |t: &TaskStatus| u64::from(t.task.task.0) >= super::user::MAX_TASKS;
-        if heartbeat.tasks.iter().any(is_beyond) {
+        let is_out_of_range = |t: &TaskStatus| u64::from(t.task.task.0) >= super::user::MAX_TASKS;
+        if heartbeat.tasks.iter().any(is_out_of_range) {
             return Err(InvalidHeartbeat::OutOfRange("Tarefa"));
         }
         Ok(heartbeat)
     }
 }
 
-/// A task of a job, on the wire `<job>/<task>`.
+/// A task of a job, `<job>/<task>` on the wire.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Deserialize, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskRef {
-    /// The job.
+    /// ID of the job.
     pub job: JobId,
-    /// The task's number within the job.
+    /// The task's index within the job.
     pub task: TaskIndex,
 }
 
-/// A text that does not name a task.
+/// The error for a text that does not have the form `<job>/<task>`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("a task has the form job/number")]
 pub struct InvalidTaskRef;
@@ -176,37 +176,37 @@
     }
 }
 
-/// A command to a worker.
+/// A command to a worker, sent in the response to a heartbeat.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 #[serde(tag = "Ordem", rename_all = "snake_case")]
 pub enum Command {
     /// Start a task.
     Run {
-        /// The task.
+        /// The task to start.
         #[serde(rename = "Tarefa")]
         task: TaskRef,
-        /// Its attempt.
+        /// The attempt to start.
         #[serde(rename = "Tentativa")]
         attempt: Attempt,
     },
     /// Stop a task.
     Halt {
-        /// The task.
+        /// The task to stop.
         #[serde(rename = "Tarefa")]
         task: TaskRef,
-        /// Its attempt.
+        /// The attempt to stop.
         #[serde(rename = "Tentativa")]
         attempt: Attempt,
-        /// Seconds that it has for a checkpoint; 0: none.
+        /// Grace period for a checkpoint, in seconds; 0 means no checkpoint.
         #[serde(rename = "FolgaS")]
         grace_s: f64,
     },
-    /// Remove the entry of a task that has exited.
+    /// Stop reporting a task that has exited.
     Reap {
-        /// The task.
+        /// The exited task.
         #[serde(rename = "Tarefa")]
         task: TaskRef,
-        /// Its attempt.
+        /// The exited attempt.
         #[serde(rename = "Tentativa")]
         attempt: Attempt,
     },
@@ -218,7 +218,7 @@
     /// The fencing token of the shard leader that responds.
     #[serde(rename = "Selo")]
     pub fencing_token: FencingToken,
-    /// What the worker is to do.
+    /// Commands that the worker must carry out.
     #[serde(rename = "Ordens")]
     pub commands: Vec<Command>,
 }
@@ -229,7 +229,7 @@
     shard_leader: Option<&'a str>,
 }
 
-/// The body of a response that redirects a worker to the leader of its shard, if that is known.
+/// Builds the body of a response that redirects a worker to its shard leader's address, if known.
 #[must_use]
 pub fn redirect_body(shard_leader: Option<&str>) -> Vec<u8> {
     serde_json::to_vec(&Redirect { shard_leader }).unwrap_or_default()
--- a/crates/model/src/records/allocation.rs
+++ b/crates/model/src/records/allocation.rs
@@ -7,22 +7,22 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// `alloc/<shard>/<job>`: the tasks of a job that a shard is responsible for.
+/// The record `alloc/<shard>/<job>`: the tasks of a job that a shard is responsible for.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(try_from = "StoredAllocation")]
 pub struct ShardAllocation {
-    /// Tasks that are not started; the attempt is the next one to use.
+    /// Tasks that are not started, with the attempt to start them at.
     #[serde(rename = "w", skip_serializing_if = "TaskRanges::is_empty")]
     pub waiting: TaskRanges,
-    /// Tasks that may be on a machine; the attempt is the one commanded.
+    /// Tasks that may be on a machine, with the attempt in the command to start them.
     #[serde(rename = "s", skip_serializing_if = "BTreeMap::is_empty")]
     pub started: BTreeMap<MachineId, TaskRanges>,
-    /// Tasks that are done; in format V2 only the first of them.
+    /// Tasks that are done. Format V2 stores only the first one.
     #[serde(rename = "f", skip_serializing_if = "TaskRanges::is_empty")]
     pub finished: TaskRanges,
 }
 
-/// An allocation in either stored format.
+/// An allocation in either record format.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum StoredAllocation {
@@ -56,43 +56,43 @@
     }
 }
 
-/// A change that a shard leader makes to an allocation. Applied twice it has the effect of once.
+/// A change that a shard leader makes to an allocation. Applying it again has no further effect.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct AllocationChange {
-    /// The task.
+    /// The task to change.
     pub task: TaskIndex,
-    /// The attempt that starts or has ended.
+    /// The attempt that starts or ended.
     pub attempt: Attempt,
-    /// The machine that it starts or has ended on.
+    /// The machine that the attempt starts or ended on.
     pub machine: MachineId,
-    /// The kind of the change.
+    /// What happened to the attempt.
     pub kind: AllocationChangeKind,
 }
 
-/// The kind of a change of an allocation.
+/// The event that changes an allocation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AllocationChangeKind {
     /// A waiting task starts on a machine.
     Start,
     /// A started task is done.
     Finish,
-    /// A started task is proven not to be on its machine; it waits again, with the next attempt.
+    /// A started task is proven to be no longer on its machine; it waits again, at the next attempt.
     Requeue,
 }
 
-/// Most bytes that a started task takes of its allocation's record in format V1: its own range on a machine
-/// of its own, and the gap that it leaves among waiting or finished tasks.
-const STARTED_TASK_BYTES: usize = 50;
+/// Maximum bytes that a started task adds to its allocation's record in format V1: a machine with
+/// one range, and the range split that the task causes among waiting or finished tasks.
+const MAX_STARTED_TASK_BYTES: usize = 50;
 
 impl ShardAllocation {
-    /// Most tasks that an allocation may have started at once in format V1, so that its record stays under
-    /// the largest value: a larger one is rejected, and every write of the shard with it.
+    /// Maximum number of started tasks of an allocation in format V1. The store rejects a record
+    /// above `value_bytes`, and with it the whole compare-and-swap of the shard.
     #[must_use]
     pub fn max_started(value_bytes: usize) -> u32 {
-        (value_bytes * 9 / 10 / STARTED_TASK_BYTES) as u32
+        (value_bytes * 9 / 10 / MAX_STARTED_TASK_BYTES) as u32
     }
 
-    /// The value in format V2: compact, unless a machine's name does not allow it.
+    /// Encodes the allocation in format V2: compact, or plain if a machine's name cannot be encoded.
     pub(super) fn to_compact_value(&self) -> Option<Value> {
         match compact_encoding::encode(self) {
             Some(text) => Some(Value::String(text)),
@@ -100,19 +100,20 @@
         }
     }
 
-    /// The attempt of a task that is started on a machine.
+    /// Returns the attempt of a task that is started on this machine; `None` if it is not.
     #[must_use]
     pub fn started_on(&self, machine: &MachineId, task: TaskIndex) -> Option<Attempt> {
         self.started.get(machine)?.get(task)
     }
 
-    /// Number of started tasks.
+    /// Number of started tasks on all machines.
     #[must_use]
     pub fn started_count(&self) -> u32 {
         self.started.values().map(TaskRanges::len).sum()
     }
 
-    /// Applies a change; false if the allocation no longer allows it, so that it must be dropped.
+    /// Applies a change. Returns false, without an effect, if the allocation no longer allows the
+    /// change; the caller must drop it then.
     pub fn apply(&mut self, change: &AllocationChange) -> bool {
         let is_started = self.started_on(&change.machine, change.task) == Some(change.attempt);
         match change.kind {
--- a/crates/model/src/records/compact_encoding.rs
+++ b/crates/model/src/records/compact_encoding.rs
@@ -1,10 +1,13 @@
 //! The compact encoding of a shard's allocation, written once every controller can read it.
 //!
-//! `WAITING;MACHINE:TASKS|MACHINE:TASKS;FINISHED`: lists of ranges separated by commas. A range is the
-//! distance of its first task from the end of the range before it, `-` and its length if that is not 1,
-//! `.` and its attempt if that is not the default: 1 on a machine, and the attempt of the range before it
-//! (at first 1) among waiting tasks. Numbers have base 36. Of the finished tasks only the first is stored,
-//! as a sign that the job works.
+//! The layout is `WAITING;MACHINE:TASKS|MACHINE:TASKS;FINISHED`, with comma-separated ranges and
+//! base-36 numbers. Each range consists of:
+//! - the distance of its first task from the end of the previous range;
+//! - `-` and its length, unless that is 1;
+//! - `.` and its attempt, unless that is the default: 1 on a machine, and the attempt of the
+//!   previous range (initially 1) among waiting tasks.
+//!
+//! Only the first finished task is stored: it shows that the job's tasks can succeed.
 
 use super::allocation::ShardAllocation;
 use crate::ids::MachineId;
@@ -12,10 +15,10 @@
 use std::collections::BTreeMap;
 
 const BASE: u32 = 36;
-/// Digits of the largest `u32` in this base.
+/// Digits of `u32::MAX` in base 36.
 const MAX_DIGITS: usize = 7;
 
-/// A text that is not a compact encoding.
+/// The error for a text that is not a compactly encoded allocation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("not a compactly encoded allocation")]
 pub struct InvalidEncoding;
@@ -43,11 +46,11 @@
     count
 }
 
-/// The attempt of a range that states none.
+/// The attempt of a range that is encoded without one.
 #[derive(Clone, Copy, PartialEq)]
 enum DefaultAttempt {
     One,
-    /// That of the range before it, at first 1.
+    /// The attempt of the previous range, initially 1.
     Previous,
 }
 
@@ -104,7 +107,7 @@
     TaskRanges::try_from(list).map_err(|_| InvalidEncoding)
 }
 
-/// Whether a machine's name can be part of the encoding.
+/// Whether a machine's name contains none of the separators of the encoding.
 fn is_encodable(name: &str) -> bool {
     !name.is_empty()
         && name
@@ -112,7 +115,7 @@
             .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'/'))
 }
 
-/// Encodes an allocation; `None` if a machine's name does not allow it.
+/// Encodes an allocation; `None` if the name of a machine cannot be encoded.
 #[must_use]
 pub fn encode(allocation: &ShardAllocation) -> Option<String> {
     let mut out = String::new();
@@ -140,7 +143,7 @@
     Some(out)
 }
 
-/// Decodes an allocation.
+/// Decodes an allocation that [`encode`] has encoded.
 ///
 /// # Errors
 /// If the text is not a compact encoding.
@@ -174,11 +177,11 @@
     })
 }
 
-/// Most bytes that the allocation's value may come to take, whatever ends and requeues follow, as long as
-/// nothing more is started: every started task counts as a range of its own, which it takes where it is or,
-/// with all waiting tasks raised to one attempt, among the waiting ones.
+/// Maximum bytes of the allocation's value after any sequence of task ends and requeues, as long as
+/// no further task is started. Each started task counts as one range: on its machine, or among the
+/// waiting tasks, which are raised to one attempt.
 pub(super) fn max_bytes(waiting: &TaskRanges, started: &BTreeMap<MachineId, TaskRanges>) -> usize {
-    // Quotes, separators, one attempt for all waiting tasks, and the finished task.
+    // Quotes, separators, the attempt of the waiting tasks, and the finished task.
     let mut bytes = 2 + 2 + 8 + MAX_DIGITS;
     let mut waiting = waiting.clone();
     waiting.raise_to_highest_attempt();
@@ -199,7 +202,7 @@
     bytes
 }
 
-/// Most bytes that one started task takes beside its machine's name.
+/// Maximum bytes of one started task, without its machine's name.
 pub(super) fn max_task_bytes(task: u32, attempt: u32) -> usize {
     let attempt_bytes = if attempt == 1 {
         0
--- a/crates/model/src/records/format.rs
+++ b/crates/model/src/records/format.rs
@@ -1,22 +1,22 @@
-//! The formats of records, and the formats and capabilities that controllers have declared.
+//! Record formats, and the formats and capabilities that controllers declare.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The format in which records are written. Both remain readable.
+/// The format in which records are written. Both formats remain readable.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub enum RecordFormat {
-    /// Read and rewritten without loss by the version before dependencies.
+    /// Versions without job dependencies can read and rewrite it without loss.
     #[default]
     V1,
-    /// Compact allocations, jobs with dependencies. Never left again once every controller reads it.
+    /// Has compact allocations and job dependencies. Written for good once every controller reads it.
     V2,
 }
 
-/// The first format number that means [`RecordFormat::V2`].
+/// The lowest format number that stands for [`RecordFormat::V2`].
 pub const FORMAT_V2: u32 = 2;
 
-/// A feature whose records every controller must be able to read before any of them is written.
+/// A feature whose records may only be written once every controller can read them.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Capability(String);
@@ -28,9 +28,9 @@
         Capability::named("calendar")
     }
 
-    /// Runs of graphs.
+    /// DAG runs.
     #[must_use]
-    pub fn graphs() -> Capability {
+    pub fn dags() -> Capability {
         Capability::named("graphs")
     }
 
@@ -40,20 +40,20 @@
         Capability::named("drains")
     }
 
-    /// The capability with this name.
+    /// Creates the capability with this name, as stored in records.
     #[must_use]
     pub fn named(name: &str) -> Capability {
         Capability(name.to_string())
     }
 }
 
-/// `member/<name>`: what that controller can read and do; `format`: what all of them can. Capabilities that
-/// this version does not know are preserved.
+/// The record `member/<name>`, for the formats and capabilities of one controller, or `format`, for
+/// those of all controllers. Capabilities that this version does not know are preserved.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// The number of the newest record format.
+    /// The number of the newest record format that can be read.
     pub format: u32,
-    /// The capabilities.
-    #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
-    pub can: BTreeSet<Capability>,
+    /// The supported capabilities.
+    #[serde(rename = "can", default, skip_serializing_if = "BTreeSet::is_empty")]
+    pub capabilities: BTreeSet<Capability>,
 }
--- a/crates/model/src/records/job.rs
+++ b/crates/model/src/records/job.rs
@@ -1,4 +1,4 @@
-//! The record of a job.
+//! The record of a job and the job's description.
 
 use super::format::RecordFormat;
 use super::resources::Resources;
@@ -10,22 +10,22 @@
 /// The priority of a job, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on capacity that nobody else uses.
+    /// Runs on capacity that no other job uses.
     Idle,
-    /// The usual priority.
+    /// The priority of most jobs.
     Normal,
-    /// Before normal jobs.
+    /// Placed before normal jobs.
     High,
-    /// Before all others.
+    /// Placed before all other jobs.
     Prod,
 }
 
-/// A text that is no value of the type to be parsed.
+/// The error for a text that names no value of the parsed type.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("unknown value")]
 pub struct UnknownValue;
 
-/// The priority's name on the wire.
+/// Writes the priority's name on the wire.
 impl fmt::Display for Priority {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -53,17 +53,17 @@
     }
 }
 
-/// The kind of a job.
+/// Whether a job ends by itself.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Ends when all its tasks are done.
+    /// Ends when all of its tasks are done.
     Batch,
     /// Runs until it is cancelled.
     #[serde(rename = "Standing")]
     Service,
 }
 
-/// The kind's name on the wire.
+/// Writes the kind's name on the wire.
 impl fmt::Display for JobKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -84,57 +84,58 @@
     }
 }
 
-/// A job's description.
+/// The description of a job, as submitted by its user.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The class of jobs that it belongs to; the settings state the objectives of each class.
+    /// The class of the job; the settings define service objectives for each class.
     pub class: String,
-    /// The team that the job counts for.
+    /// The team whose quota the job uses.
     pub team: Team,
-    /// The kind of the job.
+    /// Batch job or service.
     pub kind: JobKind,
-    /// Its priority.
+    /// The job's priority in the queue.
     pub priority: Priority,
-    /// Number of its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task requires.
+    /// Resources that each task requires.
     #[serde(rename = "room")]
     pub resources: Resources,
-    /// The image that a machine must have before a task can start.
+    /// The container image that a machine must have before a task can start.
     pub image: String,
-    /// The image's size in gigabytes, to be pulled once for each machine.
+    /// Gigabytes to pull for the image, once for each machine.
     pub pull_gb: f64,
-    /// The machine types that are allowed; `None`: all.
+    /// The allowed machine types; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The zone that is required, if any.
+    /// The required zone; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Gang: all tasks must be in one zone.
+    /// Gang placement: all tasks must run in the same zone.
     #[serde(rename = "together", default)]
     pub gang: bool,
-    /// Spread: at most half of the tasks, rounded up, may be in one zone.
+    /// Spread placement: at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "apart", default)]
     pub spread: bool,
     /// Whether tasks may run on spot instances.
     pub spot: bool,
-    /// The owner's estimate of a task's run time without the pull, in seconds; 0 for services.
+    /// The user's estimate of a task's run time without the image pull, in seconds; 0 for services.
     pub estimate_s: f64,
-    /// Interval between two checkpoints of a task, in seconds; 0: it makes none.
+    /// Interval between checkpoints of a task, in seconds; 0 if tasks make none.
     #[serde(rename = "checkpoint_s", default)]
     pub checkpoint_interval_s: f64,
-    /// How long a task needs for a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs for a checkpoint when it is stopped, in seconds.
     #[serde(rename = "save_s", default)]
     pub checkpoint_duration_s: f64,
-    /// The deadline, in seconds after the submission, if any.
+    /// The deadline in seconds after the submission, if the job has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Whether the tasks depend on one another's zones, so that one shard must have them all.
+    /// Whether the zone of a task depends on the zones of the others. A single shard must place all
+    /// tasks of such a job.
     #[must_use]
-    pub fn zones_bound(&self) -> bool {
+    pub fn is_zone_constrained(&self) -> bool {
         self.gang || self.spread
     }
 }
@@ -142,42 +143,43 @@
 /// The state of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobState {
-    /// Not ended.
+    /// Waiting or running.
     Open,
-    /// All its tasks are done.
+    /// All tasks are done.
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by its user or its DAG run, or because a dependency was cancelled.
     Cancelled,
 }
 
-/// `job/<job>`. The description is dropped once no shard has an allocation of the job.
+/// The record `job/<job>`. The description is dropped once no shard has an allocation of the job.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The state.
+    /// Whether the job is open, done or cancelled.
     pub state: JobState,
-    /// Number of tasks.
+    /// Number of tasks, retained after the description is dropped.
     pub tasks: u32,
     /// The shards that have an allocation of the job.
     #[serde(rename = "parts", default, skip_serializing_if = "Vec::is_empty")]
     pub shards: Vec<ShardId>,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted: WallClockMillis,
-    /// The description.
+    /// The description; `None` once no shard has an allocation of the ended job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// Jobs that must be done before any task of this one starts; only in format V2.
+    /// Jobs that must be done before any task of this one starts. Written only in format V2.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// Number of further records that hold the dependencies, if the list is too long for this one.
+    /// Number of chunk records with the dependencies, if the list is too long for this record.
     #[serde(rename = "needs_pieces", default, skip_serializing_if = "is_zero")]
     pub dependency_chunks: u32,
-    /// Whether a run of a graph submitted it; no other job ever belongs to a run.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub run: bool,
-    /// Of a run's job: how long its tasks wait after a failure, in milliseconds.
+    /// Whether a DAG run submitted the job. Jobs submitted by users never belong to a run.
+    #[serde(rename = "run", default, skip_serializing_if = "std::ops::Not::not")]
+    pub from_run: bool,
+    /// For the job of a DAG run: how long a task waits after a failure, in milliseconds.
     #[serde(default, skip_serializing_if = "is_zero_ms")]
     pub pause_ms: u64,
-    /// When it was done or cancelled; only in format V2, and for cancelled jobs only since that was added.
+    /// When the job was done or cancelled. Written only in format V2; older records of cancelled jobs
+    /// lack it too.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<WallClockMillis>,
 }
@@ -191,19 +193,20 @@
 }
 
 impl JobRecord {
-    /// Whether it has dependencies.
+    /// Whether the record or its chunks list dependencies.
     #[must_use]
     pub fn has_dependencies(&self) -> bool {
         !self.dependencies.is_empty() || self.dependency_chunks > 0
     }
 
-    /// Whether it has ended.
+    /// Whether the job is done or cancelled.
     #[must_use]
     pub fn is_final(&self) -> bool {
         self.state != JobState::Open
     }
 
-    /// The record after `shard_id` has no allocation of the job any more.
+    /// Returns the record without `shard_id`, whose allocation of the job is deleted. An open job
+    /// without shards is done.
     #[must_use]
     pub fn without_shard(
         &self,
@@ -223,7 +226,7 @@
         next
     }
 
-    /// The record after the job's cancellation.
+    /// Returns the record of the job after its cancellation.
     #[must_use]
     pub fn cancelled(&self, now: WallClockMillis, format: RecordFormat) -> JobRecord {
         let mut next = self.clone();
--- a/crates/model/src/records/mod.rs
+++ b/crates/model/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! The records in the key-value store: their types, keys, formats and limits.
+//! Records in the key-value store: types, keys, formats and size limits.
 
 mod allocation;
 pub mod compact_encoding;
@@ -22,7 +22,7 @@
 pub use quota::{Grant, QuotaRecord};
 pub use resources::Resources;
 pub use run::{
-    GraphRecord, RunId, RunRecord, RunState, definition_key, graph_key, is_valid_run_name,
-    plan_key, run_key,
+    DagRecord, RunId, RunRecord, RunState, dag_key, definition_key, is_valid_run_name, plan_key,
+    run_key,
 };
 pub use storage_limits::StorageLimits;
--- a/crates/model/src/records/quota.rs
+++ b/crates/model/src/records/quota.rs
@@ -1,23 +1,24 @@
-//! A team's quota and its division among shards.
+//! Quota grants: the division of a team's quota among shards.
 
 use super::resources::{EPSILON, Resources};
 use crate::ids::ShardId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// `quota/<team>`: the part of the team's limit that is granted to each shard; the rest is free.
+/// The record `quota/<team>`: the parts of the team's limit granted to shards. The rest of the limit
+/// is free.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    /// The grant of each shard.
+    /// The quota grant of each shard that has one.
     pub grants: BTreeMap<ShardId, Grant>,
 }
 
-/// The part of a quota that a shard may use.
+/// A quota grant: the part of a team's limit that a shard may use.
 #[derive(Clone, Copy, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Grant {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
 }
 
@@ -31,13 +32,13 @@
 }
 
 impl Grant {
-    /// Adds another grant.
+    /// Adds another grant to this one.
     pub fn add(&mut self, more: Grant) {
         self.cpus += more.cpus;
         self.gpus += more.gpus;
     }
 
-    /// Whether the grant is enough for what is used.
+    /// Whether the grant is enough for the resources in use.
     #[must_use]
     pub fn covers(self, used: Grant) -> bool {
         used.cpus <= self.cpus + EPSILON && used.gpus <= self.gpus + EPSILON
@@ -45,7 +46,7 @@
 }
 
 impl QuotaRecord {
-    /// The sum of all grants.
+    /// Returns the sum of all shards' grants.
     #[must_use]
     pub fn granted(&self) -> Grant {
         self.grants
@@ -56,13 +57,13 @@
             })
     }
 
-    /// The record with a shard's grant set as near to `wish` as `limit` allows, never below `used`. It
-    /// exceeds the limit only if this record already does.
+    /// Returns the record with a shard's grant set to `desired`, or as close to it as `limit` allows,
+    /// but not below `used`. The sum exceeds the limit only if it already does in this record.
     #[must_use]
     pub fn regrant(
         &self,
         shard_id: ShardId,
-        wish: Grant,
+        desired: Grant,
         used: Grant,
         limit: Grant,
     ) -> QuotaRecord {
@@ -74,12 +75,12 @@
             gpus: (limit.gpus - others.gpus).max(0.0),
         };
         // `used` never exceeds the current grant, so granting it again cannot exceed the limit.
-        let bounded = |wish: f64, used: f64, free: f64, current: f64| {
-            wish.max(used).min(free.max(current.min(used)))
+        let bounded = |desired: f64, used: f64, free: f64, current: f64| {
+            desired.max(used).min(free.max(current.min(used)))
         };
         let grant = Grant {
-            cpus: bounded(wish.cpus, used.cpus, free.cpus, current.cpus),
-            gpus: bounded(wish.gpus, used.gpus, free.gpus, current.gpus),
+            cpus: bounded(desired.cpus, used.cpus, free.cpus, current.cpus),
+            gpus: bounded(desired.gpus, used.gpus, free.gpus, current.gpus),
         };
         next.grants.insert(shard_id, grant);
         next
--- a/crates/model/src/records/resources.rs
+++ b/crates/model/src/records/resources.rs
@@ -1,37 +1,37 @@
-//! Amounts of what tasks require and machines have.
+//! Amounts of the resources that tasks require and machines provide.
 
 use serde::{Deserialize, Serialize};
 
-/// What one task requires, or a machine has.
+/// Resources that a task requires, or that a machine provides.
 #[derive(Clone, Copy, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in gigabytes.
     pub mem: f64,
 }
 
-/// Absorbs the rounding of repeated additions; far below any real request.
+/// Tolerance for the rounding errors of repeated additions; far below the amounts of any real task.
 pub(super) const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Adds other resources.
+    /// Adds `other` to each amount.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.mem += other.mem;
     }
 
-    /// Subtracts other resources.
+    /// Subtracts `other` from each amount; amounts may become negative.
     pub fn sub(&mut self, other: Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.mem -= other.mem;
     }
 
-    /// These resources `factor` times.
+    /// Returns these resources multiplied by `factor`.
     #[must_use]
     pub fn times(self, factor: f64) -> Resources {
         Resources {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether a task that requires these fits into `free`.
+    /// Whether a task that requires these resources fits into `free`.
     #[must_use]
     pub fn fits_in(self, free: Resources) -> bool {
         self.cpus <= free.cpus + EPSILON
@@ -49,7 +49,7 @@
             && self.mem <= free.mem + EPSILON
     }
 
-    /// How many tasks that require these fit into `free`.
+    /// Returns how many tasks that each require these resources fit into `free`.
     #[must_use]
     pub fn count_in(self, free: Resources) -> u32 {
         let mut count = f64::from(u32::MAX);
--- a/crates/model/src/records/run.rs
+++ b/crates/model/src/records/run.rs
@@ -1,4 +1,4 @@
-//! The records of graphs and their runs.
+//! Records of DAGs and their runs.
 
 use crate::ids::{WallClockMillis, is_valid_name};
 use crate::task_ranges::TaskRanges;
@@ -6,126 +6,131 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Identifies a run of a graph.
+/// The ID of a DAG run.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RunId {
-    /// The graph's name.
-    pub graph: String,
-    /// The run's name.
+    /// The DAG's name.
+    pub dag: String,
+    /// The run's name, unique among the runs of the DAG.
     pub run: String,
 }
 
-/// Whether a run or a graph may have this name.
+/// Whether this name is valid for a DAG or a DAG run.
 #[must_use]
 pub fn is_valid_run_name(name: &str) -> bool {
     is_valid_name(name, b"._:+-")
 }
 
 impl RunId {
-    /// A run of a graph; `None` if one of the names is invalid.
+    /// Creates the ID of a run; `None` if one of the names is invalid.
     #[must_use]
-    pub fn new(graph: &str, run: &str) -> Option<RunId> {
-        (is_valid_run_name(graph) && is_valid_run_name(run)).then(|| RunId {
-            graph: graph.to_string(),
+    pub fn new(dag: &str, run: &str) -> Option<RunId> {
+        (is_valid_run_name(dag) && is_valid_run_name(run)).then(|| RunId {
+            dag: dag.to_string(),
             run: run.to_string(),
         })
     }
 
-    /// Parses `<graph>/<run>`.
+    /// Parses `<dag>/<run>`; `None` if the form or one of the names is invalid.
     #[must_use]
     pub fn parse(text: &str) -> Option<RunId> {
-        let (graph, run) = text.split_once('/')?;
-        RunId::new(graph, run)
+        let (dag, run) = text.split_once('/')?;
+        RunId::new(dag, run)
     }
 }
 
 impl fmt::Display for RunId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.graph, self.run)
+        write!(f, "{}/{}", self.dag, self.run)
     }
 }
 
-/// The state of a run.
+/// The state of a DAG run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum RunState {
-    /// Not ended.
+    /// Not ended yet.
     Open,
-    /// Ended without a failure that counts.
+    /// Ended, and no job failed that the run's result depends on.
     Success,
-    /// Ended with one.
+    /// Ended, and a job failed that the run's result depends on.
     Failed,
-    /// Cancelled by its user.
+    /// Ended after a user cancelled the run.
     Cancelled,
 }
 
-/// `run/<graph>/<run>`. The request is stored in chunks of its own, under its hash.
+/// The record `run/<dag>/<run>`. The run's definition is stored in chunk records under its hash.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The state.
+    /// Whether the run is open, or how it ended.
     pub state: RunState,
-    /// When it was accepted.
-    pub at: WallClockMillis,
-    /// Number of its jobs.
+    /// When the run was accepted.
+    #[serde(rename = "at")]
+    pub accepted_at: WallClockMillis,
+    /// Number of jobs of the run.
     pub jobs: u32,
-    /// The hash of the request.
+    /// The hash of the run's definition.
     pub hash: String,
-    /// Number of chunks of the request.
-    pub pieces: u32,
-    /// Whether its user has cancelled it.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub cancel: bool,
-    /// Jobs that have failed for good, by their place in the plan.
+    /// Number of chunk records with the run's definition.
+    #[serde(rename = "pieces")]
+    pub chunks: u32,
+    /// Whether a user requested to cancel the run.
+    #[serde(rename = "cancel", default, skip_serializing_if = "std::ops::Not::not")]
+    pub cancel_requested: bool,
+    /// Jobs that have failed permanently, by their index in the plan; empty once the run has ended.
     #[serde(default, skip_serializing_if = "TaskRanges::is_empty")]
     pub failed: TaskRanges,
-    /// How many jobs ended how, once the run has ended.
+    /// Number of jobs by final state; empty until the run has ended.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub counts: BTreeMap<String, u32>,
-    /// When it ended.
+    /// When the run ended; `None` while it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<WallClockMillis>,
 }
 
-/// The key of a run.
+/// Returns the key of a DAG run's record.
 #[must_use]
 pub fn run_key(run: &RunId) -> String {
     format!("run/{run}")
 }
 
-/// The key of a chunk of a run's request.
+/// Returns the key of a chunk of a DAG run's definition.
 #[must_use]
 pub fn plan_key(run: &RunId, hash: &str, chunk: u32) -> String {
     format!("plan/{run}/{hash}/{chunk}")
 }
 
-/// `graph/<name>`: a graph that is stored for its schedule. Its definition is stored in chunks of its own.
+/// The record `graph/<name>`: a DAG with its schedule. The definition is stored in chunk records.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct GraphRecord {
-    /// The hash of the definition.
+pub struct DagRecord {
+    /// The hash of the DAG's definition.
     pub hash: String,
-    /// Number of chunks of the definition.
-    pub pieces: u32,
-    /// When it was first stored.
-    pub at: WallClockMillis,
-    /// Whether its schedule is paused.
+    /// Number of chunk records with the definition.
+    #[serde(rename = "pieces")]
+    pub chunks: u32,
+    /// When the DAG was first stored; later versions of the definition keep it.
+    #[serde(rename = "at")]
+    pub created_at: WallClockMillis,
+    /// Whether the schedule is paused.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub paused: bool,
-    /// Every interval that ended by then has its run, or was skipped.
-    pub since: WallClockMillis,
-    /// Number of intervals skipped because nobody requested to catch up.
-    #[serde(default)]
-    pub missed: u64,
-    /// Why it was paused, if not by a user.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<String>,
+    /// Every schedule interval that ended by this time has its run, or was skipped.
+    #[serde(rename = "since")]
+    pub scheduled_until: WallClockMillis,
+    /// Number of schedule intervals skipped because the DAG does not catch up.
+    #[serde(rename = "missed", default)]
+    pub skipped_intervals: u64,
+    /// Why the scheduler paused the DAG; `None` if a user did, or it is not paused.
+    #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
+    pub pause_reason: Option<String>,
 }
 
-/// The key of a stored graph.
+/// Returns the key of a DAG's record.
 #[must_use]
-pub fn graph_key(name: &str) -> String {
+pub fn dag_key(name: &str) -> String {
     format!("graph/{name}")
 }
 
-/// The key of a chunk of a graph's definition.
+/// Returns the key of a chunk of a DAG's definition.
 #[must_use]
 pub fn definition_key(name: &str, hash: &str, chunk: u32) -> String {
     format!("def/{name}/{hash}/{chunk}")
--- a/crates/model/src/records/storage_limits.rs
+++ b/crates/model/src/records/storage_limits.rs
@@ -1,4 +1,4 @@
-//! The format and the limits within which records are written.
+//! The record format and size limits that writes to the key-value store comply with.
 
 use super::allocation::ShardAllocation;
 use super::compact_encoding;
@@ -7,37 +7,37 @@
 use crate::ids::JobId;
 use serde_json::Value;
 
-/// The format in which records are written, and the limits of the key-value store.
+/// The record format to write, and the limits of the key-value store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StorageLimits {
-    /// The format.
+    /// The format of written records.
     pub format: RecordFormat,
-    /// Most bytes of a value.
+    /// Maximum bytes of a value.
     pub value_bytes: usize,
-    /// Most mutations of a compare-and-swap.
+    /// Maximum mutations of a compare-and-swap.
     pub txn_ops: usize,
-    /// Most requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Most writes a second.
+    /// Maximum writes per second.
     pub write_rps: f64,
 }
 
-/// Bytes of the largest value that are not used, as the store may count its size differently.
+/// Bytes below the maximum value size that stay unused: the store may compute the size differently.
 const SPARE_BYTES: usize = 32;
-/// Bytes of a list's brackets.
+/// Bytes of the brackets of a JSON list.
 const BRACKETS_BYTES: usize = 2;
-/// Bytes of a text's quotes and the comma after it.
+/// Bytes of the quotes and the comma of a string in a JSON list.
 const LIST_ITEM_BYTES: usize = 3;
 
 impl StorageLimits {
-    /// Whether a value is small enough to be written.
+    /// Whether a value is within the size limit.
     #[must_use]
     pub fn accepts(&self, value: &Value) -> bool {
         value.to_string().len() + SPARE_BYTES <= self.value_bytes
     }
 
-    /// Divides a long list of dependencies into chunks that are small enough to be written. The same list
-    /// gives the same chunks on every controller.
+    /// Splits a long list of dependencies into chunks within the size limit. The result is the same
+    /// on every controller.
     #[must_use]
     pub fn dependency_chunks(&self, dependencies: &[JobId]) -> Vec<Vec<JobId>> {
         let available_bytes = self
@@ -59,7 +59,7 @@
         chunks
     }
 
-    /// An allocation's value; `None` if it is too large now. It shrinks as tasks end.
+    /// Encodes an allocation; `None` if its value is too large. It shrinks as tasks end.
     #[must_use]
     pub fn encode_allocation(&self, allocation: &ShardAllocation) -> Option<Value> {
         let value = match self.format {
@@ -79,7 +79,8 @@
             .filter(|value| self.accepts(value))
     }
 
-    /// A job's value; `None` if it is too large. Machine types that do not exist may be dropped from it.
+    /// Encodes a job's record; `None` if its value is too large. To reduce the size, machine types
+    /// for which `type_exists` is false may be dropped.
     #[must_use]
     pub fn encode_job(
         &self,
@@ -92,7 +93,7 @@
         }
         let mut reduced = record.clone();
         if let Some(types) = reduced.spec.as_mut().and_then(|spec| spec.types.as_mut()) {
-            types.retain(|label| type_exists(label));
+            types.retain(|name| type_exists(name));
             types.sort();
             types.dedup();
         }
@@ -100,9 +101,9 @@
         self.accepts(&value).then_some(value)
     }
 
-    /// How many more tasks of an allocation may be started so that no later write, whatever ends and
-    /// requeues it contains, becomes too large. `started` tasks are started already; machines' names have
-    /// at most `name_bytes`.
+    /// Returns how many more tasks of an allocation may be started while its value stays within the
+    /// size limit after any sequence of task ends and requeues. `started` is the number of started
+    /// tasks; `name_bytes` is the maximum length of a machine's name.
     #[must_use]
     pub fn startable(&self, allocation: &ShardAllocation, started: u32, name_bytes: usize) -> u32 {
         let available_bytes = self.value_bytes.saturating_sub(SPARE_BYTES);
@@ -114,7 +115,7 @@
                 let waiting = allocation.waiting.ranges();
                 let last_task = waiting.last().map_or(0, |range| range.end);
                 let attempt = waiting.iter().map(|range| range.attempt).max().unwrap_or(1);
-                // A start may split the range that it is taken from.
+                // Starting a task may split the range that contains it.
                 let bytes_each =
                     compact_encoding::max_task_bytes(last_task, attempt) + name_bytes + 2;
                 let used = compact_encoding::max_bytes(&allocation.waiting, &allocation.started);
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -1,17 +1,17 @@
-//! Sets of tasks stored as ranges, each with the attempt that its tasks share.
+//! Sets of tasks stored as ranges of task indices, each with the attempt that its tasks share.
 
 use crate::ids::{Attempt, TaskIndex};
 use serde::{Deserialize, Serialize};
 
-/// The tasks `start..end` of a job, all at the same attempt. Stored as the array `[start, end, attempt]`.
+/// The tasks `start..end` of a job, all at the same attempt. Serialized as `[start, end, attempt]`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
 pub struct TaskRange {
-    /// The first task.
+    /// Index of the first task.
     pub start: u32,
-    /// The task after the last one.
+    /// Index after the last task.
     pub end: u32,
-    /// The attempt of all of them.
+    /// Attempt of every task in the range.
     pub attempt: u32,
 }
 
@@ -32,12 +32,12 @@
 }
 
 impl TaskRange {
-    /// Number of tasks.
+    /// Number of tasks in the range.
     pub(crate) fn task_count(self) -> u32 {
         self.end - self.start
     }
 
-    /// Whether `next` continues this range: the following tasks at the same attempt.
+    /// Whether `next` directly follows this range at the same attempt.
     fn is_continued_by(self, next: TaskRange) -> bool {
         self.end == next.start && self.attempt == next.attempt
     }
@@ -60,7 +60,7 @@
 #[serde(try_from = "Vec<TaskRange>", into = "Vec<TaskRange>")]
 pub struct TaskRanges(Vec<TaskRange>);
 
-/// A list of ranges that is not a [`TaskRanges`].
+/// The error for a list of ranges that is unsorted, overlaps, or contains an empty range.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("ranges must be sorted, disjoint and not empty")]
 pub struct InvalidRanges;
@@ -87,7 +87,7 @@
 }
 
 impl TaskRanges {
-    /// The tasks `start..end` at one attempt; empty if `start` is not less than `end`.
+    /// Creates the set of tasks `start..end` at one attempt; empty if `start >= end`.
     #[must_use]
     pub fn range(start: u32, end: u32, attempt: u32) -> TaskRanges {
         if start < end {
@@ -101,30 +101,30 @@
         }
     }
 
-    /// Whether there is no task.
+    /// Whether the set contains no task.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Number of tasks.
+    /// Number of tasks in the set.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.0.iter().map(|range| range.task_count()).sum()
     }
 
-    /// The ranges, in order.
+    /// Returns the ranges, sorted by task.
     #[must_use]
     pub fn ranges(&self) -> &[TaskRange] {
         &self.0
     }
 
-    /// The place of the first range that ends after a task.
+    /// Returns the position of the first range that ends after a task.
     fn position(&self, task: TaskIndex) -> usize {
         self.0.partition_point(|range| range.end <= task.0)
     }
 
-    /// The attempt of a task, if the set contains it.
+    /// Returns the attempt of a task, if the set contains it.
     #[must_use]
     pub fn get(&self, task: TaskIndex) -> Option<Attempt> {
         self.0
@@ -133,7 +133,7 @@
             .map(|range| Attempt(range.attempt))
     }
 
-    /// Removes a task and returns its attempt.
+    /// Removes a task and returns its attempt; `None` if the set does not contain it.
     pub fn remove(&mut self, task: TaskIndex) -> Option<Attempt> {
         let at = self.position(task);
         let range = *self.0.get(at).filter(|range| range.start <= task.0)?;
@@ -154,7 +154,7 @@
         Some(Attempt(range.attempt))
     }
 
-    /// Inserts a task, replacing the attempt that it had.
+    /// Inserts a task, replacing its previous attempt if there is one.
     pub fn insert(&mut self, task: TaskIndex, attempt: Attempt) {
         self.remove(task);
         let at = self.position(task);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Merges the range at `at` with the next one if that continues it.
+    /// Merges the range at `at` with the next one if they are contiguous at the same attempt.
     fn coalesce(&mut self, at: usize) {
         if let (Some(range), Some(next)) = (self.0.get(at).copied(), self.0.get(at + 1).copied())
             && range.is_continued_by(next)
@@ -180,14 +180,14 @@
         }
     }
 
-    /// The first task and its attempt.
+    /// Returns the task with the lowest index and its attempt, or `None` if the set is empty.
     #[must_use]
     pub fn first(&self) -> Option<(TaskIndex, Attempt)> {
         let range = self.0.first()?;
         Some((TaskIndex(range.start), Attempt(range.attempt)))
     }
 
-    /// The tasks and their attempts, in order.
+    /// Iterates over the tasks and their attempts, sorted by task.
     pub fn iter(&self) -> impl Iterator<Item = (TaskIndex, Attempt)> + '_ {
         self.0.iter().flat_map(|range| {
             let attempt = Attempt(range.attempt);
@@ -195,7 +195,7 @@
         })
     }
 
-    /// Splits off up to `count` tasks from the end.
+    /// Removes and returns up to `count` tasks with the highest indices.
     #[must_use]
     pub fn split_last(&mut self, count: u32) -> TaskRanges {
         let mut taken = Vec::new();
@@ -218,7 +218,8 @@
         TaskRanges(taken)
     }
 
-    /// Raises all tasks to the highest attempt among them; attempts never decrease.
+    /// Raises all tasks to the highest attempt in the set, which coalesces more ranges. Attempts must
+    /// never decrease.
     pub fn raise_to_highest_attempt(&mut self) {
         let attempts = self.0.iter().map(|range| range.attempt);
         let attempt = attempts.max().unwrap_or(1);
@@ -232,7 +233,7 @@
         self.0 = raised;
     }
 
-    /// Inserts all tasks of another set.
+    /// Inserts all tasks of another set; its attempts replace those in this set.
     pub fn merge(&mut self, other: &TaskRanges) {
         for (task, attempt) in other.iter() {
             self.insert(task, attempt);
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -123,7 +123,7 @@
                     state: JobState::Cancelled,
                     tasks: 0,
                     ended: None,
-                    run: false,
+                    from_run: false,
                 };
                 self.respond_final(connection, &job, end, purpose, context);
                 Some(job)
@@ -244,7 +244,7 @@
         context: &'a Context<'_>,
     ) -> Option<&'a VersionedRecord<JobRecord>> {
         let record = context.records.jobs.get(job)?;
-        let from_run = self.requested_by_runs.contains(job) && record.value.run;
+        let from_run = self.requested_by_runs.contains(job) && record.value.from_run;
         let first_shard = record.value.shards.first();
         let is_responsible = from_run || first_shard.is_some_and(|s| led_shards.contains(s));
         let is_due = !self.backoff_until.contains_key(job);
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -352,7 +352,7 @@
         dependencies: Vec::new(),
         dependency_chunks: submission.chunk_count,
         ended: None,
-        run: submission.from_run,
+        from_run: submission.from_run,
         pause_ms: submission.pause_ms,
     };
     if submission.dependencies.iter().any(is_cancelled) {
--- a/src/coordination/api/feasibility.rs
+++ b/src/coordination/api/feasibility.rs
@@ -43,9 +43,9 @@
         .find(|t| t.name == spec.team.as_str())
         .ok_or(RejectionReason::UnknownTeam)?;
     let fits = context.machine_types.values().any(|t| {
-        spec.types.as_ref().is_none_or(|l| l.contains(&t.label))
+        spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && spec.resources.fits_in(t.room())
+            && spec.resources.fits_in(t.capacity())
     });
     if !fits {
         return Err(RejectionReason::NoMachineType);
--- a/src/coordination/api/partitioning.rs
+++ b/src/coordination/api/partitioning.rs
@@ -43,7 +43,11 @@
 ) -> Vec<ShardAssignment> {
     let capacity_of = |shard: u32| capacity.get(&ShardId(shard)).copied().unwrap_or_default();
     let free_cpus = |shard: u32| capacity_of(shard).free.max(0.0);
-    if spec.kind == JobKind::Service || spec.zones_bound() || spec.tasks == 1 || shard_count == 1 {
+    if spec.kind == JobKind::Service
+        || spec.is_zone_constrained()
+        || spec.tasks == 1
+        || shard_count == 1
+    {
         let first = shard_of(job.as_str(), shard_count).0;
         let ring = (0..shard_count).map(|i| (first + i) % shard_count);
         let freest = ring.max_by(|a, b| free_cpus(*a).total_cmp(&free_cpus(*b)));
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -149,7 +149,7 @@
             continue;
         }
         let uncovered = uncovered_by_jobs(hold, &mut jobs);
-        let whole = machine_type.room();
+        let whole = machine_type.capacity();
         let machines = machines_for(uncovered, whole);
         if machines > 0.0 {
             demand.push(TaskDemand {
--- a/src/coordination/autoscaler/planning.rs
+++ b/src/coordination/autoscaler/planning.rs
@@ -67,7 +67,7 @@
 
     /// The price of one task on a full machine, if a task fits.
     fn task_price(&self, machine_type: &MachineType, spot: bool) -> Option<f64> {
-        match self.resources.count_in(machine_type.room()) {
+        match self.resources.count_in(machine_type.capacity()) {
             0 => None,
             tasks => Some(machine_type.price(spot) / f64::from(tasks)),
         }
@@ -77,7 +77,7 @@
     fn least_task_price(&self, types: &BTreeMap<String, MachineType>) -> f64 {
         types
             .values()
-            .filter(|t| self.types.as_ref().is_none_or(|l| l.contains(&t.label)))
+            .filter(|t| self.types.as_ref().is_none_or(|l| l.contains(&t.name)))
             .filter_map(|t| self.task_price(t, self.spot))
             .fold(f64::INFINITY, f64::min)
     }
@@ -154,7 +154,7 @@
                     continue;
                 }
                 let pool = Pool {
-                    model: machine_type.label.clone(),
+                    model: machine_type.name.clone(),
                     zone: zone.clone(),
                     spot,
                 };
@@ -194,7 +194,7 @@
                 }
             }
             let tasks = option.tasks_per_machine.min(left);
-            let mut free = machine_type.room();
+            let mut free = machine_type.capacity();
             free.sub(demand.resources.times(f64::from(tasks)));
             usable_cpus += machine_type.cpus;
             self.capacity_index
@@ -231,7 +231,7 @@
             .filter(|pool| left > 0 && demand.allows(pool))
             .filter_map(|pool| {
                 let machine_type = types.get(&pool.model)?;
-                let tasks_per_machine = demand.resources.count_in(machine_type.room());
+                let tasks_per_machine = demand.resources.count_in(machine_type.capacity());
                 (tasks_per_machine > 0).then_some(PoolOption {
                     pool,
                     machine_type,
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -212,7 +212,7 @@
         let mut supply = Vec::new();
         let mut add = |pool: Pool| {
             if let Some(machine_type) = context.machine_types.get(&pool.model) {
-                let free = machine_type.room();
+                let free = machine_type.capacity();
                 supply.push(MachineSupply { pool, free });
             }
         };
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -127,7 +127,7 @@
     /// The holder of a shard's lease according to the record cache.
     fn shard_holder(&self, shard_id: ShardId) -> Option<&Member> {
         let holder = self.env.records.shard_leaders.get(&shard_id);
-        holder.map(|v| &v.value.owner)
+        holder.map(|v| &v.value.member)
     }
 
     /// Redirects a worker to the leader of its shard, or to any other controller if the leader is unknown or
--- a/src/coordination/controller/machine_types.rs
+++ b/src/coordination/controller/machine_types.rs
@@ -33,7 +33,7 @@
     pub(super) fn refresh(&mut self, records: &RecordCache) {
         if let Some(types) = &records.machine_types {
             let types = types.value.iter();
-            self.by_name = types.map(|t| (t.label.clone(), t.clone())).collect();
+            self.by_name = types.map(|t| (t.name.clone(), t.clone())).collect();
         }
     }
 }
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -93,8 +93,8 @@
 
 /// A run as users read it, without its steps.
 fn run_body(id: &RunId, record: &RunRecord) -> Value {
-    let state = state_name(record.state, record.cancel);
-    json!({"graph": id.graph, "run": id.run, "state": state, "jobs": record.jobs})
+    let state = state_name(record.state, record.cancel_requested);
+    json!({"graph": id.dag, "run": id.run, "state": state, "jobs": record.jobs})
 }
 
 /// How many jobs are in each state, by its name.
@@ -116,7 +116,7 @@
         request: DagRequest,
         context: &mut Context<'_>,
     ) {
-        if !context.records.all_support(&Capability::graphs()) {
+        if !context.records.all_support(&Capability::dags()) {
             let why = "not every controller takes graphs yet";
             let later = Response::later(503, why, UNSUPPORTED_RETRY_AFTER_S);
             context.effects.respond(connection, later);
--- a/src/coordination/dag_runs/open_run.rs
+++ b/src/coordination/dag_runs/open_run.rs
@@ -27,7 +27,7 @@
     record: &RunRecord,
     context: &Context<'_>,
 ) -> Option<Result<Asked, ExpansionError>> {
-    let definition = packing::unpack_pieces(record.pieces, |chunk| {
+    let definition = packing::unpack_pieces(record.chunks, |chunk| {
         let key = ChunkKey {
             owner: id.clone(),
             hash: record.hash.clone(),
@@ -87,7 +87,7 @@
             })?;
         let earlier_jobs = plan.jobs.iter().map(|job| {
             let runs = definition.after.iter();
-            runs.map(|run| job_id(&id.graph, run, &job.step, job.copy))
+            runs.map(|run| job_id(&id.dag, run, &job.step, job.copy))
                 .collect()
         });
         Ok(OpenRun {
@@ -110,7 +110,7 @@
         for (i, ids) in self.earlier_jobs.iter_mut().enumerate() {
             ids.retain(|id| match context.records.finished_job(id) {
                 Some(end) => {
-                    self.inherited[i] |= end.run && end.state == JobState::Done;
+                    self.inherited[i] |= end.from_run && end.state == JobState::Done;
                     false
                 }
                 // Open, or not known here.
@@ -167,8 +167,8 @@
                 context.records.finished_job(id),
                 context.records.jobs.get(id),
             ) {
-                (Some(end), _) => Some((end.state, end.run)),
-                (None, Some(v)) => Some((v.value.state, v.value.run)),
+                (Some(end), _) => Some((end.state, end.from_run)),
+                (None, Some(v)) => Some((v.value.state, v.value.from_run)),
                 (None, None) => None,
             };
             *observed = match state {
@@ -184,7 +184,7 @@
             &self.plan,
             &self.observed,
             &failed,
-            record.cancel,
+            record.cancel_requested,
             self.max_active_tasks,
             max_submissions,
         )
--- a/src/coordination/dag_runs/run_records.rs
+++ b/src/coordination/dag_runs/run_records.rs
@@ -37,7 +37,7 @@
             self.check_status(query, context);
             return;
         };
-        if v.value.state != RunState::Open || v.value.cancel {
+        if v.value.state != RunState::Open || v.value.cancel_requested {
             let body = run_body(&id, &v.value);
             let response = Response::json(200, &body);
             context.effects.respond(connection, response);
@@ -52,7 +52,7 @@
             return;
         }
         let record = RunRecord {
-            cancel: true,
+            cancel_requested: true,
             ..(*v.value).clone()
         };
         let write = RunWrite {
--- a/src/coordination/dag_runs/schedules.rs
+++ b/src/coordination/dag_runs/schedules.rs
@@ -18,7 +18,7 @@
 use snowshelf_dag::schedule::{Timetable, run_of, timetable};
 use snowshelf_model::ids::{ConnectionId, MonotonicMillis, Version, WallClockMillis, shard_of};
 use snowshelf_model::protocol::state::{CompareAndSwap, Mutation};
-use snowshelf_model::records::{GraphRecord, RunId, definition_key, graph_key, run_key, shard_key};
+use snowshelf_model::records::{DagRecord, RunId, dag_key, definition_key, run_key, shard_key};
 use std::collections::BTreeMap;
 
 /// Time between two evaluations of all schedules, in milliseconds.
@@ -39,7 +39,7 @@
     /// Who waits for the response; nobody if the schedule has advanced.
     connection: Option<ConnectionId>,
     name: String,
-    record: GraphRecord,
+    record: DagRecord,
 }
 
 /// The schedules of stored DAGs.
@@ -65,10 +65,10 @@
 }
 
 /// A DAG's schedule as users read it.
-fn dag_body(name: &str, record: &GraphRecord) -> Value {
-    let mut body = json!({"graph": name, "paused": record.paused, "missed": record.missed,
-        "done_until": timestamp(record.since).to_string()});
-    if let Some(why) = &record.why {
+fn dag_body(name: &str, record: &DagRecord) -> Value {
+    let mut body = json!({"graph": name, "paused": record.paused, "missed": record.skipped_intervals,
+        "done_until": timestamp(record.scheduled_until).to_string()});
+    if let Some(why) = &record.pause_reason {
         body["why"] = json!(why);
     }
     body
@@ -77,13 +77,13 @@
 impl Schedules {
     /// Unpacks a DAG, if it has changed and all its chunks are cached; whether its present definition is
     /// unpacked.
-    fn unpack(&mut self, name: &str, record: &GraphRecord, context: &Context<'_>) -> bool {
+    fn unpack(&mut self, name: &str, record: &DagRecord, context: &Context<'_>) -> bool {
         let unpacked = self.dags.get(name);
         if unpacked.is_some_and(|dag| dag.hash == record.hash) {
             return true;
         }
         let definitions = &context.records.definition_chunks;
-        let definition = packing::unpack_pieces(record.pieces, |chunk| {
+        let definition = packing::unpack_pieces(record.chunks, |chunk| {
             let key = ChunkKey {
                 owner: name.to_string(),
                 hash: record.hash.clone(),
@@ -118,7 +118,7 @@
 fn due_run(
     name: &str,
     dag: &UnpackedDag,
-    record: &GraphRecord,
+    record: &DagRecord,
     context: &Context<'_>,
 ) -> Option<DueRun> {
     // No interval is over before it is over by every clock.
@@ -127,9 +127,10 @@
     let now = timestamp(WallClockMillis(wall_ms));
     let graph = &dag.definition.graph;
     let timetable = dag.timetable.as_ref()?;
-    let start = parse_timestamp(graph.start.as_deref()).unwrap_or_else(|| timestamp(record.at));
+    let start =
+        parse_timestamp(graph.start.as_deref()).unwrap_or_else(|| timestamp(record.created_at));
     let end = parse_timestamp(graph.end.as_deref()).unwrap_or(Timestamp::MAX);
-    let mut due = timetable.due(start, timestamp(record.since), now);
+    let mut due = timetable.due(start, timestamp(record.scheduled_until), now);
     due.retain(|(from, _)| *from <= end);
     let interval = if graph.catch_up {
         due.first()
@@ -179,18 +180,17 @@
         } else {
             start.max(now)
         };
-        let record = GraphRecord {
+        let record = DagRecord {
             hash,
-            pieces: chunks.len() as u32,
-            at: before.map_or(now, |v| v.value.at),
-            paused: before.is_some_and(|v| v.value.paused && v.value.why.is_none()),
-            since: before.map_or(since, |v| v.value.since),
-            missed: before.map_or(0, |v| v.value.missed),
-            why: None,
+            chunks: chunks.len() as u32,
+            created_at: before.map_or(now, |v| v.value.created_at),
+            paused: before.is_some_and(|v| v.value.paused && v.value.pause_reason.is_none()),
+            scheduled_until: before.map_or(since, |v| v.value.scheduled_until),
+            skipped_intervals: before.map_or(0, |v| v.value.skipped_intervals),
+            pause_reason: None,
         };
         let version = before.map(|v| v.version).unwrap_or_default();
-        let mut pending =
-            PendingDefinition::new(graph_key(name), version, &record, chunks, context);
+        let mut pending = PendingDefinition::new(dag_key(name), version, &record, chunks, context);
         pending.connection = Some(connection);
         pending.body = dag_body(name, &record);
         self.pending.push_back(pending);
@@ -229,9 +229,9 @@
         let write = DagWrite {
             connection: Some(connection),
             name: name.to_string(),
-            record: GraphRecord {
+            record: DagRecord {
                 paused,
-                why: None,
+                pause_reason: None,
                 ..(*v.value).clone()
             },
         };
@@ -246,7 +246,7 @@
         swap: CompareAndSwap,
         context: &mut Context<'_>,
     ) {
-        let key = graph_key(&write.name);
+        let key = dag_key(&write.name);
         let swap = swap
             .compare(key.clone(), version)
             .mutate(Mutation::put(key, &write.record));
@@ -275,7 +275,7 @@
             let value = serde_json::to_value(&record).unwrap_or_default();
             context
                 .records
-                .apply(&graph_key(&name), Some(&value), *revision);
+                .apply(&dag_key(&name), Some(&value), *revision);
             Response::json(200, &dag_body(&name, &record))
         } else {
             Unavailable::Contended.into()
@@ -300,7 +300,7 @@
             .retain(|name, _| records.graphs.contains_key(name));
         let names: Vec<String> = context.records.graphs.keys().cloned().collect();
         for name in names {
-            let shard_id = shard_of(&graph_key(&name), context.config.shard_count);
+            let shard_id = shard_of(&dag_key(&name), context.config.shard_count);
             let record = context.records.graphs.get(&name).cloned();
             let (Some(fencing_token), Some(record)) = (leases.fencing_token(shard_id), record)
             else {
@@ -323,7 +323,7 @@
     fn start_due_run(
         &mut self,
         name: &str,
-        record: &VersionedRecord<GraphRecord>,
+        record: &VersionedRecord<DagRecord>,
         swap: CompareAndSwap,
         context: &mut Context<'_>,
     ) {
@@ -334,10 +334,10 @@
             return;
         };
         let mut next = (*record.value).clone();
-        next.missed += due.skipped;
+        next.skipped_intervals += due.skipped;
         if context.records.runs.contains_key(&due.id) {
             // It has started, by whichever controller: on to the next.
-            next.since = wall_clock(due.until);
+            next.scheduled_until = wall_clock(due.until);
         } else {
             let Err(rejection) = self.queue_due_run(name, &due, context) else {
                 return;
@@ -345,10 +345,10 @@
             // Only the interval can make a difference to what was planned before.
             let why = rejection.body().to_string();
             next.paused = true;
-            next.why = Some(why.chars().take(MAX_REASON_CHARS).collect());
+            next.pause_reason = Some(why.chars().take(MAX_REASON_CHARS).collect());
             tracing::error!(
                 dag = name,
-                why = next.why,
+                why = next.pause_reason,
                 "scheduled DAG run failed to begin"
             );
         }
@@ -356,8 +356,8 @@
             .kv
             .has_budget(context.now(), RequestPriority::TaskEnds, 1)
         {
-            if next.missed > record.value.missed {
-                let missed = next.missed;
+            if next.skipped_intervals > record.value.skipped_intervals {
+                let missed = next.skipped_intervals;
                 tracing::info!(dag = name, missed, "schedule intervals skipped");
             }
             let write = DagWrite {
--- a/src/coordination/dag_runs/submissions.rs
+++ b/src/coordination/dag_runs/submissions.rs
@@ -88,11 +88,11 @@
         let chunks = chunks(text, |i| plan_key(id, &hash, i), context);
         let record = RunRecord {
             state: RunState::Open,
-            at: WallClockMillis(context.effects.wall_ms),
+            accepted_at: WallClockMillis(context.effects.wall_ms),
             jobs: jobs as u32,
             hash,
-            pieces: chunks.len() as u32,
-            cancel: false,
+            chunks: chunks.len() as u32,
+            cancel_requested: false,
             failed: Default::default(),
             counts: BTreeMap::new(),
             ended: None,
@@ -140,7 +140,7 @@
 ) -> Result<(), RunLimit> {
     let runs = context.records.runs.iter();
     let open = runs.filter(|(_, v)| v.value.state == RunState::Open);
-    let of_dag = open.clone().filter(|(id, _)| id.graph == dag).count();
+    let of_dag = open.clone().filter(|(id, _)| id.dag == dag).count();
     if max_active_runs.is_some_and(|limit| of_dag >= limit as usize) {
         Err(RunLimit::OfDag)
     } else if open.count() >= context.config.ops.graphs.most_runs {
@@ -219,7 +219,7 @@
             context.effects.respond(connection, response);
             return;
         }
-        let mut limits = check_run_limits(&id.graph, definition.graph.max_active_runs, context);
+        let mut limits = check_run_limits(&id.dag, definition.graph.max_active_runs, context);
         if self.pending.len() >= MAX_PENDING {
             limits = limits.and(Err(RunLimit::OfDeployment));
         }
@@ -270,7 +270,7 @@
         };
         let old_run = std::mem::replace(&mut definition.run, new_run);
         definition.after.push(old_run);
-        if let Some(id) = RunId::new(&id.graph, &definition.run) {
+        if let Some(id) = RunId::new(&id.dag, &definition.run) {
             let packed = PackedDefinition {
                 text: packing::pack(&definition),
                 definition: Box::new(definition),
--- a/src/coordination/format_migration.rs
+++ b/src/coordination/format_migration.rs
@@ -58,7 +58,7 @@
 ) -> Option<Declaration> {
     let record = FormatRecord {
         format: declared.map_or(FORMAT_V2, |v| v.value.format.max(FORMAT_V2)),
-        can: capabilities.clone(),
+        capabilities: capabilities.clone(),
     };
     let is_written = declared.is_some_and(|v| *v.value == record);
     (!is_written).then(|| Declaration {
@@ -86,10 +86,12 @@
     }
     let mut record = agreed.map(|v| (*v.value).clone()).unwrap_or_default();
     record.format = record.format.max(format);
-    let common = capabilities
-        .iter()
-        .filter(|capability| declarations.iter().all(|d| d.can.contains(capability)));
-    record.can.extend(common.cloned());
+    let common = capabilities.iter().filter(|capability| {
+        declarations
+            .iter()
+            .all(|d| d.capabilities.contains(capability))
+    });
+    record.capabilities.extend(common.cloned());
     let is_written = agreed.is_some_and(|v| *v.value == record);
     (!is_written).then(|| Declaration {
         key: FORMAT_KEY.to_string(),
@@ -131,7 +133,7 @@
         let swap = CompareAndSwap::default()
             .compare(key.clone(), version)
             .mutate(Mutation::put(key.clone(), &value));
-        tracing::info!(key, format = record.format, can = ?record.can, "record format and capabilities declared");
+        tracing::info!(key, format = record.format, can = ?record.capabilities, "record format and capabilities declared");
         self.in_flight = true;
         let request = KvRequest::FormatMigration { key, value };
         context.kv.compare_and_swap(context.effects, request, &swap);
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -35,7 +35,7 @@
 /// The value of a role's key when this controller holds the role.
 fn holder_value(lease: LeaseId, context: &Context<'_>) -> Value {
     let holder = LeaseHolder {
-        owner: context.config.local_member.clone(),
+        member: context.config.local_member.clone(),
         lease,
     };
     serde_json::to_value(&holder).unwrap_or_default()
@@ -47,7 +47,7 @@
         Role::ClusterLeader => context.records.leader.as_ref(),
     }?;
     Some(KeyHolder {
-        is_self: record.value.owner == context.config.local_member,
+        is_self: record.value.member == context.config.local_member,
         version: record.version,
     })
 }
--- a/src/coordination/list_watch/mod.rs
+++ b/src/coordination/list_watch/mod.rs
@@ -272,7 +272,7 @@
             return Vec::new();
         };
         let (log, available) = match outcome {
-            WatchOutcome::Events(events) => (events.log, true),
+            WatchOutcome::Events(events) => (events.events, true),
             WatchOutcome::RevisionCompacted | WatchOutcome::Failed => (Vec::new(), false),
         };
         let mut changes = Vec::new();
@@ -356,7 +356,7 @@
         self.watch_slot.failures = 0;
         let mut changes = Vec::new();
         let mut startup = self.startup.as_mut().filter(|s| !s.open_loaded);
-        for entry in &events.log {
+        for entry in &events.events {
             if let Some(startup) = &mut startup
                 && let Some(key) = &entry.put
             {
--- a/src/coordination/reservations/capacity.rs
+++ b/src/coordination/reservations/capacity.rs
@@ -21,12 +21,12 @@
     let mut pools = BTreeMap::new();
     for machine_type in types.values() {
         for zone in &machine_type.zones {
-            let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.label;
+            let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.name;
             let most = match settings.capacity.iter().find(is_known) {
-                Some(c) => Amount::of(machine_type.room()).times(i64::from(c.machines)),
+                Some(c) => Amount::of(machine_type.capacity()).times(i64::from(c.machines)),
                 None => Amount::BOUNDLESS,
             };
-            pools.insert(Pool::new(zone, &machine_type.label), most);
+            pools.insert(Pool::new(zone, &machine_type.name), most);
         }
     }
     let limits = teams.iter().map(|team| {
--- a/src/coordination/shard/capacity.rs
+++ b/src/coordination/shard/capacity.rs
@@ -114,7 +114,7 @@
             let Some(machine_type) = context.machine_types.get(&m.model) else {
                 continue;
             };
-            let total = machine_type.room();
+            let total = machine_type.capacity();
             let mut free = total;
             free.sub(m.used);
             let reservation = self.reservations.by_machine.get(name);
--- a/src/coordination/shard/demand.rs
+++ b/src/coordination/shard/demand.rs
@@ -92,7 +92,7 @@
             let unplaceable = !classes.iter().any(|c| could_run(spec, c));
             let offer = steal_offer(id, job, unplaceable, context);
             // Once tasks of a zone-bound job have started here, its other tasks stay here.
-            if job.started_tasks == 0 || !spec.zones_bound() {
+            if job.started_tasks == 0 || !spec.is_zone_constrained() {
                 offers.extend(offer.map(|offer| (job.record.submitted, id, offer)));
             }
             if unplaceable {
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -100,7 +100,7 @@
         let mut load = Load::default();
         for m in self.machines.values() {
             if let Some(machine_type) = context.machine_types.get(&m.model) {
-                load.capacity.add(machine_type.room());
+                load.capacity.add(machine_type.capacity());
                 load.allocated.add(m.used);
             }
         }
@@ -238,7 +238,7 @@
         let zone_count = context.config.settings.deployment.zones.len();
         pass.capacity_index.allowed(|class| {
             self.is_eligible(spec, class, context)
-                && (!spec.zones_bound() || class.zone < zone_count)
+                && (!spec.is_zone_constrained() || class.zone < zone_count)
         })
     }
 
@@ -250,7 +250,7 @@
             max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
             ..ZoneRule::default()
         };
-        if spec.zones_bound() {
+        if spec.is_zone_constrained() {
             for (name, ranges) in &job.desired.started {
                 let zone = self.machines.get(name).map(|m| m.zone);
                 zones.add_tasks(zone.filter(|z| *z != UNKNOWN_ZONE), ranges.len());
@@ -338,7 +338,7 @@
                 m.images.fetching.insert(selection.image_id);
                 let indexed = pass.capacity_index.machine_mut(machine.entry_index);
                 indexed.images.fetching.insert(selection.image_id);
-                pass.unplaceable.image_fetched(selection.image_id);
+                pass.unplaceable.image_pull_started(selection.image_id);
             }
         }
     }
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -224,7 +224,7 @@
     /// Counts a failed task of a DAG run. The run's definition may require a pause before the next
     /// attempt.
     fn record_dag_task_failure(&mut self, id: &JobId, task: TaskIndex, now: MonotonicMillis) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.run) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.from_run) else {
             return;
         };
         *job.task_failures.entry(task).or_default() += 1;
--- a/src/coordination/shard/reservations.rs
+++ b/src/coordination/shard/reservations.rs
@@ -191,7 +191,7 @@
             machines.filter(|(name, m)| !reserved.contains_key(*name) && is_reservable(hold, m));
         let mut available: Vec<(Amount, MachineId)> = machines
             .filter_map(|(name, m)| {
-                let mut resources = context.machine_types.get(&m.model)?.room();
+                let mut resources = context.machine_types.get(&m.model)?.capacity();
                 if is_active {
                     resources.sub(m.used);
                     let team_usage = self.used_by_team(&hold.team, name);
@@ -224,7 +224,7 @@
         let Some(machine_type) = context.machine_types.get(&*hold.pool.model) else {
             return Amount::ZERO;
         };
-        let per_machine = Amount::of(machine_type.room());
+        let per_machine = Amount::of(machine_type.capacity());
         let mut remaining = hold.amount;
         for shard_id in (0..shard_count).map(|i| ShardId((first + i) % shard_count)) {
             let machines = self.machines_for(hold, shard_id);
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -189,7 +189,7 @@
             return None;
         }
         // A job with zone constraints is moved as a whole, before any of its tasks starts.
-        if spec.zones_bound() && !allocation.value.started.is_empty() {
+        if spec.is_zone_constrained() && !allocation.value.started.is_empty() {
             return None;
         }
         // A young job may be about to start in its own shard.
@@ -242,7 +242,7 @@
             fitting = u32::from(self.can_add_backfill_reservation(spec, &spare.index, context));
         }
         let waiting = candidate.allocation.value.waiting.len();
-        if fitting > 0 && spec.zones_bound() {
+        if fitting > 0 && spec.is_zone_constrained() {
             waiting
         } else {
             fitting.min(waiting)
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -235,7 +235,7 @@
     #[must_use]
     pub fn capabilities(&self) -> BTreeSet<Capability> {
         let calendar = self.calendar.enabled.then(Capability::calendar);
-        let graphs = self.graphs.enabled.then(Capability::graphs);
+        let graphs = self.graphs.enabled.then(Capability::dags);
         let drains = self.drains.enabled.then(Capability::drains);
         calendar.into_iter().chain(graphs).chain(drains).collect()
     }
--- a/src/storage/record_cache/finished_jobs.rs
+++ b/src/storage/record_cache/finished_jobs.rs
@@ -16,8 +16,8 @@
     pub tasks: u32,
     /// When the job ended; `None` if its record lacks the time.
     pub ended: Option<WallClockMillis>,
-    /// Whether a run of a graph submitted the job.
-    pub run: bool,
+    /// Whether a DAG run submitted the job.
+    pub from_run: bool,
 }
 
 impl From<&JobRecord> for FinishedJob {
@@ -26,7 +26,7 @@
             state: record.state,
             tasks: record.tasks,
             ended: record.ended,
-            run: record.run,
+            from_run: record.from_run,
         }
     }
 }
--- a/src/storage/record_cache/mod.rs
+++ b/src/storage/record_cache/mod.rs
@@ -24,8 +24,8 @@
 use snowshelf_model::ids::{JobId, Member, ShardId, Team, Version};
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::records::{
-    Capability, FormatRecord, GraphRecord, JobRecord, LeaseHolder, QuotaRecord, RecordFormat,
-    RunId, RunRecord, RunState, ShardAllocation,
+    Capability, DagRecord, FormatRecord, JobRecord, LeaseHolder, QuotaRecord, RecordFormat, RunId,
+    RunRecord, RunState, ShardAllocation,
 };
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -91,7 +91,7 @@
     /// Chunks of the plans of open runs.
     pub plan_chunks: BTreeMap<ChunkKey<RunId>, Rc<String>>,
     /// Stored graphs by name.
-    pub graphs: BTreeMap<String, VersionedRecord<GraphRecord>>,
+    pub graphs: BTreeMap<String, VersionedRecord<DagRecord>>,
     /// Chunks of the definitions of stored graphs.
     pub definition_chunks: BTreeMap<ChunkKey<String>, Rc<String>>,
     /// Number of changes of jobs' records and dependencies so far.
@@ -132,7 +132,7 @@
     #[must_use]
     pub fn all_support(&self, capability: &Capability) -> bool {
         let agreed = self.agreed_format.as_ref();
-        agreed.is_some_and(|record| record.value.can.contains(capability))
+        agreed.is_some_and(|record| record.value.capabilities.contains(capability))
     }
 
     /// A job's dependencies; `None` if a chunk of their list is not cached.
--- a/src/storage/record_cache/record_key.rs
+++ b/src/storage/record_cache/record_key.rs
@@ -3,9 +3,9 @@
 use snowshelf_calendar::entry::Name;
 use snowshelf_model::ids::{JobId, Member, ShardId, Team};
 use snowshelf_model::records::{
-    CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, RunId, allocation_key, definition_key,
-    dependency_chunk_key, graph_key, is_valid_run_name, job_key, member_key, plan_key, quota_key,
-    run_key, shard_key,
+    CALENDAR_KEY, FORMAT_KEY, LEADER_KEY, RunId, allocation_key, dag_key, definition_key,
+    dependency_chunk_key, is_valid_run_name, job_key, member_key, plan_key, quota_key, run_key,
+    shard_key,
 };
 use std::fmt;
 use std::str::FromStr;
@@ -180,7 +180,7 @@
             RecordKey::Ledger(team) => ledger_key(team),
             RecordKey::Run(run) => run_key(run),
             RecordKey::PlanChunk(key) => plan_key(&key.owner, &key.hash, key.chunk),
-            RecordKey::Graph(name) => graph_key(name),
+            RecordKey::Graph(name) => dag_key(name),
             RecordKey::DefinitionChunk(key) => definition_key(&key.owner, &key.hash, key.chunk),
             RecordKey::Calendar => CALENDAR_KEY.to_string(),
             RecordKey::Format => FORMAT_KEY.to_string(),
--- a/src/storage/record_cache/startup.rs
+++ b/src/storage/record_cache/startup.rs
@@ -5,7 +5,7 @@
 use super::{drain_key, reservation_key, window_key};
 use snowshelf_model::ids::{JobId, Version};
 use snowshelf_model::records::{
-    LEADER_KEY, allocation_key, graph_key, job_key, member_key, quota_key, run_key, shard_key,
+    LEADER_KEY, allocation_key, dag_key, job_key, member_key, quota_key, run_key, shard_key,
 };
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
         );
         keys.extend(self.quotas.keys().map(quota_key));
         keys.extend(self.members.keys().map(member_key));
-        keys.extend(self.graphs.keys().map(|name| graph_key(name)));
+        keys.extend(self.graphs.keys().map(|name| dag_key(name)));
         let definitions = self.definition_chunks.keys().cloned();
         keys.extend(definitions.map(|key| RecordKey::DefinitionChunk(key).to_string()));
         keys.extend(self.runs.keys().map(run_key));
--- a/src/transport/event_loop/peers.rs
+++ b/src/transport/event_loop/peers.rs
@@ -6,11 +6,11 @@
 use calloop::RegistrationToken;
 use prost::Message;
 use snowshelf_model::ids::{Member, MonotonicMillis};
-use snowshelf_model::protocol::peer::{MAX_FRAME, PeerMessage, PeerStatus};
+use snowshelf_model::protocol::peer::{MAX_FRAME_BYTES, PeerMessage, PeerStatus};
 use std::net::{SocketAddrV4, TcpListener};
 
 /// A link with more unsent bytes is closed: a late status is of no use, and messages are repeated.
-const MAX_BACKLOG_BYTES: usize = MAX_FRAME;
+const MAX_BACKLOG_BYTES: usize = MAX_FRAME_BYTES;
 /// Most bytes of a length prefix.
 const MAX_LENGTH_PREFIX_BYTES: usize = 10;
 /// Connections accepted at once: other work goes on in between.
@@ -73,7 +73,7 @@
             valid &= input.len() < MAX_LENGTH_PREFIX_BYTES;
             break;
         };
-        if size > MAX_FRAME {
+        if size > MAX_FRAME_BYTES {
             valid = false;
             break;
         }
@@ -141,7 +141,7 @@
             return;
         };
         connection.last_active_at = now;
-        let end = connection.socket.receive(2 * MAX_FRAME);
+        let end = connection.socket.receive(2 * MAX_FRAME_BYTES);
         let frames = decode_frames(&mut connection.socket.input);
         if end != ReadEnd::Open || !frames.valid {
             self.drop_peer_connection(id);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -25,12 +25,12 @@
 
 fn machine_type(label: &str, cpus: f64, hourly: f64, spot: Option<f64>) -> (String, MachineType) {
     let t = MachineType {
-        label: label.into(),
+        name: label.into(),
         cpus,
         gpus: 0.0,
         mem: 4.0 * cpus,
         fetch_gb_per_s: 0.1,
-        hourly,
+        hourly_price: hourly,
         spot_price: spot,
         ready_s: 30.0,
         local_gb: 30.0,
@@ -427,7 +427,7 @@
         version: Version(version),
         value: Rc::new(FormatRecord {
             format,
-            can: can(names),
+            capabilities: can(names),
         }),
     };
     let mut declared = BTreeMap::new();
@@ -438,24 +438,24 @@
     // First its own declaration, and nothing before all have declared.
     let (key, version, record) = next(&["x"], &declared, None).unwrap();
     assert_eq!(
-        (key.as_str(), version.0, record.can),
+        (key.as_str(), version.0, record.capabilities),
         ("member/a", 0, can(&["x"]))
     );
     declared.insert(all[0].clone(), declaration(5, FORMAT_V2, &["x"]));
     assert!(next(&["x"], &declared, None).is_none());
     declared.insert(all[1].clone(), declaration(6, FORMAT_V2, &[]));
     let (key, _, record) = next(&["x"], &declared, None).unwrap();
-    assert_eq!((key.as_str(), record.can), ("format", can(&[])));
+    assert_eq!((key.as_str(), record.capabilities), ("format", can(&[])));
     // The other one is switched on too; what a newer version has agreed on stays.
     declared.insert(all[1].clone(), declaration(8, FORMAT_V2, &["x", "z"]));
     let agreed = declaration(7, FORMAT_V2, &["y"]);
     let (_, version, record) = next(&["x"], &declared, Some(&agreed)).unwrap();
-    assert_eq!((version.0, record.can), (7, can(&["x", "y"])));
+    assert_eq!((version.0, record.capabilities), (7, can(&["x", "y"])));
     // Switched off again: its own declaration changes, the agreement does not.
     let agreed_before = declaration(9, FORMAT_V2, &["x", "y"]);
     let (key, version, record) = next(&[], &declared, Some(&agreed_before)).unwrap();
     assert_eq!(
-        (key.as_str(), version.0, record.can),
+        (key.as_str(), version.0, record.capabilities),
         ("member/a", 5, can(&[]))
     );
     declared.insert(all[0].clone(), declaration(10, FORMAT_V2, &[]));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -94,7 +94,7 @@
         dependencies: dependencies.iter().map(|n| name(*n)).collect(),
         dependency_chunks: 0,
         ended: None,
-        run: false,
+        from_run: false,
         pause_ms: 0,
     }
 }
@@ -115,7 +115,7 @@
                     state: r.state,
                     tasks: r.tasks,
                     ended: r.ended,
-                    run: false,
+                    from_run: false,
                 },
             );
         } else {
@@ -696,7 +696,7 @@
 #[test]
 fn names_of_ten_thousand_machines_are_sent_round_robin_within_the_frame() {
     use prost::Message;
-    use snowshelf_model::protocol::peer::{MAX_FRAME, PeerStatus, ShardStatus};
+    use snowshelf_model::protocol::peer::{MAX_FRAME_BYTES, PeerStatus, ShardStatus};
     let mut names: BTreeSet<MachineId> = (0..10_000)
         .map(|n| MachineId::new(&format!("n-{n:06}")))
         .collect();
@@ -714,7 +714,7 @@
             ..PeerStatus::default()
         };
         let long = status.encoded_len();
-        assert!(long < MAX_FRAME - 8 * 1024, "{long}");
+        assert!(long < MAX_FRAME_BYTES - 8 * 1024, "{long}");
         names.remove(&MachineId::new(&format!("n-{:06}", 4_000 + message)));
     }
     let left: Vec<&MachineId> = names
--- a/tests/renting.rs
+++ b/tests/renting.rs
@@ -17,13 +17,13 @@
 
 fn types() -> BTreeMap<String, MachineType> {
     let kind = |label: &str, cpus: u32, hourly: f64, spot| MachineType {
-        label: label.into(),
+        name: label.into(),
         cpus: f64::from(cpus),
         gpus: 0.0,
         mem: f64::from(4 * cpus),
         local_gb: 30.0,
         fetch_gb_per_s: 0.1,
-        hourly,
+        hourly_price: hourly,
         spot_price: spot,
         ready_s: 50.0,
         zones: vec!["a".into(), "b".into()],
@@ -33,7 +33,7 @@
         kind("l", 32, 2.4, Some(0.9)),
         kind("o", 16, 1.0, None),
     ];
-    all.into_iter().map(|t| (t.label.clone(), t)).collect()
+    all.into_iter().map(|t| (t.name.clone(), t)).collect()
 }
 
 fn pool() -> impl Strategy<Value = Pool> {
@@ -91,10 +91,11 @@
                 .iter()
                 .any(|closed| closed.zone == pool.zone && closed.model == pool.model)
     };
-    let unit = |want: &TaskDemand, t: &MachineType, spot| match want.resources.count_in(t.room()) {
-        0 => None,
-        per => Some(t.price(spot) / f64::from(per)),
-    };
+    let unit =
+        |want: &TaskDemand, t: &MachineType, spot| match want.resources.count_in(t.capacity()) {
+            0 => None,
+            per => Some(t.price(spot) / f64::from(per)),
+        };
     let mut pools = Vec::new();
     for t in types.values() {
         for zone in &t.zones {
@@ -102,7 +103,7 @@
                 .into_iter()
                 .filter(|s| !s || t.spot_price.is_some())
             {
-                let (model, zone) = (t.label.clone(), zone.clone());
+                let (model, zone) = (t.name.clone(), zone.clone());
                 pools.push(Pool { model, zone, spot });
             }
         }
@@ -123,17 +124,17 @@
         }
         let of = types
             .values()
-            .filter(|t| want.types.as_ref().is_none_or(|l| l.contains(&t.label)));
+            .filter(|t| want.types.as_ref().is_none_or(|l| l.contains(&t.name)));
         let cheapest = of
             .filter_map(|t| unit(want, t, want.spot))
             .fold(f64::INFINITY, f64::min);
         while left > 0 {
-            let usable = pools
-                .iter()
-                .filter(|p| allows(want, p) && want.resources.count_in(types[&p.model].room()) > 0);
+            let usable = pools.iter().filter(|p| {
+                allows(want, p) && want.resources.count_in(types[&p.model].capacity()) > 0
+            });
             let price = |p: &Pool| {
                 let t = &types[&p.model];
-                t.price(p.spot) / f64::from(want.resources.count_in(t.room()).min(left))
+                t.price(p.spot) / f64::from(want.resources.count_in(t.capacity()).min(left))
             };
             let rented = |p: &Pool| rent.get(p).copied().unwrap_or(0);
             let best = usable.min_by(|a, b| {
@@ -150,8 +151,8 @@
             if dear && want.patience_s > 0.0 && work <= reach * want.patience_s {
                 break;
             }
-            let n = want.resources.count_in(t.room()).min(left);
-            let mut free = t.room();
+            let n = want.resources.count_in(t.capacity()).min(left);
+            let mut free = t.capacity();
             free.sub(want.resources.times(f64::from(n)));
             reach += t.cpus;
             left -= n;
@@ -182,7 +183,7 @@
         let types = types();
         let have = || {
             let have = machines.iter().map(|(pool, taken)| {
-                let mut free = types[&pool.model].room();
+                let mut free = types[&pool.model].capacity();
                 free.sub(room(*taken, 2 * taken));
                 MachineSupply { pool: pool.clone(), free }
             });
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -12,7 +12,7 @@
 use snowshelf_model::protocol::cloud::MachineType;
 use snowshelf_model::protocol::peer::{PeerMessage, PeerStatus};
 use snowshelf_model::records::{
-    FormatRecord, GraphRecord, JobRecord, LeaseHolder, QuotaRecord, RecordFormat, RunRecord,
+    DagRecord, FormatRecord, JobRecord, LeaseHolder, QuotaRecord, RecordFormat, RunRecord,
     ShardAllocation, StorageLimits,
 };
 
@@ -64,7 +64,7 @@
             "drain" => rewritten::<Drain>(value),
             "disrupt" => rewritten::<Ledger>(value),
             "run" => rewritten::<RunRecord>(value),
-            "graph" => rewritten::<GraphRecord>(value),
+            "graph" => rewritten::<DagRecord>(value),
             "plan" | "def" => rewritten::<String>(value),
             "calendar" => value.clone(),
             _ => panic!("{key}: no such kind of record"),
