--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,6 +1,6 @@
-//! Admission control for client connections: how many a controller accepts within its sockets and memory, and
-//! which idle connection it closes for a new one, so that workers, users and silent clients cannot starve each other.
-//! Nothing here does input or output.
+//! Admission control for client connections: how many connections a controller accepts within its
+//! limits on sockets and memory, and which idle connection it closes for a new one. It prevents
+//! workers, users and silent clients from starving each other. This crate does no I/O.
 
 pub mod limits;
 pub mod table;
--- a/crates/connections/src/limits.rs
+++ b/crates/connections/src/limits.rs
@@ -1,45 +1,48 @@
-//! Limits on connections, computed from the resources of the process.
+//! Connection limits, computed from the resource limits of the process.
 
-/// The resources that a process may use, as its settings name them.
+/// The resource limits of a process, and the connections that it needs besides those of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
-    /// Open sockets and files.
+    /// Maximum number of open file descriptors, including sockets.
     pub sockets: usize,
-    /// Memory, in bytes.
+    /// Maximum memory, in bytes.
     pub mem_bytes: usize,
-    /// Controllers of the cluster, this one included.
+    /// Number of controllers of the cluster, including this one.
     pub controllers: usize,
-    /// Connections that this process opens itself, to services and single workers.
+    /// Maximum number of connections that this process opens to services and workers.
     pub outgoing: usize,
 }
 
-/// Memory of an idle connection in bytes: as measured (docs/capacity.md), rounded up.
+/// Memory of an idle connection in bytes, rounded up (docs/capacity.md).
 pub const IDLE_CONNECTION_BYTES: usize = 4 * 1024;
-/// Capacity in bytes above which the buffers of an idle connection are freed.
+/// Capacity in bytes above which a buffer of an idle connection is freed.
 pub const RETAINED_BUFFER_BYTES: usize = 2 * 1024;
-/// One part in so many of the memory may go to connections: half of it while idle, half to partial requests.
+/// Connections may use this fraction (1 / `MEMORY_DIVISOR`) of the memory: half of it for idle
+/// connections, half for partially received requests.
 const MEMORY_DIVISOR: usize = 4;
-/// File descriptors that are no connections: listeners, the event loop, the standard streams, and some to spare.
-const NON_CONNECTION_FILES: usize = 24;
-/// Connections that one peer may have here at a time: those of its earlier processes may not be noticed as dead yet.
+/// File descriptors other than connections: listeners, the event loop, the standard streams, and some
+/// in reserve.
+const OTHER_DESCRIPTORS: usize = 24;
+/// Maximum connections of one other controller. Those of its previous processes may not be detected
+/// as dead yet.
 const CONNECTIONS_PER_PEER: usize = 4;
-/// Percentage of the sockets left to closed connections that the kernel has not released yet.
+/// Percentage of the sockets reserved for closed connections that the kernel has not released yet.
 const KERNEL_RESERVE_PERCENT: usize = 5;
 /// Percentage of the client connections guaranteed to workers.
 const WORKER_PERCENT: usize = 70;
 /// Percentage of the client connections guaranteed to users.
 const USER_PERCENT: usize = 20;
-/// Percentage of the client connections in use from which users are asked to reconnect for each request.
+/// Percentage of the client connections in use from which users must reconnect for each request.
 const RECONNECT_PERCENT: usize = 85;
-/// Connections guaranteed to the probes of load balancers and operators.
+/// Connections guaranteed to readiness probes of load balancers and operators.
 const PROBE_FLOOR: usize = 4;
-/// Client connections that a process serves however few resources it has.
+/// Minimum limit on client connections, even if the resource limits allow fewer.
 const MIN_CLIENTS: usize = 16;
 
-/// Limits on the connections that other programs open to a controller.
+/// Limits on incoming connections of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ConnectionLimits {
-    /// Most connections of workers, users and probes together.
+    /// Maximum connections of workers, users, probes and unidentified clients together.
     pub max_clients: usize,
     /// Connections guaranteed to workers.
     pub worker_floor: usize,
@@ -47,20 +50,20 @@
     pub user_floor: usize,
     /// Connections guaranteed to probes.
     pub probe_floor: usize,
-    /// Most connections on which nothing has been requested yet.
+    /// Maximum connections on which no request has been received yet.
     pub max_unidentified: usize,
-    /// Number of client connections from which users are asked to reconnect for each request.
+    /// Number of client connections from which users must reconnect for each request.
     pub reconnect_threshold: usize,
-    /// Most connections of other controllers.
+    /// Maximum connections of other controllers.
     pub max_peers: usize,
-    /// Most bytes of partially received requests, all together.
+    /// Maximum buffered bytes of all partially received requests together.
     pub max_partial_bytes: usize,
 }
 
 impl From<ProcessLimits> for ConnectionLimits {
     fn from(process: ProcessLimits) -> ConnectionLimits {
         let max_peers = CONNECTIONS_PER_PEER * process.controllers.max(1);
-        let reserved = NON_CONNECTION_FILES + max_peers + process.controllers + process.outgoing;
+        let reserved = OTHER_DESCRIPTORS + max_peers + process.controllers + process.outgoing;
         let by_sockets =
             process.sockets.saturating_sub(reserved) * (100 - KERNEL_RESERVE_PERCENT) / 100;
         let memory = process.mem_bytes / MEMORY_DIVISOR;
--- a/crates/connections/src/table.rs
+++ b/crates/connections/src/table.rs
@@ -1,5 +1,5 @@
-//! The table of client connections: the kind of each client and since when it is idle. Decides which connection is
-//! closed for a new one.
+//! The table of client connections, with the kind of each client and when it became idle. It decides
+//! which connection is closed for a new one.
 
 use crate::limits::ConnectionLimits;
 use serde::Serialize;
@@ -7,14 +7,14 @@
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// The kind of a client, by the last request on its connection.
+/// The kind of a client, determined by the last request on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum ClientKind {
     /// No request has been received yet.
     Unidentified,
-    /// A load balancer or an operator that reads the readiness.
+    /// A load balancer or an operator that requests the readiness.
     Probe,
-    /// A user of the job API, or an operator.
+    /// A user of the job API or an operator.
     User,
     /// A worker that sends heartbeats.
     Worker,
@@ -29,7 +29,7 @@
 ];
 
 impl ClientKind {
-    /// The kind of client that requests this path.
+    /// Returns the kind of client that requests this path.
     #[must_use]
     pub fn from_path(path: &str) -> ClientKind {
         match path.split('?').next() {
@@ -40,63 +40,63 @@
     }
 }
 
-/// The decision on a new connection.
+/// The admission decision on a new connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission<I> {
-    /// It is accepted.
+    /// The connection is accepted.
     Admitted,
-    /// It is accepted, and this idle connection is to be closed for it.
+    /// The connection is accepted, and this idle connection must be closed for it.
     Replaces(I),
-    /// It is refused: no connection that may be closed is idle.
+    /// The connection is refused: there is no idle connection that may be closed.
     Refused,
 }
 
 struct Connection {
     kind: ClientKind,
-    /// When it last became idle.
+    /// When the connection last became idle.
     idle_since: MonotonicMillis,
-    /// A request on it awaits its response.
+    /// Whether a request awaits its response.
     busy: bool,
 }
 
-/// Connections now, and counters since the start of the process, for the log and operators.
+/// Current connections and counters since the start of the process, for logs and operators.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Serialize)]
 pub struct ConnectionStats {
-    /// Connections of workers.
+    /// Current connections of workers.
     pub workers: usize,
-    /// Connections of users.
+    /// Current connections of users.
     pub users: usize,
-    /// Connections without a request so far.
+    /// Current connections without a request so far.
     #[serde(rename = "strangers")]
     pub unidentified: usize,
-    /// Most client connections at a time.
+    /// Limit on client connections.
     #[serde(rename = "most")]
     pub max_clients: usize,
-    /// Connections refused.
+    /// Number of refused connections.
     pub refused: u64,
-    /// Idle connections closed for new ones.
+    /// Number of idle connections closed for new ones.
     #[serde(rename = "let_go")]
     pub evicted: u64,
-    /// Responses with which a user was asked to reconnect.
+    /// Number of responses that closed a user's connection, so that the user reconnects.
     #[serde(rename = "asked_anew")]
     pub reconnects_requested: u64,
-    /// Requests aborted because too many bytes of partial requests were buffered.
+    /// Number of requests aborted because too many bytes of partial requests were buffered.
     #[serde(rename = "given_up")]
     pub partial_aborted: u64,
 }
 
-/// The client connections of a controller, by their identifiers.
+/// The client connections of a controller, by connection ID.
 pub struct ConnectionTable<I> {
     limits: ConnectionLimits,
     connections: HashMap<I, Connection>,
-    /// The idle connections of each kind, the longest idle first.
+    /// The idle connections of each kind, longest idle first.
     idle: [BTreeSet<(MonotonicMillis, I)>; KIND_COUNT],
     counts: [usize; KIND_COUNT],
     stats: ConnectionStats,
 }
 
 impl<I: Copy + Ord + Hash> ConnectionTable<I> {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(limits: ConnectionLimits) -> ConnectionTable<I> {
         ConnectionTable {
@@ -108,22 +108,22 @@
         }
     }
 
-    /// The number of connections.
+    /// Returns the number of connections of all kinds.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is no connection.
+    /// Whether the table contains no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// The number of connections of a kind.
+    /// Returns the number of connections of a kind.
     pub fn count(&self, kind: ClientKind) -> usize {
         self.counts[kind as usize]
     }
 
-    /// The number of connections guaranteed to a kind.
+    /// Returns the number of connections guaranteed to a kind.
     fn floor(&self, kind: ClientKind) -> usize {
         match kind {
             ClientKind::Unidentified => 0,
@@ -137,28 +137,30 @@
         self.idle[kind as usize].first().map(|(_, id)| *id)
     }
 
-    /// The connection to close when the table is full: the longest idle one of the kind furthest above its floor;
-    /// without such a kind, the longest idle unidentified one.
+    /// Returns the connection to close when the table is full: the longest idle one of the kind that
+    /// exceeds its floor by most. If no kind with idle connections exceeds its floor, it is the
+    /// longest idle unidentified one.
     fn eviction_candidate(&self) -> Option<I> {
-        let above = KINDS
+        let most_excess = KINDS
             .into_iter()
             .filter(|k| *k != ClientKind::Unidentified && !self.idle[*k as usize].is_empty())
             .map(|k| (self.count(k).saturating_sub(self.floor(k)), k))
-            .filter(|(above, _)| *above > 0)
+            .filter(|(excess, _)| *excess > 0)
             .max();
-        match above {
+        match most_excess {
             Some((_, kind)) => self.longest_idle(kind),
             None => self.longest_idle(ClientKind::Unidentified),
         }
     }
 
-    /// Decides on a new connection; a connection that it replaces is removed from the table.
+    /// Decides whether to accept a new connection, and adds it if so. A connection that it replaces is
+    /// removed from the table.
     #[must_use = "a replaced connection must be closed, and a refused one dropped"]
     pub fn admit(&mut self, id: I, now: MonotonicMillis) -> Admission<I> {
         let unidentified_full =
             self.count(ClientKind::Unidentified) >= self.limits.max_unidentified;
         let replaced = if unidentified_full {
-            // Silent connections replace only each other.
+            // Unidentified connections at their limit replace only each other.
             Some(self.longest_idle(ClientKind::Unidentified))
         } else if self.len() >= self.limits.max_clients {
             Some(self.eviction_candidate())
@@ -188,7 +190,7 @@
         admission
     }
 
-    /// Notes that a request has been received.
+    /// Records that a request was received: the connection is busy, and its kind may change.
     pub fn request_started(&mut self, id: I, kind: ClientKind) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -199,8 +201,9 @@
         (connection.kind, connection.busy) = (kind, true);
     }
 
-    /// Whether the connection is to be closed with the response that follows: it is a user's, and the table is nearly
-    /// full. Users reconnect without harm, possibly to a controller that has more capacity. Counts such responses.
+    /// Whether the connection must be closed after the next response: it is a user's, and the table is
+    /// nearly full. Users can reconnect without harm, possibly to a controller with more capacity.
+    /// Counts such responses.
     #[must_use]
     pub fn closes_after_response(&mut self, id: I) -> bool {
         let is_user = self
@@ -212,7 +215,7 @@
         closes
     }
 
-    /// Notes that the response has been written: the connection is idle.
+    /// Records that the response was written: the connection is idle.
     pub fn request_finished(&mut self, id: I, now: MonotonicMillis) {
         if let Some(connection) = self.connections.get_mut(&id).filter(|c| c.busy) {
             (connection.busy, connection.idle_since) = (false, now);
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Forgets a connection that is closed.
+    /// Removes a closed connection.
     pub fn remove(&mut self, id: I) {
         if let Some(connection) = self.connections.remove(&id) {
             self.counts[connection.kind as usize] -= 1;
@@ -228,8 +231,8 @@
         }
     }
 
-    /// Whether a partial request is to be aborted, with so many bytes of partial requests buffered. Counts the aborted
-    /// ones.
+    /// Whether a partial request must be aborted, given the bytes buffered for all partial requests.
+    /// Counts the aborted requests.
     #[must_use]
     pub fn aborts_partial(&mut self, partial_bytes: usize) -> bool {
         let exceeded = partial_bytes > self.limits.max_partial_bytes;
@@ -237,7 +240,7 @@
         exceeded
     }
 
-    /// The connections now and the counters since the start.
+    /// Returns the current connections and the counters since the start of the process.
     #[must_use]
     pub fn stats(&self) -> ConnectionStats {
         ConnectionStats {
--- a/crates/fair-share/src/backfill.rs
+++ b/crates/fair-share/src/backfill.rs
@@ -1,19 +1,21 @@
-//! Backfill reservations for jobs that find no machine: what large tasks need is only free if small ones leave it alone for
-//! a while.
+//! Backfill reservations for jobs that find no machine. Small tasks would otherwise keep occupying
+//! the resources that a large task needs on a single machine.
 
 use snowshelf_model::records::Resources;
 
-/// A job of which nothing is on a machine after so long gets a reservation, in milliseconds. The users want every job to
-/// have begun within four minutes: that leaves time for tasks that have to end first, and for a second try elsewhere.
+/// Time without any task on a machine after which a job gets a reservation, in milliseconds. Users
+/// expect each job to start within four minutes. The rest of that time is for running tasks to end
+/// and for a second reservation on another machine.
 pub const MIN_WAIT_MS: u64 = 90_000;
-/// A reservation lasts so long at the most, in milliseconds: what is on the machine may last, and others wait meanwhile.
+/// Maximum duration of a reservation, in milliseconds. The tasks on the machine may run for longer,
+/// and other jobs cannot use it meanwhile.
 pub const RESERVATION_MS: u64 = 60_000;
-/// Then the job gets no other one for so long, in milliseconds.
+/// Time after a reservation during which the job gets no other one, in milliseconds.
 pub const COOLDOWN_MS: u64 = 30_000;
-/// Of so many machines one may be reserved.
+/// Number of machines for each reservation that a shard may make.
 const MACHINES_PER_RESERVATION: usize = 20;
 
-/// The most reservations that a shard with so many machines makes at a time.
+/// Returns the maximum number of concurrent reservations of a shard with this number of machines.
 #[must_use]
 pub fn max_reservations(machines: usize) -> usize {
     machines.div_ceil(MACHINES_PER_RESERVATION)
@@ -22,18 +24,19 @@
 /// A machine that may be reserved.
 #[derive(Clone, Copy, Debug)]
 pub struct BackfillCandidate {
-    /// What is free now.
+    /// The resources that are free now.
     pub free: Resources,
-    /// What will be free once all that ends by itself has ended.
+    /// The resources that are free once all tasks that end by themselves have ended.
     pub eventually_free: Resources,
 }
 
-/// How much of what a task needs is free: the fraction of whatever is shortest, 1 at most.
+/// Returns the fraction of a task's required resources that is free, from 0 to 1, by the scarcest
+/// resource.
 #[must_use]
 pub fn covered_fraction(task: Resources, free: Resources) -> f64 {
-    let fraction = |needed: f64, free: f64| {
-        if needed > 0.0 {
-            (free / needed).clamp(0.0, 1.0)
+    let fraction = |required: f64, free: f64| {
+        if required > 0.0 {
+            (free / required).clamp(0.0, 1.0)
         } else {
             1.0
         }
@@ -43,8 +46,9 @@
         .min(fraction(task.mem, free.mem))
 }
 
-/// The place of the machine that is nearest to having what a task needs, the first of equals; `None` if none ever has.
-pub fn nearest(
+/// Returns the position of the machine with the largest [`covered_fraction`], the first one on ties.
+/// Only machines whose `eventually_free` resources fit the task are considered; `None` without any.
+pub fn best_candidate(
     task: Resources,
     machines: impl Iterator<Item = BackfillCandidate>,
 ) -> Option<usize> {
@@ -52,6 +56,6 @@
         .enumerate()
         .filter(|(_, m)| task.fits_in(m.eventually_free));
     let covered = fitting.map(|(at, m)| (at, covered_fraction(task, m.free)));
-    let nearest = covered.reduce(|a, b| if b.1 > a.1 { b } else { a });
-    nearest.map(|(at, _)| at)
+    let best = covered.reduce(|a, b| if b.1 > a.1 { b } else { a });
+    best.map(|(at, _)| at)
 }
--- a/crates/fair-share/src/grants.rs
+++ b/crates/fair-share/src/grants.rs
@@ -1,35 +1,36 @@
-//! How a shard asks for its part of a team's quota.
+//! How a shard adjusts its grant of a team's quota.
 
 use snowshelf_model::ids::ShardId;
 use snowshelf_model::records::{Grant, QuotaRecord};
 
-/// What a shard lacks of a team's quota.
+/// The additional quota that a shard needs for a team's waiting tasks.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct QuotaShortfall {
-    /// For all that it could start.
+    /// For all tasks that the shard could start.
     pub total: Grant,
-    /// For the smallest task of these.
+    /// For the smallest of these tasks.
     pub smallest_task: Grant,
 }
 
-/// A shard's demand of a team's quota.
+/// A shard's demand for a team's quota.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct ShardDemand {
-    /// The shard that asks.
+    /// The shard whose grant is adjusted.
     pub shard_id: ShardId,
-    /// What the team uses there.
+    /// Resources in use by the team in this shard.
     pub used: Grant,
-    /// What is missing there.
+    /// The additional quota that the shard needs; `None` if the grant suffices.
     pub shortfall: Option<QuotaShortfall>,
-    /// The shard's fair share of the limit, by demand, where another shard lacks quota, too.
+    /// The shard's share of the limit in proportion to demand; `None` unless another shard needs more
+    /// quota.
     pub fair_share: Option<Grant>,
-    /// Grants go up by this much at the least: every move is a write.
-    pub step: Grant,
-    /// The team's limit over all shards.
+    /// Minimum increase of a grant. Each change is a write to the key-value store.
+    pub min_increase: Grant,
+    /// The team's limit for all shards together.
     pub limit: Grant,
 }
 
-/// Combines two grants resource by resource.
+/// Combines two grants separately for each resource.
 fn combine(a: Grant, b: Grant, combine: impl Fn(f64, f64) -> f64) -> Grant {
     Grant {
         cpus: combine(a.cpus, b.cpus),
@@ -37,9 +38,10 @@
     }
 }
 
-/// The grants as a shard would have them: what it lacks, and its fair share where others lack quota, too. One that cannot
-/// have enough for a task keeps nothing beyond what it uses: guards against shards of which each has less than a task, and
-/// which all together start nothing.
+/// Returns the record with the shard's grant adjusted to its demand, and to its fair share if other
+/// shards need more quota too. A contending shard whose grant would not suffice for one more task
+/// keeps only what it uses. Otherwise all shards could hold less than one task needs, and none
+/// could start any.
 #[must_use]
 pub fn regrant_fairly(record: &QuotaRecord, demand: &ShardDemand) -> QuotaRecord {
     let (used, limit) = (demand.used, demand.limit);
@@ -47,23 +49,24 @@
         let grant = record.grants.get(&demand.shard_id);
         grant.copied().unwrap_or_default()
     };
-    let wanted = |shortfall: QuotaShortfall| {
-        let missing = combine(shortfall.total, demand.step, f64::max);
-        combine(used, missing, |a, b| a + b)
+    let demanded = |shortfall: QuotaShortfall| {
+        let increase = combine(shortfall.total, demand.min_increase, f64::max);
+        combine(used, increase, |a, b| a + b)
     };
-    let wish = match (demand.fair_share, demand.shortfall) {
+    let desired = match (demand.fair_share, demand.shortfall) {
         (None, None) => granted(record),
-        (None, Some(shortfall)) => wanted(shortfall),
-        // Another shard could start more: what is used is kept and, if this shard waits too, a share by demand. With
-        // other shares one shard's tasks of a job lag behind the rest.
+        (None, Some(shortfall)) => demanded(shortfall),
+        // Another shard needs more quota. This shard keeps what it uses and, if tasks wait here too,
+        // gets a share in proportion to demand. With other shares, the tasks of a job in one shard
+        // would lag behind those in the other shards.
         (Some(_), None) => used,
         (Some(fair_share), Some(shortfall)) => {
             let fair = combine(fair_share, shortfall.smallest_task, f64::max);
-            let wish = combine(fair, wanted(shortfall), f64::min);
-            combine(used, wish, f64::max)
+            let desired = combine(fair, demanded(shortfall), f64::min);
+            combine(used, desired, f64::max)
         }
     };
-    let next = record.regrant(demand.shard_id, wish, used, limit);
+    let next = record.regrant(demand.shard_id, desired, used, limit);
     let contended = demand.fair_share.is_some();
     let Some(shortfall) = demand.shortfall.filter(|_| contended) else {
         return next;
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,4 +1,5 @@
-//! Who is served first when there is not enough for all: quota grants, backfill reservations, and the order under shortage.
+//! Scheduling policy under contention: quota grants, backfill reservations, and the queue order
+//! when capacity is short.
 
 pub mod backfill;
 pub mod grants;
--- a/crates/fair-share/src/shortage.rs
+++ b/crates/fair-share/src/shortage.rs
@@ -1,27 +1,28 @@
-//! A class of which much is late cannot be served whole: its smaller jobs go earlier, so that the same machines serve more
-//! of its jobs in time, and the class is left behind less by others whose tasks fit in anywhere.
+//! The queue order when capacity is short. If many jobs of a class miss their objectives, its
+//! smaller jobs are started earlier. The same machines then start more of its jobs in time, and the
+//! class falls behind less against classes whose tasks fit on any machine.
 
 use std::collections::BTreeMap;
 
-/// The jobs of a class that wait.
+/// The waiting jobs of a class.
 #[derive(Clone, Copy, Default, Debug)]
 struct ClassDemand {
     jobs: f64,
-    /// Of these, those that have missed one of their objectives.
+    /// Number of these jobs that have missed an objective.
     late: f64,
-    /// CPU seconds of all.
+    /// Work of these jobs, in CPU seconds.
     work: f64,
 }
 
-/// Jobs with so many times the mean work of their class, and above, go as they would without any shortage.
+/// Jobs with at least this multiple of their class's mean work are not started earlier.
 const LARGE_JOB_FACTOR: f64 = 2.0;
 
-/// How short capacity is, by class of jobs.
+/// The waiting and late jobs of each class, from which the order under shortage is computed.
 #[derive(Default, Debug)]
 pub struct Shortage<'a>(BTreeMap<&'a str, ClassDemand>);
 
 impl<'a> Shortage<'a> {
-    /// Adds a waiting job of a class, with so many CPU seconds of work.
+    /// Adds a waiting job of a class, with its work in CPU seconds. `late` jobs have missed an objective.
     pub fn add_job(&mut self, class: &'a str, late: bool, work: f64) {
         let demand = self.0.entry(class).or_default();
         demand.jobs += 1.0;
@@ -29,8 +30,9 @@
         demand.work += work;
     }
 
-    /// The fraction of the time that a job's tasks may wait by its objectives within which they should start now: all of
-    /// it while no job of its class is late, and the less the more are, and the smaller the job is.
+    /// Returns the fraction, from 0 to 1, of the wait limit set by a job's objectives within which its
+    /// tasks should start. It is 1 while no job of the class is late. It decreases with the fraction
+    /// of late jobs, and more so for smaller jobs.
     #[must_use]
     pub fn slack(&self, class: &str, work: f64) -> f64 {
         let Some(demand) = self.0.get(class).filter(|d| d.late > 0.0) else {
--- a/crates/fair-share/tests/backfill.rs
+++ b/crates/fair-share/tests/backfill.rs
@@ -1,13 +1,14 @@
-//! Which machine is reserved for a task that finds none.
+//! Properties of the choice of the machine that is reserved for a task, and of the number of
+//! reservations.
 
 use proptest::prelude::*;
 use snowshelf_fair_share::backfill::{
-    BackfillCandidate, covered_fraction, max_reservations, nearest,
+    BackfillCandidate, best_candidate, covered_fraction, max_reservations,
 };
 use snowshelf_model::records::Resources;
 
-fn resources(most: f64) -> impl Strategy<Value = Resources> {
-    (0.0..most, 0.0..most).prop_map(|(cpus, mem)| Resources {
+fn resources(max: f64) -> impl Strategy<Value = Resources> {
+    (0.0..max, 0.0..max).prop_map(|(cpus, mem)| Resources {
         cpus,
         gpus: 0.0,
         mem,
@@ -26,14 +27,14 @@
 }
 
 proptest! {
-    /// Guards against a machine that is reserved though the task never fits there, and against one that has further to go
-    /// than another.
+    /// Guards against reserving a machine on which the task never fits, and against reserving one
+    /// that has a smaller fraction of the required resources free than another.
     #[test]
-    fn the_nearest_machine_that_ever_fits_is_reserved(
+    fn best_candidate_eventually_fits_and_covers_most(
         task in resources(20.0), machines in prop::collection::vec(machine(), 0..20),
     ) {
         let fits: Vec<usize> = (0..machines.len()).filter(|at| task.fits_in(machines[*at].eventually_free)).collect();
-        let Some(reserved) = nearest(task, machines.iter().copied()) else {
+        let Some(reserved) = best_candidate(task, machines.iter().copied()) else {
             prop_assert!(fits.is_empty());
             return Ok(());
         };
@@ -46,7 +47,7 @@
 
     /// Guards against a shard that reserves most of its machines, and against one that reserves none.
     #[test]
-    fn few_machines_are_reserved(machines in 1..2_000usize) {
+    fn max_reservations_is_a_small_share_of_the_machines(machines in 1..2_000usize) {
         prop_assert!(max_reservations(machines) >= 1 && max_reservations(machines) <= 1 + machines / 20);
         prop_assert_eq!(max_reservations(0), 0);
     }
--- a/crates/fair-share/tests/shortage.rs
+++ b/crates/fair-share/tests/shortage.rs
@@ -1,4 +1,4 @@
-//! Properties of the order under shortage, and what it is for, on a single machine.
+//! Properties of the queue order under shortage, and its effect on a single overloaded machine.
 
 use proptest::prelude::*;
 use snowshelf_fair_share::shortage::Shortage;
@@ -8,31 +8,33 @@
 }
 
 proptest! {
-    /// Whatever waits: nobody is asked to start before it came or later than its objectives; a smaller job never
-    /// after a larger one of its class and age; nothing changes while nobody is late.
+    /// Guards against start times before a job's arrival or after its wait limit, against ordering a
+    /// smaller job behind a larger one of the same class and age, and against a changed order while
+    /// no job is late.
     #[test]
-    fn slack_is_a_fraction_and_grows_with_the_work(
+    fn slack_is_a_fraction_and_grows_with_work(
         jobs in prop::collection::vec(job(), 1..40), small in 0.0..10_000.0f64, more in 0.0..10_000.0f64,
     ) {
         let mut shortage = Shortage::default();
-        let mut calm = Shortage::default();
+        let mut none_late = Shortage::default();
         for (late, work) in &jobs {
             shortage.add_job("c", *late, *work);
-            calm.add_job("c", false, *work);
+            none_late.add_job("c", false, *work);
         }
         let (a, b) = (shortage.slack("c", small), shortage.slack("c", small + more));
         prop_assert!((0.0..=1.0).contains(&a) && (0.0..=1.0).contains(&b));
         prop_assert!(a <= b);
-        prop_assert_eq!(calm.slack("c", small), 1.0);
+        prop_assert_eq!(none_late.slack("c", small), 1.0);
         prop_assert_eq!(shortage.slack("other", small), 1.0);
     }
 }
 
-/// Guards against a class that ends below half because each of its jobs is started at its last chance, the large ones
-/// as the small ones: one machine, asked for twice what it can do, jobs of 1 to 9 seconds that should start within 30.
+/// Guards against an overloaded class of which fewer than half of the jobs start in time, because
+/// small and large jobs alike are started only when their wait limit is about to expire. One machine
+/// gets twice the load that it can serve, from jobs of 1 to 9 seconds with a wait limit of 30 seconds.
 #[test]
-fn more_jobs_of_an_overloaded_class_are_in_time() {
-    let served = |with: bool| {
+fn slack_lets_more_jobs_of_an_overloaded_class_start_in_time() {
+    let count_in_time = |use_slack: bool| {
         let (mut waiting, mut now, mut in_time) = (Vec::<(u32, u32)>::new(), 0, 0);
         let mut draw = 7u32;
         let mut arrivals: Vec<(u32, u32)> = (0..400)
@@ -51,7 +53,7 @@
                 shortage.add_job("c", now - at > 30, f64::from(*work));
             }
             let due = |(at, work): (u32, u32)| {
-                let slack = if with {
+                let slack = if use_slack {
                     shortage.slack("c", f64::from(work))
                 } else {
                     1.0
@@ -72,9 +74,9 @@
         }
         in_time
     };
-    let (before, after) = (served(false), served(true));
+    let (without_slack, with_slack) = (count_in_time(false), count_in_time(true));
     assert!(
-        after > before + before / 8,
-        "{before} in time, then {after}"
+        with_slack > without_slack + without_slack / 8,
+        "{without_slack} in time without slack, {with_slack} with it"
     );
 }
--- a/crates/machine-index/src/capacity_index.rs
+++ b/crates/machine-index/src/capacity_index.rs
@@ -1,15 +1,16 @@
-//! Machines by class: whatever is equal to every job (type, zone, kind, what it is reserved for) is asked about once for
-//! all its machines, and a class in which nothing fits is passed over without a look at any.
+//! An index of machines by class. Machines of a class are equivalent to every job: they have the
+//! same type, zone, kind and reservation. Whether a job may use a class is evaluated once for all of
+//! its machines, and a class on which a task cannot fit is skipped without visiting them.
 
 use snowshelf_model::records::Resources;
 
-/// A machine and what of it is free.
+/// A machine with its free resources.
 #[derive(Debug)]
 pub struct IndexedMachine<T> {
-    /// The resources that are free.
+    /// The resources that are available to further tasks.
     pub free: Resources,
     class: usize,
-    /// What else is known of the machine.
+    /// The caller's data on the machine.
     pub machine: T,
 }
 
@@ -17,36 +18,39 @@
 struct Class<K> {
     key: K,
     members: Vec<usize>,
-    /// An upper bound of what any member has free, by resource.
+    /// An upper bound of the free resources of each member, separately for each resource.
     max_free: Resources,
 }
 
-/// Machines with free resources, in the order in which they were added; `K` is what makes them equal to a job.
+/// Machines with free resources, in insertion order. `K` is the key of a class, `T` the caller's data
+/// on a machine.
 #[derive(Debug)]
 pub struct CapacityIndex<K, T> {
     entries: Vec<IndexedMachine<T>>,
     classes: Vec<Class<K>>,
 }
 
-/// Which classes a job may use, by their numbers.
+/// The classes that a job may use, as one flag for each class of the index.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct AllowedClasses(Vec<bool>);
 
 impl AllowedClasses {
-    /// Whether the job may use none.
+    /// Whether the job may use no class.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         !self.0.contains(&true)
     }
 }
 
-const NOTHING: Resources = Resources {
+/// Lower than any free resources; the initial value of an upper bound.
+const MIN_RESOURCES: Resources = Resources {
     cpus: f64::MIN,
     gpus: f64::MIN,
     mem: f64::MIN,
 };
 
-fn raise(bound: &mut Resources, free: Resources) {
+/// Raises an upper bound to at least `free`, separately for each resource.
+fn raise_bound(bound: &mut Resources, free: Resources) {
     bound.cpus = bound.cpus.max(free.cpus);
     bound.gpus = bound.gpus.max(free.gpus);
     bound.mem = bound.mem.max(free.mem);
@@ -62,7 +66,8 @@
 }
 
 impl<K, T> CapacityIndex<K, T> {
-    /// Adds a machine to the class that `is_same` accepts, or to a new one with the key that `new_key` makes.
+    /// Adds a machine to the first class whose key `is_same` accepts, or to a new class with the key
+    /// that `new_key` returns.
     pub fn push(
         &mut self,
         is_same: impl Fn(&K) -> bool,
@@ -75,12 +80,12 @@
             self.classes.push(Class {
                 key: new_key(),
                 members: Vec::new(),
-                max_free: NOTHING,
+                max_free: MIN_RESOURCES,
             });
             self.classes.len() - 1
         });
         self.classes[class].members.push(self.entries.len());
-        raise(&mut self.classes[class].max_free, free);
+        raise_bound(&mut self.classes[class].max_free, free);
         self.entries.push(IndexedMachine {
             free,
             class,
@@ -88,41 +93,44 @@
         });
     }
 
-    /// The machines in the order in which they were added.
+    /// Returns the machines in insertion order.
     #[must_use]
     pub fn entries(&self) -> &[IndexedMachine<T>] {
         &self.entries
     }
 
-    /// What else is known of the machine at a place of [`entries`](Self::entries).
+    /// Returns the caller's data on the machine at a position of [`entries`](Self::entries).
     pub fn machine_mut(&mut self, at: usize) -> &mut T {
         &mut self.entries[at].machine
     }
 
-    /// What makes a machine equal to the others of its class.
+    /// Returns the key of a machine's class.
     #[must_use]
     pub fn class(&self, entry: &IndexedMachine<T>) -> &K {
         &self.classes[entry.class].key
     }
 
-    /// The classes that a job may use, each asked about once.
+    /// Returns the classes that a job may use. Calls `is_allowed` once for each class, in the order in
+    /// which the classes were created.
     pub fn allowed(&self, is_allowed: impl FnMut(&K) -> bool) -> AllowedClasses {
         let keys = self.classes.iter().map(|c| &c.key);
         AllowedClasses(keys.map(is_allowed).collect())
     }
 
-    /// The machines of these classes on which a task fits, by their places in [`entries`](Self::entries), in that order.
+    /// Returns the machines of the allowed classes on which a task fits, as sorted positions in
+    /// [`entries`](Self::entries).
     pub fn fitting(&mut self, task: Resources, allowed: &AllowedClasses) -> Vec<usize> {
         let mut found = Vec::new();
         for (class, allowed) in self.classes.iter_mut().zip(&allowed.0) {
             if !allowed || !task.fits_in(class.max_free) {
                 continue;
             }
-            // The bound is made exact on the way: free resources only shrink, so that it stays one.
-            let mut max_free = NOTHING;
+            // Visiting the members makes the bound exact. It stays an upper bound, since free resources
+            // only shrink.
+            let mut max_free = MIN_RESOURCES;
             for at in &class.members {
                 let free = self.entries[*at].free;
-                raise(&mut max_free, free);
+                raise_bound(&mut max_free, free);
                 if task.fits_in(free) {
                     found.push(*at);
                 }
@@ -133,21 +141,22 @@
         found
     }
 
-    /// Each class with its machines.
+    /// Iterates over the keys of the classes and the machines of each class.
     pub fn classes(&self) -> impl Iterator<Item = (&K, impl Iterator<Item = &IndexedMachine<T>>)> {
         let entries = &self.entries;
         let classes = self.classes.iter();
         classes.map(move |c| (&c.key, c.members.iter().map(move |at| &entries[*at])))
     }
 
-    /// How many machines there are in each class that a job may use.
+    /// Iterates over the keys and numbers of machines of the allowed classes.
     pub fn class_sizes(&self, allowed: &AllowedClasses) -> impl Iterator<Item = (&K, usize)> {
         let classes = self.classes.iter().zip(&allowed.0);
         let classes = classes.filter(|(_, allowed)| **allowed);
         classes.map(|(c, _)| (&c.key, c.members.len()))
     }
 
-    /// Takes resources of the machine at a place of [`entries`](Self::entries) for a task.
+    /// Subtracts a task's resources from those free on the machine at a position of
+    /// [`entries`](Self::entries).
     pub fn allocate(&mut self, at: usize, task: Resources) {
         self.entries[at].free.sub(task);
     }
--- a/crates/machine-index/src/lib.rs
+++ b/crates/machine-index/src/lib.rs
@@ -1,5 +1,6 @@
-//! Machines with free resources, by what makes them equal to a job, so that a placement pass costs what fits and not
-//! waiting jobs times machines; and which shapes of tasks have found none in the pass.
+//! An index of machines with free resources by class, and the set of task shapes that fit on no
+//! machine. With them, the cost of a placement pass depends on the number of fitting machines, not
+//! on the number of waiting jobs times the number of machines.
 
 pub mod capacity_index;
 pub mod unplaceable;
--- a/crates/machine-index/src/unplaceable.rs
+++ b/crates/machine-index/src/unplaceable.rs
@@ -1,22 +1,23 @@
-//! What has found no machine in a placement pass: free resources only shrink within it, so that tasks of the same size, with
-//! the same machines open to them, need not be tried again.
+//! Task shapes that fit on no machine in a placement pass. Free resources only shrink during a pass,
+//! so that tasks of the same shape need not be tried again.
 
 use crate::capacity_index::AllowedClasses;
 use snowshelf_model::records::Resources;
 use std::collections::HashSet;
 
-/// What makes tasks find the same machines.
+/// The properties of tasks that determine on which machines they fit.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Shape {
-    /// CPUs, GPUs and memory, as bits.
+    /// Bit patterns of the required CPUs, GPUs and memory, so that the shape can be hashed.
     resources: [u64; 3],
     allowed: AllowedClasses,
-    /// Only machines that have this image, or are fetching it, count.
+    /// If set, only machines that have this image or are pulling it are considered.
     image: Option<u32>,
 }
 
 impl Shape {
-    /// The shape of tasks with these needs; with an `image`, of tasks that run only where it is or is being fetched.
+    /// Creates the shape of tasks. With an `image`, the tasks may only run on machines that have the
+    /// image or are pulling it.
     #[must_use]
     pub fn new(resources: Resources, allowed: AllowedClasses, image: Option<u32>) -> Shape {
         let resources = [resources.cpus, resources.gpus, resources.mem].map(f64::to_bits);
@@ -28,23 +29,25 @@
     }
 }
 
-/// The shapes that have found no machine.
+/// The task shapes that fit on no machine.
 #[derive(Default, Debug)]
 pub struct UnplaceableShapes(HashSet<Shape>);
 
 impl UnplaceableShapes {
-    /// Whether a shape has found no machine.
+    /// Whether a shape is known to fit on no machine.
     #[must_use]
     pub fn contains(&self, shape: &Shape) -> bool {
         self.0.contains(shape)
     }
 
-    /// Notes that a shape has found no machine; not for a job that is barred from machines open to others.
+    /// Records that a shape fits on no machine. Must not be called for a job that is excluded from
+    /// machines that other jobs of this shape may use.
     pub fn insert(&mut self, shape: Shape) {
         self.0.insert(shape);
     }
 
-    /// Notes that a machine is about to fetch an image: tasks that run only where it is may find that one now.
+    /// Removes the shapes that require an image, since a machine has started to pull it and may fit
+    /// them now.
     pub fn image_pull_started(&mut self, image: u32) {
         self.0.retain(|s| s.image != Some(image));
     }
--- a/crates/machine-index/tests/capacity_index.rs
+++ b/crates/machine-index/tests/capacity_index.rs
@@ -1,33 +1,33 @@
-//! The capacity index against a plain scan of all machines, for generated machines, jobs and orders of events.
+//! Compares the capacity index with a scan of all machines, for generated machines and jobs.
 
 use proptest::prelude::*;
 use snowshelf_machine_index::capacity_index::CapacityIndex;
 use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
 use snowshelf_model::records::Resources;
 
-/// A machine of the plain model: its class, what is free, the images it has or fetches.
+/// A machine of the reference model, with the images that it has or is pulling.
 #[derive(Clone, Debug)]
-struct Plain {
+struct ReferenceMachine {
     class: u8,
     free: Resources,
     images: Vec<u32>,
 }
 
-/// A job to be placed: the classes it may use, its task, its image, whether it runs only where that is,
-/// how many tasks it starts, and a machine that it is barred from.
-type Request = (Vec<bool>, Resources, u32, bool, usize, Option<usize>);
+/// A job to place: the classes that it may use, the resources of a task, the image, whether the image
+/// must be on the machine, the number of tasks to start, and a machine that it is excluded from.
+type PlacementRequest = (Vec<bool>, Resources, u32, bool, usize, Option<usize>);
 
-fn resources(most: u32) -> impl Strategy<Value = Resources> {
-    (0..=most, 0..2u32, 0..=most).prop_map(|(cpus, gpus, mem)| Resources {
+fn resources(max: u32) -> impl Strategy<Value = Resources> {
+    (0..=max, 0..2u32, 0..=max).prop_map(|(cpus, gpus, mem)| Resources {
         cpus: f64::from(cpus) / 2.0,
         gpus: f64::from(gpus),
         mem: f64::from(mem),
     })
 }
 
-fn machine() -> impl Strategy<Value = Plain> {
+fn machine() -> impl Strategy<Value = ReferenceMachine> {
     (0..4u8, resources(16), prop::collection::vec(0..4u32, 0..3)).prop_map(
-        |(class, free, images)| Plain {
+        |(class, free, images)| ReferenceMachine {
             class,
             free,
             images,
@@ -35,7 +35,7 @@
     )
 }
 
-fn request() -> impl Strategy<Value = Request> {
+fn request() -> impl Strategy<Value = PlacementRequest> {
     (
         prop::collection::vec(any::<bool>(), 4),
         resources(6),
@@ -47,49 +47,48 @@
 }
 
 proptest! {
-    /// Guards against a pass that starts other tasks on other machines than a scan of all of them for every
-    /// job would: each job, one after the other, finds the same machines in the same order, though
-    /// classes are passed over and shapes that found nothing are not tried again.
+    /// Guards against placements that differ from those of a scan of all machines for each job. Such
+    /// a difference could come from skipped classes, or from shapes that are not tried again.
     #[test]
-    fn fitting_machines_equal_a_scan_of_all(
+    fn fitting_returns_the_same_machines_as_a_scan(
         machines in prop::collection::vec(machine(), 0..20),
         requests in prop::collection::vec(request(), 0..60),
     ) {
-        let mut plain = machines.clone();
+        let mut reference = machines.clone();
         let mut capacity_index: CapacityIndex<u8, Vec<u32>> = CapacityIndex::default();
         for m in machines {
             capacity_index.push(|k| *k == m.class, || m.class, m.free, m.images);
         }
         let mut unplaceable = UnplaceableShapes::default();
-        for (classes, task, image, needs_image, tasks, barred) in requests {
-            let expected: Vec<usize> = (0..plain.len())
+        for (classes, task, image, needs_image, tasks, excluded) in requests {
+            let expected: Vec<usize> = (0..reference.len())
                 .filter(|at| {
-                    let m = &plain[*at];
-                    let allowed = classes[usize::from(m.class)] && barred != Some(*at);
-                    let there = !needs_image || m.images.contains(&image);
-                    allowed && there && task.fits_in(m.free)
+                    let m = &reference[*at];
+                    let allowed = classes[usize::from(m.class)] && excluded != Some(*at);
+                    let has_image = !needs_image || m.images.contains(&image);
+                    allowed && has_image && task.fits_in(m.free)
                 })
                 .collect();
             let allowed = capacity_index.allowed(|class| classes[usize::from(*class)]);
             let shape = Shape::new(task, allowed.clone(), needs_image.then_some(image));
             if allowed.is_empty() || unplaceable.contains(&shape) {
-                prop_assert!(expected.is_empty(), "missed {expected:?}");
+                prop_assert!(expected.is_empty(), "index found no machine, scan found {expected:?}");
                 continue;
             }
             let mut found = capacity_index.fitting(task, &allowed);
             found.retain(|at| {
-                let there = capacity_index.entries()[*at].machine.contains(&image);
-                barred != Some(*at) && (!needs_image || there)
+                let has_image = capacity_index.entries()[*at].machine.contains(&image);
+                excluded != Some(*at) && (!needs_image || has_image)
             });
             prop_assert_eq!(&found, &expected);
-            if found.is_empty() && barred.is_none() {
+            if found.is_empty() && excluded.is_none() {
                 unplaceable.insert(shape);
             }
             for at in found.into_iter().take(tasks) {
                 capacity_index.allocate(at, task);
-                plain[at].free.sub(task);
-                if !plain[at].images.contains(&image) {
-                    plain[at].images.push(image);
+                reference[at].free.sub(task);
+                if !reference[at].images.contains(&image) {
+                    reference[at].images.push(image);
                     capacity_index.machine_mut(at).push(image);
                     unplaceable.image_pull_started(image);
                 }
@@ -97,9 +96,9 @@
         }
     }
 
-    /// Guards against a machine that is in no class or in another's, whatever is free there.
+    /// Guards against machines that are in no class, in a wrong class, or in several classes.
     #[test]
-    fn classes_hold_each_machine_once(
+    fn classes_contain_each_machine_once(
         machines in prop::collection::vec(machine(), 0..20),
         image in 0..4u32,
     ) {
--- a/crates/model/src/records/job.rs
+++ b/crates/model/src/records/job.rs
@@ -175,9 +175,9 @@
     /// Whether a DAG run submitted the job. Jobs submitted by users never belong to a run.
     #[serde(rename = "run", default, skip_serializing_if = "std::ops::Not::not")]
     pub from_run: bool,
-    /// For the job of a DAG run: how long a task waits after a failure, in milliseconds.
-    #[serde(default, skip_serializing_if = "is_zero_ms")]
-    pub pause_ms: u64,
+    /// For a job of a DAG run: how long a failed task waits before its next attempt, in milliseconds.
+    #[serde(rename = "pause_ms", default, skip_serializing_if = "is_zero_ms")]
+    pub retry_delay_ms: u64,
     /// When the job was done or cancelled. Written only in format V2; older records of cancelled jobs
     /// lack it too.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/model/src/records/run.rs
+++ b/crates/model/src/records/run.rs
@@ -80,8 +80,8 @@
     #[serde(default, skip_serializing_if = "TaskRanges::is_empty")]
     pub failed: TaskRanges,
     /// Number of jobs by final state; empty until the run has ended.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub counts: BTreeMap<String, u32>,
+    #[serde(rename = "counts", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub jobs_by_state: BTreeMap<String, u32>,
     /// When the run ended; `None` while it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<WallClockMillis>,
--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -353,7 +353,7 @@
         dependency_chunks: submission.chunk_count,
         ended: None,
         from_run: submission.from_run,
-        pause_ms: submission.pause_ms,
+        retry_delay_ms: submission.pause_ms,
     };
     if submission.dependencies.iter().any(is_cancelled) {
         let shards = Vec::new();
--- a/src/coordination/dag_runs/advance.rs
+++ b/src/coordination/dag_runs/advance.rs
@@ -215,7 +215,7 @@
             End::Failed => RunState::Failed,
             End::Cancelled => RunState::Cancelled,
         };
-        record.counts = count_states(&decision.stands);
+        record.jobs_by_state = count_states(&decision.stands);
         record.ended = Some(now);
         // The counts have what failed from now on.
         record.failed = Default::default();
--- a/src/coordination/dag_runs/status.rs
+++ b/src/coordination/dag_runs/status.rs
@@ -78,7 +78,7 @@
         };
         let mut body = run_body(run, &record);
         if record.state != RunState::Open {
-            body["counts"] = json!(record.counts);
+            body["counts"] = json!(record.jobs_by_state);
         }
         self.expand(run, &record, context);
         if let Some(open_run) = self.open_runs.get_mut(run) {
--- a/src/coordination/dag_runs/submissions.rs
+++ b/src/coordination/dag_runs/submissions.rs
@@ -94,7 +94,7 @@
             chunks: chunks.len() as u32,
             cancel_requested: false,
             failed: Default::default(),
-            counts: BTreeMap::new(),
+            jobs_by_state: BTreeMap::new(),
             ended: None,
         };
         PendingDefinition {
--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -9,7 +9,7 @@
 use super::queue::QueuedJob;
 use crate::coordination::context::Context;
 use snowshelf_fair_share::backfill::{
-    BackfillCandidate, COOLDOWN_MS, MIN_WAIT_MS, RESERVATION_MS, max_reservations, nearest,
+    BackfillCandidate, COOLDOWN_MS, MIN_WAIT_MS, RESERVATION_MS, best_candidate, max_reservations,
 };
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_model::records::{Grant, JobKind, JobSpec, Resources};
@@ -271,7 +271,7 @@
                 )
             })
             .collect();
-        let position = nearest(spec.resources, machines.iter().map(|(_, m)| *m))?;
+        let position = best_candidate(spec.resources, machines.iter().map(|(_, m)| *m))?;
         Some(machines[position].0.clone())
     }
 
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -228,8 +228,8 @@
             return;
         };
         *job.task_failures.entry(task).or_default() += 1;
-        if job.record.pause_ms > 0 {
-            let resume_at = now.plus(job.record.pause_ms);
+        if job.record.retry_delay_ms > 0 {
+            let resume_at = now.plus(job.record.retry_delay_ms);
             job.placement_backoff_until = job.placement_backoff_until.max(resume_at);
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -95,7 +95,7 @@
         dependency_chunks: 0,
         ended: None,
         from_run: false,
-        pause_ms: 0,
+        retry_delay_ms: 0,
     }
 }
 
