--- a/crates/connections/tests/connection_table.rs
+++ b/crates/connections/tests/connection_table.rs
@@ -53,8 +53,9 @@
 }
 
 proptest! {
-    /// Guards against more connections than the limit, against users and workers that displace each
-    /// other below their floors, and against closing a connection whose request awaits its response.
+    /// Guards against more connections than memory allows, against users and workers that displace
+    /// each other below their floors, and against closing a connection whose request awaits its
+    /// response.
     #[test]
     fn table_stays_within_limits_and_floors(
         max_clients in 16..48usize,
--- a/crates/fair-share/src/backfill.rs
+++ b/crates/fair-share/src/backfill.rs
@@ -55,7 +55,7 @@
     let fitting = machines
         .enumerate()
         .filter(|(_, m)| task.fits_in(m.eventually_free));
-    let covered = fitting.map(|(at, m)| (at, covered_fraction(task, m.free)));
+    let covered = fitting.map(|(position, m)| (position, covered_fraction(task, m.free)));
     let best = covered.reduce(|a, b| if b.1 > a.1 { b } else { a });
-    best.map(|(at, _)| at)
+    best.map(|(position, _)| position)
 }
--- a/crates/fair-share/src/grants.rs
+++ b/crates/fair-share/src/grants.rs
@@ -24,8 +24,9 @@
     /// The shard's share of the limit in proportion to demand; `None` unless another shard needs more
     /// quota.
     pub fair_share: Option<Grant>,
-    /// Minimum increase of a grant. Each change is a write to the key-value store.
-    pub min_increase: Grant,
+    /// Minimum step by which a shard in need raises its grant, since each change is a write to the
+    /// key-value store. The limit may allow less.
+    pub step: Grant,
     /// The team's limit for all shards together.
     pub limit: Grant,
 }
@@ -50,7 +51,7 @@
         grant.copied().unwrap_or_default()
     };
     let demanded = |shortfall: QuotaShortfall| {
-        let increase = combine(shortfall.total, demand.min_increase, f64::max);
+        let increase = combine(shortfall.total, demand.step, f64::max);
         combine(used, increase, |a, b| a + b)
     };
     let desired = match (demand.fair_share, demand.shortfall) {
--- a/crates/fair-share/tests/grants.rs
+++ b/crates/fair-share/tests/grants.rs
@@ -42,7 +42,7 @@
                     smallest_task: cpus(f64::from(task)),
                 }),
                 fair_share: Some(cpus(limit * f64::from(demanded) / f64::from(demand))),
-                min_increase: cpus(limit / 40.0),
+                step: cpus(limit / 40.0),
                 limit: cpus(limit),
             }
         };
--- a/crates/fair-share/tests/shortage.rs
+++ b/crates/fair-share/tests/shortage.rs
@@ -36,11 +36,11 @@
 fn slack_lets_more_jobs_of_an_overloaded_class_start_in_time() {
     let count_in_time = |use_slack: bool| {
         let (mut waiting, mut now, mut in_time) = (Vec::<(u32, u32)>::new(), 0, 0);
-        let mut draw = 7u32;
+        let mut lcg_state = 7u32;
         let mut arrivals: Vec<(u32, u32)> = (0..400)
             .map(|i| {
-                draw = draw.wrapping_mul(1_103_515_245).wrapping_add(12_345);
-                (i * 5 / 2, 1 + (draw >> 16) % 9)
+                lcg_state = lcg_state.wrapping_mul(1_103_515_245).wrapping_add(12_345);
+                (i * 5 / 2, 1 + (lcg_state >> 16) % 9)
             })
             .rev()
             .collect();
--- a/crates/machine-index/src/capacity_index.rs
+++ b/crates/machine-index/src/capacity_index.rs
@@ -100,8 +100,8 @@
     }
 
     /// Returns the caller's data on the machine at a position of [`entries`](Self::entries).
-    pub fn machine_mut(&mut self, at: usize) -> &mut T {
-        &mut self.entries[at].machine
+    pub fn machine_mut(&mut self, position: usize) -> &mut T {
+        &mut self.entries[position].machine
     }
 
     /// Returns the key of a machine's class.
@@ -128,11 +128,11 @@
             // Visiting the members makes the bound exact. It stays an upper bound, since free resources
             // only shrink.
             let mut max_free = MIN_RESOURCES;
-            for at in &class.members {
-                let free = self.entries[*at].free;
+            for position in &class.members {
+                let free = self.entries[*position].free;
                 raise_bound(&mut max_free, free);
                 if task.fits_in(free) {
-                    found.push(*at);
+                    found.push(*position);
                 }
             }
             class.max_free = max_free;
@@ -145,7 +145,12 @@
     pub fn classes(&self) -> impl Iterator<Item = (&K, impl Iterator<Item = &IndexedMachine<T>>)> {
         let entries = &self.entries;
         let classes = self.classes.iter();
-        classes.map(move |c| (&c.key, c.members.iter().map(move |at| &entries[*at])))
+        classes.map(move |c| {
+            (
+                &c.key,
+                c.members.iter().map(move |position| &entries[*position]),
+            )
+        })
     }
 
     /// Iterates over the keys and numbers of machines of the allowed classes.
@@ -157,7 +162,7 @@
 
     /// Subtracts a task's resources from those free on the machine at a position of
     /// [`entries`](Self::entries).
-    pub fn allocate(&mut self, at: usize, task: Resources) {
-        self.entries[at].free.sub(task);
+    pub fn allocate(&mut self, position: usize, task: Resources) {
+        self.entries[position].free.sub(task);
     }
 }
--- a/crates/machine-index/src/unplaceable.rs
+++ b/crates/machine-index/src/unplaceable.rs
@@ -7,7 +7,7 @@
 
 /// The properties of tasks that determine on which machines they fit.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub struct Shape {
+pub struct TaskShape {
     /// Bit patterns of the required CPUs, GPUs and memory, so that the shape can be hashed.
     resources: [u64; 3],
     allowed: AllowedClasses,
@@ -15,13 +15,13 @@
     image: Option<u32>,
 }
 
-impl Shape {
+impl TaskShape {
     /// Creates the shape of tasks. With an `image`, the tasks may only run on machines that have the
     /// image or are pulling it.
     #[must_use]
-    pub fn new(resources: Resources, allowed: AllowedClasses, image: Option<u32>) -> Shape {
+    pub fn new(resources: Resources, allowed: AllowedClasses, image: Option<u32>) -> TaskShape {
         let resources = [resources.cpus, resources.gpus, resources.mem].map(f64::to_bits);
-        Shape {
+        TaskShape {
             resources,
             allowed,
             image,
@@ -31,18 +31,18 @@
 
 /// The task shapes that fit on no machine.
 #[derive(Default, Debug)]
-pub struct UnplaceableShapes(HashSet<Shape>);
+pub struct UnplaceableShapes(HashSet<TaskShape>);
 
 impl UnplaceableShapes {
     /// Whether a shape is known to fit on no machine.
     #[must_use]
-    pub fn contains(&self, shape: &Shape) -> bool {
+    pub fn contains(&self, shape: &TaskShape) -> bool {
         self.0.contains(shape)
     }
 
     /// Records that a shape fits on no machine. Must not be called for a job that is excluded from
     /// machines that other jobs of this shape may use.
-    pub fn insert(&mut self, shape: Shape) {
+    pub fn insert(&mut self, shape: TaskShape) {
         self.0.insert(shape);
     }
 
--- a/crates/machine-index/tests/capacity_index.rs
+++ b/crates/machine-index/tests/capacity_index.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use snowshelf_machine_index::capacity_index::CapacityIndex;
-use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
+use snowshelf_machine_index::unplaceable::{TaskShape, UnplaceableShapes};
 use snowshelf_model::records::Resources;
 
 /// A machine of the reference model, with the images that it has or is pulling.
@@ -47,8 +47,9 @@
 }
 
 proptest! {
-    /// Guards against placements that differ from those of a scan of all machines for each job. Such
-    /// a difference could come from skipped classes, or from shapes that are not tried again.
+    /// Guards against placements that differ, in their machines or in the order, from those of a scan
+    /// of all machines for each job. Such a difference could come from skipped classes, or from
+    /// shapes that are not tried again.
     #[test]
     fn fitting_returns_the_same_machines_as_a_scan(
         machines in prop::collection::vec(machine(), 0..20),
@@ -70,7 +71,7 @@
                 })
                 .collect();
             let allowed = capacity_index.allowed(|class| classes[usize::from(*class)]);
-            let shape = Shape::new(task, allowed.clone(), needs_image.then_some(image));
+            let shape = TaskShape::new(task, allowed.clone(), needs_image.then_some(image));
             if allowed.is_empty() || unplaceable.contains(&shape) {
                 prop_assert!(expected.is_empty(), "index found no machine, scan found {expected:?}");
                 continue;
--- a/crates/model/src/protocol/peer.rs
+++ b/crates/model/src/protocol/peer.rs
@@ -169,7 +169,7 @@
     pub overdue: Vec<String>,
 }
 
-/// The number of a job's tasks with earlier attempts that have been reported as running again.
+/// The number of a job's tasks that had an earlier attempt and have been seen running again.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RestartedTasks {
     /// ID of the job.
--- a/crates/model/src/records/compact_encoding.rs
+++ b/crates/model/src/records/compact_encoding.rs
@@ -25,16 +25,17 @@
 
 fn write_number(out: &mut String, mut number: u32) {
     let mut digits = [0u8; MAX_DIGITS];
-    let mut at = digits.len();
+    let mut first_digit = digits.len();
     loop {
-        at -= 1;
-        digits[at] = char::from_digit(number % BASE, BASE).map_or(b'0', |digit| digit as u8);
+        first_digit -= 1;
+        digits[first_digit] =
+            char::from_digit(number % BASE, BASE).map_or(b'0', |digit| digit as u8);
         number /= BASE;
         if number == 0 {
             break;
         }
     }
-    out.push_str(std::str::from_utf8(&digits[at..]).unwrap_or("0"));
+    out.push_str(std::str::from_utf8(&digits[first_digit..]).unwrap_or("0"));
 }
 
 fn digit_count(mut number: u32) -> usize {
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -135,8 +135,8 @@
 
     /// Removes a task and returns its attempt; `None` if the set does not contain it.
     pub fn remove(&mut self, task: TaskIndex) -> Option<Attempt> {
-        let at = self.position(task);
-        let range = *self.0.get(at).filter(|range| range.start <= task.0)?;
+        let position = self.position(task);
+        let range = *self.0.get(position).filter(|range| range.start <= task.0)?;
         let mut remaining = Vec::with_capacity(2);
         if range.start < task.0 {
             remaining.push(TaskRange {
@@ -150,33 +150,35 @@
                 ..range
             });
         }
-        self.0.splice(at..=at, remaining);
+        self.0.splice(position..=position, remaining);
         Some(Attempt(range.attempt))
     }
 
     /// Inserts a task, replacing its previous attempt if there is one.
     pub fn insert(&mut self, task: TaskIndex, attempt: Attempt) {
         self.remove(task);
-        let at = self.position(task);
+        let position = self.position(task);
         let single = TaskRange {
             start: task.0,
             end: task.0.saturating_add(1),
             attempt: attempt.0,
         };
-        self.0.insert(at, single);
-        self.coalesce(at);
-        if at > 0 {
-            self.coalesce(at - 1);
+        self.0.insert(position, single);
+        self.coalesce(position);
+        if position > 0 {
+            self.coalesce(position - 1);
         }
     }
 
-    /// Merges the range at `at` with the next one if they are contiguous at the same attempt.
-    fn coalesce(&mut self, at: usize) {
-        if let (Some(range), Some(next)) = (self.0.get(at).copied(), self.0.get(at + 1).copied())
-            && range.is_continued_by(next)
+    /// Merges the range at `position` with the next one if they are contiguous at the same attempt.
+    fn coalesce(&mut self, position: usize) {
+        if let (Some(range), Some(next)) = (
+            self.0.get(position).copied(),
+            self.0.get(position + 1).copied(),
+        ) && range.is_continued_by(next)
         {
-            self.0[at].end = next.end;
-            self.0.remove(at + 1);
+            self.0[position].end = next.end;
+            self.0.remove(position + 1);
         }
     }
 
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -10,7 +10,7 @@
 use crate::coordination::placement::{self, ImageState, Load, UNKNOWN_ZONE, ZoneRule};
 use snowshelf_fair_share::grants::QuotaShortfall;
 use snowshelf_machine_index::capacity_index::AllowedClasses;
-use snowshelf_machine_index::unplaceable::{Shape, UnplaceableShapes};
+use snowshelf_machine_index::unplaceable::{TaskShape, UnplaceableShapes};
 use snowshelf_model::ids::{JobId, MachineId, MonotonicMillis, Team};
 use snowshelf_model::records::{AllocationChange, AllocationChangeKind, Grant, JobSpec, Resources};
 use std::collections::{BTreeMap, HashMap};
@@ -191,7 +191,7 @@
             return None;
         }
         let image = request.only_with_image().then_some(job.image_id);
-        let shape = Shape::new(spec.resources, allowed.clone(), image);
+        let shape = TaskShape::new(spec.resources, allowed.clone(), image);
         if !request.on_reserved_machine() && pass.unplaceable.contains(&shape) {
             return None;
         }
--- a/src/coordination/shard/quota.rs
+++ b/src/coordination/shard/quota.rs
@@ -144,7 +144,7 @@
             used,
             shortfall: self.quotas.shortfalls.get(team).copied(),
             fair_share,
-            min_increase: Grant {
+            step: Grant {
                 cpus: step(limit.cpus),
                 gpus: step(limit.gpus),
             },
@@ -168,8 +168,8 @@
             let least = if granted < durable { step } else { 0.0 };
             (granted - durable).abs() < least.max(MIN_GRANT_CHANGE)
         };
-        let unchanged = is_negligible(granted.cpus, durable.cpus, demand.min_increase.cpus)
-            && is_negligible(granted.gpus, durable.gpus, demand.min_increase.gpus);
+        let unchanged = is_negligible(granted.cpus, durable.cpus, demand.step.cpus)
+            && is_negligible(granted.gpus, durable.gpus, demand.step.gpus);
         if unchanged && !outcome_unknown {
             return None;
         }
