--- a/src/coordination/api/commit.rs
+++ b/src/coordination/api/commit.rs
@@ -355,8 +355,8 @@
         dependencies: Vec::new(),
         dependency_chunks: submission.chunk_count,
         ended: None,
-        run: submission.from_dag_run,
-        pause_ms: submission.pause_ms,
+        from_run: submission.from_dag_run,
+        retry_delay_ms: submission.pause_ms,
     };
     if submission.dependencies.iter().any(is_cancelled) {
         let shards = Vec::new();
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -159,7 +159,7 @@
             continue;
         }
         let uncovered = uncovered_by_jobs(hold, &mut jobs);
-        let machine_resources = machine_type.room();
+        let machine_resources = machine_type.capacity();
         let machines = machines_for(uncovered, machine_resources);
         if machines > 0.0 {
             demand.push(TaskDemand {
--- a/src/coordination/dag_runs/advance.rs
+++ b/src/coordination/dag_runs/advance.rs
@@ -219,7 +219,7 @@
             End::Failed => RunState::Failed,
             End::Cancelled => RunState::Cancelled,
         };
-        record.counts = count_states(&decision.stands);
+        record.jobs_by_state = count_states(&decision.stands);
         record.ended = Some(now);
         // Not needed after the end of the run, because the counts include the failed jobs.
         record.failed = Default::default();
--- a/src/coordination/dag_runs/mod.rs
+++ b/src/coordination/dag_runs/mod.rs
@@ -92,8 +92,8 @@
 
 /// The body of a response that describes a run, without its steps.
 fn run_body(id: &RunId, record: &RunRecord) -> Value {
-    let state = run_state_name(record.state, record.cancel);
-    json!({"graph": id.graph, "run": id.run, "state": state, "jobs": record.jobs})
+    let state = run_state_name(record.state, record.cancel_requested);
+    json!({"graph": id.dag, "run": id.run, "state": state, "jobs": record.jobs})
 }
 
 /// Counts the jobs in each state, by the serialized name of the state.
@@ -115,7 +115,7 @@
         request: DagRequest,
         context: &mut Context<'_>,
     ) {
-        if !context.records.all_support(&Capability::graphs()) {
+        if !context.records.all_support(&Capability::dags()) {
             let why = "not every controller takes graphs yet";
             let response = Response::retry_later(503, why, UNSUPPORTED_RETRY_AFTER_S);
             context.effects.respond(connection, response);
--- a/src/coordination/reservations/capacity.rs
+++ b/src/coordination/reservations/capacity.rs
@@ -22,12 +22,12 @@
     let mut pools = BTreeMap::new();
     for machine_type in types.values() {
         for zone in &machine_type.zones {
-            let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.label;
+            let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.name;
             let capacity = match settings.capacity.iter().find(is_known) {
-                Some(c) => Amount::from_resources(machine_type.room()).times(i64::from(c.machines)),
+                Some(c) => Amount::from_resources(machine_type.capacity()).times(i64::from(c.machines)),
                 None => Amount::UNLIMITED,
             };
-            pools.insert(Pool::new(zone, &machine_type.label), capacity);
+            pools.insert(Pool::new(zone, &machine_type.name), capacity);
         }
     }
     let team_limits = teams.iter().map(|team| {
--- a/src/coordination/shard/reconciling.rs
+++ b/src/coordination/shard/reconciling.rs
@@ -224,12 +224,12 @@
     /// Counts a failed task of a DAG run. The run's definition may require a pause before the next
     /// attempt.
     fn record_dag_task_failure(&mut self, id: &JobId, task: TaskIndex, now: MonotonicMillis) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.run) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.record.from_run) else {
             return;
         };
         *job.task_failures.entry(task).or_default() += 1;
-        if job.record.pause_ms > 0 {
-            let resume_at = now.plus(job.record.pause_ms);
+        if job.record.retry_delay_ms > 0 {
+            let resume_at = now.plus(job.record.retry_delay_ms);
             job.placement_backoff_until = job.placement_backoff_until.max(resume_at);
         }
     }
--- a/src/transport/event_loop/peers.rs
+++ b/src/transport/event_loop/peers.rs
@@ -6,11 +6,11 @@
 use calloop::RegistrationToken;
 use prost::Message;
 use snowshelf_model::ids::{Member, MonotonicMillis};
-use snowshelf_model::protocol::peer::{MAX_FRAME, PeerMessage, PeerStatus};
+use snowshelf_model::protocol::peer::{MAX_FRAME_BYTES, PeerMessage, PeerStatus};
 use std::net::{SocketAddrV4, TcpListener};
 
 /// Unsent bytes above which a link is closed: a late status is useless, and messages are sent again.
-const MAX_UNSENT_BYTES: usize = MAX_FRAME;
+const MAX_UNSENT_BYTES: usize = MAX_FRAME_BYTES;
 /// Most bytes of a frame's length prefix.
 const MAX_LENGTH_PREFIX_BYTES: usize = 10;
 /// Most connections accepted in one callback, so that accepting does not delay other events.
@@ -74,7 +74,7 @@
             valid &= input.len() < MAX_LENGTH_PREFIX_BYTES;
             break;
         };
-        if size > MAX_FRAME {
+        if size > MAX_FRAME_BYTES {
             valid = false;
             break;
         }
@@ -143,7 +143,7 @@
             return;
         };
         connection.last_active_at = now;
-        let read_status = connection.socket.receive(2 * MAX_FRAME);
+        let read_status = connection.socket.receive(2 * MAX_FRAME_BYTES);
         let frames = decode_frames(&mut connection.socket.input);
         if read_status != ReadStatus::Open || !frames.valid {
             self.drop_peer_connection(id);
