--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -149,7 +149,7 @@
         let Some(machine_type) = context.machine_types.get(&*hold.pool.model) else {
             continue;
         };
-        if now.0 < ⟪opens‖demand_from_ms⟫
+        if now.0 < demand_from_ms
             || now >= hold.until
             || context
                 .calendar_constraints
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -178,13 +178,14 @@
             let machine_type = context.machine_types.get(&request.pool.model);
             machine_type.map_or(0.0, |t| t.cpus) * f64::from(request.machines)
         };
-        let mut planned: Vec<PlannedRequest> = plan(&demand, supply, context.machine_types, &excluded)
-            .into_iter()
-            .map(|(pool, machines)| PlannedRequest {
-                pool,
-                machines: machines.min(MAX_MACHINES_PER_REQUEST),
-            })
-            .collect();
+        let mut planned: Vec<PlannedRequest> =
+            plan(&demand, supply, context.machine_types, &excluded)
+                .into_iter()
+                .map(|(pool, machines)| PlannedRequest {
+                    pool,
+                    machines: machines.min(MAX_MACHINES_PER_REQUEST),
+                })
+                .collect();
         // The request with the most CPUs goes first, and requests that exceed the call rate are planned
         // again: small requests planned before most jobs are known would use up the few calls.
         planned.sort_by(|a, b| cpus(b).total_cmp(&cpus(a)));
--- a/src/coordination/reservations/capacity.rs
+++ b/src/coordination/reservations/capacity.rs
@@ -24,7 +24,9 @@
         for zone in &machine_type.zones {
             let is_known = |c: &&KnownCapacity| c.zone == *zone && c.model == machine_type.name;
             let capacity = match settings.capacity.iter().find(is_known) {
-                Some(c) => Amount::from_resources(machine_type.capacity()).times(i64::from(c.machines)),
+                Some(c) => {
+                    Amount::from_resources(machine_type.capacity()).times(i64::from(c.machines))
+                }
                 None => Amount::UNLIMITED,
             };
             pools.insert(Pool::new(zone, &machine_type.name), capacity);
