--- a/crates/client/src/calendar.rs
+++ b/crates/client/src/calendar.rs
@@ -1,4 +1,4 @@
-//! `snowshelf reservations` and `snowshelf windows`.
+//! The commands `snowshelf reservations` and `snowshelf windows`.
 
 use crate::controllers::ControllerArgs;
 use crate::error::ArgumentError;
@@ -10,118 +10,130 @@
 use serde_json::{Map, Value, json};
 use std::path::{Path, PathBuf};
 
-/// What is to be had of an entry, and when.
+/// The time range of a reservation or a maintenance window.
 #[derive(Args, Clone, Debug)]
 pub struct TimeRangeArgs {
-    /// When it begins: RFC 3339, or a local time with its zone, as 2027-09-01T06:00[Europe/Lisbon].
+    /// Start time, in RFC 3339 or as a local time with its time zone, such as 2027-09-01T06:00[Europe/Lisbon].
     #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub from: Option<Timestamp>,
-    /// When it ends.
+    /// End time, in the same formats.
     #[arg(long, value_name = "TIME", value_parser = parse_time, conflicts_with = "duration")]
     pub until: Option<Timestamp>,
-    /// How long it lasts instead, as 2h30m.
+    /// Duration, as an alternative to --until, such as 2h30m.
     #[arg(long = "for", value_name = "LONG", value_parser = parse_duration)]
     pub duration: Option<SignedDuration>,
 }
 
-/// A reservation, and the controllers that it is sent to.
+/// A reservation, and the controllers to which it is sent.
 #[derive(Args, Clone, Debug)]
 pub struct ReservationArgs {
-    /// Its name, which is not used by another.
+    /// Name of the reservation, unique among reservations.
     pub name: String,
+    /// Team that may use the capacity.
     #[arg(long)]
     pub team: String,
+    /// Number of CPUs.
     #[arg(long)]
     pub cpus: f64,
+    /// Number of GPUs.
     #[arg(long, default_value_t = 0.0)]
     pub gpus: f64,
+    /// Memory in gigabytes.
     #[arg(long, default_value_t = 0.0)]
     pub mem_gb: f64,
-    /// The only zone.
+    /// Required zone. Default: any zone.
     #[arg(long)]
     pub zone: Option<String>,
-    /// A machine type that will do; several may be named.
+    /// Allowed machine type; may be given several times. Default: all types.
     #[arg(long = "type", value_name = "TYPE", value_delimiter = ',')]
     pub types: Vec<String>,
-    /// Cheap machines, which may be taken back, will do.
+    /// Allows spot instances to provide the capacity.
     #[arg(long)]
     pub spot: bool,
-    /// It may be moved to the first time that fits.
+    /// Allows the reservation to be moved to the earliest time at which it fits.
     #[arg(long)]
     pub movable: bool,
+    /// The time range.
     #[command(flatten)]
     pub range: TimeRangeArgs,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// A maintenance window, and the controllers that it is sent to.
+/// A maintenance window, and the controllers to which it is sent.
 #[derive(Args, Clone, Debug)]
 pub struct WindowArgs {
-    /// Its name, which is not used by another.
+    /// Name of the window, unique among windows.
     pub name: String,
+    /// Zone that the window closes.
     #[arg(long)]
     pub zone: String,
-    /// A machine type that is closed; several may be named. None: all.
+    /// Machine type that the window closes; may be given several times. Default: all types.
     #[arg(long = "type", value_name = "TYPE", value_delimiter = ',')]
     pub types: Vec<String>,
-    /// A file with the rule by which it comes again (JSON).
+    /// JSON file with the recurrence rule, as an alternative to a time range.
     #[arg(long, value_name = "FILE", conflicts_with_all = ["from", "until", "duration"])]
     pub rule: Option<PathBuf>,
-    /// So many seconds before it nothing starts that would run into it; none: at any time.
+    /// Seconds before the window in which no task starts that would overlap it. Default: unlimited, or 0 for services.
     #[arg(long, value_name = "SECONDS")]
     pub lead_s: Option<f64>,
-    /// Declares it over reservations too; who reads these is told.
+    /// Declares the window even if it conflicts with reservations; these then list it as `displaced_by`.
     #[arg(long)]
     pub force: bool,
+    /// The time range.
     #[command(flatten)]
     pub range: TimeRangeArgs,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// The name of an entry, and the controllers to ask.
+/// The name of a reservation, window or drain, and the controllers to which the request is sent.
 #[derive(Args, Clone, Debug)]
 pub struct EntryArgs {
+    /// Name of the entry.
     pub name: String,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// The commands on reservations.
+/// The subcommands of `snowshelf reservations`.
 #[derive(Subcommand, Clone, Debug)]
-pub enum Reservations {
+pub enum ReservationCommand {
     /// Lists all reservations.
     List(ControllerArgs),
-    /// Shows one.
+    /// Shows one reservation.
     Show(EntryArgs),
-    /// Reserves.
+    /// Reserves capacity.
     Add(ReservationArgs),
-    /// Replaces one by another of the same name, if that fits.
+    /// Replaces the reservation of the same name, if the new one fits.
     Change(ReservationArgs),
-    /// Tells whether it would fit, and changes nothing.
+    /// Checks whether the reservation would fit, without making it.
     Check(ReservationArgs),
-    /// Gives one up.
+    /// Cancels a reservation.
     Cancel(EntryArgs),
 }
 
-/// The commands on maintenance windows.
+/// The subcommands of `snowshelf windows`.
 #[derive(Subcommand, Clone, Debug)]
-pub enum Windows {
+pub enum WindowCommand {
     /// Lists all maintenance windows.
     List(ControllerArgs),
-    /// Shows one.
+    /// Shows one maintenance window.
     Show(EntryArgs),
-    /// Declares one.
+    /// Declares a maintenance window.
     Add(WindowArgs),
-    /// Replaces one by another of the same name.
+    /// Replaces the maintenance window of the same name.
     Change(WindowArgs),
-    /// Tells whether it may be declared, and changes nothing.
+    /// Checks whether the maintenance window would be accepted, without declaring it.
     Check(WindowArgs),
-    /// Takes one back.
+    /// Cancels a maintenance window.
     Cancel(EntryArgs),
 }
 
+/// Parses a timestamp, or a local time with its time zone in brackets.
 pub(crate) fn parse_time(text: &str) -> Result<Timestamp, ArgumentError> {
     if let Ok(zoned) = text.parse::<ZonedDateTime>() {
         return Ok(zoned.timestamp());
@@ -150,6 +162,7 @@
 }
 
 impl TimeRangeArgs {
+    /// Adds `from` and `until` to a request body; a duration needs a start time to yield `until`.
     fn insert_into(&self, body: &mut Map<String, Value>) -> Result<(), ArgumentError> {
         let until = match (self.from, self.until, self.duration) {
             (Some(from), None, Some(duration)) => Some(from.checked_add(duration)?),
@@ -202,9 +215,9 @@
     }
 }
 
-const RESERVATIONS: &str = "/api/reservations";
-const WINDOWS: &str = "/api/windows";
-/// Entries of one page.
+const RESERVATIONS_PATH: &str = "/api/reservations";
+const WINDOWS_PATH: &str = "/api/windows";
+/// Maximum number of entries in one page of a list.
 const PAGE_SIZE: usize = 100;
 
 const RESERVATION_COLUMNS: [(&str, &str); 8] = [
@@ -226,23 +239,24 @@
     ("STATE", "state"),
 ];
 
+/// Reads all entries under a path and prints them as a table or as JSON.
 pub(crate) fn list(
     controllers: &ControllerArgs,
     path: &str,
     columns: &[(&str, &str)],
 ) -> CommandOutput {
-    let page = |items: &[Value]| {
-        let last = items.last().map(|i| table::plain(&i["name"]));
+    let page_path = |items: &[Value]| {
+        let last = items.last().map(|i| table::format_value(&i["name"]));
         let after = last.map(|name| format!("&after={name}"));
         format!("{path}?limit={PAGE_SIZE}{}", after.unwrap_or_default())
     };
-    let items = match controllers.read_all("items", page) {
+    let items = match controllers.read_all("items", page_path) {
         Ok(list) => list.items,
         Err(failure) => return failure,
     };
     CommandOutput::success(match controllers.json {
         true => format!("{:#}", json!({ "items": items })),
-        false => table::rows(columns, &items),
+        false => table::format_rows(columns, &items),
     })
 }
 
@@ -256,6 +270,7 @@
     entry.controllers.send(Method::Post, &path, None)
 }
 
+/// Sends a request, or reports the arguments that make its body invalid.
 pub(crate) fn send(
     controllers: &ControllerArgs,
     method: Method,
@@ -268,22 +283,22 @@
     }
 }
 
-impl Reservations {
+impl ReservationCommand {
     /// Runs the command.
     pub fn run(&self) -> CommandOutput {
-        let path = RESERVATIONS;
+        let path = RESERVATIONS_PATH;
         match self {
-            Reservations::List(controllers) => list(controllers, path, &RESERVATION_COLUMNS),
-            Reservations::Show(entry) => show_entry(entry, path),
-            Reservations::Cancel(entry) => cancel_entry(entry, path),
-            Reservations::Add(r) => send(&r.controllers, Method::Post, path, r.body()),
-            Reservations::Check(r) => send(
+            ReservationCommand::List(controllers) => list(controllers, path, &RESERVATION_COLUMNS),
+            ReservationCommand::Show(entry) => show_entry(entry, path),
+            ReservationCommand::Cancel(entry) => cancel_entry(entry, path),
+            ReservationCommand::Add(r) => send(&r.controllers, Method::Post, path, r.body()),
+            ReservationCommand::Check(r) => send(
                 &r.controllers,
                 Method::Post,
                 &format!("{path}/check"),
                 r.body(),
             ),
-            Reservations::Change(r) => send(
+            ReservationCommand::Change(r) => send(
                 &r.controllers,
                 Method::Put,
                 &format!("{path}/{}", r.name),
@@ -293,22 +308,22 @@
     }
 }
 
-impl Windows {
+impl WindowCommand {
     /// Runs the command.
     pub fn run(&self) -> CommandOutput {
-        let path = WINDOWS;
+        let path = WINDOWS_PATH;
         match self {
-            Windows::List(controllers) => list(controllers, path, &WINDOW_COLUMNS),
-            Windows::Show(entry) => show_entry(entry, path),
-            Windows::Cancel(entry) => cancel_entry(entry, path),
-            Windows::Add(w) => send(&w.controllers, Method::Post, path, w.body()),
-            Windows::Check(w) => send(
+            WindowCommand::List(controllers) => list(controllers, path, &WINDOW_COLUMNS),
+            WindowCommand::Show(entry) => show_entry(entry, path),
+            WindowCommand::Cancel(entry) => cancel_entry(entry, path),
+            WindowCommand::Add(w) => send(&w.controllers, Method::Post, path, w.body()),
+            WindowCommand::Check(w) => send(
                 &w.controllers,
                 Method::Post,
                 &format!("{path}/check"),
                 w.body(),
             ),
-            Windows::Change(w) => send(
+            WindowCommand::Change(w) => send(
                 &w.controllers,
                 Method::Put,
                 &format!("{path}/{}", w.name),
--- a/crates/client/src/controllers.rs
+++ b/crates/client/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Requests to the controllers on behalf of a command, and the output that their response becomes.
+//! Sends the requests of a command to the controllers and turns their responses into the command's output.
 
 use crate::http::{Client, Method, RequestError, Response};
 use crate::table;
@@ -7,30 +7,30 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Where and how a command asks.
+/// Options of all commands that send requests to controllers.
 #[derive(Args, Clone, Debug)]
 pub struct ControllerArgs {
-    /// A controller as HOST:PORT; several are tried in turn.
+    /// Address of a controller as HOST:PORT; may be given several times, then tried in turn.
     #[arg(long, value_name = "ADDR", required = true, value_delimiter = ',')]
     pub server: Vec<String>,
-    /// Prints the answer as JSON.
+    /// Prints the response as JSON.
     #[arg(long)]
     pub json: bool,
-    /// How long to go on asking, in seconds, where no controller can decide yet.
+    /// Seconds for which a request is retried while no controller responds or can process it.
     #[arg(long, value_name = "SECONDS", default_value_t = 30)]
     pub wait: u64,
 }
 
-/// A refusal for people, with all the entries that conflict.
-fn refusal(response: &Response) -> String {
-    let mut text = table::plain(&response.body["error"]);
-    for clash in response.body["clashes"].as_array().into_iter().flatten() {
-        let of = |field: &str| table::plain(&clash[field]);
-        let (kind, name) = (of("kind"), of("name"));
+/// Formats the body of an error response for people, with all conflicting entries.
+fn format_error(response: &Response) -> String {
+    let mut text = table::format_value(&response.body["error"]);
+    for conflict in response.body["clashes"].as_array().into_iter().flatten() {
+        let value = |field: &str| table::format_value(&conflict[field]);
+        let (kind, name) = (value("kind"), value("name"));
         text += &format!(
             "\n  {kind} {name} from {} until {}",
-            of("from"),
-            of("until")
+            value("from"),
+            value("until")
         );
     }
     if let Some(more) = response.body["more_clashes"].as_u64() {
@@ -42,12 +42,12 @@
     text
 }
 
-/// A list that was read page by page.
+/// A list that was read page by page to its end.
 #[derive(Clone, Debug)]
 pub struct PagedList {
-    /// All items.
+    /// The items of all pages, in order.
     pub items: Vec<Value>,
-    /// The body of the last page, without its items.
+    /// The body of the last page, whose list of items is replaced by null.
     pub last_page: Value,
 }
 
@@ -56,15 +56,15 @@
         Client::new(&self.server, Duration::from_secs(self.wait))
     }
 
-    /// Sends a request; its response becomes the output.
+    /// Sends a request and returns its response as the command's output.
     pub fn send(&self, method: Method, path: &str, body: Option<&Value>) -> CommandOutput {
         self.output(self.client().request(method, path, body))
     }
 
-    /// The body of the response to a `GET`.
+    /// Sends a `GET` request and returns the body of a response with status 200.
     ///
     /// # Errors
-    /// The output of a command for which that failed.
+    /// Returns the command's output for any other outcome.
     pub fn get(&self, path: &str) -> Result<Value, CommandOutput> {
         match self.client().request(Method::Get, path, None) {
             Ok(response) if response.status == 200 => Ok(response.body),
@@ -72,29 +72,30 @@
         }
     }
 
-    /// Reads a list page by page; `page` makes the path of the next page from the items read so far.
+    /// Reads a list page by page from `field` of the responses. `page_path` returns the path of the next page for
+    /// the items read so far.
     ///
     /// # Errors
-    /// The output of a command for which a page failed.
+    /// Returns the command's output if a page has another status than 200 or could not be read.
     pub fn read_all(
         &self,
         field: &str,
-        page: impl Fn(&[Value]) -> String,
+        page_path: impl Fn(&[Value]) -> String,
     ) -> Result<PagedList, CommandOutput> {
         let client = self.client();
         let mut items: Vec<Value> = Vec::new();
         loop {
-            let mut body = match client.request(Method::Get, &page(&items), None) {
+            let mut body = match client.request(Method::Get, &page_path(&items), None) {
                 Ok(response) if response.status == 200 => response.body,
                 other => return Err(self.output(other)),
             };
-            let found = match body.get_mut(field).map(Value::take) {
-                Some(Value::Array(found)) => found,
+            let page_items = match body.get_mut(field).map(Value::take) {
+                Some(Value::Array(page_items)) => page_items,
                 _ => Vec::new(),
             };
-            let more = body["more"] == json!(true) && !found.is_empty();
-            items.extend(found);
-            if !more {
+            let has_more = body["more"] == json!(true) && !page_items.is_empty();
+            items.extend(page_items);
+            if !has_more {
                 return Ok(PagedList {
                     items,
                     last_page: body,
@@ -113,7 +114,7 @@
         let status = match response.status {
             200 | 201 => CommandStatus::Done,
             404 => CommandStatus::NotFound,
-            409 | 422 => CommandStatus::Refused,
+            409 | 422 => CommandStatus::Rejected,
             _ => CommandStatus::Invalid,
         };
         match status {
@@ -121,8 +122,8 @@
                 status,
                 ..CommandOutput::success(format!("{:#}", response.body))
             },
-            CommandStatus::Done => CommandOutput::success(table::fields(&response.body)),
-            _ => CommandOutput::failure(status, refusal(&response)),
+            CommandStatus::Done => CommandOutput::success(table::format_fields(&response.body)),
+            _ => CommandOutput::failure(status, format_error(&response)),
         }
     }
 }
--- a/crates/client/src/drains.rs
+++ b/crates/client/src/drains.rs
@@ -1,4 +1,4 @@
-//! `snowshelf drains` and `snowshelf budgets`.
+//! The commands `snowshelf drains` and `snowshelf budgets`.
 
 use crate::calendar::{EntryArgs, list, parse_time, show_entry};
 use crate::controllers::ControllerArgs;
@@ -10,141 +10,155 @@
 use serde_json::{Map, Value, json};
 use std::time::{Duration, Instant};
 
-/// What becomes of a machine once it is empty.
+/// What happens to a machine once it is empty.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, ValueEnum)]
-pub enum Then {
-    /// It stays, empty, until the drain is cancelled.
+pub enum EmptyMachineAction {
+    /// The machine stays empty until the drain is cancelled.
     Keep,
+    /// The machine is returned.
     Return,
-    /// Returned, once what it gives up has come up elsewhere.
+    /// The machine is returned, after the machine that replaces it has come up.
     Replace,
 }
 
+/// What happens at the deadline of a drain to the machines that are not empty.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, ValueEnum)]
-pub enum Late {
+pub enum DeadlineAction {
+    /// No further machine is drained.
     GiveUp,
+    /// The remaining tasks are evicted even beyond the disruption budgets.
     Force,
 }
 
-/// A drain, and the controllers that it is sent to.
+/// A drain, and the controllers to which it is sent.
 #[derive(Args, Clone, Debug)]
 pub struct DrainArgs {
-    /// Its name, which is not used by another.
+    /// Name of the drain, unique among drains.
     pub name: String,
-    /// A machine; several may be named. Without, all that meet the other conditions.
+    /// Name of a machine; may be given several times. Default: all machines that meet the other conditions.
     #[arg(long = "machine", value_name = "NAME", value_delimiter = ',')]
     pub machines: Vec<String>,
+    /// Only machines of this zone.
     #[arg(long)]
     pub zone: Option<String>,
+    /// Only machines of this type.
     #[arg(long = "type", value_name = "TYPE")]
-    pub model: Option<String>,
-    /// Only cheap machines, which may be taken back, or only the others.
+    pub machine_type: Option<String>,
+    /// Only spot instances (true), or only on-demand machines (false).
     #[arg(long, value_name = "YES")]
     pub spot: Option<bool>,
-    /// Only machines rented before this time; none: before now.
+    /// Only machines rented before this time. Default: now.
     #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub older_than: Option<Timestamp>,
-    /// Every machine there is.
+    /// Selects all machines. Required if there is no other condition.
     #[arg(long)]
     pub all: bool,
-    /// What becomes of a machine once it is empty.
+    /// What happens to a machine once it is empty.
     #[arg(long, value_enum)]
-    pub then: Then,
-    /// Machines emptied at a time.
+    pub then: EmptyMachineAction,
+    /// Maximum number of machines in a step, which are drained together.
     #[arg(long, value_name = "MACHINES", conflicts_with = "share")]
     pub at_once: Option<u32>,
-    /// The same as a share of those concerned; a tenth where nothing is said.
+    /// Maximum number of machines in a step, as a share of the selected machines. Default without --at-once: 0.1.
     #[arg(long)]
     pub share: Option<f64>,
-    /// Machines of the first step, on which the rest depends.
+    /// Number of machines in the first step (canary), which must succeed before the next one; 0 for no such step.
     #[arg(long, value_name = "MACHINES", default_value_t = 1)]
     pub canary: u32,
-    /// How long the first step is watched.
+    /// Seconds for which the machines of the canary step are watched before the next step.
     #[arg(long, value_name = "SECONDS", default_value_t = 30.0)]
     pub watch_s: f64,
-    /// How long tasks are waited for at the most before they are stopped.
+    /// Seconds for which tasks may run on before they are evicted.
     #[arg(long, value_name = "SECONDS", default_value_t = 120.0)]
     pub patience_s: f64,
-    /// Steps may hold machines of several zones.
+    /// Allows a step to have machines of several zones.
     #[arg(long)]
     pub any_zone: bool,
-    /// When it must be over.
+    /// Deadline of the drain. Default: none.
     #[arg(long, value_name = "TIME", value_parser = parse_time)]
     pub by: Option<Timestamp>,
-    /// What is done with what is left then.
+    /// What happens at the deadline to the machines that are not empty.
     #[arg(long, value_enum, default_value = "give-up")]
-    pub late: Late,
-    /// Works out what it comes to and does nothing until it is resumed.
+    pub late: DeadlineAction,
+    /// Computes and shows the plan of the drain, which stays paused until it is resumed.
     #[arg(long)]
     pub plan: bool,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// The commands on drains.
+/// The subcommands of `snowshelf drains`.
 #[derive(Subcommand, Clone, Debug)]
-pub enum Drains {
+pub enum DrainCommand {
     /// Lists all drains.
     List(ControllerArgs),
-    /// Shows one: what is underway, what is left, what it waits for.
+    /// Shows a drain: its step in progress, the remaining machines, and what it waits for.
     Show(EntryArgs),
-    /// Drains machines; with --plan it is only told what that comes to.
+    /// Starts a drain; with --plan, only shows what it would do.
     Add(Box<DrainArgs>),
-    /// Lets the step that is underway end and begins no other.
+    /// Pauses a drain once its step in progress has finished.
     Pause(EntryArgs),
-    /// Goes on, also after it has halted by itself.
+    /// Resumes a drain that was paused or has halted by itself.
     Resume(EntryArgs),
-    /// Ends it: machines that are not gone serve again.
+    /// Cancels a drain. Machines that were not returned accept tasks again.
     Cancel(EntryArgs),
 }
 
-/// The changes of a disruption budget, and the controllers that they are sent to.
+/// Changes to a team's disruption budget, and the controllers to which they are sent.
 #[derive(Args, Clone, Debug)]
 pub struct BudgetArgs {
+    /// Name of the team.
     pub team: String,
-    /// CPUs and tasks that may be away at once.
+    /// Maximum number of the team's CPUs that may be unavailable at a time.
     #[arg(long)]
     pub cpus: Option<f64>,
+    /// Maximum number of the team's tasks that may be unavailable at a time.
     #[arg(long)]
     pub tasks: Option<u32>,
-    /// A stretch of time, and what may be stopped in any such.
+    /// Length in seconds of the sliding time window in which evictions are limited.
     #[arg(long, value_name = "SECONDS")]
     pub stretch_s: Option<f64>,
+    /// Maximum number of CPUs whose tasks may be evicted within the time window of --stretch-s.
     #[arg(long, value_name = "CPUS")]
     pub stretch_cpus: Option<f64>,
+    /// Maximum number of tasks that may be evicted within the time window of --stretch-s.
     #[arg(long, value_name = "TASKS")]
     pub stretch_tasks: Option<u32>,
-    /// Share of one job's tasks that may be away at once.
+    /// Maximum share of a job's tasks that may be unavailable at a time, from 0 to 1.
     #[arg(long, value_name = "SHARE")]
     pub job_share: Option<f64>,
-    /// Share of a service's replicas that must stay up.
+    /// Minimum share of a service's replicas that must stay up, from 0 to 1.
     #[arg(long, value_name = "SHARE")]
     pub replicas_up: Option<f64>,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// The name of a team, and the controllers to ask.
+/// The name of a team, and the controllers to which the request is sent.
 #[derive(Args, Clone, Debug)]
 pub struct TeamArgs {
+    /// Name of the team.
     pub team: String,
+    /// The controllers.
     #[command(flatten)]
     pub controllers: ControllerArgs,
 }
 
-/// The commands on disruption budgets.
+/// The subcommands of `snowshelf budgets`.
 #[derive(Subcommand, Clone, Debug)]
-pub enum Budgets {
-    /// Shows a team's budget, and what of it is left.
+pub enum BudgetCommand {
+    /// Shows a team's disruption budget, and how much of it is left.
     Show(TeamArgs),
-    /// Changes what is named of it, in force at once.
+    /// Changes the given values of a team's disruption budget, with immediate effect.
     Set(BudgetArgs),
-    /// Goes back to what the controllers' settings say.
+    /// Resets a team's disruption budget to the controllers' settings.
     Reset(TeamArgs),
 }
 
-const PATH: &str = "/api/drains";
-const COLUMNS: [(&str, &str); 7] = [
+const DRAINS_PATH: &str = "/api/drains";
+const DRAIN_COLUMNS: [(&str, &str); 7] = [
     ("NAME", "name"),
     ("STATE", "state"),
     ("THEN", "then"),
@@ -153,7 +167,7 @@
     ("STEPS LEFT", "steps_left"),
     ("WAITS FOR", "waits_for"),
 ];
-/// How often it is checked whether the plan is there.
+/// Interval at which a new drain is read until its plan is computed.
 const PLAN_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 impl DrainArgs {
@@ -169,16 +183,16 @@
             put("machines", json!(self.machines));
         }
         put("zone", json!(self.zone));
-        put("type", json!(self.model));
+        put("type", json!(self.machine_type));
         put("spot", json!(self.spot));
         put("older_than", json!(self.older_than.map(|t| t.to_string())));
         put("all", json!(self.all));
         put(
             "then",
             json!(match self.then {
-                Then::Keep => "keep",
-                Then::Return => "return",
-                Then::Replace => "replace",
+                EmptyMachineAction::Keep => "keep",
+                EmptyMachineAction::Return => "return",
+                EmptyMachineAction::Replace => "replace",
             }),
         );
         put("at_once", json!(self.at_once));
@@ -189,8 +203,8 @@
         put("any_zone", json!(self.any_zone));
         put("by", json!(self.by.map(|t| t.to_string())));
         let late = match self.late {
-            Late::GiveUp => "give_up",
-            Late::Force => "force",
+            DeadlineAction::GiveUp => "give_up",
+            DeadlineAction::Force => "force",
         };
         put("late", json!(late));
         put("paused", json!(self.plan));
@@ -199,26 +213,28 @@
 
     fn run(&self) -> CommandOutput {
         let body = self.body();
-        let output = self.controllers.send(Method::Post, PATH, Some(&body));
+        let output = self
+            .controllers
+            .send(Method::Post, DRAINS_PATH, Some(&body));
         if !self.plan || output.status != CommandStatus::Done {
             return output;
         }
-        // The cluster leader computes the plan a moment later.
+        // The leader computes the plan only after the drain was accepted.
         let deadline = Instant::now() + Duration::from_secs(self.controllers.wait);
         loop {
-            let path = format!("{PATH}/{}", self.name);
-            let answer = match self.controllers.get(&path) {
-                Ok(answer) => answer,
+            let path = format!("{DRAINS_PATH}/{}", self.name);
+            let drain = match self.controllers.get(&path) {
+                Ok(drain) => drain,
                 Err(failure) => return failure,
             };
-            if answer["left"].is_number() {
+            if drain["left"].is_number() {
                 return CommandOutput::success(match self.controllers.json {
-                    true => format!("{answer:#}"),
-                    false => table::fields(&answer),
+                    true => format!("{drain:#}"),
+                    false => table::format_fields(&drain),
                 });
             }
             if Instant::now() >= deadline {
-                let reason = "no leader has worked it out yet; see `drains show`";
+                let reason = "the leader has not computed the plan yet; see `drains show`";
                 return CommandOutput::failure(CommandStatus::Unreachable, reason.to_string());
             }
             std::thread::sleep(PLAN_POLL_INTERVAL);
@@ -226,20 +242,20 @@
     }
 }
 
-impl Drains {
+impl DrainCommand {
     /// Runs the command.
     pub fn run(&self) -> CommandOutput {
-        let act = |entry: &EntryArgs, action: &str| {
-            let path = format!("{PATH}/{}/{action}", entry.name);
+        let perform = |entry: &EntryArgs, action: &str| {
+            let path = format!("{DRAINS_PATH}/{}/{action}", entry.name);
             entry.controllers.send(Method::Post, &path, None)
         };
         match self {
-            Drains::List(controllers) => list(controllers, PATH, &COLUMNS),
-            Drains::Show(entry) => show_entry(entry, PATH),
-            Drains::Add(drain) => drain.run(),
-            Drains::Pause(entry) => act(entry, "pause"),
-            Drains::Resume(entry) => act(entry, "resume"),
-            Drains::Cancel(entry) => act(entry, "cancel"),
+            DrainCommand::List(controllers) => list(controllers, DRAINS_PATH, &DRAIN_COLUMNS),
+            DrainCommand::Show(entry) => show_entry(entry, DRAINS_PATH),
+            DrainCommand::Add(drain) => drain.run(),
+            DrainCommand::Pause(entry) => perform(entry, "pause"),
+            DrainCommand::Resume(entry) => perform(entry, "resume"),
+            DrainCommand::Cancel(entry) => perform(entry, "cancel"),
         }
     }
 }
@@ -249,11 +265,11 @@
 }
 
 impl BudgetArgs {
-    /// The budget as it is, with what is named changed.
+    /// Replaces the budget by a copy of the current one with the given changes, as the API has no partial update.
     fn run(&self) -> CommandOutput {
         let path = budget_path(&self.team);
         let mut budget = match self.controllers.get(&path) {
-            Ok(mut answer) => answer["budget"].take(),
+            Ok(mut body) => body["budget"].take(),
             Err(failure) => return failure,
         };
         let changes = [
@@ -268,7 +284,7 @@
         if changes.iter().all(|(_, value)| value.is_null()) {
             return CommandOutput::failure(
                 CommandStatus::Invalid,
-                "nothing is to be changed".to_string(),
+                "no change to the budget given".to_string(),
             );
         }
         for (field, value) in changes.into_iter().filter(|(_, v)| !v.is_null()) {
@@ -279,16 +295,16 @@
     }
 }
 
-impl Budgets {
+impl BudgetCommand {
     /// Runs the command.
     pub fn run(&self) -> CommandOutput {
         match self {
-            Budgets::Show(args) => {
+            BudgetCommand::Show(args) => {
                 let path = budget_path(&args.team);
                 args.controllers.send(Method::Get, &path, None)
             }
-            Budgets::Set(args) => args.run(),
-            Budgets::Reset(args) => {
+            BudgetCommand::Set(args) => args.run(),
+            BudgetCommand::Reset(args) => {
                 let body = json!({ "budget": null });
                 let path = budget_path(&args.team);
                 args.controllers.send(Method::Put, &path, Some(&body))
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,33 +1,33 @@
-//! Errors in the arguments of a command. Their texts are shown to the user.
+//! Errors in the arguments of a command. Their texts are printed to standard error.
 
 use std::path::PathBuf;
 
-/// An argument that cannot be used.
+/// An invalid argument.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
-    /// A time or a duration that cannot be read or computed.
+    /// A time or a duration that cannot be parsed, or an end time outside the range of timestamps.
     #[error(transparent)]
     Time(#[from] jiff::Error),
     /// A duration that is zero or negative.
-    #[error("must be longer than nothing")]
+    #[error("duration must be positive")]
     NotPositive,
-    /// A parameter without a value.
-    #[error("must be NAME=VALUE")]
-    NoValue,
+    /// A parameter without an equals sign.
+    #[error("parameter must have the form NAME=VALUE")]
+    MissingValue,
     /// A file that cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// Why it cannot be read.
         source: std::io::Error,
     },
-    /// A file that is not JSON.
+    /// A file that does not contain valid JSON.
     #[error("{}: {source}", path.display())]
     NotJson {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The parse error, with its line and column.
         source: serde_json::Error,
     },
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,71 +1,74 @@
-//! Requests to any of several controllers: the next one if one does not respond, again if one says when to retry,
-//! until there is a response or the time is up.
+//! HTTP client for a group of controllers. A request goes to each controller in turn until one processes it, and is
+//! retried after a pause until a deadline.
 
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// The response that settles a request.
+/// A response from a controller that has processed the request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The JSON body.
     pub body: Value,
 }
 
-/// Why a request was not settled.
+/// Why no controller has processed a request.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// No controller responded; the last failure.
-    #[error("no controller answered: {0}")]
+    /// No controller sent a usable response. Holds the last failure.
+    #[error("no controller responded: {0}")]
     Unreachable(String),
-    /// Every controller that responded asked to retry; the last reason.
-    #[error("no controller could decide in time: {0}")]
+    /// Every controller that responded asked to retry later. Holds the last reason.
+    #[error("no controller could process the request in time: {0}")]
     Unavailable(String),
-    /// There is no controller to send it to.
-    #[error("no --server is named")]
+    /// The list of controllers is empty.
+    #[error("no controller address given with --server")]
     NoServer,
 }
 
-/// The method of a request.
+/// An HTTP method.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Method {
-    /// Reads.
+    /// Reads an entry or a list.
     Get,
-    /// Creates, or acts on an entry.
+    /// Creates an entry, or performs an action on one.
     Post,
-    /// Replaces.
+    /// Replaces an entry.
     Put,
 }
 
-/// A client of several controllers.
+/// An HTTP client that sends each request to one of several controllers.
 pub struct Client {
     servers: Vec<String>,
     agent: ureq::Agent,
     wait: Duration,
 }
 
-/// How long one controller may take to respond.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause before the next round if no controller said when to retry.
+/// Timeout of one attempt at one controller.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause before all controllers are tried again if none sent `Retry-After`; also the shortest pause.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause.
+/// Longest pause before all controllers are tried again, whatever `Retry-After` says.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(30);
 
 /// The outcome of one attempt at one controller.
 enum Attempt {
-    Settled(Response),
-    Later(Duration, String),
+    /// The controller has processed the request.
+    Processed(Response),
+    /// The controller asks to retry after this pause, for this reason.
+    RetryAfter(Duration, String),
+    /// No usable response, for this reason.
     Failed(String),
 }
 
 impl Client {
-    /// `servers` are addresses as `host:port`; `wait` is how long a request may take in all.
+    /// Creates a client. `servers` are addresses as `host:port`; `wait` limits how long a request is retried.
     #[must_use]
     pub fn new(servers: &[String], wait: Duration) -> Client {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(RESPONSE_TIMEOUT))
+            .timeout_global(Some(ATTEMPT_TIMEOUT))
             .max_redirects(0)
             .build();
         Client {
@@ -89,28 +92,28 @@
             Err(error) => return Attempt::Failed(format!("{server}: {error}")),
         };
         let status = response.status().as_u16();
-        let after = response.headers().get("retry-after");
-        let after = after.and_then(|v| v.to_str().ok()?.parse().ok());
+        let retry_after = response.headers().get("retry-after");
+        let retry_after = retry_after.and_then(|v| v.to_str().ok()?.parse().ok());
         let text = match response.body_mut().read_to_string() {
             Ok(text) => text,
             Err(error) => return Attempt::Failed(format!("{server}: {error}")),
         };
         let body: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
         if matches!(status, 429 | 503 | 504) {
-            let why = body["error"].as_str().unwrap_or("no reason told");
-            let pause = after.map_or(RETRY_PAUSE, Duration::from_secs);
-            return Attempt::Later(pause, format!("{server}: {why}"));
+            let reason = body["error"].as_str().unwrap_or("no reason given");
+            let pause = retry_after.map_or(RETRY_PAUSE, Duration::from_secs);
+            return Attempt::RetryAfter(pause, format!("{server}: {reason}"));
         }
         if body.is_null() {
-            return Attempt::Failed(format!("{server}: status {status}, and no JSON"));
+            return Attempt::Failed(format!("{server}: status {status} without a JSON body"));
         }
-        Attempt::Settled(Response { status, body })
+        Attempt::Processed(Response { status, body })
     }
 
-    /// Sends a request until there is a response. Every request is idempotent, so it may be sent again.
+    /// Sends a request until a controller has processed it. Every request is idempotent, so it may be repeated.
     ///
     /// # Errors
-    /// If there is no response that settles it in time.
+    /// Returns the last failure if no controller has processed the request in time.
     pub fn request(
         &self,
         method: Method,
@@ -120,18 +123,18 @@
         let deadline = Instant::now() + self.wait;
         loop {
             let mut pause = None;
-            let mut last = RequestError::NoServer;
+            let mut last_error = RequestError::NoServer;
             for server in &self.servers {
                 match self.attempt(server, method, path, body) {
-                    Attempt::Settled(response) => return Ok(response),
-                    Attempt::Later(after, why) => {
-                        // Another controller may be able to now; the shortest pause counts.
+                    Attempt::Processed(response) => return Ok(response),
+                    Attempt::RetryAfter(after, reason) => {
+                        // The other controllers are still tried; the shortest pause of the round applies.
                         pause = Some(pause.map_or(after, |p: Duration| p.min(after)));
-                        last = RequestError::Unavailable(why);
+                        last_error = RequestError::Unavailable(reason);
                     }
-                    Attempt::Failed(why) => {
-                        if !matches!(last, RequestError::Unavailable(_)) {
-                            last = RequestError::Unreachable(why);
+                    Attempt::Failed(reason) => {
+                        if !matches!(last_error, RequestError::Unavailable(_)) {
+                            last_error = RequestError::Unreachable(reason);
                         }
                     }
                 }
@@ -140,7 +143,7 @@
                 .unwrap_or(RETRY_PAUSE)
                 .clamp(RETRY_PAUSE, MAX_RETRY_PAUSE);
             if self.servers.is_empty() || Instant::now() + pause > deadline {
-                return Err(last);
+                return Err(last_error);
             }
             std::thread::sleep(pause);
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line client: requests to the controllers, and the commands that send them.
+//! The client commands of the `snowshelf` program, and the HTTP client with which they call the controllers.
 
 pub mod calendar;
 pub mod controllers;
@@ -8,30 +8,30 @@
 pub mod http;
 pub mod table;
 
-use calendar::{Reservations, Windows};
+use calendar::{ReservationCommand, WindowCommand};
 use clap::Subcommand;
-use drains::{Budgets, Drains};
-use graph::Graphs;
+use drains::{BudgetCommand, DrainCommand};
+use graph::DagCommand;
 use std::process::ExitCode;
 
-/// The commands that send requests to controllers, or need none.
+/// The commands that send requests to controllers, or that run without one.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Commands {
-    /// Capacity reserved ahead: lists, makes, changes and cancels it.
+    /// Lists, makes, changes and cancels capacity reservations.
     #[command(subcommand)]
-    Reservations(Reservations),
-    /// Maintenance windows: lists, declares, changes and cancels them.
+    Reservations(ReservationCommand),
+    /// Lists, declares, changes and cancels maintenance windows.
     #[command(subcommand)]
-    Windows(Windows),
-    /// Machines emptied, returned and replaced in steps.
+    Windows(WindowCommand),
+    /// Drains machines in steps, to keep, return or replace them.
     #[command(subcommand)]
-    Drains(Drains),
-    /// How much of a team's work may be taken away on purpose.
+    Drains(DrainCommand),
+    /// Shows and changes disruption budgets, which limit how much of a team's work may be evicted.
     #[command(subcommand)]
-    Budgets(Budgets),
-    /// Graphs of steps, as other tools write them: checked, shown, expanded.
+    Budgets(BudgetCommand),
+    /// Checks, shows and runs DAGs, in the native format or as Airflow DAG files.
     #[command(subcommand)]
-    Graph(Graphs),
+    Graph(DagCommand),
 }
 
 impl Commands {
@@ -47,18 +47,18 @@
     }
 }
 
-/// How a command ended; its exit code says so.
+/// The outcome of a command, which determines its exit code.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CommandStatus {
-    /// It did what it was to do.
+    /// The command succeeded.
     Done,
-    /// Refused as it does not fit: another time, or never.
-    Refused,
-    /// The command or what it sends is wrong.
+    /// A controller rejected the request: it conflicts with other entries, or cannot be satisfied at all.
+    Rejected,
+    /// The arguments, the files or the request are invalid.
     Invalid,
-    /// No controller answered, or none could decide in time.
+    /// No controller responded, or none could process the request in time.
     Unreachable,
-    /// There is nothing of that name.
+    /// The named entry does not exist.
     NotFound,
 }
 
@@ -74,7 +74,7 @@
     pub fn code(self) -> u8 {
         match self {
             CommandStatus::Done => 0,
-            CommandStatus::Refused => 1,
+            CommandStatus::Rejected => 1,
             CommandStatus::Invalid => 2,
             CommandStatus::Unreachable => 3,
             CommandStatus::NotFound => 4,
@@ -82,7 +82,7 @@
     }
 }
 
-/// What a command prints and how it ends.
+/// What a command prints, and its outcome.
 #[must_use]
 #[derive(Debug)]
 pub struct CommandOutput {
@@ -90,12 +90,12 @@
     pub stdout: String,
     /// The text for standard error.
     pub stderr: String,
-    /// How it ended.
+    /// The outcome.
     pub status: CommandStatus,
 }
 
 impl CommandOutput {
-    /// A command that is done.
+    /// The output of a command that succeeded.
     pub fn success(stdout: String) -> CommandOutput {
         CommandOutput {
             stdout,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A command that failed, and why.
+    /// The output of a command that failed, with the reason for standard error.
     pub fn failure(status: CommandStatus, reason: String) -> CommandOutput {
         CommandOutput {
             stdout: String::new(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Prints both texts, each where it belongs.
+    /// Prints the texts to standard output and standard error, and returns the outcome.
     #[must_use]
     pub fn print(&self) -> CommandStatus {
         if !self.stdout.is_empty() {
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -1,11 +1,11 @@
-//! Responses as tables for people.
+//! Formats responses as tables for people.
 
 use comfy_table::{Table, presets};
 use serde_json::Value;
 
-/// A value as text for people: numbers without a trailing `.0`, lists with commas.
+/// Formats a value for people: whole numbers without `.0`, lists separated by commas, null as empty text.
 #[must_use]
-pub fn plain(value: &Value) -> String {
+pub fn format_value(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
@@ -14,13 +14,13 @@
             _ => n.to_string(),
         },
         Value::Array(list) => {
-            let list: Vec<String> = list.iter().map(plain).collect();
+            let list: Vec<String> = list.iter().map(format_value).collect();
             list.join(", ")
         }
         Value::Object(map) => {
             let fields: Vec<String> = map
                 .iter()
-                .map(|(k, v)| format!("{k} {}", plain(v)))
+                .map(|(k, v)| format!("{k} {}", format_value(v)))
                 .collect();
             fields.join(" ")
         }
@@ -28,32 +28,32 @@
     }
 }
 
-/// Rows of objects, by column: its heading and its field.
+/// Formats a table with one row for each object. A column is given by its heading and the field that it shows.
 #[must_use]
-pub fn rows(columns: &[(&str, &str)], items: &[Value]) -> String {
+pub fn format_rows(columns: &[(&str, &str)], items: &[Value]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header(columns.iter().map(|(heading, _)| *heading));
     for item in items {
-        table.add_row(columns.iter().map(|(_, field)| plain(&item[*field])));
+        table.add_row(columns.iter().map(|(_, field)| format_value(&item[*field])));
     }
     table.to_string()
 }
 
-/// One object, a line for each field.
+/// Formats an object with one line for each field. A field that lists objects has one line for each of them.
 #[must_use]
-pub fn fields(item: &Value) -> String {
+pub fn format_fields(item: &Value) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     for (key, value) in item.as_object().into_iter().flatten() {
         match value {
             Value::Array(list) if list.iter().any(Value::is_object) => {
                 for inner in list {
-                    table.add_row([key.clone(), plain(inner)]);
+                    table.add_row([key.clone(), format_value(inner)]);
                 }
             }
             other => {
-                table.add_row([key.clone(), plain(other)]);
+                table.add_row([key.clone(), format_value(other)]);
             }
         }
     }
--- a/crates/client/tests/commands.rs
+++ b/crates/client/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands against a server of a few lines on loopback.
+//! Runs the commands against a minimal HTTP server on the loopback interface.
 
 use clap::Parser;
 use serde_json::{Value, json};
@@ -13,40 +13,41 @@
     command: Commands,
 }
 
-fn run(words: &str) -> CommandOutput {
-    let words = std::iter::once("snowshelf").chain(words.split_whitespace());
-    match Cli::try_parse_from(words) {
+fn run(arguments: &str) -> CommandOutput {
+    let arguments = std::iter::once("snowshelf").chain(arguments.split_whitespace());
+    match Cli::try_parse_from(arguments) {
         Ok(cli) => cli.command.run(),
         Err(error) => panic!("{error}"),
     }
 }
 
-/// Answers so many requests, one after the other, and tells what was asked.
-fn serve(answers: Vec<(u16, &'static str, Value)>) -> (String, Receiver<(String, Value)>) {
+/// Serves one request with each of the responses in turn, and reports each request line and body.
+fn serve(responses: Vec<(u16, &'static str, Value)>) -> (String, Receiver<(String, Value)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (tell, asked) = channel();
+    let (sender, requests) = channel();
     std::thread::spawn(move || {
-        for (status, headers, body) in answers {
+        for (status, headers, body) in responses {
             let (stream, _) = listener.accept().unwrap();
             let mut reader = BufReader::new(stream);
-            let (mut first, mut long) = (String::new(), 0);
-            reader.read_line(&mut first).unwrap();
+            let (mut request_line, mut content_length) = (String::new(), 0);
+            reader.read_line(&mut request_line).unwrap();
             loop {
                 let mut line = String::new();
                 reader.read_line(&mut line).unwrap();
                 if let Some(n) = line.to_lowercase().strip_prefix("content-length:") {
-                    long = n.trim().parse().unwrap();
+                    content_length = n.trim().parse().unwrap();
                 }
                 if line.trim().is_empty() {
                     break;
                 }
             }
-            let mut sent = vec![0; long];
-            reader.read_exact(&mut sent).unwrap();
-            let sent = serde_json::from_slice(&sent).unwrap_or(Value::Null);
-            let line = first.rsplit_once(' ').unwrap().0.to_string();
-            let _ = tell.send((line, sent)); // Some tests do not ask.
+            let mut request_body = vec![0; content_length];
+            reader.read_exact(&mut request_body).unwrap();
+            let request_body = serde_json::from_slice(&request_body).unwrap_or(Value::Null);
+            let method_and_path = request_line.rsplit_once(' ').unwrap().0.to_string();
+            // Fails if the test has dropped the receiver.
+            let _ = sender.send((method_and_path, request_body));
             let body = body.to_string();
             write!(
                 reader.get_mut(),
@@ -56,29 +57,29 @@
             .unwrap();
         }
     });
-    (address, asked)
+    (address, requests)
 }
 
-const ADD: &str = "reservations add crush --team cantina --cpus 12.5 --zone north --type lagar,parreira \
+const ADD_RESERVATION: &str = "reservations add crush --team cantina --cpus 12.5 --zone north --type lagar,parreira \
     --from 2027-09-01T06:00[Europe/Lisbon] --for 2h30m --movable";
 
 #[test]
-fn a_reservation_is_sent_as_it_was_written() {
-    let (server, asked) = serve(vec![(
+fn reservation_add_sends_all_arguments() {
+    let (server, requests) = serve(vec![(
         201,
         "",
         json!({"name": "crush", "cpus": 12.5, "places":
         [{"zone": "north", "type": "lagar", "cpus": 12.5}]}),
     )]);
-    let output = run(&format!("{ADD} --server {server}"));
+    let output = run(&format!("{ADD_RESERVATION} --server {server}"));
     assert_eq!(output.status, CommandStatus::Done, "{output:?}");
     assert!(
         output.stdout.contains("crush") && output.stdout.contains("lagar"),
         "{}",
         output.stdout
     );
-    let (line, body) = asked.recv().unwrap();
-    assert_eq!(line, "POST /api/reservations");
+    let (request, body) = requests.recv().unwrap();
+    assert_eq!(request, "POST /api/reservations");
     assert_eq!(
         (&body["from"], &body["until"]),
         (
@@ -96,15 +97,15 @@
     );
 }
 
-/// Guards against a client that gives up that is told when to retry, or hangs on the first
-/// controller while another answers.
+/// Guards against a client that fails although a `Retry-After` tells it when to retry, or that does not try the
+/// other controllers if the first one is unreachable.
 #[test]
-fn it_asks_again_and_asks_others() {
-    let dead = TcpListener::bind("127.0.0.1:0")
+fn request_is_retried_and_sent_to_other_controllers() {
+    let unreachable = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (server, asked) = serve(vec![
+    let (server, requests) = serve(vec![
         (
             503,
             "Retry-After: 1\r\n",
@@ -113,15 +114,15 @@
         (200, "", json!({"name": "w", "state": "ahead"})),
     ]);
     let output = run(&format!(
-        "windows show w --json --server {dead} --server {server}"
+        "windows show w --json --server {unreachable} --server {server}"
     ));
     assert_eq!(output.status, CommandStatus::Done);
     assert_eq!(
         serde_json::from_str::<Value>(&output.stdout).unwrap()["name"],
         "w"
     );
-    assert_eq!(asked.iter().count(), 2);
-    let output = run(&format!("windows show w --wait 1 --server {dead}"));
+    assert_eq!(requests.iter().count(), 2);
+    let output = run(&format!("windows show w --wait 1 --server {unreachable}"));
     assert_eq!((output.status.code(), output.stdout.as_str()), (3, ""));
     let (server, _) = serve(vec![(
         503,
@@ -136,13 +137,13 @@
 }
 
 #[test]
-fn exit_codes_and_reasons() {
-    let clash = json!({"error": "there is no room for it then", "fits_from": "2027-09-02T00:00:00Z",
+fn error_response_sets_exit_code_and_stderr() {
+    let conflict = json!({"error": "there is no room for it then", "fits_from": "2027-09-02T00:00:00Z",
         "clashes": [{"kind": "window", "name": "power", "from": "a", "until": "b"}], "more_clashes": 3});
-    for (status, body, code, words) in [
+    for (status, body, code, texts) in [
         (
             409,
-            clash,
+            conflict,
             1,
             vec![
                 "window power from a until b",
@@ -170,27 +171,27 @@
         ),
     ] {
         let (server, _) = serve(vec![(status, "", body)]);
-        let output = run(&format!("{ADD} --server {server}"));
+        let output = run(&format!("{ADD_RESERVATION} --server {server}"));
         assert_eq!(output.status.code(), code);
-        for word in words {
-            assert!(output.stderr.contains(word), "{}", output.stderr);
+        for text in texts {
+            assert!(output.stderr.contains(text), "{}", output.stderr);
         }
     }
-    let (server, asked) = serve(vec![(200, "", json!({"name": "w", "state": "cancelled"}))]);
+    let (server, requests) = serve(vec![(200, "", json!({"name": "w", "state": "cancelled"}))]);
     assert_eq!(
         run(&format!("windows cancel w --server {server}")).status,
         CommandStatus::Done
     );
-    assert_eq!(asked.recv().unwrap().0, "POST /api/windows/w/cancel");
+    assert_eq!(requests.recv().unwrap().0, "POST /api/windows/w/cancel");
     let output = run("windows add w --zone a --rule /nowhere.json --server 127.0.0.1:1");
     assert!(output.status == CommandStatus::Invalid && output.stderr.contains("/nowhere.json"));
 }
 
 #[test]
-fn lists_are_read_to_their_end() {
+fn list_reads_all_pages() {
     let item =
         |n: usize| json!({"name": format!("r{n}"), "team": "acerto", "cpus": 3.0, "state": "open"});
-    let (server, asked) = serve(vec![
+    let (server, requests) = serve(vec![
         (200, "", json!({"items": [item(1), item(2)], "more": true})),
         (200, "", json!({"items": [item(3)], "more": false})),
     ]);
@@ -199,41 +200,41 @@
     let lines: Vec<&str> = output.stdout.lines().collect();
     assert_eq!(lines.len(), 4, "{}", output.stdout);
     assert!(lines[0].contains("TEAM") && lines[3].contains("r3") && lines[3].contains(" 3 "));
-    let asked: Vec<String> = asked.iter().map(|(line, _)| line).collect();
-    assert_eq!(asked[1], "GET /api/reservations?limit=100&after=r2");
+    let requests: Vec<String> = requests.iter().map(|(request, _)| request).collect();
+    assert_eq!(requests[1], "GET /api/reservations?limit=100&after=r2");
 }
 
 #[test]
-fn wrong_words_are_refused_before_anything_is_sent() {
-    for words in [
+fn invalid_arguments_are_rejected_without_a_request() {
+    for arguments in [
         "reservations add x --team t --cpus many --server a:1",
         "reservations add x --team t --cpus 1 --from yesterday --server a:1",
         "reservations add x --team t --cpus 1 --for -2h --server a:1",
         "reservations list",
         "windows add w --zone a --rule f --from 2027-01-01T00:00:00Z --server a:1",
     ] {
-        let words = std::iter::once("snowshelf").chain(words.split_whitespace());
-        assert!(Cli::try_parse_from(words).is_err());
+        let arguments = std::iter::once("snowshelf").chain(arguments.split_whitespace());
+        assert!(Cli::try_parse_from(arguments).is_err());
     }
 }
 
-/// A graph file of any form is checked whole, shown, and expanded into the jobs that it would be.
+/// Checks and expands an Airflow DAG file, converts it to the native format, and checks that in turn.
 #[test]
-fn graphs_are_checked_shown_and_expanded() {
+fn dag_file_is_checked_expanded_and_converted() {
     let dir = std::env::temp_dir().join(format!("snowshelf-graph-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let put = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         let path = dir.join(name);
         std::fs::write(&path, text).unwrap();
         path.display().to_string()
     };
-    let python = put(
+    let python = write_file(
         "d.py",
         "from airflow import DAG\nfrom airflow.operators.bash import BashOperator as B\n\
         with DAG('harvest', schedule=None, params={'n': 2}) as d:\n    \
         B(task_id='a', bash_command='x') >> B(task_id='b', bash_command='{{ params.n }}')\n",
     );
-    let mapping = put(
+    let mapping = write_file(
         "m.yaml",
         "defaults: {class: c, team: t, cpus: '{{ params.n }}', mem_gb: 1, image: i, pull_gb: 1}\n",
     );
@@ -277,7 +278,7 @@
         "{output:?}"
     );
     let native = run(&format!("graph convert {python}"));
-    let yaml = put("g.yaml", &native.stdout);
+    let yaml = write_file("g.yaml", &native.stdout);
     let output = run(&format!("graph check {yaml} --mapping {mapping} --json"));
     assert_eq!(
         serde_json::from_str::<Value>(&output.stdout).unwrap()["steps"][1]["after"],
@@ -288,44 +289,45 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// Guards against an end by panic where an answer is no object, as of a server that is no controller.
+/// Guards against a panic if the body of a response is not an object, as from a server that is not a controller.
 #[test]
-fn an_answer_that_is_no_object_is_told() {
+fn response_that_is_not_an_object_does_not_panic() {
     for command in ["graph show a b --json", "windows list"] {
-        let (server, _asked) = serve(vec![(200, "", json!(["other"]))]);
+        let (server, _requests) = serve(vec![(200, "", json!(["other"]))]);
         let output = run(&format!("{command} --server {server}"));
         assert!(!output.stdout.is_empty(), "{command}: {output:?}");
     }
 }
 
-/// A drain with --plan is sent paused, and its plan is waited for; a budget keeps what is not named.
+/// A drain with `--plan` is sent paused, and read until its plan is computed. A change to a budget keeps the values
+/// that are not given.
 #[test]
-fn drains_are_planned_and_budgets_changed_in_part() {
-    let shown =
+fn drain_plan_is_awaited_and_budget_is_changed_partially() {
+    let planned =
         json!({"name": "d", "state": "paused", "left": 12, "steps_left": 3, "at_most_s": 90.0});
-    let (server, asked) = serve(vec![
+    let (server, requests) = serve(vec![
         (201, "", json!({"name": "d", "state": "paused"})),
         (200, "", json!({"name": "d", "state": "paused"})),
-        (200, "", shown),
+        (200, "", planned),
     ]);
     let output = run(&format!(
         "drains add d --zone north --then replace --share 0.2 --plan --server {server}"
     ));
     assert_eq!(output.status, CommandStatus::Done, "{output:?}");
     assert!(output.stdout.contains("steps_left"), "{}", output.stdout);
-    let (line, body) = asked.recv().unwrap();
-    assert_eq!(line, "POST /api/drains");
+    let (request, body) = requests.recv().unwrap();
+    assert_eq!(request, "POST /api/drains");
     assert_eq!(
         (&body["paused"], &body["then"], &body["share"]),
         (&json!(true), &json!("replace"), &json!(0.2))
     );
     assert!(body.get("machines").is_none() && body.get("by").is_none());
-    assert_eq!(asked.iter().count(), 2);
+    assert_eq!(requests.iter().count(), 2);
     let budget = json!({"budget": {"cpus": 100.0, "tasks": 50}, "default": true});
-    let (server, asked) = serve(vec![(200, "", budget), (200, "", json!({"team": "red"}))]);
+    let (server, requests) = serve(vec![(200, "", budget), (200, "", json!({"team": "red"}))]);
     let output = run(&format!("budgets set red --cpus 0 --server {server}"));
     assert_eq!(output.status, CommandStatus::Done, "{output:?}");
-    let (line, body) = asked.iter().nth(1).unwrap();
-    assert_eq!(line, "PUT /api/budgets/red");
+    let (request, body) = requests.iter().nth(1).unwrap();
+    assert_eq!(request, "PUT /api/budgets/red");
     assert_eq!(body, json!({"budget": {"cpus": 0.0, "tasks": 50}}));
 }
