--- a/tests/cancellation_confirmation.rs
+++ b/tests/cancellation_confirmation.rs
@@ -1,4 +1,5 @@
-//! Confirmations of cancellations between controllers, on which safety depends: what is answered, and what is ignored.
+//! Confirmations of cancellations between controllers, on which safety depends: which requests are answered, and
+//! which messages are ignored.
 
 use prost::Message;
 use snowshelf::coordination::controller::Controller;
@@ -37,7 +38,7 @@
     }
 }
 
-/// The confirmations with which the controller answers a message, and the member that each goes to.
+/// Handles a message. Returns the confirmations that the controller sends, each with the member that it is sent to.
 fn confirmations(
     controller: &mut Controller,
     message: PeerMessage,
@@ -57,10 +58,10 @@
     confirmations.collect()
 }
 
-/// Guards against vouching for the time before this incarnation, and against answers that cannot be distinguished from
-/// those to the request of another incarnation.
+/// Guards against confirming a time before this incarnation began, and against a confirmation that could be
+/// mistaken for a response to another incarnation's request.
 #[test]
-fn a_confirmation_is_complete_only_for_what_this_incarnation_has_seen() {
+fn confirmation_is_complete_only_within_uptime_of_this_incarnation() {
     let mut controller = controller();
     let confirmations_sent = confirmations(&mut controller, request("b", 5_000), 6_000);
     let [(to, confirmation)] = &confirmations_sent[..] else {
@@ -76,7 +77,7 @@
     assert!(confirmations_sent[0].1.complete);
     let confirmations_sent = confirmations(&mut controller, request("b", 6_000), 6_000);
     assert!(!confirmations_sent[0].1.complete);
-    // Impossible numbers, and somebody whom the settings do not name.
+    // A window that is out of range, an unknown member, and the controller itself.
     assert!(
         !confirmations(&mut controller, request("b", u64::MAX), 6_000)[0]
             .1
@@ -92,9 +93,9 @@
     );
 }
 
-/// Guards against a confirmation that was not requested: nothing comes of it.
+/// Guards against acting on a confirmation that was not requested.
 #[test]
-fn an_unrequested_confirmation_changes_nothing() {
+fn unrequested_confirmation_causes_no_messages() {
     let mut controller = controller();
     for (member, sequence) in [("b", 0), ("b", 1), ("b", u64::MAX), ("x", 1)] {
         let confirmation = Confirmation {
@@ -113,10 +114,10 @@
     }
 }
 
-/// Guards against a message of the one kind that is taken for the other: the version in production reads confirmations
-/// as a status of nobody, and a status is no confirmation.
+/// Guards against confusing the two kinds of peer messages. Controllers of the version in production decode a
+/// confirmation as a status without a member, and a status must not decode as a confirmation.
 #[test]
-fn confirmations_and_statuses_are_not_confused() {
+fn confirmation_and_status_messages_are_distinguishable() {
     let message = request("b", 9).encode_to_vec();
     assert_eq!(
         PeerStatus::decode(&message[..]).unwrap(),
--- a/tests/limits.rs
+++ b/tests/capacity_fault_combinations.rs
@@ -1,5 +1,5 @@
-//! Teams at their limits, parts that change hands, zones, new machines, bursts and shortage, each met by troubles
-//! (`docs/fault-combinations.md`).
+//! Fault combinations under capacity constraints: teams at their limits, shard handovers, zone constraints, new
+//! machines, bursts of jobs and overload (`docs/fault-combinations.md`).
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -8,47 +8,48 @@
 use snowshelf_simulation::faults::Fault::*;
 use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 
-/// All users must have heard the end by then.
+/// End of the simulation. Every user must have been told the end of the job by then.
 const END_MS: u64 = 420_000;
 
-/// What is there to do, with so many CPUs for each team, and so many machines in each pool.
-struct Site {
-    limit: f64,
-    pool: usize,
-    jobs: fn(&mut Simulation, &mut StdRng),
+/// Jobs of a simulation, with the CPU team_limit of each team and the number of machines in each machines_per_pool.
+struct Workload {
+    team_limit: f64,
+    machines_per_pool: usize,
+    add_jobs: fn(&mut Simulation, &mut StdRng),
 }
 
 const TEAMS: [&str; 2] = ["red", "blue"];
 
-/// A job, and where it stands among the users.
-fn add(simulation: &mut Simulation, at: u64, spec: Value) -> usize {
+/// Adds a job. Returns the index of its user.
+fn add_job(simulation: &mut Simulation, at: u64, spec: Value) -> usize {
     simulation.add_user(at, spec);
     simulation.users.len() - 1
 }
 
-/// A job that runs until its user calls it off.
+/// Adds a job that runs until its user cancels it.
 fn add_endless(simulation: &mut Simulation, at: u64, cancel_at: u64, spec: Value) -> usize {
-    let n = add(simulation, at, spec);
+    let n = add_job(simulation, at, spec);
     simulation.users[n].cancel_at = Some(cancel_at);
     let job = simulation.users[n].job.clone();
     simulation.endless_jobs.insert(job);
     n
 }
 
-/// Makes a job need another.
-fn add_need(simulation: &mut Simulation, at: u64, need: usize, mut spec: Value) {
-    spec["Aguarda"] = json!([simulation.users[need].job]);
-    let n = add(simulation, at, spec);
-    simulation.users[n].dependencies = vec![need];
+/// Adds a job that depends on another user's job.
+fn add_dependent_job(simulation: &mut Simulation, at: u64, dependency: usize, mut spec: Value) {
+    spec["Aguarda"] = json!([simulation.users[dependency].job]);
+    let n = add_job(simulation, at, spec);
+    simulation.users[n].dependencies = vec![dependency];
 }
 
-fn play(
+/// Builds a simulation of the workload and schedules the faults.
+fn build_simulation(
     seed: u64,
     safeguards: DisabledSafeguards,
-    site: &Site,
+    workload: &Workload,
     schedule: &FaultSchedule,
 ) -> Simulation {
-    let size = (site.limit, site.pool);
+    let size = (workload.team_limit, workload.machines_per_pool);
     let mut simulation = Simulation::sized(
         seed,
         SimulationConditions::FAULT_FREE,
@@ -58,7 +59,7 @@
         size,
     );
     simulation.task_run_ms = [4_000, 9_000, 20_000][seed as usize % 3];
-    (site.jobs)(
+    (workload.add_jobs)(
         &mut simulation,
         &mut StdRng::seed_from_u64(seed ^ 0x6c69_6d69),
     );
@@ -68,58 +69,59 @@
     simulation
 }
 
-/// Further seeds on which earlier forms broke: a bound job whose part had no machine of its zone, and parts that each
-/// had a grant smaller than a task.
-const FOUND: [u64; 2] = [17, 38];
+/// Seeds that cover two faults: a gang-scheduled job whose shard had no machine in its zone, and shards whose quota
+/// grants were each smaller than a task.
+const REGRESSION_SEEDS: [u64; 2] = [17, 38];
 
-/// Holds every rule against a meeting, and has every user hear the end.
+/// Asserts that no rule breaks under the schedule and that every user is told the end of the job. The schedule gets
+/// the index of a controller. `MEETINGS=1000-1999` runs these seeds instead.
 #[track_caller]
-fn holds(site: &Site, schedule: impl Fn(usize) -> FaultSchedule) {
+fn assert_rules_hold(workload: &Workload, schedule: impl Fn(usize) -> FaultSchedule) {
     let seeds: Vec<u64> = match std::env::var("MEETINGS") {
-        Ok(asked) => {
-            let (first, last) = asked.split_once('-').expect("FIRST-LAST");
+        Ok(range) => {
+            let (first, last) = range.split_once('-').expect("FIRST-LAST");
             (first.parse().unwrap()..=last.parse().unwrap()).collect()
         }
-        Err(_) => (0..=8).chain(FOUND).collect(),
+        Err(_) => (0..=8).chain(REGRESSION_SEEDS).collect(),
     };
     let failed: Vec<String> = seeds
         .into_iter()
         .filter_map(|seed| {
-            let mut simulation = play(
+            let mut simulation = build_simulation(
                 seed,
                 DisabledSafeguards::default(),
-                site,
+                workload,
                 &shift_schedule(seed, schedule(seed as usize % NODES)),
             );
             simulation.run(END_MS);
             let open = simulation.users.len() - simulation.settled_jobs();
-            let sound = simulation.violations.is_empty() && open == 0;
-            (!sound).then(|| format!("seed {seed}: {:?}, {open} open", simulation.violations))
+            let passed = simulation.violations.is_empty() && open == 0;
+            (!passed).then(|| format!("seed {seed}: {:?}, {open} open", simulation.violations))
         })
         .collect();
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Whether a seed breaks this rule.
-fn breaks(
+/// Whether the rule breaks with this seed.
+fn breaks_rule(
     rule: &str,
     safeguards: DisabledSafeguards,
-    site: &Site,
+    workload: &Workload,
     seed: u64,
     schedule: impl Fn(usize) -> FaultSchedule,
 ) -> bool {
     let schedule = shift_schedule(seed, schedule(seed as usize % NODES));
-    let mut simulation = play(seed, safeguards, site, &schedule);
+    let mut simulation = build_simulation(seed, safeguards, workload, &schedule);
     simulation.run(FAULTS_END_MS + 120_000);
     simulation.violations.iter().any(|b| b.starts_with(rule))
 }
 
-/// Both teams at their limits all the time: jobs without end that are called off one after the other, and more that
-/// waits than may run.
-const FULL: Site = Site {
-    limit: 12.0,
-    pool: 3,
-    jobs: |simulation, rng| {
+/// Both teams stay at their limits: endless jobs are cancelled one after the other, and more tasks wait than may
+/// run.
+const AT_LIMIT: Workload = Workload {
+    team_limit: 12.0,
+    machines_per_pool: 3,
+    add_jobs: |simulation, rng| {
         for n in 0..16u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(1..4u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": rng.random_bool(0.5)});
@@ -129,23 +131,24 @@
         for n in 0..12u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(2..6u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true});
-            add(simulation, 6_000 + 1_500 * n, spec);
+            add_job(simulation, 6_000 + 1_500 * n, spec);
         }
     },
 };
 
-/// Guards against a limit that is passed because a new owner does not count what cancelled jobs still run on machines
-/// that are cut off: they count until a report, a lease or a return proves them gone.
+/// Guards against a team limit that is exceeded because a new shard leader does not count tasks of cancelled jobs
+/// that still run on isolated machines. They count until a heartbeat, an expired lease or a returned machine proves
+/// them gone.
 #[test]
-fn teams_at_their_limits_while_machines_are_cut_off_and_the_leader_changes() {
-    let mut simulation = play(0, DisabledSafeguards::default(), &FULL, &Vec::new());
+fn quota_holds_when_machines_are_isolated_during_failover() {
+    let mut simulation = build_simulation(0, DisabledSafeguards::default(), &AT_LIMIT, &Vec::new());
     simulation.run(24_000);
     let used = TEAMS.map(|team| simulation.team_cpus_in_use(team));
     assert!(
-        used.iter().all(|used| *used >= FULL.limit - 2.0),
+        used.iter().all(|used| *used >= AT_LIMIT.team_limit - 2.0),
         "{used:?}"
     );
-    holds(&FULL, |node| {
+    assert_rules_hold(&AT_LIMIT, |node| {
         vec![
             (27_000, 22_000, ZoneIsolation("a")),
             (31_000, 0, Crash(node)),
@@ -157,10 +160,11 @@
     });
 }
 
-/// The same where reports arrive and their answers do not: the new owner is not shown its token.
+/// Like the previous test, but heartbeats arrive and their responses are lost: no heartbeat shows the new leader
+/// its own fencing token.
 #[test]
-fn teams_at_their_limits_while_machines_do_not_hear_and_the_leader_changes() {
-    holds(&FULL, |node| {
+fn quota_holds_when_heartbeat_responses_are_lost_during_failover() {
+    assert_rules_hold(&AT_LIMIT, |node| {
         vec![
             (28_000, 25_000, LostHeartbeatResponses(0.6)),
             (30_000, 0, Crash(node)),
@@ -172,10 +176,10 @@
     });
 }
 
-/// The same where the machines of cancelled jobs hang at that moment.
+/// Like the previous test, but the machines of cancelled jobs hang at the cancellation.
 #[test]
-fn teams_at_their_limits_while_cancelled_jobs_machines_hang_and_the_leader_changes() {
-    holds(&FULL, |node| {
+fn quota_holds_when_machines_of_cancelled_jobs_hang_during_failover() {
+    assert_rules_hold(&AT_LIMIT, |node| {
         vec![
             (26_000, 0, MassCancellation(5, 9_000)),
             (28_000, 0, Crash(node)),
@@ -188,10 +192,11 @@
     });
 }
 
-/// The same where the machines reach nobody: a cancellation falls into that spell, and its owner changes in it.
+/// Like the previous test, but machines reach no controller. Jobs are cancelled and the shard leader changes
+/// meanwhile.
 #[test]
-fn teams_at_their_limits_while_machines_cannot_be_asked_and_the_leader_changes() {
-    holds(&FULL, |node| {
+fn quota_holds_when_heartbeats_are_lost_during_failover() {
+    assert_rules_hold(&AT_LIMIT, |node| {
         vec![
             (24_000, 8_000, LostHeartbeats(0.7)),
             (25_000, 0, MassCancellation(5, 0)),
@@ -207,15 +212,15 @@
     });
 }
 
-/// Called off in the seconds in which a part goes to another owner and back: jobs that run, jobs that are about to
-/// start, and those above others.
-const CALLED_OFF: Site = Site {
-    limit: 16.0,
-    pool: 2,
-    jobs: |simulation, rng| {
+/// Jobs that are cancelled within the seconds in which a shard moves to another leader and back: jobs that run,
+/// jobs that are about to start, and jobs that others depend on.
+const CANCELLED_DURING_HANDOVERS: Workload = Workload {
+    team_limit: 16.0,
+    machines_per_pool: 2,
+    add_jobs: |simulation, rng| {
         for n in 0..20u64 {
             let at = [30_000, 75_000][n as usize % 2] + 700 * n + rng.random_range(0..900);
-            // Some begin when they are called off.
+            // Some are about to start when they are cancelled.
             let submit_at = if n.is_multiple_of(3) {
                 at - 2_500
             } else {
@@ -225,8 +230,8 @@
                 json!({"Cuadrilla": TEAMS[n as usize / 2 % 2], "Tarefas": 2, "Avulsas": true});
             let needed = add_endless(simulation, submit_at, at, spec);
             if n.is_multiple_of(4) {
-                add_need(simulation, submit_at + 500, needed, json!({"Tarefas": 2}));
-                add_need(
+                add_dependent_job(simulation, submit_at + 500, needed, json!({"Tarefas": 2}));
+                add_dependent_job(
                     simulation,
                     submit_at + 1_000,
                     simulation.users.len() - 1,
@@ -236,15 +241,16 @@
         }
         for n in 0..8u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": 3, "Avulsas": true});
-            add(simulation, 8_000 + 9_000 * n, spec);
+            add_job(simulation, 8_000 + 9_000 * n, spec);
         }
     },
 };
 
-/// Guards against a cancellation that falls between two owners: what the one has begun to write, the other commands.
+/// Guards against a cancellation between two shard leaders: a change that one has begun to write, the other
+/// commands.
 #[test]
-fn jobs_are_cancelled_while_work_changes_hands() {
-    holds(&CALLED_OFF, |node| {
+fn rules_hold_when_jobs_are_cancelled_during_shard_handovers() {
+    assert_rules_hold(&CANCELLED_DURING_HANDOVERS, |node| {
         vec![
             (29_000, 12_000, WorkerIsolation(node)),
             (30_000, 25_000, LateWrites(0.2)),
@@ -256,10 +262,10 @@
     });
 }
 
-/// The same where the one that takes over ends as well, and answers to workers are held up.
+/// Like the previous test, but the new shard leader crashes as well, and heartbeat responses are delayed.
 #[test]
-fn jobs_are_cancelled_while_work_changes_hands_twice() {
-    holds(&CALLED_OFF, |node| {
+fn rules_hold_when_jobs_are_cancelled_during_repeated_shard_handovers() {
+    assert_rules_hold(&CANCELLED_DURING_HANDOVERS, |node| {
         vec![
             (30_000, 8_000, KvAndPeerIsolation(node)),
             (36_000, 0, Crash((node + 1) % NODES)),
@@ -272,11 +278,12 @@
     });
 }
 
-/// Jobs bound to a zone, together or apart, arrays among them, which take most of the room.
-const BOUND: Site = Site {
-    limit: 40.0,
-    pool: 2,
-    jobs: |simulation, rng| {
+/// Jobs with zone constraints (a given zone, all tasks in one zone, or tasks spread over zones). Some have many
+/// tasks, and together they use most of the capacity.
+const ZONE_CONSTRAINED: Workload = Workload {
+    team_limit: 40.0,
+    machines_per_pool: 2,
+    add_jobs: |simulation, rng| {
         for n in 0..24u64 {
             let tasks = rng.random_range(2..9u32);
             let mut spec = json!({"Cuadrilla": TEAMS[n as usize / 4 % 2], "Tarefas": tasks,
@@ -290,16 +297,16 @@
                     spec["Parcela"] = json!(["b", "a"][n as usize / 4 % 2]);
                 }
             }
-            add(simulation, 2_000 + 3_500 * n, spec);
+            add_job(simulation, 2_000 + 3_500 * n, spec);
         }
     },
 };
 
-/// Guards against tasks placed by where the others were: machines die, are silent and come back, and those thought
-/// lost still run.
+/// Guards against tasks that are placed by outdated locations of the job's other tasks. Machines die, or are silent
+/// and come back, and tasks thought lost still run.
 #[test]
-fn bound_jobs_lose_machines() {
-    holds(&BOUND, |node| {
+fn rules_hold_when_zone_constrained_jobs_lose_machines() {
+    assert_rules_hold(&ZONE_CONSTRAINED, |node| {
         vec![
             (20_000, 1, MachineFailures(0.3)),
             (26_000, 9_000, ZoneIsolation("a")),
@@ -314,10 +321,10 @@
     });
 }
 
-/// The same while the shares' writes are late and move whole from part to part.
+/// Like the previous test, but writes of the allocations are late and whole allocations move between shards.
 #[test]
-fn bound_jobs_lose_machines_while_writes_are_late() {
-    holds(&BOUND, |node| {
+fn rules_hold_when_zone_constrained_jobs_lose_machines_during_late_writes() {
+    assert_rules_hold(&ZONE_CONSTRAINED, |node| {
         vec![
             (15_000, 40_000, LateWrites(0.3)),
             (24_000, 1, MachineFailures(0.4)),
@@ -331,16 +338,17 @@
     });
 }
 
-/// Bursts that need new machines, each after the last burst's have been handed back or lost.
-const BURSTS: Site = Site {
-    limit: 40.0,
-    pool: 3,
-    jobs: |simulation, rng| {
+/// Bursts of jobs that need new machines. Each begins after the machines of the previous burst were returned or
+/// lost.
+const BURSTS: Workload = Workload {
+    team_limit: 40.0,
+    machines_per_pool: 3,
+    add_jobs: |simulation, rng| {
         for n in 0..24u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": rng.random_range(2..6u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true});
             let at = [2_000, 36_000, 72_000][n as usize / 8] + rng.random_range(0..4_000u64);
-            let n = add(simulation, at, spec);
+            let n = add_job(simulation, at, spec);
             if n.is_multiple_of(5) {
                 simulation.users[n].cancel_at = Some(at + 4_000);
             }
@@ -348,11 +356,11 @@
     },
 };
 
-/// Guards against what is concluded of machines that no record and no list names yet: they are up at once and get
-/// work, writes are late, and whoever rented them ends.
+/// Guards against wrong conclusions about machines that no record and no list names yet. They boot fast and get
+/// tasks at once, writes are late, and the controller that rented them crashes.
 #[test]
-fn new_machines_get_work_at_once_while_writes_are_late_and_the_leader_ends() {
-    holds(&BURSTS, |node| {
+fn rules_hold_when_new_machines_get_tasks_at_once_during_late_writes_and_crashes() {
+    assert_rules_hold(&BURSTS, |node| {
         vec![
             (1_000, 110_000, FastBoots),
             (2_000, 30_000, LateWrites(0.4)),
@@ -368,16 +376,16 @@
     });
 }
 
-/// One-task jobs, four a second for three minutes, a quarter of them called off.
-const SMALL: Site = Site {
-    limit: 24.0,
-    pool: 3,
-    jobs: |simulation, rng| {
+/// One-task jobs, four per second for three minutes. A quarter of them is cancelled.
+const ONE_TASK_JOBS: Workload = Workload {
+    team_limit: 24.0,
+    machines_per_pool: 3,
+    add_jobs: |simulation, rng| {
         simulation.task_run_ms = 1_500;
         for n in 0..720u64 {
             let at = 10_000 + 250 * n;
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Avulsas": true, "Cpus": 1});
-            let n = add(simulation, at, spec);
+            let n = add_job(simulation, at, spec);
             if n.is_multiple_of(4) {
                 simulation.users[n].cancel_at = Some(at + rng.random_range(0..6_000u64));
             }
@@ -385,27 +393,32 @@
     },
 };
 
-/// Guards against jobs that are lost or kept waiting, and against more writes than the state service takes, where
-/// every job is as small as can be; on the second day leaders end.
+/// Guards against lost or delayed jobs, and against more writes than the key-value store accepts, when all jobs are
+/// as small as possible. In the second run leaders crash.
 #[test]
-fn one_task_jobs_four_a_second_a_quarter_of_them_cancelled() {
+fn one_task_jobs_at_four_per_second_are_settled_within_write_rate() {
     let crashes = vec![
         (50_000, 0, Crash(0)),
         (90_000, 0, Crash(1)),
         (130_000, 0, Crash(2)),
     ];
     for (seed, schedule) in [(0, Vec::new()), (1, crashes)] {
-        let mut simulation = play(seed, DisabledSafeguards::default(), &SMALL, &schedule);
+        let mut simulation = build_simulation(
+            seed,
+            DisabledSafeguards::default(),
+            &ONE_TASK_JOBS,
+            &schedule,
+        );
         simulation.run(2_000);
         simulation.kv_store.write_rate = Some(120.0);
         simulation.run(260_000);
         simulation.assert_rules_held(seed);
-        let kept = (
+        let outcome = (
             simulation.kv_store.throttled,
             simulation.longest_wait_ms() < 10_000,
         );
         assert_eq!(
-            kept,
+            outcome,
             (0, true),
             "seed {seed}: {}",
             simulation.longest_wait_ms()
@@ -413,74 +426,76 @@
     }
 }
 
-/// Twice as much work as room for minutes, of every priority.
-const CROWDED: Site = Site {
-    limit: 24.0,
-    pool: 1,
-    jobs: |simulation, rng| {
+/// Twice as many tasks as there is capacity for, for minutes and of every priority.
+const OVERLOADED: Workload = Workload {
+    team_limit: 24.0,
+    machines_per_pool: 1,
+    add_jobs: |simulation, rng| {
         simulation.task_run_ms = 9_000;
         for n in 0..60u64 {
             let priority = ["prod", "high", "normal", "idle"][n as usize % 4];
             let spec = json!({"Cuadrilla": TEAMS[n as usize / 4 % 2], "Tarefas": rng.random_range(1..5u32),
                 "Cpus": rng.random_range(1..4u32), "Avulsas": true, "Precedencia": priority});
-            add(simulation, 2_000 + 1_500 * n, spec);
+            add_job(simulation, 2_000 + 1_500 * n, spec);
         }
     },
 };
 
-/// Guards against limits that are passed, and against urgent work that waits behind the rest, where there is more of
-/// both than room and every report is underway for a second.
+/// Guards against exceeded team limits, and against high-priority jobs that wait behind others, when there are more
+/// of both than capacity and every heartbeat is in transit for about a second.
 #[test]
-fn more_work_than_room_urgent_and_not_over_slow_links() {
-    holds(&CROWDED, |node| {
+fn priorities_and_rules_hold_under_overload_with_slow_worker_links() {
+    assert_rules_hold(&OVERLOADED, |node| {
         vec![
             (5_000, 120_000, SlowWorkerLinks(1_600)),
             (40_000, 0, Crash(node)),
             (60_000, 10_000, WorkerIsolation((node + 1) % NODES)),
         ]
     });
-    let mut ended = [0u64; 4];
+    let mut total_wait_ms = [0u64; 4];
     for seed in 0..3 {
         let schedule = vec![(5_000, 130_000, SlowWorkerLinks(1_200))];
-        let mut simulation = play(seed, DisabledSafeguards::default(), &CROWDED, &schedule);
+        let mut simulation =
+            build_simulation(seed, DisabledSafeguards::default(), &OVERLOADED, &schedule);
         let mut open: Vec<usize> = (0..simulation.users.len()).collect();
         while !open.is_empty() && simulation.now < END_MS {
             let until = simulation.now + 1_000;
             simulation.run(until);
             open.retain(|u| {
                 if simulation.users[*u].completion_reported {
-                    ended[u % 4] += until - simulation.users[*u].submit_at;
+                    total_wait_ms[u % 4] += until - simulation.users[*u].submit_at;
                 }
                 !simulation.users[*u].completion_reported
             });
         }
         simulation.assert_rules_held(seed);
     }
-    assert!(ended.is_sorted(), "{ended:?}");
+    assert!(total_wait_ms.is_sorted(), "{total_wait_ms:?}");
 }
 
-/// More small jobs all the time than there is room for, and a few that fit a machine only when it is all but empty.
-const SIZES: Site = Site {
-    limit: 40.0,
-    pool: 2,
-    jobs: |simulation, rng| {
+/// More small jobs at all times than there is capacity for, and a few that fit a machine only when it is almost
+/// empty.
+const MIXED_SIZES: Workload = Workload {
+    team_limit: 40.0,
+    machines_per_pool: 2,
+    add_jobs: |simulation, rng| {
         simulation.task_run_ms = 6_000;
         for n in 0..6u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": 7, "Avulsas": true, "Tarefas": 1 + n / 4});
-            add(simulation, 30_000 + 8_000 * n, spec);
+            add_job(simulation, 30_000 + 8_000 * n, spec);
         }
         for n in 0..700u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": rng.random_range(1..3u32), "Avulsas": true});
-            add(simulation, 2_000 + 450 * n, spec);
+            add_job(simulation, 2_000 + 450 * n, spec);
         }
     },
 };
 
-/// Machines of one pool each, none of them full, and in every part more waits than fits there.
-const SPLINTERS: Site = Site {
-    limit: 60.0,
-    pool: 1,
-    jobs: |simulation, _| {
+/// One machine per pool, none of them full. In every shard the waiting jobs need more than its machines have free.
+const FRAGMENTED: Workload = Workload {
+    team_limit: 60.0,
+    machines_per_pool: 1,
+    add_jobs: |simulation, _| {
         for n in 0..14u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Cpus": 3, "Avulsas": true});
             add_endless(simulation, 2_000 + 400 * n, 300_000, spec);
@@ -488,17 +503,22 @@
         for n in 0..4u64 {
             let (team, zone) = (TEAMS[n as usize % 2], ["a", "b"][n as usize % 2]);
             let spec = json!({"Cuadrilla": team, "Cpus": 1, "Avulsas": true, "Tarefas": 2, "Together": true, "Parcela": zone});
-            add(simulation, 40_000 + 1_000 * n, spec);
+            add_job(simulation, 40_000 + 1_000 * n, spec);
         }
     },
 };
 
-/// Guards against a small job that waits with a part which cannot run it, while in others, where larger ones wait, there
-/// is room for it.
+/// Guards against a small job that waits in a shard which cannot run it, while other shards, in which larger jobs
+/// wait, have capacity for it.
 #[test]
-fn small_jobs_find_the_room_that_other_parts_cannot_use() {
+fn small_jobs_start_in_shards_whose_waiting_jobs_are_too_large() {
     for seed in 0..12 {
-        let mut simulation = play(seed, DisabledSafeguards::default(), &SPLINTERS, &Vec::new());
+        let mut simulation = build_simulation(
+            seed,
+            DisabledSafeguards::default(),
+            &FRAGMENTED,
+            &Vec::new(),
+        );
         simulation.run(150_000);
         let done = simulation.users[14..]
             .iter()
@@ -512,11 +532,11 @@
     }
 }
 
-/// More than the teams may use, for longer than the day.
-const LONG: Site = Site {
-    limit: 12.0,
-    pool: 2,
-    jobs: |simulation, _| {
+/// More tasks than the teams may run, beyond the end of the simulation.
+const LONG_WAITING: Workload = Workload {
+    team_limit: 12.0,
+    machines_per_pool: 2,
+    add_jobs: |simulation, _| {
         for n in 0..6u64 {
             let spec = json!({"Cuadrilla": TEAMS[n as usize % 2], "Tarefas": 2, "Cpus": 2, "Avulsas": true});
             add_endless(simulation, 5_000 + 1_000 * n, 300_000, spec);
@@ -524,16 +544,25 @@
     },
 };
 
-/// Guards against large jobs that never begin because what small ones leave free is always too little for them: each
-/// begins within four minutes.
+/// Guards against starvation of large jobs because small ones always leave too little capacity free. Each large job
+/// must start within four minutes.
 #[test]
-fn the_largest_jobs_begin_within_four_minutes_under_shortage_by_size() {
+fn largest_jobs_start_within_four_minutes_under_shortage() {
     for seed in 0..2 {
-        let mut simulation = play(seed, DisabledSafeguards::default(), &SIZES, &Vec::new());
-        let mut began = [None; 6];
-        while simulation.now < 320_000 && began.contains(&None) {
+        let mut simulation = build_simulation(
+            seed,
+            DisabledSafeguards::default(),
+            &MIXED_SIZES,
+            &Vec::new(),
+        );
+        let mut start_delays = [None; 6];
+        while simulation.now < 320_000 && start_delays.contains(&None) {
             simulation.run(simulation.now.next_multiple_of(1_000) + 1_000);
-            for (n, at) in began.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
+            for (n, at) in start_delays
+                .iter_mut()
+                .enumerate()
+                .filter(|(_, at)| at.is_none())
+            {
                 let user = &simulation.users[n];
                 let mut tasks = simulation.workers.values().flat_map(|w| &w.tasks);
                 if tasks.any(|t| t.name.starts_with(&format!("{}/", user.job))) {
@@ -541,60 +570,73 @@
                 }
             }
         }
-        let late = began.iter().filter(|at| at.is_none_or(|ms| ms > 240_000));
+        let late = start_delays
+            .iter()
+            .filter(|at| at.is_none_or(|ms| ms > 240_000));
         assert_eq!(
             (late.count(), &simulation.violations),
             (0, &Vec::new()),
-            "seed {seed}: {began:?}"
+            "seed {seed}: {start_delays:?}"
         );
     }
 }
 
-/// Shows that the rules are looked at here: without what guards them, they break.
+/// Shows that the rules are checked under these workloads: they break once a safeguard is disabled.
 #[test]
-fn limits_places_and_waits_break_without_their_guards() {
+fn rule_checks_find_quota_placement_and_starvation_violations_without_safeguards() {
     let none = DisabledSafeguards::default();
-    let conditions = DisabledSafeguards {
+    let no_conditions = DisabledSafeguards {
         ignore_txn_conditions: true,
         ..none
     };
-    let returns = DisabledSafeguards {
+    let no_returns = DisabledSafeguards {
         ignore_machine_returns: true,
         ignore_worker_leases: true,
         ..none
     };
-    let limits = DisabledSafeguards {
+    let halved_limits = DisabledSafeguards {
         halve_team_limits: true,
         ..none
     };
-    let late = |node: usize| {
+    let late_writes = |node: usize| {
         vec![
             (15_000, 70_000, LateWrites(0.5)),
             (31_000, 0, Crash(node)),
             (60_000, 0, CrashAll(500)),
         ]
     };
-    let cut = |node: usize| {
+    let isolation = |node: usize| {
         vec![
             (24_000, 40_000, ZoneIsolation("a")),
             (26_000, 0, MassCancellation(6, 30_000)),
             (30_000, 0, Crash(node)),
         ]
     };
-    let none_at_all = |_| Vec::new();
-    for (rule, safeguards, site, schedule) in [
+    let no_faults = |_| Vec::new();
+    for (rule, safeguards, workload, schedule) in [
         (
             "quota",
-            conditions,
-            &FULL,
-            &late as &dyn Fn(usize) -> FaultSchedule,
+            no_conditions,
+            &AT_LIMIT,
+            &late_writes as &dyn Fn(usize) -> FaultSchedule,
         ),
-        ("quota", returns, &FULL, &cut),
-        ("wrong_place", conditions, &BOUND, &late),
-        ("left_waiting", limits, &LONG, &none_at_all),
+        ("quota", no_returns, &AT_LIMIT, &isolation),
+        (
+            "wrong_place",
+            no_conditions,
+            &ZONE_CONSTRAINED,
+            &late_writes,
+        ),
+        ("left_waiting", halved_limits, &LONG_WAITING, &no_faults),
     ] {
-        let seed = (0..12).find(|seed| breaks(rule, safeguards, site, *seed, schedule));
+        let seed = (0..12).find(|seed| breaks_rule(rule, safeguards, workload, *seed, schedule));
         assert!(seed.is_some(), "{rule}");
     }
-    assert!(!breaks("left_waiting", none, &LONG, 0, none_at_all));
+    assert!(!breaks_rule(
+        "left_waiting",
+        none,
+        &LONG_WAITING,
+        0,
+        no_faults
+    ));
 }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Meetings of troubles: two failures that each rule survives alone, brought about together (`docs/fault-combinations.md`).
+//! Combinations of two or more faults, each of which the rules survive alone (`docs/fault-combinations.md`).
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -8,9 +8,10 @@
 use snowshelf_simulation::faults::Fault;
 use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation};
 
-/// Refused at 60 s is one controller alone, and a while later everybody, until 140 s. From the seed 5 on the one's
-/// lease may have run out by then: its part is nobody's while the outage lasts, and its workers are lost.
-fn refused_alone_then_all(seed: u64, node: usize, cancelled: bool) -> Simulation {
+/// The key-value store refuses one controller from 60 s and all of them shortly afterwards, until 140 s. From seed
+/// 5 on the first controller's lease may expire before the outage: its shard then has no leader during the outage,
+/// and its worker leases expire.
+fn kv_refusal_then_outage(seed: u64, node: usize, cancelled: bool) -> Simulation {
     let mut simulation =
         with_endless_jobs(seed, 12, |n| (cancelled && n % 4 != 0).then_some(60_200));
     simulation.refuse_kv_at(60_000, 64_000, node);
@@ -24,14 +25,14 @@
     simulation
 }
 
-/// Guards against an old leader that keeps workers while it cannot learn: the state service refuses it alone, the
-/// others confirm cancellations, then it serves nobody for longer than the time for cancelling. All that is not
-/// cancelled goes on meanwhile.
+/// Guards against a former shard leader that renews worker leases although it cannot learn of cancellations. The
+/// key-value store refuses it alone while its peers confirm cancellations, then refuses all controllers for longer
+/// than `cancel_s`. Tasks of jobs that are not cancelled must keep running.
 #[test]
-fn cancelled_tasks_end_though_the_state_service_refuses_first_one_and_then_all() {
+fn cancelled_tasks_end_when_kv_store_refuses_one_controller_then_all() {
     for seed in 0..8 {
         for node in 0..NODES {
-            let mut simulation = refused_alone_then_all(seed, node, true);
+            let mut simulation = kv_refusal_then_outage(seed, node, true);
             simulation.run(139_000);
             assert_eq!(
                 simulation.violations,
@@ -39,11 +40,11 @@
                 "seed {seed}, node {node}"
             );
             if seed < 5 {
-                let kept = (
+                let outcome = (
                     running_tasks(&simulation) >= 9,
                     simulation.lease_expirations(),
                 );
-                assert_eq!(kept, (true, 0), "seed {seed}, node {node}");
+                assert_eq!(outcome, (true, 0), "seed {seed}, node {node}");
             }
             simulation.run(200_000);
             assert_eq!(
@@ -51,20 +52,20 @@
                 Vec::<String>::new(),
                 "seed {seed}, node {node}"
             );
-            let told = simulation
+            let cancel_reported = simulation
                 .users
                 .iter()
                 .filter(|u| u.cancel_reported_at.is_some());
-            assert_eq!(told.count(), 9, "seed {seed}");
+            assert_eq!(cancel_reported.count(), 9, "seed {seed}");
         }
     }
 }
 
-/// Guards against tasks that an outage kills though nobody has cancelled anything.
+/// Guards against tasks that are stopped by an outage of the key-value store although no job is cancelled.
 #[test]
-fn an_outage_without_cancellations_kills_nothing_while_the_controllers_hear_each_other() {
+fn kv_outage_without_cancellations_stops_no_task_while_peers_are_connected() {
     for seed in 0..4 {
-        let mut simulation = refused_alone_then_all(seed, 0, false);
+        let mut simulation = kv_refusal_then_outage(seed, 0, false);
         simulation.run(139_000);
         assert_eq!(
             (running_tasks(&simulation), simulation.lease_expirations()),
@@ -74,13 +75,14 @@
     }
 }
 
-/// Guards against taking silence for a word: while one controller hears the others no more, or has ended and come
-/// back as another that does not know what it told, tasks may end but no rule breaks.
+/// Guards against treating a missing confirmation as a confirmation. One controller is isolated from its peers, or
+/// restarts with a new incarnation and has lost what it reported. Tasks may end with their worker leases, but no
+/// rule may break.
 #[test]
-fn without_every_controllers_word_cancelled_tasks_end_with_their_leases() {
+fn rules_hold_when_a_peer_cannot_confirm_cancellations_during_kv_outage() {
     for seed in 0..6 {
         for node in 0..NODES {
-            let mut simulation = refused_alone_then_all(seed, 0, true);
+            let mut simulation = kv_refusal_then_outage(seed, 0, true);
             match seed % 2 {
                 0 => simulation.isolate_from_peers_at(60_000, 140_000, node),
                 _ => simulation.crash_at(62_000 + 300 * seed, node),
@@ -95,10 +97,10 @@
     }
 }
 
-/// Guards against a part that is handed over in an outage, when nobody can take it: its owner was alone for a while, and its
-/// workers turned up elsewhere.
+/// Guards against a shard handover during an outage, when no controller can take the shard. The handover would be
+/// triggered because the shard leader was isolated before and its workers sent heartbeats to other controllers.
 #[test]
-fn a_part_stays_with_its_owner_while_nobody_can_take_it() {
+fn shard_stays_with_its_leader_during_kv_outage() {
     for seed in 0..4 {
         let mut simulation = with_endless_jobs(seed, 12, |_| None);
         simulation.isolate_from_kv_and_peers_at(60_000, 68_000, seed as usize % NODES);
@@ -112,10 +114,10 @@
     }
 }
 
-/// Guards against a change of owners that an outage interrupts at any moment: the one before was refused and had not
-/// learnt of cancellations.
+/// Guards against a shard takeover that an outage interrupts at any point. The previous shard leader has crashed
+/// and had not learnt of the latest cancellations.
 #[test]
-fn an_outage_that_begins_while_a_part_is_taken() {
+fn rules_hold_when_kv_outage_interrupts_shard_takeover() {
     for step in 0..14 {
         let mut simulation = with_endless_jobs(step, 12, |n| {
             (n % 4 != 0).then_some(58_000 + 300 * n as u64)
@@ -127,10 +129,10 @@
     }
 }
 
-/// Guards against tokens, grants and attempts of one life that are used in the next: parts are handed over and come
-/// back, all controllers end, and one is back within a second.
+/// Guards against fencing tokens, quota grants and attempts of one incarnation that are used in the next. Shards
+/// are handed over and back, all controllers crash, and one restarts within a second.
 #[test]
-fn parts_handed_over_and_back_while_all_controllers_end() {
+fn rules_hold_when_all_controllers_crash_during_shard_handovers() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -144,10 +146,10 @@
     });
 }
 
-/// Guards against a controller that acts by what it knew: it has lost the state service and the others, workers
-/// and users still reach it, and jobs are cancelled through the others.
+/// Guards against a controller that acts on stale data. It has lost the key-value store and its peers, workers and
+/// users still reach it, and jobs are cancelled through the other controllers.
 #[test]
-fn a_controller_cut_off_from_all_but_workers_and_users() {
+fn rules_hold_when_controller_reaches_only_workers_and_users() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -159,9 +161,9 @@
     });
 }
 
-/// Guards against a transaction that is carried out after newer ones of the same controller.
+/// Guards against a transaction that is applied after newer ones of the same controller.
 #[test]
-fn transactions_carried_out_late_while_parts_change_hands() {
+fn rules_hold_when_transactions_are_late_during_shard_handovers() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -174,9 +176,10 @@
     });
 }
 
-/// Guards against commands that reach a machine late: answers are held up, and the owner changes meanwhile.
+/// Guards against commands that reach a machine late: heartbeat responses are delayed while the shard leader
+/// changes.
 #[test]
-fn answers_held_up_while_the_owner_changes() {
+fn rules_hold_when_heartbeat_responses_are_delayed_during_failover() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -189,10 +192,10 @@
     });
 }
 
-/// Guards against what users are told, and what is kept running, while the state service answers slowly, then refuses
-/// one controller, then all of them for longer than the time for cancelling.
+/// Guards against wrong responses to users and stopped tasks while the key-value store is slow, then refuses one
+/// controller, then refuses all of them for longer than `cancel_s`.
 #[test]
-fn a_slow_state_service_that_refuses_one_and_then_all() {
+fn rules_hold_when_kv_store_is_slow_then_refuses_one_then_all() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -204,10 +207,10 @@
     });
 }
 
-/// Guards against a task that runs twice: a controller ends while machines with long tasks cannot be reached, or do
-/// not hear the next owner.
+/// Guards against a task that runs twice. A controller crashes while machines with long tasks are isolated, or do
+/// not receive the responses of the next shard leader.
 #[test]
-fn a_controller_ends_while_machines_do_not_hear() {
+fn rules_hold_when_controller_crashes_while_machines_are_unreachable() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -220,9 +223,10 @@
     });
 }
 
-/// Guards against conclusions from a report that comes after newer ones, of an earlier session or attempt.
+/// Guards against conclusions from a heartbeat of an earlier agent incarnation or attempt that arrives after newer
+/// ones.
 #[test]
-fn old_reports_after_newer_ones_while_parts_change_hands() {
+fn rules_hold_when_heartbeats_arrive_out_of_order_during_shard_handovers() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -235,10 +239,10 @@
     });
 }
 
-/// Guards against a job of two or three tasks that is called done early or never: its tasks end far apart, and its
-/// parts' owners change in between.
+/// Guards against a job of two or three tasks that is reported as done too early or never. Its tasks end far apart,
+/// and the leaders of its shards change in between.
 #[test]
-fn small_jobs_whose_tasks_end_far_apart_while_owners_change() {
+fn rules_hold_when_tasks_of_small_jobs_end_across_failovers() {
     use Fault::*;
     assert_rules_hold(|node| {
         vec![
@@ -251,7 +255,7 @@
     });
 }
 
-fn draw_trouble(rng: &mut StdRng) -> Fault {
+fn draw_fault(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..NODES);
     let share = [0.1, 0.3, 0.7][rng.random_range(0..3usize)];
     match rng.random_range(0..23u32) {
@@ -281,35 +285,36 @@
     }
 }
 
-/// Two or three troubles with their moments near each other, twice.
+/// Draws two groups of two or three faults. The faults of a group begin within 8 s of each other.
 fn draw_fault_schedule(seed: u64) -> FaultSchedule {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x6d65_6574);
-    let mut drawn = Vec::new();
-    for about in [15_000..35_000u64, 60_000..80_000] {
-        let about = rng.random_range(about);
+    let mut schedule = Vec::new();
+    for group_start in [15_000..35_000u64, 60_000..80_000] {
+        let group_start = rng.random_range(group_start);
         for _ in 0..rng.random_range(2..4u32) {
-            let at = about + rng.random_range(0..8_000u64);
+            let at = group_start + rng.random_range(0..8_000u64);
             let for_ms = [1_000, 4_000, 12_000, 30_000, 48_000][rng.random_range(0..5usize)];
             let for_ms = for_ms + rng.random_range(0..1_000u64);
-            let fault = draw_trouble(&mut rng);
-            drawn.push((at, for_ms.min(FAULTS_END_MS - at), fault));
+            let fault = draw_fault(&mut rng);
+            schedule.push((at, for_ms.min(FAULTS_END_MS - at), fault));
         }
     }
-    drawn
+    schedule
 }
 
-/// Holds every rule against drawn meetings. `MEETINGS=1000-1999` plays others, and tells of all that fail.
+/// Checks every rule under random fault combinations. `MEETINGS=1000-1999` runs these seeds instead and reports all
+/// that fail.
 #[test]
-fn no_rule_breaks_where_drawn_troubles_meet() {
-    let asked = std::env::var("MEETINGS").unwrap_or("0-15".into());
-    let (first, last) = asked.split_once('-').expect("FIRST-LAST");
+fn rules_hold_for_random_fault_combinations() {
+    let range = std::env::var("MEETINGS").unwrap_or("0-15".into());
+    let (first, last) = range.split_once('-').expect("FIRST-LAST");
     let seeds = first.parse::<u64>().unwrap()..=last.parse::<u64>().unwrap();
     let failed = |seed: &u64| {
         let schedule = draw_fault_schedule(*seed);
         let simulation = run_schedule(*seed, DisabledSafeguards::default(), &schedule);
         let open = simulation.users.len() - simulation.settled_jobs();
-        let sound = simulation.violations.is_empty() && open == 0;
-        (!sound).then(|| {
+        let passed = simulation.violations.is_empty() && open == 0;
+        (!passed).then(|| {
             format!(
                 "seed {seed}: {:?}, {open} open, {schedule:?}",
                 simulation.violations
@@ -320,28 +325,28 @@
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// Shows that the rules are looked at in meetings: without what guards them, they break.
+/// Shows that the rules are checked under fault combinations: they break once a safeguard is disabled.
 #[test]
-fn without_their_guards_rules_break_in_meetings() {
+fn rule_checks_find_violations_in_fault_combinations_without_safeguards() {
     let none = DisabledSafeguards::default();
     let no_conditions = DisabledSafeguards {
         ignore_txn_conditions: true,
         ..none
     };
-    let no_order = DisabledSafeguards {
+    let no_heartbeat_order = DisabledSafeguards {
         renumber_late_heartbeats: true,
         ..none
     };
     let late = |fault| vec![(15_000, 90_000, fault), (30_000, 0, Fault::CrashAll(300))];
     for (safeguards, schedule) in [
         (no_conditions, late(Fault::LateWrites(0.5))),
-        (no_order, late(Fault::LateHeartbeats(0.9))),
+        (no_heartbeat_order, late(Fault::LateHeartbeats(0.9))),
     ] {
-        let broken = (0..12).any(|seed| {
+        let violated = (0..12).any(|seed| {
             !run_schedule(seed, safeguards, &schedule)
                 .violations
                 .is_empty()
         });
-        assert!(broken, "{schedule:?}");
+        assert!(violated, "{schedule:?}");
     }
 }
--- a/tests/heartbeat_faults.rs
+++ b/tests/heartbeat_faults.rs
@@ -1,4 +1,5 @@
-//! Meetings of troubles about transactions, leaders, reports and outages (`docs/fault-combinations.md`).
+//! Combinations of faults that affect transactions, shard leaders, heartbeats and the key-value store
+//! (`docs/fault-combinations.md`).
 
 use snowshelf_simulation::fault_combinations::{
     assert_rules_hold, assert_rules_hold_with_endless_jobs, run_schedule,
@@ -6,10 +7,11 @@
 use snowshelf_simulation::faults::Fault::*;
 use snowshelf_simulation::{DisabledSafeguards, NODES};
 
-/// Guards against a writer that acts by what it knew before its write: it is carried out at once and the others read
-/// it, while the writer hears nothing. Accepted, cancelled, started, ended, handed over, leased.
+/// Guards against a controller that acts on its state from before a write. The write is applied at once and other
+/// controllers read it, but its response is lost. Covers writes that accept, cancel, start, end and hand over work,
+/// and lease requests.
 #[test]
-fn only_the_answers_of_transactions_are_lost() {
+fn rules_hold_when_only_transaction_responses_are_lost() {
     assert_rules_hold(|node| {
         vec![
             (2_000, 45_000, LostKvResponses(0.5)),
@@ -23,9 +25,9 @@
     });
 }
 
-/// The same with every answer lost while an owner changes and most jobs are cancelled.
+/// Like the previous test, with every response lost while a shard leader changes and most jobs are cancelled.
 #[test]
-fn no_answer_comes_while_jobs_are_cancelled_and_their_owner_changes() {
+fn rules_hold_when_all_transaction_responses_are_lost_during_cancellation_and_failover() {
     assert_rules_hold_with_endless_jobs(|node| {
         vec![
             (40_000, 8_000, LostKvResponses(1.0)),
@@ -38,10 +40,10 @@
     });
 }
 
-/// Guards against what a new owner makes of silence and of higher sessions: all controllers are away for longer than a
-/// lease, and everything has ended on the machines meanwhile.
+/// Guards against wrong conclusions of a new shard leader from silent machines and newer agent incarnations. All
+/// controllers are down for longer than a worker lease, and all tasks have ended meanwhile.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease() {
+fn rules_hold_when_all_controllers_are_down_for_longer_than_a_lease() {
     let schedule = |node: usize| {
         vec![
             (27_900, 0, MassCancellation(3, 0)),
@@ -57,10 +59,10 @@
     assert_rules_hold_with_endless_jobs(schedule);
 }
 
-/// Guards against conclusions from what is older than the owner: copies of reports, of earlier sessions and attempts
-/// too, reach every controller as an owner begins and when it has acted for seconds.
+/// Guards against conclusions from heartbeats that are older than the shard leader. Copies, also of earlier agent
+/// incarnations and attempts, reach every controller when a shard leader takes over and seconds later.
 #[test]
-fn kept_reports_reach_every_controller_as_an_owner_begins() {
+fn rules_hold_when_heartbeats_are_replayed_to_a_new_shard_leader() {
     let schedule = |node: usize| {
         vec![
             (10_000, 120_000, ReplayedHeartbeats(0.6)),
@@ -77,10 +79,10 @@
     assert_rules_hold_with_endless_jobs(schedule);
 }
 
-/// Guards against a task that is counted as done, or started anew, by a report that was held back: nobody else has
-/// heard of its end, and the machine has been given up meanwhile.
+/// Guards against a task that is counted as done, or started again, because of a delayed heartbeat. No other
+/// heartbeat reported its end, and the machine has been released meanwhile.
 #[test]
-fn reports_of_ends_that_nobody_heard_come_after_an_owner_has_acted() {
+fn rules_hold_when_the_only_report_of_a_task_end_arrives_after_failover() {
     assert_rules_hold(|node| {
         vec![
             (10_000, 110_000, ReplayedHeartbeats(0.9)),
@@ -94,10 +96,10 @@
     });
 }
 
-/// Guards against taking a machine that direct commands reach for one whose tasks are known: it reaches nobody, within
-/// its lease and for longer, while jobs are cancelled and the owner changes.
+/// Guards against treating a machine that direct commands reach as one whose tasks are known. It reaches no
+/// controller, within its lease and for longer, while jobs are cancelled and the shard leader changes.
 #[test]
-fn workers_reach_no_controller_while_direct_commands_reach_them() {
+fn rules_hold_when_workers_receive_only_direct_commands() {
     let schedule = |node: usize| {
         vec![
             (26_000, 25_000, LostHeartbeats(0.6)),
@@ -114,10 +116,11 @@
     assert_rules_hold_with_endless_jobs(schedule);
 }
 
-/// Guards against both sides of a cut that lasts longer than a lease: a zone's machines go on under the controller that
-/// is cut off with them, or are lost, and jobs of both sides are cancelled just before and meanwhile.
+/// Guards against inconsistency between the sides of a partition that lasts longer than a lease. The zone's
+/// machines continue under the controller on their side, or are lost. Jobs of both sides are cancelled just before
+/// the partition and during it.
 #[test]
-fn a_zone_and_a_controller_cut_off_for_longer_than_a_lease() {
+fn rules_hold_when_zone_and_controller_are_partitioned_for_longer_than_a_lease() {
     let schedule = |node: usize| {
         vec![
             (27_900, 0, MassCancellation(2, 0)),
@@ -133,10 +136,10 @@
     assert_rules_hold_with_endless_jobs(schedule);
 }
 
-/// Guards against grants, tokens and leases that add up over owners: leaders change ten times in two minutes, also
-/// inside an outage, and jobs are cancelled meanwhile.
+/// Guards against quota grants, fencing tokens and leases that accumulate over failovers. Leaders change ten times
+/// in two minutes, also during an outage, while jobs are cancelled.
 #[test]
-fn leaders_change_ten_times_in_two_minutes() {
+fn rules_hold_when_leaders_change_ten_times_in_two_minutes() {
     let schedule = |node: usize| {
         let crash = |n: usize| (22_000 + 11_000 * n as u64, 0, Crash((node + n / 2) % NODES));
         let mut schedule: Vec<_> = (0..10).map(crash).collect();
@@ -152,10 +155,10 @@
     assert_rules_hold_with_endless_jobs(schedule);
 }
 
-/// Guards against a cancelled task that its machine goes on with: it hangs right at the cancellation, resumes within
-/// its lease or after it, and the owner has changed or cannot learn.
+/// Guards against a cancelled task that its machine continues. The machine hangs at the cancellation and resumes
+/// within its lease or after it, when the shard leader has changed or cannot learn of the cancellation.
 #[test]
-fn cancelled_tasks_on_machines_that_hang_and_go_on() {
+fn rules_hold_when_machines_hang_at_cancellation() {
     for hang_ms in [2_500, 6_000, 9_000, 14_000] {
         assert_rules_hold_with_endless_jobs(|node| {
             vec![
@@ -171,16 +174,16 @@
     }
 }
 
-/// Shows that each trouble tests what it is about: without what guards against it rules break, and on the same day
-/// without the trouble they do not.
+/// Shows that each fault tests its safeguard: without the safeguard a rule breaks, and with the same seed and no
+/// fault it does not.
 #[test]
-fn without_their_guards_rules_break_in_these_meetings() {
+fn rule_checks_find_violations_only_with_fault_and_without_safeguard() {
     let none = DisabledSafeguards::default();
-    let false_answers = DisabledSafeguards {
+    let unapplied_txns = DisabledSafeguards {
         acknowledge_unapplied_txns: true,
         ..none
     };
-    let no_age = DisabledSafeguards {
+    let no_heartbeat_order = DisabledSafeguards {
         renumber_late_heartbeats: true,
         ignore_fencing_tokens: true,
         ..none
@@ -189,35 +192,40 @@
         ignore_worker_leases: true,
         ..none
     };
-    let no_ends = DisabledSafeguards {
+    let no_returns = DisabledSafeguards {
         ignore_machine_returns: true,
         ..no_leases
     };
     let for_45_s = |fault| (26_000, 45_000, fault);
-    let call_off = (25_800, 0, MassCancellation(9, 0));
+    let cancellation = (25_800, 0, MassCancellation(9, 0));
     let crash = (30_000, 0, CrashAll(300));
     let for_90_s = |fault| (2_000, 90_000, fault);
     for (safeguards, fault, rest) in [
-        (false_answers, for_90_s(LostKvResponses(0.6)), vec![crash]),
-        (no_age, for_90_s(ReplayedHeartbeats(0.1)), vec![crash]),
-        (no_leases, for_45_s(AllControllersDown), vec![call_off]),
-        (no_leases, call_off, vec![for_45_s(AllControllersDown)]),
+        (unapplied_txns, for_90_s(LostKvResponses(0.6)), vec![crash]),
+        (
+            no_heartbeat_order,
+            for_90_s(ReplayedHeartbeats(0.1)),
+            vec![crash],
+        ),
+        (no_leases, for_45_s(AllControllersDown), vec![cancellation]),
+        (no_leases, cancellation, vec![for_45_s(AllControllersDown)]),
         (
             no_leases,
             for_45_s(LostHeartbeats(0.9)),
-            vec![call_off, for_45_s(KvOutage)],
+            vec![cancellation, for_45_s(KvOutage)],
         ),
-        (no_ends, for_45_s(LostHeartbeats(0.7)), vec![]),
-        (no_ends, for_45_s(HungMachines(0.7)), vec![]),
-        (no_ends, for_45_s(ZonePartition("a", 0)), vec![]),
+        (no_returns, for_45_s(LostHeartbeats(0.7)), vec![]),
+        (no_returns, for_45_s(HungMachines(0.7)), vec![]),
+        (no_returns, for_45_s(ZonePartition("a", 0)), vec![]),
     ] {
-        let whole = [vec![fault], rest.clone()].concat();
+        let schedule_with_fault = [vec![fault], rest.clone()].concat();
         let breaks = |seed, schedule| {
             !run_schedule(seed, safeguards, schedule)
                 .violations
                 .is_empty()
         };
-        let shown = (0..12).any(|seed| breaks(seed, &whole) && !breaks(seed, &rest));
-        assert!(shown, "{whole:?}");
+        let detected =
+            (0..12).any(|seed| breaks(seed, &schedule_with_fault) && !breaks(seed, &rest));
+        assert!(detected, "{schedule_with_fault:?}");
     }
 }
--- a/tests/rules.rs
+++ b/tests/protocol_rules.rs
@@ -1,16 +1,16 @@
-//! Whole controllers in the stand-in world: PROTOCOL's rules are checked after every event.
+//! Simulations of whole controllers. The rules of the protocol are checked after every event.
 
 use snowshelf_simulation::{DisabledSafeguards, Simulation, SimulationConditions};
 
-const CALM: SimulationConditions = SimulationConditions::FAULT_FREE;
-const STORM: SimulationConditions = SimulationConditions::FAULTY;
+const FAULT_FREE: SimulationConditions = SimulationConditions::FAULT_FREE;
+const FAULTY: SimulationConditions = SimulationConditions::FAULTY;
 
-const ROLL: SimulationConditions = SimulationConditions {
+const ROLLING_UPDATE: SimulationConditions = SimulationConditions {
     rolling_update: true,
-    ..STORM
+    ..FAULTY
 };
 
-fn play(
+fn run_simulation(
     seed: u64,
     conditions: SimulationConditions,
     safeguards: DisabledSafeguards,
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_calm_day_runs_every_job() {
-    let simulation = play(1, CALM, DisabledSafeguards::default(), 150_000);
+fn fault_free_simulation_settles_every_job() {
+    let simulation = run_simulation(1, FAULT_FREE, DisabledSafeguards::default(), 150_000);
     assert_eq!(simulation.violations, Vec::<String>::new());
     assert_eq!(simulation.settled_jobs(), simulation.users.len());
     assert!(simulation.task_starts > 0 && simulation.refused_unknown_dependencies > 0);
@@ -35,32 +35,34 @@
 }
 
 #[test]
-fn the_rules_hold_in_storms_and_every_job_ends_after_them() {
-    // Seeds beyond the first thirty have found a team over its limit after a takeover (tasks that
-    // the earlier owner knew to be gone were commanded again) and a job that was not apart.
+fn rules_hold_under_faults_and_every_job_settles_afterwards() {
+    // Seeds above 30 cover two faults: a team over its limit after a failover, because tasks that the previous
+    // shard leader knew to have ended were commanded again; and a job whose tasks were not spread over zones
+    // although it was to be.
     for seed in 1..=120 {
-        let simulation = play(seed, STORM, DisabledSafeguards::default(), 280_000);
+        let simulation = run_simulation(seed, FAULTY, DisabledSafeguards::default(), 280_000);
         simulation.assert_rules_held(seed);
     }
 }
 
-/// Guards against a version that loses what the other wrote, a step to the new format that comes too
-/// early, and a state service that takes less from some moment on: at every moment of a roll.
+/// Guards against a version that loses data written by the other one, a switch to the new record format that comes
+/// too early, and a key-value store whose limits shrink, at any point of a rolling update.
 #[test]
-fn the_rules_hold_while_the_version_is_replaced() {
+fn rules_hold_during_rolling_update() {
     for seed in 1..=60 {
-        let simulation = play(seed, ROLL, DisabledSafeguards::default(), 280_000);
+        let simulation =
+            run_simulation(seed, ROLLING_UPDATE, DisabledSafeguards::default(), 280_000);
         simulation.assert_rules_held(seed);
     }
 }
 
-/// Guards against a start that misses what is open among all that ever ended, where pages end anywhere: jobs
-/// and what they need are found by pages that begin at their names.
+/// Guards against a startup read that misses open jobs among many finished ones. Pages end at arbitrary keys; jobs
+/// and their dependencies are looked up by pages that begin at their ids.
 #[test]
-fn the_rules_hold_where_starts_read_only_what_is_open() {
+fn rules_hold_when_startup_reads_only_open_jobs() {
     for seed in 1..=40 {
         let mut simulation =
-            Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
+            Simulation::new(seed, FAULTY, DisabledSafeguards::default(), 14, 90_000);
         simulation
             .kv_store
             .add_ended_jobs(400, 1 + seed as usize % 7);
@@ -74,14 +76,14 @@
     }
 }
 
-/// Guards against whatever a life that begins a moment after the last one ended may take from it for its own, or
-/// it for the new one's: leases, claims, writes, rentals and returns underway, names and numbers. Controllers end
-/// after 20 ms to 3 s, each in a loop of its own for half a minute, in the middle of everything else.
+/// Guards against an incarnation that takes state of the previous one for its own, or the reverse: leases, claims,
+/// pending writes, rentals and returns, names and sequence numbers. Each controller crashes repeatedly for half a
+/// minute, every 20 ms to 3 s, under all other faults.
 #[test]
-fn the_rules_hold_in_storms_where_each_controller_ends_in_a_loop() {
+fn rules_hold_under_faults_with_crash_looping_controllers() {
     for seed in 1..=40 {
         let mut simulation =
-            Simulation::new(seed, STORM, DisabledSafeguards::default(), 14, 90_000);
+            Simulation::new(seed, FAULTY, DisabledSafeguards::default(), 14, 90_000);
         let life_ms = [120, 600, 1_500, 3_000][seed as usize % 4];
         simulation.crash_loop_at(15_000, 45_000, life_ms);
         simulation.run(280_000);
@@ -89,13 +91,20 @@
     }
 }
 
-/// Guards against parts that change hands because nobody is heard, in the middle of everything else.
+/// Guards against errors in shard handovers that occur because a leader receives no heartbeats, under all other
+/// faults.
 #[test]
-fn the_rules_hold_in_storms_with_deaf_controllers_and_cut_zones() {
+fn rules_hold_under_faults_with_unreachable_controllers_and_isolated_zones() {
     for seed in 1..=40 {
         let size = (60.0, 5);
-        let mut simulation =
-            Simulation::sized(seed, STORM, DisabledSafeguards::default(), 20, 90_000, size);
+        let mut simulation = Simulation::sized(
+            seed,
+            FAULTY,
+            DisabledSafeguards::default(),
+            20,
+            90_000,
+            size,
+        );
         let nodes = snowshelf_simulation::NODES as u64;
         for i in 0..3 {
             let at = 9_000 + 24_000 * i + 1_700 * (seed % 11);
@@ -110,26 +119,27 @@
     }
 }
 
-/// CPUs of a team and machines of a pool where single machines should not matter.
+/// CPU limit per team and machines per pool of a cluster in which single machines do not matter.
 const LARGE: (f64, usize) = (400.0, 10);
 
-/// Guards against returning a whole zone's machines, with their images, a moment before its cut ends, and against
-/// waiting for ever for one that does not: they are waited for as long again as new ones take to be up (5 s).
+/// Guards against returning all machines of a zone, with their cached images, just before its isolation ends, and
+/// against waiting forever if it does not end. The machines are kept for as long again as new ones take to boot (5
+/// s).
 #[test]
-fn a_cut_zone_is_waited_for_but_not_for_ever() {
-    for (cut_ms, stay) in [(15_500, true), (30_000, false)] {
+fn machines_of_isolated_zone_are_returned_only_after_long_isolation() {
+    for (isolation_ms, kept) in [(15_500, true), (30_000, false)] {
         let (mut before, mut left) = (0, 0);
         for seed in 1..=4 {
             let mut simulation = Simulation::sized(
                 seed,
-                CALM,
+                FAULT_FREE,
                 DisabledSafeguards::default(),
                 120,
                 90_000,
                 LARGE,
             );
             simulation.task_run_ms = 40_000;
-            simulation.isolate_zone_at(40_000, 40_000 + cut_ms, "a");
+            simulation.isolate_zone_at(40_000, 40_000 + isolation_ms, "a");
             simulation.run(40_000);
             let busy: Vec<String> = simulation
                 .workers
@@ -137,7 +147,7 @@
                 .filter(|(_, w)| w.zone == "a" && !w.tasks.is_empty())
                 .map(|(name, _)| name.clone())
                 .collect();
-            simulation.run(40_000 + cut_ms);
+            simulation.run(40_000 + isolation_ms);
             before += busy.len();
             left += busy
                 .iter()
@@ -145,24 +155,25 @@
                 .count();
         }
         assert!(before > 20, "{before}");
-        // A part with few machines of the zone cannot tell.
-        let most = before * 9 / 10;
+        // A shard with few machines in the zone cannot tell that the whole zone is isolated.
+        let expected = before * 9 / 10;
         assert!(
-            if stay { left >= most } else { left == 0 },
+            if kept { left >= expected } else { left == 0 },
             "{left} of {before}"
         );
     }
 }
 
-/// Guards against tasks that wait a lease and two reports more for machines that died while every controller was down:
-/// a new leader has never seen them in a list, so that it did not miss them.
+/// Guards against tasks that wait a lease and two heartbeats longer than necessary for machines that died while
+/// every controller was down. A new leader has never seen these machines in the cloud's list, so it did not notice
+/// that they were gone.
 #[test]
-fn machines_that_died_while_nobody_led_are_missed() {
+fn machines_lost_while_all_controllers_are_down_are_detected() {
     let mut waits = Vec::new();
     for seed in 1..=6 {
         let mut simulation = Simulation::sized(
             seed,
-            CALM,
+            FAULT_FREE,
             DisabledSafeguards::default(),
             120,
             90_000,
@@ -186,27 +197,28 @@
                 .map(|name| simulation.cloud.release_requested_at[name] - 40_000),
         );
     }
-    // Controllers are back after 0.5 to 9 s; a lease and two reports are 13 s.
+    // Controllers restart after 0.5 to 9 s. A lease and two heartbeat intervals take 13 s.
     let mean = waits.iter().sum::<u64>() / waits.len() as u64;
     assert!(waits.len() == 18 && mean < 12_500, "{mean}: {waits:?}");
 }
 
-/// Guards against an owner that no worker reaches and that, after a lease, returns all its machines, though others
-/// are reached by them: its part goes to one of those, and comes home afterwards.
+/// Guards against a shard leader that no worker reaches and that returns all its machines once their leases expire,
+/// although the workers reach other controllers. The shard must move to one of those, and return to its home member
+/// afterwards.
 #[test]
-fn a_part_goes_to_whom_its_machines_reach() {
+fn shard_moves_to_controller_that_its_workers_reach() {
     let mut expired = Vec::new();
     for seed in 1..=16 {
         let mut simulation = Simulation::sized(
             seed,
-            CALM,
+            FAULT_FREE,
             DisabledSafeguards::default(),
             120,
             90_000,
             LARGE,
         );
         simulation.block_workers_at(30_000, 70_000, seed as usize % snowshelf_simulation::NODES);
-        // Some of the days are all but over at their end.
+        // In some runs nearly all jobs have ended by 75 s, so the machines are counted before.
         simulation.run(30_000);
         assert!(
             simulation.workers.len() > 12,
@@ -218,29 +230,32 @@
         simulation.run(200_000);
         simulation.assert_rules_held(seed);
     }
-    // Without it some 15 leases ran out in a day, 60 in the first four. What runs out in a day varies between 0 and
-    // a dozen with what is drawn, so that four days say little of the mean, which is what is bounded: 5 a day.
+    // Without the handover about 15 leases expire per run, 60 in the first four. With it the number varies between
+    // 0 and a dozen by seed, so only the mean over all runs is bounded: 5 per run.
     let sum: u64 = expired.iter().map(|(n, _)| n).sum();
-    assert!(sum <= 80, "leases run out and machines: {expired:?}");
+    assert!(
+        sum <= 80,
+        "expired leases and machines per run: {expired:?}"
+    );
 }
 
-/// Guards against a part that stays with a controller which no worker reaches, as it took the part from another before
-/// it knew: none of the part's machines ever reported to it, so that it does not miss them.
+/// Guards against a shard that stays with a controller which no worker reaches. That controller took the shard over
+/// before it could know, none of the shard's machines ever sent it a heartbeat, and so it did not miss any.
 #[test]
-fn parts_go_past_controllers_that_no_worker_reaches_either() {
+fn shards_move_past_controllers_that_no_worker_reaches() {
     for seed in 1..=12u64 {
         let mut simulation = Simulation::sized(
             seed,
-            CALM,
+            FAULT_FREE,
             DisabledSafeguards::default(),
             120,
             90_000,
             LARGE,
         );
         simulation.task_run_ms = 20_000;
-        let alone = seed as usize % snowshelf_simulation::NODES;
+        let reachable = seed as usize % snowshelf_simulation::NODES;
         for i in 1..snowshelf_simulation::NODES {
-            let node = (alone + i) % snowshelf_simulation::NODES;
+            let node = (reachable + i) % snowshelf_simulation::NODES;
             simulation.block_workers_at(30_000 + 400 * i as u64 * (seed % 5), 70_000, node);
         }
         simulation.run(30_000);
@@ -250,25 +265,28 @@
             simulation.workers.len()
         );
         simulation.run(55_000);
-        let owners = simulation.kv_store.shard_leaders();
-        let name = format!("n{alone}");
-        assert!(owners.iter().all(|o| *o == name), "seed {seed}: {owners:?}");
-        // Beyond the others' return; the jobs, of 20 s and in chains, last longer.
+        let leaders = simulation.kv_store.shard_leaders();
+        let expected = format!("n{reachable}");
+        assert!(
+            leaders.iter().all(|l| *l == expected),
+            "seed {seed}: {leaders:?}"
+        );
+        // The other controllers return before this time. The jobs (20 s each, in dependency chains) take longer.
         simulation.run(110_000);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// One controller left alone takes all parts and goes on with everything, within its share of the budgets, and
-/// gives the parts back afterwards: no rule is broken, and the leases that run out are those of workers that had
-/// two others to try first, 4 s each, of the 10 s that a lease lasts here.
+/// The sole reachable controller takes over all shards, serves them within its share of the request rates, and
+/// hands them back afterwards. No rule is broken. Leases expire only for workers that tried both other controllers
+/// first, which takes 4 s each of the 10 s lease.
 #[test]
-fn one_controller_left_alone_takes_all_parts() {
+fn sole_reachable_controller_leads_all_shards() {
     let (mut expired, mut machines) = (0, 0);
     for seed in 1..=3 {
         let mut simulation = Simulation::sized(
             seed,
-            CALM,
+            FAULT_FREE,
             DisabledSafeguards::default(),
             120,
             90_000,
@@ -283,37 +301,37 @@
         machines += simulation.workers.len() as u64;
         let before = simulation.lease_expirations();
         simulation.run(60_000);
-        let owners = simulation.kv_store.shard_leaders();
-        assert_eq!(owners.len(), snowshelf_simulation::NODES, "seed {seed}");
+        let leaders = simulation.kv_store.shard_leaders();
+        assert_eq!(leaders.len(), snowshelf_simulation::NODES, "seed {seed}");
         assert!(
-            owners.iter().all(|o| *o == owners[0]),
-            "seed {seed}: {owners:?}"
+            leaders.iter().all(|l| *l == leaders[0]),
+            "seed {seed}: {leaders:?}"
         );
         expired += simulation.lease_expirations() - before;
-        // Beyond the others' return; the jobs, of 40 s and in chains, last longer.
+        // The other controllers return before this time. The jobs (40 s each, in dependency chains) take longer.
         simulation.run(110_000);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
     assert!(
         machines > 60 && expired * 2 < machines,
-        "{expired} leases ran out on {machines} machines"
+        "{expired} leases expired on {machines} machines"
     );
 }
 
 #[test]
-fn a_day_follows_from_its_seed() {
+fn simulation_is_deterministic_for_a_seed() {
     let (a, b) = (1..=2)
-        .map(|_| play(5, STORM, DisabledSafeguards::default(), 120_000))
+        .map(|_| run_simulation(5, FAULTY, DisabledSafeguards::default(), 120_000))
         .map(|w| (w.task_starts, w.kv_store.revision, w.settled_jobs()))
         .fold((None, None), |(_, b), x| (b, Some(x)));
     assert_eq!(a, b);
 }
 
-/// Guards against a part that holds only tasks its machines can never run and therefore claimed
-/// nothing from the others, each of which could have run the other's: every job stood still.
+/// Guards against a deadlock between shards: each holds only tasks that its own machines can never run, and claims
+/// none from the others, although each could run the other's tasks.
 #[test]
-fn parts_exchange_what_their_machines_cannot_run() {
-    let simulation = play(12, STORM, DisabledSafeguards::default(), 280_000);
+fn shards_exchange_jobs_that_their_machines_cannot_run() {
+    let simulation = run_simulation(12, FAULTY, DisabledSafeguards::default(), 280_000);
     assert_eq!(
         simulation.settled_jobs(),
         simulation.users.len(),
@@ -322,30 +340,34 @@
     );
 }
 
-/// The checker can fail: without a safeguard some seed shows a broken rule.
-fn finds_something(safeguards: DisabledSafeguards) -> bool {
-    (1..=60).any(|seed| !play(seed, STORM, safeguards, 200_000).violations.is_empty())
+/// Whether any seed shows a broken rule with these safeguards disabled.
+fn finds_violation(safeguards: DisabledSafeguards) -> bool {
+    (1..=60).any(|seed| {
+        !run_simulation(seed, FAULTY, safeguards, 200_000)
+            .violations
+            .is_empty()
+    })
 }
 
 #[test]
-fn without_conditions_in_transactions_a_rule_breaks() {
-    assert!(finds_something(DisabledSafeguards {
+fn rule_checks_find_violation_without_txn_conditions() {
+    assert!(finds_violation(DisabledSafeguards {
         ignore_txn_conditions: true,
         ..DisabledSafeguards::default()
     }));
 }
 
 #[test]
-fn with_needs_that_are_not_told_a_rule_breaks() {
-    assert!(finds_something(DisabledSafeguards {
+fn rule_checks_find_violation_when_dependencies_are_dropped() {
+    assert!(finds_violation(DisabledSafeguards {
         drop_dependencies: true,
         ..DisabledSafeguards::default()
     }));
 }
 
 #[test]
-fn with_returns_that_are_not_carried_out_a_rule_breaks() {
-    assert!(finds_something(DisabledSafeguards {
+fn rule_checks_find_violation_when_machine_returns_are_ignored() {
+    assert!(finds_violation(DisabledSafeguards {
         ignore_machine_returns: true,
         ..DisabledSafeguards::default()
     }));
