--- a/tests/renting.rs
+++ b/tests/autoscaler_plan.rs
@@ -1,4 +1,5 @@
-//! The leader's plan, machines in groups, against a plain scan of every machine for every want.
+//! The autoscaler's plan, which groups machines, compared with a reference that scans every machine for every
+//! demand.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -7,7 +8,7 @@
 use snowshelf_model::records::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn room(cpus: u32, mem: u32) -> Resources {
+fn resources(cpus: u32, mem: u32) -> Resources {
     Resources {
         cpus: f64::from(cpus),
         gpus: 0.0,
@@ -44,7 +45,7 @@
     })
 }
 
-fn want() -> impl Strategy<Value = TaskDemand> {
+fn task_demand() -> impl Strategy<Value = TaskDemand> {
     let of = prop_oneof![
         Just(None),
         Just(Some(vec!["s".to_string()])),
@@ -58,7 +59,7 @@
     let size = (1..6u32, 1..20u32, 0..60u32, 0..3u32);
     (size, of, zone, any::<bool>(), closed_pools).prop_map(
         |((cpus, mem, tasks, late), types, zone, spot, closed_pools)| TaskDemand {
-            resources: room(cpus, mem),
+            resources: resources(cpus, mem),
             tasks,
             over_quota_cpu_s: 0.0,
             types,
@@ -71,30 +72,34 @@
     )
 }
 
-/// What the plan was before machines were grouped.
+/// Computes the plan by scanning all machines.
 #[expect(
     clippy::too_many_lines,
     reason = "the reference model stands in one place"
 )]
-fn plain(
-    wants: &[TaskDemand],
+fn reference_plan(
+    demands: &[TaskDemand],
     mut have: Vec<MachineSupply>,
     types: &BTreeMap<String, MachineType>,
     refused: &BTreeSet<Pool>,
 ) -> BTreeMap<Pool, u32> {
-    let allows = |want: &TaskDemand, pool: &Pool| {
-        want.types.as_ref().is_none_or(|t| t.contains(&pool.model))
-            && want.zone.as_ref().is_none_or(|z| *z == pool.zone)
-            && (want.spot || !pool.spot)
-            && !want
+    let allows = |demand: &TaskDemand, pool: &Pool| {
+        demand
+            .types
+            .as_ref()
+            .is_none_or(|t| t.contains(&pool.model))
+            && demand.zone.as_ref().is_none_or(|z| *z == pool.zone)
+            && (demand.spot || !pool.spot)
+            && !demand
                 .closed_pools
                 .iter()
                 .any(|closed| closed.zone == pool.zone && closed.model == pool.model)
     };
-    let unit = |want: &TaskDemand, t: &MachineType, spot| match want.resources.count_in(t.room()) {
-        0 => None,
-        per => Some(t.price(spot) / f64::from(per)),
-    };
+    let unit =
+        |demand: &TaskDemand, t: &MachineType, spot| match demand.resources.count_in(t.room()) {
+            0 => None,
+            per => Some(t.price(spot) / f64::from(per)),
+        };
     let mut pools = Vec::new();
     for t in types.values() {
         for zone in &t.zones {
@@ -109,31 +114,31 @@
     }
     pools.retain(|p| !refused.contains(p));
     let mut rent: BTreeMap<Pool, u32> = BTreeMap::new();
-    let mut order: Vec<&TaskDemand> = wants.iter().collect();
+    let mut order: Vec<&TaskDemand> = demands.iter().collect();
     order.sort_by_key(|w| (w.spot, w.types.is_none(), w.zone.is_none()));
     have.sort_by_key(|h| !h.pool.spot);
     let mut backlog = 0.0;
-    for want in order {
-        let (mut left, mut reach) = (want.tasks, 0.0);
-        for h in have.iter_mut().filter(|h| allows(want, &h.pool)) {
-            let n = want.resources.count_in(h.free).min(left);
-            h.free.sub(want.resources.times(f64::from(n)));
+    for demand in order {
+        let (mut left, mut reach) = (demand.tasks, 0.0);
+        for h in have.iter_mut().filter(|h| allows(demand, &h.pool)) {
+            let n = demand.resources.count_in(h.free).min(left);
+            h.free.sub(demand.resources.times(f64::from(n)));
             left -= n;
             reach += types[&h.pool.model].cpus;
         }
         let of = types
             .values()
-            .filter(|t| want.types.as_ref().is_none_or(|l| l.contains(&t.label)));
+            .filter(|t| demand.types.as_ref().is_none_or(|l| l.contains(&t.label)));
         let cheapest = of
-            .filter_map(|t| unit(want, t, want.spot))
+            .filter_map(|t| unit(demand, t, demand.spot))
             .fold(f64::INFINITY, f64::min);
         while left > 0 {
-            let usable = pools
-                .iter()
-                .filter(|p| allows(want, p) && want.resources.count_in(types[&p.model].room()) > 0);
+            let usable = pools.iter().filter(|p| {
+                allows(demand, p) && demand.resources.count_in(types[&p.model].room()) > 0
+            });
             let price = |p: &Pool| {
                 let t = &types[&p.model];
-                t.price(p.spot) / f64::from(want.resources.count_in(t.room()).min(left))
+                t.price(p.spot) / f64::from(demand.resources.count_in(t.room()).min(left))
             };
             let rented = |p: &Pool| rent.get(p).copied().unwrap_or(0);
             let best = usable.min_by(|a, b| {
@@ -144,21 +149,22 @@
             let Some(pool) = best.cloned() else { break };
             let t = &types[&pool.model];
             let work = backlog
-                + want.over_quota_cpu_s
-                + f64::from(left) * want.resources.cpus * want.estimate_s;
-            let dear = unit(want, t, pool.spot).is_none_or(|u| u > 1.5 * cheapest);
-            if dear && want.patience_s > 0.0 && work <= reach * want.patience_s {
+                + demand.over_quota_cpu_s
+                + f64::from(left) * demand.resources.cpus * demand.estimate_s;
+            let dear = unit(demand, t, pool.spot).is_none_or(|u| u > 1.5 * cheapest);
+            if dear && demand.patience_s > 0.0 && work <= reach * demand.patience_s {
                 break;
             }
-            let n = want.resources.count_in(t.room()).min(left);
+            let n = demand.resources.count_in(t.room()).min(left);
             let mut free = t.room();
-            free.sub(want.resources.times(f64::from(n)));
+            free.sub(demand.resources.times(f64::from(n)));
             reach += t.cpus;
             left -= n;
             *rent.entry(pool.clone()).or_default() += 1;
             have.push(MachineSupply { pool, free });
         }
-        backlog += want.over_quota_cpu_s + f64::from(left) * want.resources.cpus * want.estimate_s;
+        backlog +=
+            demand.over_quota_cpu_s + f64::from(left) * demand.resources.cpus * demand.estimate_s;
     }
     rent
 }
@@ -172,10 +178,10 @@
         ..Config::default()
     })]
 
-    /// Guards against a plan that rents something else because it looks at groups of machines, not at each.
+    /// Guards against a plan that rents other machines because it looks at groups instead of single machines.
     #[test]
-    fn what_is_rented_is_what_a_scan_of_all_machines_rents(
-        wants in prop::collection::vec(want(), 0..12),
+    fn plan_matches_a_reference_that_scans_every_machine(
+        demands in prop::collection::vec(task_demand(), 0..12),
         machines in prop::collection::vec((pool(), 0..9u32), 0..30),
         refused in prop::collection::btree_set(pool(), 0..3),
     ) {
@@ -183,14 +189,14 @@
         let have = || {
             let have = machines.iter().map(|(pool, taken)| {
                 let mut free = types[&pool.model].room();
-                free.sub(room(*taken, 2 * taken));
+                free.sub(resources(*taken, 2 * taken));
                 MachineSupply { pool: pool.clone(), free }
             });
             have.collect::<Vec<MachineSupply>>()
         };
         prop_assert_eq!(
-            plan(&wants, have(), &types, &refused),
-            plain(&wants, have(), &types, &refused)
+            plan(&demands, have(), &types, &refused),
+            reference_plan(&demands, have(), &types, &refused)
         );
     }
 }
--- a/tests/capacity_fault_combinations.rs
+++ b/tests/capacity_fault_combinations.rs
@@ -11,7 +11,7 @@
 /// End of the simulation. Every user must have been told the end of the job by then.
 const END_MS: u64 = 420_000;
 
-/// Jobs of a simulation, with the CPU team_limit of each team and the number of machines in each machines_per_pool.
+/// Jobs of a simulation, with the CPU limit of each team and the number of machines in each pool.
 struct Workload {
     team_limit: f64,
     machines_per_pool: usize,
--- a/tests/running.rs
+++ b/tests/dag_runs.rs
@@ -1,4 +1,4 @@
-//! Runs of graphs in the stand-in world, with whole controllers.
+//! DAG runs in simulations of whole controllers.
 
 use serde_json::json;
 use snowshelf_dag::graph::{Graph, Schedule};
@@ -10,12 +10,12 @@
 };
 use std::collections::BTreeMap;
 
-const CALM: SimulationConditions = SimulationConditions {
+const FAULT_FREE: SimulationConditions = SimulationConditions {
     graphs: true,
     ..SimulationConditions::FAULT_FREE
 };
 
-const STORM: SimulationConditions = SimulationConditions {
+const FAULTY: SimulationConditions = SimulationConditions {
     graphs: true,
     ..SimulationConditions::FAULTY
 };
@@ -33,7 +33,7 @@
     )
 }
 
-fn harvest(run: &str) -> Asked {
+fn sample_run(run: &str) -> Asked {
     let graph: Graph = serde_json::from_value(json!({
         "name": "harvest",
         "defaults": {"retries": 1, "job": {"class": "c", "team": "red", "cpus": 1.0, "mem_gb": 1.0,
@@ -70,7 +70,7 @@
     job.submission.job.as_str().to_string()
 }
 
-fn done(simulation: &Simulation, job: &str) -> bool {
+fn is_reported_done(simulation: &Simulation, job: &str) -> bool {
     simulation
         .users
         .iter()
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn a_run_goes_through_and_its_steps_keep_their_order() {
-    let mut simulation = simulation(1, CALM, 4);
-    let run = simulation.add_run(8_000, &harvest("r1"));
+fn run_succeeds_and_skips_step_whose_trigger_is_not_met() {
+    let mut simulation = simulation(1, FAULT_FREE, 4);
+    let run = simulation.add_run(8_000, &sample_run("r1"));
     simulation.run(120_000);
     assert_eq!(simulation.violations, Vec::<String>::new());
     let runner = &simulation.run_clients[run];
@@ -91,18 +91,24 @@
         simulation.describe_unsettled()
     );
     assert_eq!(runner.counts, json!({"success": 9, "skipped": 1}));
-    assert!(!done(&simulation, &job_of(&simulation, run, "alarm", None)));
-    assert!(done(&simulation, &job_of(&simulation, run, "last", None)));
+    assert!(!is_reported_done(
+        &simulation,
+        &job_of(&simulation, run, "alarm", None)
+    ));
+    assert!(is_reported_done(
+        &simulation,
+        &job_of(&simulation, run, "last", None)
+    ));
 }
 
-/// A step that fails wherever it starts fails for good after its retries; what waits below it never
-/// runs, what runs however it ends does, and nothing else is cancelled.
+/// A step that fails on every machine fails permanently after its retries. Steps that require its success never
+/// run, steps that run regardless of the outcome do, and nothing else is cancelled.
 #[test]
-fn a_failed_step_stops_what_waits_below_it() {
-    let mut simulation = simulation(2, CALM, 4);
-    let run = simulation.add_run(8_000, &harvest("r1"));
-    let bad = job_of(&simulation, run, "weigh", Some(2));
-    simulation.failing_jobs.insert(bad.clone());
+fn failed_step_prevents_only_steps_that_depend_on_its_success() {
+    let mut simulation = simulation(2, FAULT_FREE, 4);
+    let run = simulation.add_run(8_000, &sample_run("r1"));
+    let failing_job = job_of(&simulation, run, "weigh", Some(2));
+    simulation.failing_jobs.insert(failing_job.clone());
     simulation.run(200_000);
     assert_eq!(simulation.violations, Vec::<String>::new());
     let runner = &simulation.run_clients[run];
@@ -124,7 +130,7 @@
         .collect();
     let sheet = job_of(&simulation, run, "sheet", None);
     assert!(
-        cancelled.iter().all(|j| *j == bad
+        cancelled.iter().all(|j| *j == failing_job
             || *j == sheet
             || simulation
                 .users
@@ -133,19 +139,19 @@
         "{cancelled:?}"
     );
     assert!(
-        done(&simulation, &job_of(&simulation, run, "alarm", None))
-            && done(&simulation, &job_of(&simulation, run, "tell", None))
+        is_reported_done(&simulation, &job_of(&simulation, run, "alarm", None))
+            && is_reported_done(&simulation, &job_of(&simulation, run, "tell", None))
     );
 }
 
-/// A controller is killed after each single write of a run, from its first piece to its end: whoever takes
-/// over goes on, and nothing is doubled or left out.
+/// Guards against steps that are duplicated or omitted after a failover. A controller crashes after each single
+/// write of a run, from its first record to its end.
 #[test]
-fn a_run_survives_a_kill_after_any_write() {
+fn run_survives_controller_crash_after_any_write() {
     let mut after = 0;
     loop {
-        let mut simulation = simulation(11, CALM, 0);
-        let run = simulation.add_run(8_000, &harvest("r1"));
+        let mut simulation = simulation(11, FAULT_FREE, 0);
+        let run = simulation.add_run(8_000, &sample_run("r1"));
         simulation.run(7_900);
         simulation.crash_after_writes = Some(after);
         simulation.run(200_000);
@@ -163,7 +169,7 @@
             "after {after}"
         );
         if simulation.crash_after_writes.is_some() {
-            // There were not so many writes.
+            // The run has fewer writes.
             break;
         }
         after += 1;
@@ -171,22 +177,23 @@
     assert!(after > 30, "{after}");
 }
 
-/// What failed is run again, and what it held up, and nothing that had succeeded; in storms too.
+/// A rerun repeats the failed steps and those that depend on them, and no step that has succeeded, also under
+/// faults.
 #[test]
-fn only_what_did_not_succeed_is_run_again() {
+fn rerun_repeats_only_steps_that_did_not_succeed() {
     for (seed, conditions) in [
-        (2, CALM),
-        (3, STORM),
-        (4, STORM),
-        (5, STORM),
-        (6, STORM),
-        (7, STORM),
-        (8, STORM),
+        (2, FAULT_FREE),
+        (3, FAULTY),
+        (4, FAULTY),
+        (5, FAULTY),
+        (6, FAULTY),
+        (7, FAULTY),
+        (8, FAULTY),
     ] {
         let mut simulation = simulation(seed, conditions, 2);
-        let run = simulation.add_run(8_000, &harvest("r1"));
-        let bad = job_of(&simulation, run, "weigh", Some(2));
-        simulation.failing_jobs.insert(bad);
+        let run = simulation.add_run(8_000, &sample_run("r1"));
+        let failing_job = job_of(&simulation, run, "weigh", Some(2));
+        simulation.failing_jobs.insert(failing_job);
         while !simulation.run_clients[run].ended() && simulation.now < 300_000 {
             let until = simulation.now + 1_000;
             simulation.run(until);
@@ -206,7 +213,7 @@
             .collect();
         let again = Asked {
             after: vec!["r1".to_string()],
-            ..harvest("r2")
+            ..sample_run("r2")
         };
         let next = simulation.rerun(simulation.now, run, &again);
         simulation.run(600_000);
@@ -224,58 +231,61 @@
             );
         }
         assert!(
-            done(&simulation, &job_of(&simulation, next, "weigh", Some(2))),
+            is_reported_done(&simulation, &job_of(&simulation, next, "weigh", Some(2))),
             "seed {seed}"
         );
         assert!(
-            done(&simulation, &job_of(&simulation, next, "sheet", None)),
+            is_reported_done(&simulation, &job_of(&simulation, next, "sheet", None)),
             "seed {seed}"
         );
     }
 }
 
-/// A step that is to wait before it is tried again does.
 #[test]
-fn a_failed_step_waits_before_it_is_tried_again() {
-    let ended = |pause_s: f64| {
-        let mut simulation = simulation(3, CALM, 0);
-        let mut asked = harvest("r1");
-        asked.graph.steps.truncate(1);
-        asked.graph.steps[0].job.tasks = None;
-        asked.graph.defaults.retries = Some(2);
-        asked.graph.defaults.retry_delay_s = Some(pause_s);
-        let run = simulation.add_run(8_000, &asked);
-        let bad = job_of(&simulation, run, "tally", None);
-        simulation.failing_jobs.insert(bad);
+fn failed_step_waits_for_its_retry_delay() {
+    let end_of_run = |delay_s: f64| {
+        let mut simulation = simulation(3, FAULT_FREE, 0);
+        let mut request = sample_run("r1");
+        request.graph.steps.truncate(1);
+        request.graph.steps[0].job.tasks = None;
+        request.graph.defaults.retries = Some(2);
+        request.graph.defaults.retry_delay_s = Some(delay_s);
+        let run = simulation.add_run(8_000, &request);
+        let failing_job = job_of(&simulation, run, "tally", None);
+        simulation.failing_jobs.insert(failing_job);
         simulation.run(300_000);
         assert_eq!(simulation.violations, Vec::<String>::new());
         assert_eq!(simulation.run_clients[run].state, "failed");
         simulation.run_clients[run].ended_at.unwrap()
     };
-    let (at_once, later) = (ended(0.0), ended(60.0));
-    // Without a pause it waits for another machine than that on which it failed, some 30 s each time.
+    let (without_delay, with_delay) = (end_of_run(0.0), end_of_run(60.0));
+    // Without a delay it still waits for a machine other than the one on which it failed, about 30 s each time.
     assert!(
-        later > at_once + 40_000 && later < at_once + 110_000,
-        "{at_once} {later}"
+        with_delay > without_delay + 40_000 && with_delay < without_delay + 110_000,
+        "{without_delay} {with_delay}"
     );
 }
 
-/// The same work as a graph and as jobs of a user's own: the same results, and about the same times. Machines
-/// boot as luck has it, so that single days say little: 27 to 38 s either way.
+/// The same work as a graph and as jobs that a user submits has the same results and takes about as long. Boot
+/// times are random, and single runs take 27 to 38 s either way, so the means of several runs are compared.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_graph_does_as_native_jobs_do() {
+fn graph_takes_about_as_long_as_native_jobs() {
     let ends = |native: bool, seed: u64| -> (bool, u64) {
-        let mut simulation = simulation(seed, CALM, 0);
-        let mut asked = harvest("r1");
-        asked
+        let mut simulation = simulation(seed, FAULT_FREE, 0);
+        let mut request = sample_run("r1");
+        request
             .graph
             .steps
             .retain(|s| s.trigger == Default::default());
         if native {
-            let plan =
-                snowshelf_dag::plan::expand(&asked.graph, &asked.mapping, &asked.facts(), "g")
-                    .unwrap();
+            let plan = snowshelf_dag::plan::expand(
+                &request.graph,
+                &request.mapping,
+                &request.facts(),
+                "g",
+            )
+            .unwrap();
             for job in &plan.jobs {
                 simulation.add_user(
                     8_000,
@@ -287,19 +297,19 @@
                 user.job = job.submission.job.as_str().to_string();
             }
         } else {
-            simulation.add_run(8_000, &asked);
+            simulation.add_run(8_000, &request);
         }
         let mut at = 8_000;
         while at < 120_000 {
             at += 100;
             simulation.run(at);
-            let all = simulation.users.iter().all(|u| {
+            let all_completed = simulation.users.iter().all(|u| {
                 simulation
                     .completed_tasks
                     .get(&u.job)
                     .is_some_and(|f| f.len() == u.tasks as usize)
             });
-            if all {
+            if all_completed {
                 break;
             }
         }
@@ -312,47 +322,47 @@
             at,
         )
     };
-    const DAYS: u64 = 12;
+    const RUNS: u64 = 12;
     let mean = |native: bool| {
-        let (all, sum) = (1..=DAYS)
+        let (all_completed, sum) = (1..=RUNS)
             .map(|seed| ends(native, seed))
-            .fold((true, 0), |(all, sum), (ended, at)| {
-                (all && ended, sum + at)
+            .fold((true, 0), |(all_completed, sum), (ended, at)| {
+                (all_completed && ended, sum + at)
             });
-        assert!(all);
-        sum / DAYS
+        assert!(all_completed);
+        sum / RUNS
     };
     let (a, b) = (mean(false), mean(true));
-    // Users submit a pipeline level by level, each when they have heard of the one before.
+    // Users submit a pipeline level by level, each level after the response about the previous one.
     assert!(
         a < b + 2_000 && b < a + 8_000,
         "{a} ms as a graph, {b} ms natively"
     );
 }
 
-/// Guards against runs that are lost, doubled, or that stand still because their controller is gone, in the
-/// midst of being written, expanded, failed or cancelled.
+/// Guards against runs that are lost, duplicated or stuck because their controller crashed while it wrote,
+/// expanded, failed or cancelled them.
 #[test]
-fn runs_end_in_storms() {
+fn runs_end_under_faults() {
     let mut ended: BTreeMap<String, u32> = BTreeMap::new();
     for seed in 1..=40 {
         let conditions = SimulationConditions {
             rolling_update: seed % 4 == 0,
-            ..STORM
+            ..FAULTY
         };
         let mut simulation = simulation(seed, conditions, 6);
         for n in 0..3 {
-            let run = simulation.add_run(4_000 + 9_000 * n, &harvest(&format!("r{n}")));
+            let run = simulation.add_run(4_000 + 9_000 * n, &sample_run(&format!("r{n}")));
             if n == 1 {
                 simulation.run_clients[run].cancel_at = Some(15_000 + 1_000 * (seed % 20));
             }
             if n == 2 && seed % 2 == 0 {
-                let bad = job_of(&simulation, run, "weigh", Some(1));
-                simulation.failing_jobs.insert(bad);
+                let failing_job = job_of(&simulation, run, "weigh", Some(1));
+                simulation.failing_jobs.insert(failing_job);
             }
         }
-        // A step that fails everywhere is tried by each part that claims its job, after pauses of up to half a
-        // minute and on a machine rented anew: seed 30 needs over 400 s.
+        // A step that fails on every machine is retried by each shard that claims its job, after delays of up to
+        // half a minute and on a newly rented machine. This can take more than 400 s (seed 30).
         simulation.run(600_000);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
         for runner in &simulation.run_clients {
@@ -370,7 +380,7 @@
                 .all(|u| u.completion_reported || u.cancel_reported_at.is_some()),
             "seed {seed}"
         );
-        // A cancelled run leaves nothing behind.
+        // A cancelled run leaves no tasks running.
         for runner in simulation
             .run_clients
             .iter()
@@ -392,18 +402,18 @@
     }
 }
 
-/// Guards against a run larger than what the state service takes at once: its limits shrink to 768 bytes
-/// a value and 4 changes a transaction before the run is begun.
+/// Guards against a run that exceeds the limits of the key-value store. They are reduced to 768 bytes per value and
+/// 4 changes per transaction before the run begins.
 #[test]
-fn a_large_run_goes_in_pieces() {
+fn large_run_is_written_in_several_records() {
     let conditions = SimulationConditions {
         rolling_update: true,
-        ..CALM
+        ..FAULT_FREE
     };
     let mut simulation = simulation(6, conditions, 0);
-    let mut asked = harvest("large");
-    let step = asked.graph.steps[0].clone();
-    asked.graph.steps = (0..240)
+    let mut request = sample_run("large");
+    let step = request.graph.steps[0].clone();
+    request.graph.steps = (0..240)
         .map(|i| snowshelf_dag::graph::Step {
             id: format!("step-{i}"),
             after: (i >= 12)
@@ -419,7 +429,7 @@
         })
         .collect();
     simulation.task_run_ms = 500;
-    let run = simulation.add_run(90_000, &asked);
+    let run = simulation.add_run(90_000, &request);
     simulation.run(600_000);
     assert_eq!(simulation.violations, Vec::<String>::new());
     assert_eq!(
@@ -430,26 +440,27 @@
     assert_eq!(simulation.run_clients[run].counts, json!({"success": 240}));
 }
 
-/// Guards against intervals that are left out, or run twice, by takeovers, outages, a roll, or clocks that
-/// differ: each has one run, which begins when it is over by every clock, in the storms and after them.
+/// Guards against schedule intervals that are omitted or run twice because of failovers, outages, a rolling update
+/// or clock skew. Each interval has one run, which begins when the interval has ended by every clock, during the
+/// faults and afterwards.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn every_interval_has_one_run() {
+fn every_schedule_interval_has_one_run() {
     for seed in 1..=24 {
         let conditions = SimulationConditions {
             rolling_update: seed % 4 == 0,
-            ..STORM
+            ..FAULTY
         };
         let mut simulation = simulation(seed, conditions, 2);
-        let mut asked = harvest("kept");
-        asked.graph.name = "clock".to_string();
-        asked.graph.steps.truncate(1);
-        asked.graph.catch_up = seed % 3 != 0;
-        asked.graph.schedule = Some(Schedule::EveryS(7.0));
-        let began = (WALL_CLOCK_START_MS / 1000) as i64;
-        let start = jiff::Timestamp::from_second(began + 4).unwrap();
-        asked.graph.start = Some(start.to_string());
-        // The runs' jobs are nobody's in this world.
+        let mut request = sample_run("kept");
+        request.graph.name = "clock".to_string();
+        request.graph.steps.truncate(1);
+        request.graph.catch_up = seed % 3 != 0;
+        request.graph.schedule = Some(Schedule::EveryS(7.0));
+        let simulation_start_s = (WALL_CLOCK_START_MS / 1000) as i64;
+        let start = jiff::Timestamp::from_second(simulation_start_s + 4).unwrap();
+        request.graph.start = Some(start.to_string());
+        // The scheduled runs have no client in the simulation, so their jobs are registered as expected.
         for n in 0..40 {
             let from = start
                 .checked_add(jiff::SignedDuration::from_secs(7 * n))
@@ -460,11 +471,11 @@
                 until: from
                     .checked_add(jiff::SignedDuration::from_secs(7))
                     .unwrap(),
-                ..asked.clone()
+                ..request.clone()
             };
             simulation.expect_run(&run);
         }
-        simulation.store_graph(5_000, &asked);
+        simulation.store_graph(5_000, &request);
         simulation.run(200_000);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
         let dump = simulation.kv_store.dump();
@@ -490,13 +501,13 @@
             })
             .collect();
         for (run, at) in &runs {
-            let over = due
+            let interval_end = due
                 .iter()
                 .find(|(r, _)| r == run)
-                .map(|(_, over)| WALL_CLOCK_START_MS + over);
-            // The clock that told it may be fast by as much as clocks may differ.
+                .map(|(_, interval_end)| WALL_CLOCK_START_MS + interval_end);
+            // The clock of the controller that began the run may be fast by up to the maximum skew.
             assert!(
-                over.is_none_or(|over| *at >= over + MAX_CLOCK_SKEW_MS),
+                interval_end.is_none_or(|interval_end| *at >= interval_end + MAX_CLOCK_SKEW_MS),
                 "seed {seed}: {run} at {at}"
             );
         }
@@ -504,59 +515,61 @@
             .iter()
             .filter(|(run, _)| !runs.contains_key(run))
             .count();
-        let told: u64 = dump
+        let reported_missed: u64 = dump
             .iter()
             .filter_map(|line| line.strip_prefix("graph/clock@")?.split_once(' '))
             .filter_map(|(_, value)| {
                 serde_json::from_str::<serde_json::Value>(value).ok()?["missed"].as_u64()
             })
             .sum();
-        if asked.graph.catch_up {
-            assert_eq!((missing, told), (0, 0), "seed {seed}: {runs:?}");
+        if request.graph.catch_up {
+            assert_eq!((missing, reported_missed), (0, 0), "seed {seed}: {runs:?}");
         } else {
-            // Those before it was kept are not missed; all others are there or told.
+            // Intervals before the graph was stored are not missed. All others have a run or are reported as
+            // missed.
             let before = due
                 .iter()
                 .filter(|(run, _)| runs.keys().next().is_some_and(|first| run < first))
                 .count() as u64;
             assert!(
-                missing as u64 - before.min(missing as u64) <= told && told <= missing as u64,
-                "seed {seed}: {missing} missing, {told} told"
+                missing as u64 - before.min(missing as u64) <= reported_missed
+                    && reported_missed <= missing as u64,
+                "seed {seed}: {missing} missing, {reported_missed} reported"
             );
             assert!(runs.len() > 15, "seed {seed}: {}", runs.len());
         }
     }
 }
 
-/// A user's own job that happens to have the name of a run's is never taken for the run's, nor cancelled
-/// with it.
+/// Guards against treating a user's job as a job of a run because it has the same id, or cancelling it with the
+/// run.
 #[test]
-fn a_users_own_job_is_never_the_runs() {
-    let mut simulation = simulation(4, CALM, 0);
+fn user_job_with_the_id_of_a_run_job_is_not_part_of_the_run() {
+    let mut simulation = simulation(4, FAULT_FREE, 0);
     simulation.task_run_ms = 20_000;
-    let asked = harvest("r1");
-    let plan =
-        snowshelf_dag::plan::expand(&asked.graph, &asked.mapping, &asked.facts(), "g").unwrap();
-    let theirs = plan.jobs[0].submission.job.as_str().to_string();
+    let request = sample_run("r1");
+    let plan = snowshelf_dag::plan::expand(&request.graph, &request.mapping, &request.facts(), "g")
+        .unwrap();
+    let user_job = plan.jobs[0].submission.job.as_str().to_string();
     simulation.add_user(
         3_000,
-        json!({"Ref": theirs, "Tarefas": 2, "Cuadrilla": "blue"}),
+        json!({"Ref": user_job, "Tarefas": 2, "Cuadrilla": "blue"}),
     );
-    simulation.users[0].job = theirs.clone();
-    let run = simulation.add_run(15_000, &asked);
-    // Who asks for the run's job of that name is told of the user's.
+    simulation.users[0].job = user_job.clone();
+    let run = simulation.add_run(15_000, &request);
+    // Polls for the run's job with this id return the user's job.
     simulation.users[1].tasks = 2;
     simulation.run_clients[run].cancel_at = Some(20_000);
     simulation.run(30_000);
     simulation.run(150_000);
     assert!(
-        done(&simulation, &theirs),
+        is_reported_done(&simulation, &user_job),
         "{:?} {:?}",
         simulation.violations,
         simulation.describe_unsettled()
     );
     assert!(
-        simulation.violations.iter().all(|b| !b.contains(&theirs)),
+        simulation.violations.iter().all(|b| !b.contains(&user_job)),
         "{:?}",
         simulation.violations
     );
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions as pure functions, each test named after the failure it guards against.
+//! Unit tests of decisions that are pure functions: autoscaling, placement, partitioning, rate limits and feature
+//! activation.
 
 use snowshelf::coordination::api::partition;
 use snowshelf::coordination::autoscaler::{MachineSupply, Pool, TaskDemand, plan};
@@ -39,7 +40,7 @@
     (label.into(), t)
 }
 
-fn want(tasks: u32, spot: bool) -> TaskDemand {
+fn task_demand(tasks: u32, spot: bool) -> TaskDemand {
     TaskDemand {
         closed_pools: Vec::new(),
         resources: Resources {
@@ -57,7 +58,7 @@
     }
 }
 
-fn pool_room() -> Resources {
+fn machine_capacity() -> Resources {
     Resources {
         cpus: 8.0,
         gpus: 0.0,
@@ -73,57 +74,63 @@
     }
 }
 
-/// Guards against renting dear machines for a backlog that cheap ones clear in time.
+/// Guards against renting expensive on-demand machines for a backlog that spot machines clear in time.
 #[test]
-fn dear_machines_are_rented_only_for_what_would_wait_too_long() {
+fn plan_rents_on_demand_machines_only_for_a_long_backlog() {
     let types: BTreeMap<_, _> = [machine_type("s", 8.0, 0.8, Some(0.2))].into();
     let have = || {
         (0..4)
             .map(|_| MachineSupply {
                 pool: pool(true),
-                free: pool_room(),
+                free: machine_capacity(),
             })
             .collect::<Vec<_>>()
     };
-    let no_spot: BTreeSet<Pool> = [pool(true)].into();
-    // 32 CPUs clear 16 tasks at once and 4 more within seconds: nothing dear.
-    assert!(plan(&[want(20, true)], have(), &types, &no_spot).is_empty());
-    // Six hundred tasks of ten seconds would wait for minutes.
-    assert!(plan(&[want(600, true)], have(), &types, &no_spot).contains_key(&pool(false)));
-    // So would twenty behind what the team's limit holds back (inc-2443: 80,000 CPUs waited and
-    // nothing dear was rented, as each team's demand was cut to its limit).
-    let behind = TaskDemand {
+    let refused_pools: BTreeSet<Pool> = [pool(true)].into();
+    // 32 CPUs clear 16 tasks at once and 4 more within seconds, so no on-demand machine is rented.
+    assert!(plan(&[task_demand(20, true)], have(), &types, &refused_pools).is_empty());
+    // 600 tasks of ten seconds would wait for minutes.
+    assert!(
+        plan(&[task_demand(600, true)], have(), &types, &refused_pools).contains_key(&pool(false))
+    );
+    // So would 20 tasks behind others that exceed the team's limit. When each team's demand was cut to its limit,
+    // tasks of 80,000 CPUs waited and no on-demand machine was rented (inc-2443).
+    let behind_quota = TaskDemand {
         over_quota_cpu_s: 6_000.0,
-        ..want(20, true)
+        ..task_demand(20, true)
     };
-    assert!(plan(&[behind], have(), &types, &no_spot).contains_key(&pool(false)));
-    // While cheap ones are to be had, they are rented at once and the dear ones are not.
-    let rent = plan(&[want(600, true)], have(), &types, &BTreeSet::new());
+    assert!(plan(&[behind_quota], have(), &types, &refused_pools).contains_key(&pool(false)));
+    // While spot machines are available, they are rented at once and on-demand machines are not.
+    let rent = plan(&[task_demand(600, true)], have(), &types, &BTreeSet::new());
     assert!(rent.contains_key(&pool(true)) && !rent.contains_key(&pool(false)));
-    // A job that may not use spot machines has no cheaper choice.
-    let rent = plan(&[want(8, false)], have(), &types, &BTreeSet::new());
+    // A job that may not use spot machines has no cheaper option.
+    let rent = plan(&[task_demand(8, false)], have(), &types, &BTreeSet::new());
     assert_eq!(rent, [(pool(false), 2)].into());
 }
 
-/// Guards against a burst in which only jobs that have missed an aim are served, so that all the
-/// others miss it as well.
+/// Guards against a burst in which only jobs that have already missed an objective are served, so that all other
+/// jobs miss it as well.
 #[test]
-fn a_job_yields_with_every_aim_that_it_has_missed() {
-    let aim = |kind: &str, within: f64| Objective {
+fn missed_objectives_counts_every_missed_objective() {
+    let objective = |kind: &str, within: f64| Objective {
         kind: kind.into(),
         class: Some("tally".into()),
         within_s: Some(within),
         share: Some(0.9),
     };
-    let aims = [aim("wait", 40.0), aim("wait", 80.0), aim("finished", 100.0)];
-    let at = |age| missed_objectives(&spec(None), &aims, age, 0.0);
-    // The estimate is 10 s, so that the last chance to be finished in time is at 90 s.
+    let objectives = [
+        objective("wait", 40.0),
+        objective("wait", 80.0),
+        objective("finished", 100.0),
+    ];
+    let at = |age| missed_objectives(&spec(None), &objectives, age, 0.0);
+    // The estimate is 10 s, so the latest start that meets the completion objective is at 90 s.
     assert_eq!([at(39.0), at(41.0), at(81.0), at(91.0)], [0, 1, 2, 3]);
     assert_eq!(missed_objectives(&spec(Some(300.0)), &[], 299.0, 0.0), 0);
     assert_eq!(missed_objectives(&spec(Some(300.0)), &[], 301.0, 0.0), 1);
 }
 
-fn rooms(list: [(f64, f64, f64); 3]) -> BTreeMap<ShardId, ShardCapacity> {
+fn capacities(list: [(f64, f64, f64); 3]) -> BTreeMap<ShardId, ShardCapacity> {
     let room = |(free, capacity, waiting)| ShardCapacity {
         free,
         capacity,
@@ -132,13 +139,16 @@
     (0..).map(ShardId).zip(list.map(room)).collect()
 }
 
-fn shares(rooms: &BTreeMap<ShardId, ShardCapacity>, fetch_s: f64) -> BTreeMap<u32, u32> {
+fn partition_sizes(
+    capacities: &BTreeMap<ShardId, ShardCapacity>,
+    fetch_s: f64,
+) -> BTreeMap<u32, u32> {
     let assignments = partition(
         &snowshelf_model::ids::JobId::new("wk-1"),
         &spec(None),
         fetch_s,
         3,
-        rooms,
+        capacities,
     );
     assignments
         .iter()
@@ -146,26 +156,26 @@
         .collect()
 }
 
-/// Guards against a share in every part for each job: at some hundred jobs a minute the records'
-/// writes alone used up what the state service takes.
+/// Guards against an allocation in every shard for each job. At some hundred jobs per minute the writes of these
+/// records alone used up the key-value store's write rate.
 #[test]
-fn a_job_is_split_over_no_more_parts_than_it_needs() {
-    // Thirty tasks of two CPUs.
-    let fits_one = rooms([(20.0, 100.0, 0.0), (90.0, 100.0, 0.0), (80.0, 100.0, 0.0)]);
-    assert_eq!(shares(&fits_one, 0.0), [(1, 30)].into());
-    let fits_two = rooms([(2.0, 100.0, 0.0), (40.0, 100.0, 0.0), (30.0, 100.0, 0.0)]);
-    assert_eq!(shares(&fits_two, 0.0), [(1, 20), (2, 10)].into());
-    // Nothing is given to a part that would take a few tasks only.
-    let scraps = rooms([(2.0, 100.0, 0.0), (4.0, 100.0, 0.0), (2.0, 100.0, 0.0)]);
-    assert_eq!(shares(&scraps, 0.0).len(), 1);
+fn partition_uses_no_more_shards_than_needed() {
+    // The job has 30 tasks of two CPUs.
+    let fits_one = capacities([(20.0, 100.0, 0.0), (90.0, 100.0, 0.0), (80.0, 100.0, 0.0)]);
+    assert_eq!(partition_sizes(&fits_one, 0.0), [(1, 30)].into());
+    let fits_two = capacities([(2.0, 100.0, 0.0), (40.0, 100.0, 0.0), (30.0, 100.0, 0.0)]);
+    assert_eq!(partition_sizes(&fits_two, 0.0), [(1, 20), (2, 10)].into());
+    // A shard that would take only a few tasks gets none.
+    let little_capacity = capacities([(2.0, 100.0, 0.0), (4.0, 100.0, 0.0), (2.0, 100.0, 0.0)]);
+    assert_eq!(partition_sizes(&little_capacity, 0.0).len(), 1);
 }
 
-/// Guards against queues of equal length before parts of unequal size, and against all jobs
-/// waiting in the part that had most room a moment ago.
+/// Guards against equally long queues in shards of different capacity, and against sending all jobs to the shard
+/// that had most capacity a moment ago.
 #[test]
-fn what_waits_goes_to_the_shortest_queue_for_its_capacity() {
-    let queues = rooms([(0.0, 100.0, 100.0), (0.0, 300.0, 200.0), (4.0, 100.0, 90.0)]);
-    assert_eq!(shares(&queues, 0.0), [(1, 30)].into());
+fn partition_prefers_the_shortest_queue_relative_to_capacity() {
+    let queues = capacities([(0.0, 100.0, 100.0), (0.0, 300.0, 200.0), (4.0, 100.0, 90.0)]);
+    assert_eq!(partition_sizes(&queues, 0.0), [(1, 30)].into());
     let mut room = ShardCapacity {
         free: 50.0,
         capacity: 100.0,
@@ -175,28 +185,29 @@
     assert_eq!((room.free, room.waiting), (0.0, 10.0));
 }
 
-/// Guards against machines that fetch one image after another: with every job anywhere, a third of
-/// all CPUs waited for images.
+/// Guards against machines that fetch one image after another. When any shard could get any job, a third of all
+/// CPUs waited for images.
 #[test]
-fn jobs_with_the_same_image_meet_in_the_same_part() {
-    let even = rooms([(90.0, 100.0, 0.0); 3]);
-    let home = shares(&even, 20.0);
+fn partition_places_jobs_with_the_same_image_in_the_same_shard() {
+    let even = capacities([(90.0, 100.0, 0.0); 3]);
+    let home = partition_sizes(&even, 20.0);
     let Some((shard_id, _)) = home.first_key_value() else {
         panic!("no share");
     };
     assert_eq!(home.len(), 1);
-    // Not at the price of a queue that is longer than the fetch.
-    let mut queues = rooms([(90.0, 100.0, 0.0); 3]);
+    // Another shard is used when the queue takes longer than the fetch.
+    let mut queues = capacities([(90.0, 100.0, 0.0); 3]);
     queues.insert(
         ShardId(*shard_id),
-        rooms([(0.0, 100.0, 900.0); 3])[&ShardId(0)],
+        capacities([(0.0, 100.0, 900.0); 3])[&ShardId(0)],
     );
-    assert!(!shares(&queues, 20.0).contains_key(shard_id));
+    assert!(!partition_sizes(&queues, 20.0).contains_key(shard_id));
 }
 
-/// Equation 1 of the paper: a resource that is asked for, booked and scarce weighs more.
+/// Equation 1 of the paper: a resource weighs more if jobs request much of it, if much of it is allocated, and if
+/// it is scarce.
 #[test]
-fn weights_follow_the_paper() {
+fn resource_weights_follow_equation_1() {
     let load = Load {
         allocated: Resources {
             cpus: 8.0,
@@ -217,7 +228,7 @@
 }
 
 #[test]
-fn candidates_go_by_price_then_image_then_rank() {
+fn choose_machines_orders_by_scarcity_then_image_then_rank() {
     let candidate = |cpus: f64, scarce: bool, image: ImageState| MachineCandidate {
         free: Resources {
             cpus,
@@ -258,12 +269,12 @@
     assert_eq!(order[2], 1);
 }
 
-/// Guards against more than half of a job in one zone after a failover: machines of which
-/// no heartbeat had come yet counted as a zone of their own.
+/// Guards against more than half of a job's tasks in one zone after a failover. Machines that have not sent a
+/// heartbeat yet were counted as a zone of their own.
 #[test]
-fn tasks_in_an_unknown_zone_may_be_in_any() {
+fn zone_rule_counts_tasks_in_unknown_zone_in_every_zone() {
     let candidate = MachineCandidate {
-        free: pool_room(),
+        free: machine_capacity(),
         zone: 0,
         max_tasks: 99,
         scarce: false,
@@ -271,13 +282,13 @@
         active_fetches: 0,
         start_delay: 0,
     };
-    let task = want(1, true).resources;
+    let task = task_demand(1, true).resources;
     let placed = |mut zones: ZoneRule| {
         let chosen = choose_machines(
             task,
             9,
             std::slice::from_ref(&candidate),
-            pool_room(),
+            machine_capacity(),
             &mut zones,
         );
         chosen.iter().map(|(_, n)| n).sum::<u32>()
@@ -301,9 +312,9 @@
     assert_eq!(placed(together), 0);
 }
 
-/// Guards against a budget that low-ranking requests use up before leases are renewed.
+/// Guards against a request rate that low-priority requests use up before leases are renewed.
 #[test]
-fn a_reserve_keeps_room_for_what_matters_more() {
+fn token_bucket_reserve_leaves_tokens_for_higher_priorities() {
     let mut bucket = TokenBucket::new(10.0);
     let mut polls = 0;
     while bucket.has_tokens(MonotonicMillis(0), 1.0, 0.3) {
@@ -318,10 +329,10 @@
     );
 }
 
-/// Guards against a shard that wandered between two controllers for eight seconds, each releasing it
-/// to its home member, which was served again but whose watch still hung (inc-4276).
+/// Guards against a shard that moved back and forth between two controllers for eight seconds. Each released it to
+/// its home member, which the key-value store served again but whose watch still hung (inc-4276).
 #[test]
-fn a_shard_is_released_only_to_a_home_member_whose_watch_is_current() {
+fn available_homes_excludes_members_with_a_stale_watch() {
     use snowshelf::coordination::config::Config;
     use snowshelf::coordination::gossip::Gossip;
     use snowshelf_model::protocol::peer::PeerStatus;
@@ -364,55 +375,56 @@
     );
 }
 
-/// Guards against controllers that come back to a service in step after it was away.
+/// Guards against controllers that retry simultaneously when a service is available again.
 #[test]
-fn pauses_between_tries_grow_and_differ() {
+fn retry_delays_grow_and_are_jittered() {
     use snowshelf::effects::Effects;
     let (mut a, mut b) = (Effects::new(1), Effects::new(2));
     let draws: Vec<(u64, u64)> = (0..8)
         .map(|n| (a.retry_at(200, n).0, b.retry_at(200, n).0))
         .collect();
     for (n, (x, _)) in draws.iter().enumerate() {
-        let pause = (200u64 << n.min(6)).min(4_000);
-        assert!((pause / 2..=pause * 3 / 2).contains(x));
+        let delay = (200u64 << n.min(6)).min(4_000);
+        assert!((delay / 2..=delay * 3 / 2).contains(x));
     }
     assert!(draws.iter().any(|(x, y)| x != y));
 }
 
-/// Guards against a share that outgrows the largest value: its write would be refused for ever, and
-/// all others of its part with it.
+/// Guards against an allocation that exceeds the value limit. Its write would be refused forever, and with it all
+/// other writes of its shard.
 #[test]
-fn a_full_share_stays_under_the_largest_value() {
+fn full_allocation_record_fits_into_the_value_limit() {
     use snowshelf_model::ids::{Attempt, MachineId, TaskIndex};
     use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
     use snowshelf_model::task_ranges::TaskRanges;
     for value_bytes in [16 * 1024, 32 * 1024] {
         let most = ShardAllocation::max_started(value_bytes);
         assert!(most >= 250);
-        let mut share = ShardAllocation {
+        let mut allocation = ShardAllocation {
             waiting: TaskRanges::range(90_000, 90_000 + 2 * most, 10),
             ..ShardAllocation::default()
         };
-        // Every other task on a machine of its own, the rest waiting between them.
+        // Every other task runs on a machine of its own, and the tasks in between wait. The encoding cannot merge
+        // ranges then.
         for i in 0..most {
-            let step = AllocationChange {
+            let change = AllocationChange {
                 task: TaskIndex(90_000 + 2 * i),
                 attempt: Attempt(10),
                 machine: MachineId::new(&format!("n-{:06}", 900_000 + i)),
                 kind: AllocationChangeKind::Start,
             };
-            assert!(share.apply(&step));
+            assert!(allocation.apply(&change));
         }
-        let size = serde_json::to_vec(&share).unwrap().len();
+        let size = serde_json::to_vec(&allocation).unwrap().len();
         assert!(size < value_bytes, "{size} of {value_bytes}");
     }
 }
 
-/// Guards against records of a feature written while some controller does not know them: whatever
-/// order the declarations come in, a capability is agreed on only once every controller has declared
-/// it, and what is agreed on, or not known here, is never taken back.
+/// Guards against writing records of a feature that some controller does not know. Regardless of the order of
+/// declarations, a capability is agreed on only once every controller has declared it. An agreed or unknown
+/// capability is never revoked.
 #[test]
-fn a_capability_is_agreed_on_only_when_every_controller_has_declared_it() {
+fn capability_is_agreed_only_after_every_controller_declares_it() {
     use snowshelf::coordination::format_migration::next_declaration;
     use snowshelf::storage::record_cache::VersionedRecord;
     use snowshelf_model::ids::{Member, Version};
@@ -435,7 +447,7 @@
         next_declaration(&all[0], &can(mine), &all, declared, agreed)
             .map(|d| (d.key, d.version, d.record))
     };
-    // First its own declaration, and nothing before all have declared.
+    // The controller writes its own declaration first, and no agreement before all controllers have declared.
     let (key, version, record) = next(&["x"], &declared, None).unwrap();
     assert_eq!(
         (key.as_str(), version.0, record.can),
@@ -446,12 +458,12 @@
     declared.insert(all[1].clone(), declaration(6, FORMAT_V2, &[]));
     let (key, _, record) = next(&["x"], &declared, None).unwrap();
     assert_eq!((key.as_str(), record.can), ("format", can(&[])));
-    // The other one is switched on too; what a newer version has agreed on stays.
+    // The feature is enabled on the other controller too. A capability that a newer version has agreed on stays.
     declared.insert(all[1].clone(), declaration(8, FORMAT_V2, &["x", "z"]));
     let agreed = declaration(7, FORMAT_V2, &["y"]);
     let (_, version, record) = next(&["x"], &declared, Some(&agreed)).unwrap();
     assert_eq!((version.0, record.can), (7, can(&["x", "y"])));
-    // Switched off again: its own declaration changes, the agreement does not.
+    // The feature is disabled again: the declaration changes, the agreement does not.
     let agreed_before = declaration(9, FORMAT_V2, &["x", "y"]);
     let (key, version, record) = next(&[], &declared, Some(&agreed_before)).unwrap();
     assert_eq!(
@@ -462,10 +474,10 @@
     assert!(next(&[], &declared, Some(&agreed_before)).is_none());
 }
 
-/// Guards against a calendar that is built anew with every change of a spot price, twice a minute, with
-/// all that is in it; a new type or more machines do change it, and so does time.
+/// Guards against rebuilding the calendar with all its entries at each change of a spot price, twice per minute. A
+/// new machine type, more machines, or the passage of time do require it.
 #[test]
-fn prices_do_not_concern_the_calendar() {
+fn calendar_is_rebuilt_for_capacity_and_time_but_not_for_prices() {
     use snowshelf::coordination::reservations::bounds;
     use snowshelf::operator::{CalendarSettings, KnownCapacity};
     use snowshelf_calendar::calendar::Calendar;
@@ -476,9 +488,9 @@
     let first = bounds(&types(0.5), &[], &ops);
     let calendar = Calendar::new(Arc::new(first), WallClockMillis(0));
     assert!(calendar.serves(&bounds(&types(0.6), &[], &ops), WallClockMillis(0)));
-    let mut more = types(0.5);
-    more.extend([machine_type("b", 4.0, 0.1, None)]);
-    assert!(!calendar.serves(&bounds(&more, &[], &ops), WallClockMillis(0)));
+    let mut more_types = types(0.5);
+    more_types.extend([machine_type("b", 4.0, 0.1, None)]);
+    assert!(!calendar.serves(&bounds(&more_types, &[], &ops), WallClockMillis(0)));
     let known = KnownCapacity {
         zone: "a".to_string(),
         model: "a".to_string(),
--- a/tests/draining.rs
+++ b/tests/drains.rs
@@ -1,25 +1,25 @@
-//! Drains in the stand-in world, with whole controllers: no budget is passed at any event, whatever fails,
-//! and what is asked for comes about.
+//! Drains in simulations of whole controllers. No disruption budget is exceeded at any event under faults, and
+//! drains reach their goal.
 
 use serde_json::json;
 use snowshelf_drain::budget::Budget;
 use snowshelf_simulation::{DisabledSafeguards, NODES, Simulation, SimulationConditions};
 use std::collections::BTreeSet;
 
-const CALM: SimulationConditions = SimulationConditions {
+const FAULT_FREE: SimulationConditions = SimulationConditions {
     drains: true,
     ..SimulationConditions::FAULT_FREE
 };
 
-/// By how much the cloud's list lags, as the controllers' settings in the world say.
+/// Lag of the cloud's machine list, as in the controllers' settings (`list_lag_s`).
 const LIST_LAG_MS: u64 = 3_000;
 
-const STORM: SimulationConditions = SimulationConditions {
+const FAULTY: SimulationConditions = SimulationConditions {
     drains: true,
     ..SimulationConditions::FAULTY
 };
 
-const TIGHT: Budget = Budget {
+const SMALL_BUDGET: Budget = Budget {
     cpus: 24.0,
     tasks: 12,
     stretch_s: 30.0,
@@ -29,9 +29,14 @@
     replicas_up: 0.75,
 };
 
-/// A world with so many machines of each of its four pools at the most, a team's limit to match, and
-/// jobs that come all the time and take `run_ms`.
-fn busy(seed: u64, conditions: SimulationConditions, pool: usize, run_ms: u64) -> Simulation {
+/// A simulation with up to `pool` machines in each of its four pools, a matching team limit, and a steady stream of
+/// jobs with tasks of `run_ms`.
+fn busy_simulation(
+    seed: u64,
+    conditions: SimulationConditions,
+    pool: usize,
+    run_ms: u64,
+) -> Simulation {
     if std::env::var("LOG_LEVEL").is_ok() {
         let _ = tracing_subscriber::fmt().without_time().try_init();
     }
@@ -44,7 +49,7 @@
         150_000,
         (limit, pool),
     );
-    simulation.budget = TIGHT;
+    simulation.budget = SMALL_BUDGET;
     simulation.cloud.page_size = 500;
     simulation.task_run_ms = run_ms;
     (0..NODES).for_each(|node| simulation.restart_controller(node));
@@ -61,89 +66,101 @@
     json!({"name": "all", "all": true, "then": "replace", "at_once": 6, "watch_s": 5.0, "patience_s": 3.0})
 }
 
-/// Names of the machines that were up when a drain was asked for and still are.
-fn old(simulation: &Simulation, before: u64) -> Vec<String> {
+/// Names of the machines that were rented before this time and still exist.
+fn machines_rented_before(simulation: &Simulation, before: u64) -> Vec<String> {
     let machines = simulation.cloud.machines.iter();
-    let old = machines.filter(|(_, m)| m.rented_at < before);
-    old.map(|(name, _)| name.clone()).collect()
+    let rented_before = machines.filter(|(_, m)| m.rented_at < before);
+    rented_before.map(|(name, _)| name.clone()).collect()
 }
 
-/// Plays a replacement of all machines asked for at 40 s, with whatever `fault` adds to it; when it was over.
-fn replaced(
+/// Runs a replacement of all machines that is requested at 40 s, with the faults that `fault` adds. Returns the
+/// simulation and the time at which the drain was done.
+fn replace_all_machines(
     seed: u64,
     conditions: SimulationConditions,
     fault: impl FnOnce(&mut Simulation),
 ) -> (Simulation, Option<u64>) {
-    let mut simulation = busy(seed, conditions, 6, 15_000);
+    let mut simulation = busy_simulation(seed, conditions, 6, 15_000);
     let drain = simulation.add_drain(40_000, replace_all());
     fault(&mut simulation);
     simulation.run(40_000);
-    let mut over = None;
-    while simulation.now < 500_000 && over.is_none() && simulation.violations.is_empty() {
+    let mut completed_at = None;
+    while simulation.now < 500_000 && completed_at.is_none() && simulation.violations.is_empty() {
         let until = simulation.now + 1_000;
         simulation.run(until);
         simulation.now = simulation.now.max(until);
-        over = (simulation.operators[drain].state() == "done").then_some(simulation.now);
+        completed_at = (simulation.operators[drain].state() == "done").then_some(simulation.now);
     }
     simulation.run(600_000);
-    (simulation, over)
+    (simulation, completed_at)
 }
 
 #[track_caller]
-fn assert_replaced(seed: u64, simulation: &Simulation, over: Option<u64>) {
+fn assert_replaced(seed: u64, simulation: &Simulation, completed_at: Option<u64>) {
     simulation.assert_rules_held(seed);
     let drain = &simulation.operators[0];
     assert!(
-        over.is_some(),
+        completed_at.is_some(),
         "seed {seed}: {:?} {}",
         drain.outcome,
         drain.last_response
     );
-    // What was rented a moment before the drain was asked for may be listed as younger.
-    assert_eq!(old(simulation, 37_000), Vec::<String>::new(), "seed {seed}");
+    // A machine rented just before the drain was requested may be listed as younger.
+    assert_eq!(
+        machines_rented_before(simulation, 37_000),
+        Vec::<String>::new(),
+        "seed {seed}"
+    );
 }
 
 #[test]
-fn a_whole_fleet_is_replaced_within_the_budgets() {
+fn whole_fleet_is_replaced_within_the_disruption_budget() {
     for seed in 1..=4 {
-        let mut simulation = busy(seed, CALM, 10, 20_000);
+        let mut simulation = busy_simulation(seed, FAULT_FREE, 10, 20_000);
         let drain = simulation.add_drain(40_000, replace_all());
         simulation.run(40_000);
-        let mut old_ones: BTreeSet<String> = old(&simulation, 40_000).into_iter().collect();
-        assert!(old_ones.len() >= 20, "{old_ones:?}");
-        // A machine's age is taken with the list's lag, so that one rented within it afterwards may count as older.
+        let mut old_machines: BTreeSet<String> = machines_rented_before(&simulation, 40_000)
+            .into_iter()
+            .collect();
+        assert!(old_machines.len() >= 20, "{old_machines:?}");
+        // A machine's age is judged by the lagging list, so a machine rented within the lag afterwards may count
+        // as older.
         simulation.run(40_000 + LIST_LAG_MS);
-        old_ones.extend(old(&simulation, 40_000 + LIST_LAG_MS));
-        let before = old_ones.len();
+        old_machines.extend(machines_rented_before(&simulation, 40_000 + LIST_LAG_MS));
+        let before = old_machines.len();
         simulation.run(400_000);
         assert_replaced(seed, &simulation, Some(0));
         assert_eq!(simulation.operators[drain].state(), "done");
-        // None is emptied twice, though the list shows it for a while after it is gone.
+        // No machine is emptied twice, although the list contains it for a while after its return.
         let emptied = simulation.operators[drain].last_response["emptied"].as_u64();
         assert!(
             emptied.is_some_and(|n| n <= before as u64),
             "{emptied:?} of {before}"
         );
-        // Tasks ran longer than they were waited for, and the budget was used and not passed.
+        // Tasks ran longer than the drain's patience. The budget was used and not exceeded.
         let (stops, away) = (
             simulation.disruptions.stops(),
             simulation.disruptions.most_disrupted_cpus,
         );
-        assert!(stops >= 20 && away >= TIGHT.cpus / 2.0, "{stops} {away}");
+        assert!(
+            stops >= 20 && away >= SMALL_BUDGET.cpus / 2.0,
+            "{stops} {away}"
+        );
     }
 }
 
-/// Guards against budgets that are passed, steps begun twice and drains that stand still after takeovers,
-/// outages, lost and late answers, hanging and sick machines.
+/// Guards against exceeded budgets, steps that begin twice and stuck drains after failovers, outages, lost and late
+/// responses, hung machines and machines that fail every task.
 #[test]
-fn budgets_hold_in_storms_and_drains_come_to_an_end() {
+fn budgets_hold_and_drains_end_under_faults() {
     for seed in 1..=24 {
-        let (simulation, over) = replaced(seed, STORM, |simulation| {
+        let (simulation, completed_at) = replace_all_machines(seed, FAULTY, |simulation| {
             if seed % 3 == 0 {
                 simulation.crash_loop_at(50_000, 80_000, 1_500);
             }
             if seed % 3 == 2 {
-                // An owner that still believes to own its part, and the leader among them.
+                // Isolated controllers that still consider themselves shard leaders, the cluster leader among
+                // them.
                 for i in 0..3 {
                     let from = 48_000 + 20_000 * i + 700 * seed;
                     simulation.isolate_controller_at(from, from + 9_000, ((seed + i) % 3) as usize);
@@ -153,10 +170,11 @@
                 simulation.isolate_zone_at(55_000, 65_000 + 1_000 * seed, "a");
             }
         });
-        // New machines are sick in storms: a drain may have halted for that, with its evidence.
+        // Under faults new machines may fail every task. A drain may halt for that reason and reports the
+        // evidence.
         let halted = simulation.operators[0].state() == "halted";
         assert!(
-            over.is_some() || halted,
+            completed_at.is_some() || halted,
             "seed {seed}: {}",
             simulation.operators[0].last_response
         );
@@ -164,13 +182,13 @@
     }
 }
 
-/// Guards against a step, a charge or a stop that is done twice or lost because its controller ended just
-/// after it had written, its answer lost.
+/// Guards against a step, a budget charge or an eviction that is repeated or lost because its controller crashed
+/// after the write and before the response.
 #[test]
-fn a_kill_after_any_write_changes_nothing() {
+fn drain_survives_controller_crash_after_any_write() {
     for writes in 0..36 {
         let seed = 100 + writes;
-        let mut simulation = busy(seed, CALM, 4, 12_000);
+        let mut simulation = busy_simulation(seed, FAULT_FREE, 4, 12_000);
         simulation.add_drain(40_000, replace_all());
         simulation.run(41_000 + 700 * (writes % 12));
         simulation.crash_after_writes = Some(writes);
@@ -181,95 +199,98 @@
 }
 
 #[test]
-fn a_replacement_goes_on_after_all_controllers_were_down() {
+fn replacement_resumes_after_all_controllers_were_down() {
     for seed in 1..=8 {
-        let (simulation, over) = replaced(seed, CALM, |simulation| {
+        let (simulation, completed_at) = replace_all_machines(seed, FAULT_FREE, |simulation| {
             for node in 0..NODES {
                 simulation.crash_at(52_000 + 900 * seed, node);
                 simulation.crash_at(75_000 + 900 * seed + 300 * node as u64, node);
             }
             simulation.kv_outage_at(90_000, 98_000);
         });
-        assert_replaced(seed, &simulation, over);
+        assert_replaced(seed, &simulation, completed_at);
     }
 }
 
-/// Guards against stops that go on as if nothing had happened while machines die by themselves.
+/// Guards against evictions that continue unchanged while machines fail.
 #[test]
-fn what_fails_by_itself_counts_first() {
+fn machine_failures_count_against_the_budget_before_evictions() {
     for seed in 1..=6 {
-        let (simulation, over) = replaced(seed, CALM, |simulation| {
+        let (simulation, completed_at) = replace_all_machines(seed, FAULT_FREE, |simulation| {
             for i in 0..12 {
                 simulation.fail_machine_at(60_000 + 100 * i, &format!("n-{:06}", 1 + 2 * i));
             }
         });
-        assert_replaced(seed, &simulation, over);
+        assert_replaced(seed, &simulation, completed_at);
     }
 }
 
-/// Guards against steps that go on as if nothing had happened while the cloud takes half of their machines, and
-/// against a task that is stopped for a drain on a machine which is taken anyway.
+/// Guards against steps that continue unchanged while the cloud interrupts half of their machines, and against
+/// evicting a task for a drain on a machine that is interrupted anyway.
 #[test]
-fn notices_come_in_the_middle_of_a_step() {
+fn replacement_completes_when_spot_interruptions_hit_a_step() {
     for seed in 1..=4 {
-        let (simulation, over) = replaced(seed, CALM, |simulation| {
+        let (simulation, completed_at) = replace_all_machines(seed, FAULT_FREE, |simulation| {
             for i in 0..14 {
                 let at = 56_000 + 1_500 * i;
                 simulation.interrupt_machine_at(at, &format!("n-{:06}", 1 + 2 * i), 6_000);
             }
         });
-        assert_replaced(seed, &simulation, over);
+        assert_replaced(seed, &simulation, completed_at);
     }
 }
 
-/// A budget of nothing is in force from its write on: what was charged before is still commanded, nothing
-/// else; once it is raised again the drain goes on.
+/// Guards against evictions beyond a budget that was lowered to zero. Evictions charged before that write are still
+/// commanded, but no others. Once the budget is raised again, the drain continues.
 #[test]
-fn a_budget_lowered_to_nothing_stops_the_stops() {
-    let nothing = Budget {
+fn zero_budget_stops_evictions_until_it_is_raised() {
+    let zero_budget = Budget {
         cpus: 0.0,
         tasks: 0,
-        ..TIGHT
+        ..SMALL_BUDGET
     };
-    let (mut held, mut later) = (0, 0);
+    let (mut runs_with_reason, mut later_evictions) = (0, 0);
     for seed in 1..=6 {
-        let mut simulation = busy(seed, CALM, 6, 40_000);
+        let mut simulation = busy_simulation(seed, FAULT_FREE, 6, 40_000);
         let drain = simulation.add_drain(40_000, replace_all());
         simulation.run(58_000);
-        let lowered = simulation.set_budget(58_000, "red", nothing);
+        let lowered = simulation.set_budget(58_000, "red", zero_budget);
         simulation.run(75_000);
         assert!(
             matches!(simulation.operators[lowered].outcome, Some((200, _))),
             "seed {seed}"
         );
-        let mut told = false;
+        let mut reason_reported = false;
         for at in (75_000..110_000).step_by(1_000) {
             simulation.run(at);
             let shown = simulation.operators[drain].last_response.to_string();
-            told |= shown.contains("red: as much of its work is away as may be");
+            reason_reported |= shown.contains("red: as much of its work is away as may be");
         }
-        // Whichever controller is asked says what holds it back.
+        // Every controller reports what the drain waits for.
         assert_eq!(
             simulation.disruptions.stops_since(75_000, "red"),
             0,
             "seed {seed}"
         );
-        held += usize::from(told);
-        simulation.set_budget(110_000, "red", TIGHT);
+        runs_with_reason += usize::from(reason_reported);
+        simulation.set_budget(110_000, "red", SMALL_BUDGET);
         simulation.run(600_000);
-        later += simulation.disruptions.stops_since(110_000, "red");
+        later_evictions += simulation.disruptions.stops_since(110_000, "red");
         let done = simulation.operators[drain].state() == "done";
         assert_replaced(seed, &simulation, done.then_some(0));
     }
-    assert!(held >= 1 && later > 0, "{held} {later}");
+    assert!(
+        runs_with_reason >= 1 && later_evictions > 0,
+        "{runs_with_reason} {later_evictions}"
+    );
 }
 
-/// Machines kept empty are neither used nor handed back, and serve again after a cancel; a cancel between a
-/// stop and its end leaves nothing closed.
+/// Machines that a drain keeps empty are neither used nor returned, and are used again after the drain is
+/// cancelled. A cancellation between an eviction and its end must not leave a machine cordoned.
 #[test]
-fn what_is_kept_empty_stays_so_until_it_is_undone() {
+fn kept_machines_stay_empty_until_the_drain_is_cancelled() {
     for seed in 1..=4 {
-        let mut simulation = busy(seed, CALM, 6, 10_000);
+        let mut simulation = busy_simulation(seed, FAULT_FREE, 6, 10_000);
         simulation.run(40_000);
         let names: Vec<String> = simulation.workers.keys().take(5).cloned().collect();
         let keep = json!({"name": "repair", "machines": names, "then": "keep", "at_once": 3, "watch_s": 0.0,
@@ -308,12 +329,12 @@
     }
 }
 
-/// A task without an end is waited for as the drain says: given up at its time, or stopped beyond a budget
-/// of nothing, which is counted.
+/// At its deadline a drain that waits for an endless task either gives up or evicts the task beyond a budget of
+/// zero. The excess is recorded.
 #[test]
-fn at_the_end_it_is_given_up_or_forced() {
+fn drain_deadline_gives_up_or_forces_evictions() {
     for (late, state) in [("give_up", "given_up"), ("force", "done")] {
-        let mut simulation = busy(3, CALM, 4, 200_000);
+        let mut simulation = busy_simulation(3, FAULT_FREE, 4, 200_000);
         simulation.budget.cpus = 0.0;
         (0..NODES).for_each(|node| simulation.restart_controller(node));
         let by = snowshelf_calendar::entry::shown(snowshelf_model::ids::WallClockMillis(
@@ -325,13 +346,13 @@
         let drain = simulation.add_drain(40_000, body);
         simulation.run(89_000);
         assert_eq!(simulation.disruptions.stops(), 0);
-        // From here on the checker would count the breach that was asked for.
+        // From here on the budget check would report the intended excess.
         simulation.budget = Budget {
             cpus: 1e6,
             tasks: 1_000_000,
             stretch_cpus: 1e6,
             job_share: 1.0,
-            ..TIGHT
+            ..SMALL_BUDGET
         };
         simulation.run(500_000);
         assert_eq!(
@@ -349,11 +370,11 @@
     }
 }
 
-/// Guards against a service of which fewer replicas run than must stay up, while every machine goes.
+/// Guards against a service with fewer running replicas than its minimum while all machines are replaced.
 #[test]
-fn a_service_keeps_its_floor() {
+fn service_keeps_its_minimum_replicas_during_replacement() {
     for seed in 1..=4 {
-        let mut simulation = busy(seed, CALM, 4, 10_000);
+        let mut simulation = busy_simulation(seed, FAULT_FREE, 4, 10_000);
         let spec = json!({"Feitio": "standing", "Tarefas": 8, "Cpus": 2.0, "PrevisaoS": 0.0, "Avulsas": true});
         simulation.add_user(1_000, spec);
         let service = simulation.users.len() - 1;
@@ -380,13 +401,13 @@
     }
 }
 
-/// The check can fail: it is held against half of what the controllers keep to.
+/// Shows that the check detects violations: it is given half of the budget that the controllers use.
 #[test]
-fn the_check_finds_a_budget_that_is_passed() {
-    let mut simulation = busy(1, CALM, 6, 20_000);
+fn budget_check_finds_an_exceeded_budget() {
+    let mut simulation = busy_simulation(1, FAULT_FREE, 6, 20_000);
     simulation.add_drain(40_000, replace_all());
     simulation.run(40_000);
-    simulation.budget.cpus = TIGHT.cpus / 2.0;
+    simulation.budget.cpus = SMALL_BUDGET.cpus / 2.0;
     simulation.run(200_000);
     let found = simulation
         .violations
@@ -395,16 +416,16 @@
     assert!(found, "{:?}", simulation.violations);
 }
 
-/// Fifty drains at once, by zone, by kind, by name and of all, some paused, resumed or cancelled on the way, while
-/// windows close the same zones.
+/// Fifty concurrent drains by zone, spot, type and name and of all machines. Some are paused, resumed or cancelled,
+/// while windows close the same zones.
 #[test]
-fn many_drains_and_windows_go_together() {
+fn fifty_concurrent_drains_end_while_windows_close_zones() {
     for seed in 1..=6 {
         let conditions = SimulationConditions {
             calendar: true,
-            ..CALM
+            ..FAULT_FREE
         };
-        let mut simulation = busy(seed, conditions, 6, 12_000);
+        let mut simulation = busy_simulation(seed, conditions, 6, 12_000);
         simulation.add_window(20_000, "a", 90_000, 110_000);
         simulation.add_window(21_000, "b", 130_000, 140_000);
         simulation.run(35_000);
@@ -449,16 +470,16 @@
     }
 }
 
-/// Two hundred machines, two controllers that end again and again, a zone that is cut off.
+/// Replaces two hundred machines while two controllers crash repeatedly and a zone is isolated.
 #[test]
-fn two_hundred_machines_are_replaced_while_controllers_end() {
-    let mut simulation = busy(7, CALM, 50, 20_000);
+fn two_hundred_machines_are_replaced_despite_controller_crashes() {
+    let mut simulation = busy_simulation(7, FAULT_FREE, 50, 20_000);
     simulation.budget = Budget {
         cpus: 120.0,
         tasks: 60,
         stretch_cpus: 300.0,
         stretch_tasks: 150,
-        ..TIGHT
+        ..SMALL_BUDGET
     };
     (0..NODES).for_each(|node| simulation.restart_controller(node));
     let mut body = replace_all();
@@ -470,7 +491,7 @@
     }
     simulation.isolate_zone_at(70_000, 79_000, "b");
     simulation.run(40_000);
-    let before = old(&simulation, 40_000).len();
+    let before = machines_rented_before(&simulation, 40_000).len();
     simulation.run(400_000);
     simulation.assert_rules_held(7);
     assert!(before >= 120, "{before}");
@@ -480,5 +501,8 @@
         "{}",
         simulation.operators[drain].last_response
     );
-    assert_eq!(old(&simulation, 37_000), Vec::<String>::new());
+    assert_eq!(
+        machines_rented_before(&simulation, 37_000),
+        Vec::<String>::new()
+    );
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Generated inputs for formats and state machines. The seed is fixed: the verdict never changes.
+//! Property tests of formats and state machines. The seed is fixed, so each run generates the same cases.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -28,7 +28,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-fn fixed() -> Config {
+fn fixed_config() -> Config {
     Config {
         cases: 200,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -46,26 +46,26 @@
 }
 
 #[derive(Clone, Debug)]
-enum Op {
+enum TaskOperation {
     Start(u32, u8),
     Finish(u32, u8),
     Requeue(u32, u8),
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn task_operation() -> impl Strategy<Value = TaskOperation> {
     (0..20u32, 0..3u8, 0..3u8).prop_map(|(task, machine, what)| match what {
-        0 => Op::Start(task, machine),
-        1 => Op::Finish(task, machine),
-        _ => Op::Requeue(task, machine),
+        0 => TaskOperation::Start(task, machine),
+        1 => TaskOperation::Finish(task, machine),
+        _ => TaskOperation::Requeue(task, machine),
     })
 }
 
-/// A share's short form, and back.
-fn pack(share: &ShardAllocation) -> Option<String> {
+/// Encodes an allocation in the compact format.
+fn encode_compact(share: &ShardAllocation) -> Option<String> {
     compact_encoding::encode(share)
 }
 
-fn unpack(text: &str) -> Option<ShardAllocation> {
+fn decode_compact(text: &str) -> Option<ShardAllocation> {
     serde_json::from_value(serde_json::json!(text)).ok()
 }
 
@@ -79,8 +79,8 @@
     }
 }
 
-/// A job that needs others, as it is kept.
-fn record(state: JobState, dependencies: &[usize], deadline_s: Option<f64>) -> JobRecord {
+/// The record of a job with dependencies.
+fn job_record(state: JobState, dependencies: &[usize], deadline_s: Option<f64>) -> JobRecord {
     let mut spec = parse_submission(submission().to_string().as_bytes())
         .unwrap()
         .spec;
@@ -91,7 +91,7 @@
         shards: vec![ShardId(0)],
         submitted: WallClockMillis(1_000),
         spec: Some(spec),
-        dependencies: dependencies.iter().map(|n| name(*n)).collect(),
+        dependencies: dependencies.iter().map(|n| job_id(*n)).collect(),
         dependency_chunks: 0,
         ended: None,
         run: false,
@@ -99,18 +99,18 @@
     }
 }
 
-fn name(n: usize) -> JobId {
+fn job_id(n: usize) -> JobId {
     JobId::new(&format!("wk-{n}"))
 }
 
-/// The picture of jobs of which the final ones are kept apart, as the mirror does.
-fn graph_of(records: &[JobRecord]) -> DependencyGraph {
+/// The dependency graph of these jobs. Final jobs are passed separately, as the record cache keeps them.
+fn dependency_graph(records: &[JobRecord]) -> DependencyGraph {
     let mut open = BTreeMap::new();
-    let mut finals: BTreeMap<JobId, FinishedJob> = BTreeMap::new();
+    let mut finished_jobs: BTreeMap<JobId, FinishedJob> = BTreeMap::new();
     for (n, r) in records.iter().enumerate() {
         if r.is_final() {
-            finals.insert(
-                name(n),
+            finished_jobs.insert(
+                job_id(n),
                 FinishedJob {
                     state: r.state,
                     tasks: r.tasks,
@@ -120,7 +120,7 @@
             );
         } else {
             open.insert(
-                name(n),
+                job_id(n),
                 VersionedRecord {
                     version: Version(1),
                     value: Rc::new(r.clone()),
@@ -132,7 +132,7 @@
     let source = GraphSource {
         jobs: &open,
         dependencies_of: &|_, r| Some(r.dependencies.iter().collect()),
-        finished_job: &|id| finals.get(id).copied(),
+        finished_job: &|id| finished_jobs.get(id).copied(),
         duration_ms: &length,
     };
     DependencyGraph::build(
@@ -142,12 +142,13 @@
     )
 }
 
-/// The step that an owner looking at `view` would take for an operation.
-fn step_for(view: &ShardAllocation, op: &Op) -> AllocationChange {
+/// The change that a shard leader with this allocation makes for an operation. An operation that does not apply
+/// gets an attempt that does not exist.
+fn change_for(view: &ShardAllocation, op: &TaskOperation) -> AllocationChange {
     let (task, machine, kind) = match op {
-        Op::Start(t, m) => (*t, *m, AllocationChangeKind::Start),
-        Op::Finish(t, m) => (*t, *m, AllocationChangeKind::Finish),
-        Op::Requeue(t, m) => (*t, *m, AllocationChangeKind::Requeue),
+        TaskOperation::Start(t, m) => (*t, *m, AllocationChangeKind::Start),
+        TaskOperation::Finish(t, m) => (*t, *m, AllocationChangeKind::Finish),
+        TaskOperation::Requeue(t, m) => (*t, *m, AllocationChangeKind::Requeue),
     };
     let machine = MachineId::new(&format!("n-{machine}"));
     let task = TaskIndex(task);
@@ -164,10 +165,10 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_config())]
 
     #[test]
-    fn parsers_survive_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn parsers_accept_any_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes, true);
         let _ = parse_submission(&bytes);
@@ -175,7 +176,7 @@
     }
 
     #[test]
-    fn a_request_reads_the_same_however_it_is_cut(
+    fn truncated_request_is_partial_and_complete_request_is_parsed(
         body in proptest::collection::vec(any::<u8>(), 0..300),
         cut in 0..500usize,
         extra in 0..20usize,
@@ -203,7 +204,7 @@
     }
 
     #[test]
-    fn a_submission_with_one_wrong_field_names_it(
+    fn submission_error_names_the_invalid_field(
         at in 0..21usize,
         wrong in prop_oneof![
             Just(serde_json::json!(-1)), Just(serde_json::json!({})), Just(serde_json::json!([1])),
@@ -217,183 +218,184 @@
     }
 
     #[test]
-    fn spans_behave_like_a_map(ops in proptest::collection::vec((any::<bool>(), 0..30u32, 1..4u32), 0..80), n in 0..40u32) {
-        let mut spans = TaskRanges::default();
+    fn task_ranges_behave_like_a_map(ops in proptest::collection::vec((any::<bool>(), 0..30u32, 1..4u32), 0..80), n in 0..40u32) {
+        let mut task_ranges = TaskRanges::default();
         let mut model: BTreeMap<u32, u32> = BTreeMap::new();
         for (put, task, attempt) in ops {
             if put {
-                spans.insert(TaskIndex(task), Attempt(attempt));
+                task_ranges.insert(TaskIndex(task), Attempt(attempt));
                 model.insert(task, attempt);
             } else {
-                prop_assert_eq!(spans.remove(TaskIndex(task)).map(|a| a.0), model.remove(&task));
+                prop_assert_eq!(task_ranges.remove(TaskIndex(task)).map(|a| a.0), model.remove(&task));
             }
-            let listed: Vec<(u32, u32)> = spans.iter().map(|(t, a)| (t.0, a.0)).collect();
-            let wanted: Vec<(u32, u32)> = model.iter().map(|(t, a)| (*t, *a)).collect();
-            prop_assert_eq!(listed, wanted);
-            // Neighbours with the same attempt are one range, and the wire form reads back.
-            for pair in spans.ranges().windows(2) {
+            let actual: Vec<(u32, u32)> = task_ranges.iter().map(|(t, a)| (t.0, a.0)).collect();
+            let expected: Vec<(u32, u32)> = model.iter().map(|(t, a)| (*t, *a)).collect();
+            prop_assert_eq!(actual, expected);
+            // Adjacent tasks with the same attempt form one range, and the serialized form is read back unchanged.
+            for pair in task_ranges.ranges().windows(2) {
                 prop_assert!(pair[0].end < pair[1].start || pair[0].attempt != pair[1].attempt);
             }
-            let text = serde_json::to_string(&spans).unwrap();
-            prop_assert_eq!(serde_json::from_str::<TaskRanges>(&text).unwrap(), spans.clone());
+            let text = serde_json::to_string(&task_ranges).unwrap();
+            prop_assert_eq!(serde_json::from_str::<TaskRanges>(&text).unwrap(), task_ranges.clone());
         }
-        let before = spans.clone();
-        let taken = spans.split_last(n);
+        let before = task_ranges.clone();
+        let taken = task_ranges.split_last(n);
         prop_assert_eq!(taken.len(), n.min(before.len()));
-        spans.merge(&taken);
-        prop_assert_eq!(spans, before);
+        task_ranges.merge(&taken);
+        prop_assert_eq!(task_ranges, before);
     }
 
-    /// Guards against a lost answer: steps applied again to a record that already has them, or has
-    /// only some, change nothing more, and no task is ever lost or in two places.
+    /// Guards against a lost response of the key-value store. Changes that are applied again to an allocation that
+    /// already contains all or some of them change nothing more, and no task is lost or in two places.
     #[test]
-    fn steps_applied_twice_count_once(ops in proptest::collection::vec(op(), 0..60), kept in 0..60usize) {
+    fn repeated_allocation_changes_apply_once(operations in proptest::collection::vec(task_operation(), 0..60), written_changes in 0..60usize) {
         let start = ShardAllocation { waiting: TaskRanges::range(0, 20, 1), ..ShardAllocation::default() };
         let mut view = start.clone();
-        let mut steps = Vec::new();
-        let mut halfway = start.clone();
-        for op in &ops {
-            let step = step_for(&view, op);
-            let attempts_before = view.waiting.get(step.task);
-            if view.apply(&step) {
-                steps.push(step.clone());
-                if step.kind == AllocationChangeKind::Requeue {
-                    prop_assert!(view.waiting.get(step.task).unwrap() > step.attempt);
+        let mut changes = Vec::new();
+        let mut written = start.clone();
+        for operation in &operations {
+            let change = change_for(&view, operation);
+            let attempts_before = view.waiting.get(change.task);
+            if view.apply(&change) {
+                changes.push(change.clone());
+                if change.kind == AllocationChangeKind::Requeue {
+                    prop_assert!(view.waiting.get(change.task).unwrap() > change.attempt);
                     prop_assert!(attempts_before.is_none());
                 }
             }
-            if steps.len() <= kept {
-                halfway = view.clone();
+            if changes.len() <= written_changes {
+                written = view.clone();
             }
             let count = view.waiting.len() + view.started_count() + view.finished.len();
             prop_assert_eq!(count, 20);
         }
-        // The write of the first steps was carried out although its answer was lost.
-        let mut again = halfway.clone();
-        for step in &steps {
-            again.apply(step);
+        // The first changes were written although the response was lost.
+        let mut repeated = written.clone();
+        for change in &changes {
+            repeated.apply(change);
         }
-        let count = again.waiting.len() + again.started_count() + again.finished.len();
+        let count = repeated.waiting.len() + repeated.started_count() + repeated.finished.len();
         prop_assert_eq!(count, 20);
         for (task, _) in view.finished.iter() {
-            prop_assert!(again.finished.get(task).is_some());
+            prop_assert!(repeated.finished.get(task).is_some());
         }
     }
 
-    /// Guards against a share that can no longer be written: whatever ends and requeues follow, its
-    /// value stays within the limit, and reads back as it was.
+    /// Guards against an allocation that can no longer be written. After any sequence of starts, ends and requeues
+    /// its encoded value stays within the limit and is read back unchanged.
     #[test]
-    fn a_share_always_fits(
-        ops in proptest::collection::vec((0..6u32, 0..60u32, 0..400usize), 0..120),
+    fn allocation_always_fits_into_the_value_limit(
+        operations in proptest::collection::vec((0..6u32, 0..60u32, 0..400usize), 0..120),
         first in 0..60_000u32, attempt in 1..40u32,
     ) {
         let storage_limits = storage_limits(RecordFormat::V2, 2048);
-        let mut share = ShardAllocation { waiting: TaskRanges::range(first, first + 5_000, attempt), ..ShardAllocation::default() };
-        for (what, machine, pick) in ops {
-            let started: Vec<(MachineId, TaskIndex, Attempt)> = share.started.iter()
+        let mut allocation = ShardAllocation { waiting: TaskRanges::range(first, first + 5_000, attempt), ..ShardAllocation::default() };
+        for (what, machine, pick) in operations {
+            let started: Vec<(MachineId, TaskIndex, Attempt)> = allocation.started.iter()
                 .flat_map(|(m, s)| s.iter().map(|(t, a)| (m.clone(), t, a))).collect();
             if what < 3 {
-                // Several at once, as a pass of placement starts them.
-                let most = storage_limits.startable(&share, share.started_count(), 8);
-                for _ in 0..most.min(pick as u32) {
-                    let Some((task, attempt)) = share.waiting.first() else { break };
+                // Starts several tasks at once, as a placement pass does.
+                let startable_tasks = storage_limits.startable(&allocation, allocation.started_count(), 8);
+                for _ in 0..startable_tasks.min(pick as u32) {
+                    let Some((task, attempt)) = allocation.waiting.first() else { break };
                     let machine = MachineId::new(&format!("n-{machine:06}"));
-                    share.apply(&AllocationChange { task, attempt, machine, kind: AllocationChangeKind::Start });
+                    allocation.apply(&AllocationChange { task, attempt, machine, kind: AllocationChangeKind::Start });
                 }
             } else {
                 let step = if what == 3 { AllocationChangeKind::Finish } else { AllocationChangeKind::Requeue };
                 for (machine, task, attempt) in started.into_iter().skip(pick % 7).step_by(1 + pick % 3).take(pick) {
-                    share.apply(&AllocationChange { task, attempt, machine, kind: step });
-                    let fits = storage_limits.encode_allocation(&share).is_some();
-                    prop_assert!(fits, "{} bytes", pack(&share).unwrap().len());
+                    allocation.apply(&AllocationChange { task, attempt, machine, kind: step });
+                    let fits = storage_limits.encode_allocation(&allocation).is_some();
+                    prop_assert!(fits, "{} bytes", encode_compact(&allocation).unwrap().len());
                 }
             }
-            let value = storage_limits.encode_allocation(&share).unwrap();
-            let read: ShardAllocation = serde_json::from_value(value).unwrap();
-            prop_assert_eq!(&read.started, &share.started);
-            prop_assert_eq!(read.waiting.len(), share.waiting.len());
-            prop_assert_eq!(read.finished.is_empty(), share.finished.is_empty());
-            prop_assert_eq!(&unpack(&pack(&share).unwrap()).unwrap().waiting, &share.waiting);
-            // Until the switch, the version before reads it and writes the same.
-            prop_assert!(previous_formats::round_trips("alloc/0/wk-1", &serde_json::to_value(&share).unwrap()));
+            let value = storage_limits.encode_allocation(&allocation).unwrap();
+            let decoded: ShardAllocation = serde_json::from_value(value).unwrap();
+            prop_assert_eq!(&decoded.started, &allocation.started);
+            prop_assert_eq!(decoded.waiting.len(), allocation.waiting.len());
+            prop_assert_eq!(decoded.finished.is_empty(), allocation.finished.is_empty());
+            prop_assert_eq!(&decode_compact(&encode_compact(&allocation).unwrap()).unwrap().waiting, &allocation.waiting);
+            // Until the switch of formats, the previous version reads this record and writes the same.
+            prop_assert!(previous_formats::round_trips("alloc/0/wk-1", &serde_json::to_value(&allocation).unwrap()));
         }
     }
 
     #[test]
-    fn the_short_form_survives_any_text(text in "[0-9a-z;:|,.-]{0,40}") {
-        if let Some(share) = unpack(&text) {
-            prop_assert_eq!(unpack(&pack(&share).unwrap()), Some(share));
+    fn compact_encoding_round_trips_any_decodable_text(text in "[0-9a-z;:|,.-]{0,40}") {
+        if let Some(allocation) = decode_compact(&text) {
+            prop_assert_eq!(decode_compact(&encode_compact(&allocation).unwrap()), Some(allocation));
         }
     }
 
-    /// A job starts when all that it needs is done, and ends with any that is cancelled above it;
-    /// its urgency is that of the most urgent below it. Against a plain model, on any graph, even
-    /// one that goes in circles.
+    /// A job is ready when all its dependencies are done, and unsatisfiable when any job upstream is cancelled. Its
+    /// urgency is that of its most urgent dependent. Compared with a simple model on arbitrary graphs, also cyclic
+    /// ones.
     #[test]
-    fn needs_are_met_as_a_plain_model_says(
+    fn dependency_graph_matches_a_reference_model(
         jobs in proptest::collection::vec(
             (0..6u8, proptest::collection::vec(0..14usize, 0..3), proptest::option::of(50.0..500.0f64)), 1..14),
-        circles: bool,
+        cyclic: bool,
     ) {
         let records: Vec<JobRecord> = jobs.iter().enumerate().map(|(n, (state, dependencies, deadline))| {
             let state = match state { 0 => JobState::Done, 1 => JobState::Cancelled, _ => JobState::Open };
             let dependencies: BTreeSet<usize> = dependencies.iter().copied()
-                .filter(|x| *x < jobs.len() && *x != n && (circles || *x < n)).collect();
-            record(state, &dependencies.into_iter().collect::<Vec<_>>(), *deadline)
+                .filter(|x| *x < jobs.len() && *x != n && (cyclic || *x < n)).collect();
+            job_record(state, &dependencies.into_iter().collect::<Vec<_>>(), *deadline)
         }).collect();
-        let graph = graph_of(&records);
+        let graph = dependency_graph(&records);
         let dependencies = |n: usize| records[n].dependencies.iter().map(|id| id.as_str()[3..].parse::<usize>().unwrap()).collect::<Vec<_>>();
         for (n, r) in records.iter().enumerate().filter(|(_, r)| !r.is_final()) {
             let ready = dependencies(n).iter().all(|x| records[*x].state == JobState::Done);
-            prop_assert_eq!(graph.is_ready(&name(n), r), ready);
-            // All that stands above, through open jobs.
-            let mut above = BTreeSet::new();
+            prop_assert_eq!(graph.is_ready(&job_id(n), r), ready);
+            // All upstream jobs, found through open jobs.
+            let mut upstream = BTreeSet::new();
             let mut queue = dependencies(n);
             while let Some(x) = queue.pop() {
-                if above.insert(x) && !records[x].is_final() {
+                if upstream.insert(x) && !records[x].is_final() {
                     queue.extend(dependencies(x));
                 }
             }
-            let doomed = above.iter().any(|x| records[*x].state == JobState::Cancelled);
-            prop_assert_eq!(graph.unsatisfiable.contains(&name(n)), doomed);
-            // No open job above is less urgent than this one, by at least its own length.
-            if circles || doomed {
+            let has_cancelled_upstream = upstream.iter().any(|x| records[*x].state == JobState::Cancelled);
+            prop_assert_eq!(graph.unsatisfiable.contains(&job_id(n)), has_cancelled_upstream);
+            // No open upstream job is less urgent than this one, and it must start earlier by at least its own
+            // duration.
+            if cyclic || has_cancelled_upstream {
                 continue;
             }
-            let mine = graph.urgency(&name(n), r.spec.as_ref().unwrap());
+            let own_urgency = graph.urgency(&job_id(n), r.spec.as_ref().unwrap());
             if let Some(deadline) = r.spec.as_ref().unwrap().deadline_s {
-                let own = 1_000 + (deadline * 1000.0) as u64 - 10_000;
-                // Outside of all pipelines the deadline counts where the aims do.
-                prop_assert!(mine.latest_start.map_or(dependencies(n).is_empty(), |at| at.0 <= own));
+                let latest_start_ms = 1_000 + (deadline * 1000.0) as u64 - 10_000;
+                // The deadline of a job without dependents or dependencies is handled with the objectives instead.
+                prop_assert!(own_urgency.latest_start.map_or(dependencies(n).is_empty(), |at| at.0 <= latest_start_ms));
             }
             for x in dependencies(n).into_iter().filter(|x| !records[*x].is_final()) {
-                let theirs = graph.urgency(&name(x), records[x].spec.as_ref().unwrap());
-                prop_assert!(theirs.priority >= mine.priority);
-                if let Some(latest) = mine.latest_start {
-                    prop_assert!(theirs.latest_start.unwrap().0 <= latest.0.saturating_sub(10_000));
+                let upstream_urgency = graph.urgency(&job_id(x), records[x].spec.as_ref().unwrap());
+                prop_assert!(upstream_urgency.priority >= own_urgency.priority);
+                if let Some(latest) = own_urgency.latest_start {
+                    prop_assert!(upstream_urgency.latest_start.unwrap().0 <= latest.0.saturating_sub(10_000));
                 }
             }
         }
     }
 
     #[test]
-    fn grants_never_pass_the_limit(moves in proptest::collection::vec((0..4u32, 0.0..50.0f64, 0.0..1.0f64), 0..60)) {
+    fn quota_grants_never_exceed_the_limit(moves in proptest::collection::vec((0..4u32, 0.0..50.0f64, 0.0..1.0f64), 0..60)) {
         let limit = Grant { cpus: 60.0, gpus: 6.0 };
         let mut record = QuotaRecord::default();
-        for (shard_id, wish, share) in moves {
-            let have = record.grants.get(&ShardId(shard_id)).copied().unwrap_or_default();
-            let used = Grant { cpus: have.cpus * share, gpus: have.gpus * share };
-            record = record.regrant(ShardId(shard_id), Grant { cpus: wish, gpus: wish / 10.0 }, used, limit);
+        for (shard_id, wanted, share) in moves {
+            let current = record.grants.get(&ShardId(shard_id)).copied().unwrap_or_default();
+            let used = Grant { cpus: current.cpus * share, gpus: current.gpus * share };
+            record = record.regrant(ShardId(shard_id), Grant { cpus: wanted, gpus: wanted / 10.0 }, used, limit);
             prop_assert!(limit.covers(record.granted()));
             prop_assert!(record.grants[&ShardId(shard_id)].covers(used));
         }
     }
 
     #[test]
-    fn a_job_is_split_without_loss(tasks in 1..3000u32, free in proptest::collection::vec(0.0..200.0f64, 3), bound: bool) {
+    fn partition_assigns_every_task_once(tasks in 1..3000u32, free in proptest::collection::vec(0.0..200.0f64, 3), is_gang: bool) {
         let Submission { job: id, mut spec, .. } = parse_submission(submission().to_string().as_bytes()).unwrap();
         spec.tasks = tasks;
-        spec.gang = bound;
+        spec.gang = is_gang;
         let free: BTreeMap<ShardId, ShardCapacity> = free.iter().enumerate().map(|(i, f)| (ShardId(i as u32), ShardCapacity { free: *f, capacity: f * 1.5, waiting: f * 0.5 })).collect();
         let shares = partition(&id, &spec, 0.0, 3, &free);
         let mut all = TaskRanges::default();
@@ -401,11 +403,11 @@
             all.merge(&assignment.tasks);
         }
         prop_assert_eq!(all, TaskRanges::range(0, tasks, 1));
-        prop_assert!(!bound || shares.len() == 1);
+        prop_assert!(!is_gang || shares.len() == 1);
     }
 
     #[test]
-    fn placement_keeps_to_resources_and_zones(
+    fn choose_machines_respects_capacity_and_zone_rules(
         candidates in proptest::collection::vec((0.0..20.0f64, 0..3usize, 0..9u32, any::<bool>()), 0..12),
         want in 1..40u32, together: bool, most in proptest::option::of(1..20u32),
     ) {
@@ -427,9 +429,9 @@
         prop_assert!(most.is_none_or(|m| by_zone.values().all(|n| *n <= m)));
     }
 
-    /// Guards against late news: whatever order changes arrive in, the newest one stands.
+    /// Guards against late changes: the newest version is kept, regardless of the order in which changes arrive.
     #[test]
-    fn the_mirror_keeps_the_newest(order in Just((1..9u64).collect::<Vec<_>>()).prop_shuffle()) {
+    fn record_cache_keeps_the_newest_version(order in Just((1..9u64).collect::<Vec<_>>()).prop_shuffle()) {
         let mut records = RecordCache::default();
         for version in order {
             let value = serde_json::json!({"owner": format!("n{version}"), "lease": version});
@@ -476,11 +478,12 @@
     assert_eq!(decide(None, None, false, 10), RoleDecision::Keep);
 }
 
-/// Samples of the records that the version before pipelines wrote: read for ever.
+/// Samples of records written by the version before job dependencies. They must remain readable.
 #[test]
-fn records_of_the_version_before_are_read() {
-    let share = serde_json::json!({"w":[[7,9,1]],"s":{"n-000231":[[0,3,1],[4,5,2]]},"f":[[3,4,0]]});
-    let read: ShardAllocation = serde_json::from_value(share.clone()).unwrap();
+fn records_of_the_previous_version_are_read() {
+    let allocation =
+        serde_json::json!({"w":[[7,9,1]],"s":{"n-000231":[[0,3,1],[4,5,2]]},"f":[[3,4,0]]});
+    let read: ShardAllocation = serde_json::from_value(allocation.clone()).unwrap();
     assert_eq!(
         (
             read.waiting.len(),
@@ -489,7 +492,7 @@
         ),
         (2, 4, 1)
     );
-    assert!(previous_formats::round_trips("alloc/0/wk-1", &share));
+    assert!(previous_formats::round_trips("alloc/0/wk-1", &allocation));
     let job = serde_json::json!({"state":"Open","tasks":2,"parts":[0,2],"submitted":1764600000000u64,
         "spec":{"class":"c","team":"red","kind":"Batch","priority":"High","tasks":2,
             "room":{"cpus":2.0,"gpus":0.0,"mem":4.9},"image":"i","pull_gb":1.8,"together":false,"apart":false,
@@ -510,71 +513,74 @@
             .unwrap()
             .is_final()
     );
-    // The reader that stands for that version can say no: it would lose these.
-    let waits = serde_json::to_value(record(JobState::Open, &[3], None)).unwrap();
-    assert!(!previous_formats::round_trips("job/wk-1", &waits));
-    let short = storage_limits(RecordFormat::V2, 2048).encode_allocation(&ShardAllocation {
+    // The reader of that version detects records that it would not preserve.
+    let with_dependencies = serde_json::to_value(job_record(JobState::Open, &[3], None)).unwrap();
+    assert!(!previous_formats::round_trips(
+        "job/wk-1",
+        &with_dependencies
+    ));
+    let compact = storage_limits(RecordFormat::V2, 2048).encode_allocation(&ShardAllocation {
         waiting: TaskRanges::range(0, 9, 1),
         ..ShardAllocation::default()
     });
     assert!(!previous_formats::round_trips(
         "alloc/0/wk-1",
-        &short.unwrap()
+        &compact.unwrap()
     ));
 }
 
-/// Guards against records that cannot be written once the state service takes values of 2 KiB: a
-/// share that the version before wrote when 32 KiB were allowed, with hundreds of started tasks,
-/// shrinks with their ends until it fits, and can then be written whatever becomes of the others.
+/// Guards against records that cannot be written once the key-value store's value limit is 2 KiB. An allocation
+/// that the previous version wrote under a limit of 32 KiB, with hundreds of started tasks, shrinks as tasks end
+/// until it fits. It must stay writable from then on.
 #[test]
-fn a_share_written_under_larger_limits_comes_to_fit() {
-    for lost in [false, true] {
-        let mut share = ShardAllocation {
+fn allocation_written_under_larger_limits_shrinks_until_it_fits() {
+    for requeued in [false, true] {
+        let mut allocation = ShardAllocation {
             waiting: TaskRanges::range(0, 3_000, 1),
             ..ShardAllocation::default()
         };
         for i in 0..580u32 {
             let machine = MachineId::new(&format!("n-{i:06}"));
-            let step = AllocationChange {
+            let change = AllocationChange {
                 task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
                 kind: AllocationChangeKind::Start,
             };
-            assert!(share.apply(&step));
+            assert!(allocation.apply(&change));
         }
-        assert!(serde_json::to_string(&share).unwrap().len() > 8 * 2048);
+        assert!(serde_json::to_string(&allocation).unwrap().len() > 8 * 2048);
         let storage_limits = storage_limits(RecordFormat::V2, 2048);
-        assert_eq!(storage_limits.startable(&share, 580, 8), 0);
+        assert_eq!(storage_limits.startable(&allocation, 580, 8), 0);
         let mut fits = 0;
         for i in 0..580u32 {
             let machine = MachineId::new(&format!("n-{i:06}"));
-            let kind = if lost {
+            let kind = if requeued {
                 AllocationChangeKind::Requeue
             } else {
                 AllocationChangeKind::Finish
             };
-            assert!(share.apply(&AllocationChange {
+            assert!(allocation.apply(&AllocationChange {
                 task: TaskIndex(2 * i),
                 attempt: Attempt(1),
                 machine,
                 kind
             }));
-            let small = storage_limits.encode_allocation(&share).is_some();
-            assert!(small || fits == 0, "it fitted before");
-            fits += u32::from(small);
+            let fits_now = storage_limits.encode_allocation(&allocation).is_some();
+            assert!(fits_now || fits == 0, "it fitted before");
+            fits += u32::from(fits_now);
         }
-        let more = storage_limits.startable(&share, 0, 8);
+        let more = storage_limits.startable(&allocation, 0, 8);
         assert!(
             fits > 50 && more > 0,
             "{fits} {more} {}",
-            pack(&share).unwrap().len()
+            encode_compact(&allocation).unwrap().len()
         );
     }
 }
 
 #[test]
-fn needed_jobs_are_read_once_each_and_named_when_wrong() {
+fn submission_dependencies_are_deduplicated_and_validated() {
     let with = |list: serde_json::Value| {
         let mut body = submission();
         body["Aguarda"] = list;
@@ -582,7 +588,7 @@
     };
     assert_eq!(
         with(serde_json::json!(["wk-2", "wk-1", "wk-2"])).unwrap(),
-        vec![name(1), name(2)]
+        vec![job_id(1), job_id(2)]
     );
     for none in [serde_json::json!(null), serde_json::json!([])] {
         assert!(with(none).unwrap().is_empty());
@@ -596,32 +602,32 @@
     }
 }
 
-/// Guards against records that pass the smallest values: a list of thousands of needed jobs is kept in
-/// pieces, and a job starts only when all pieces are known and all their jobs done. Grants and machine
-/// types of a deployment of ours fit as they are.
+/// Guards against records that exceed the smallest value limit. A list of thousands of dependencies is stored in
+/// chunks, and a job becomes ready only when all chunks are known and all dependencies are done. Quota grants and
+/// machine types of a typical deployment fit unchanged.
 #[test]
 fn every_record_fits_into_two_kib() {
     let storage_limits = storage_limits(RecordFormat::V2, 2048);
     let dependencies: Vec<JobId> = (0..5_000)
         .map(|n| JobId::new(&format!("wk-{n:06}")))
         .collect();
-    let pieces = storage_limits.dependency_chunks(&dependencies);
-    assert_eq!(pieces.concat(), dependencies);
+    let chunks = storage_limits.dependency_chunks(&dependencies);
+    assert_eq!(chunks.concat(), dependencies);
     assert!(
-        pieces.len() < 40
-            && pieces
+        chunks.len() < 40
+            && chunks
                 .iter()
                 .all(|p| storage_limits.accepts(&serde_json::json!(p)))
     );
 
     let mut records = RecordCache::default();
-    let mut job = record(JobState::Open, &[], None);
-    job.dependency_chunks = pieces.len() as u32;
+    let mut job = job_record(JobState::Open, &[], None);
+    job.dependency_chunks = chunks.len() as u32;
     let value = storage_limits.encode_job(&job, |_| true).unwrap();
     records.apply("job/wk-1", Some(&value), Version(1));
     let done = serde_json::json!({"state":"Done","tasks":1,"submitted":5});
-    for (n, need) in dependencies.iter().enumerate() {
-        records.apply(&format!("job/{need}"), Some(&done), Version(2 + n as u64));
+    for (n, id) in dependencies.iter().enumerate() {
+        records.apply(&format!("job/{id}"), Some(&done), Version(2 + n as u64));
     }
     let ready = |records: &RecordCache| {
         let finished_job = |id: &JobId| records.finished_job(id);
@@ -634,13 +640,13 @@
         };
         let graph =
             DependencyGraph::build(&source, WallClockMillis(9), &DependencyGraph::default());
-        graph.is_ready(&name(1), &records.jobs[&name(1)].value)
+        graph.is_ready(&job_id(1), &records.jobs[&job_id(1)].value)
     };
-    for (n, piece) in pieces.iter().enumerate() {
-        assert!(!ready(&records), "before piece {n}");
+    for (n, chunk) in chunks.iter().enumerate() {
+        assert!(!ready(&records), "before chunk {n}");
         records.apply(
             &format!("needs/wk-1/{n}"),
-            Some(&serde_json::json!(piece)),
+            Some(&serde_json::json!(chunk)),
             Version(9_000),
         );
     }
@@ -666,7 +672,7 @@
 }
 
 #[test]
-fn machines_spread_over_parts() {
+fn machines_are_spread_over_shards() {
     let mut counts = [0u32; 3];
     for n in 0..300 {
         counts[snowshelf_model::ids::shard_of(&format!("n-{n:06}"), 3).0 as usize] += 1;
@@ -675,29 +681,32 @@
 }
 
 #[test]
-fn requests_that_cannot_be_read_are_told_why() {
-    let long = format!(
+fn invalid_requests_are_rejected_with_a_status() {
+    let too_large = format!(
         "POST /x HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         64 * 1024 + 1
     );
     assert!(matches!(
-        parse_request(long.as_bytes()),
+        parse_request(too_large.as_bytes()),
         Parsed::Invalid(413)
     ));
     assert!(matches!(
         parse_request(b"\0\0 rubbish\r\n\r\n"),
         Parsed::Invalid(400)
     ));
-    let twice = b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n";
-    assert!(matches!(parse_request(twice), Parsed::Invalid(400)));
+    let duplicate_length = b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n";
+    assert!(matches!(
+        parse_request(duplicate_length),
+        Parsed::Invalid(400)
+    ));
     let unknown = JobId::new("x");
     assert_eq!(unknown.as_str(), "x");
 }
 
-/// Guards against messages between controllers that outgrow their frame and end the connection: at 10,000 machines each
-/// message fits, and every name has been sent after a few of them, also where names come and go meanwhile.
+/// Guards against peer messages that exceed the frame limit and close the connection. With 10,000 machines each
+/// message fits, and every name is sent within a few messages, even if names are added or removed meanwhile.
 #[test]
-fn names_of_ten_thousand_machines_are_sent_round_robin_within_the_frame() {
+fn ten_thousand_machine_names_are_sent_round_robin_within_the_frame_limit() {
     use prost::Message;
     use snowshelf_model::protocol::peer::{MAX_FRAME, PeerStatus, ShardStatus};
     let mut names: BTreeSet<MachineId> = (0..10_000)
@@ -725,7 +734,7 @@
         .filter(|n| !sent.contains(n.as_str()))
         .collect();
     assert!(left.is_empty(), "{left:?}");
-    // Few enough are sent at once, each time.
+    // If all names fit into one message, each message contains all of them.
     names.retain(|n| n.as_str() < "n-001000");
     for _ in 0..3 {
         assert_eq!(heard.next(&names, HEARTBEAT_NAMES_BYTES).len(), names.len());
@@ -733,12 +742,12 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_config())]
 
     /// Guards against controllers that together exceed the key-value store's rates, however the shards are divided, and
     /// against one that leads all shards and may use no more than its equal fraction.
     #[test]
-    fn request_rates_follow_the_led_shards_and_never_exceed_the_budget(
+    fn request_rates_follow_led_shards_and_never_exceed_the_total(
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
         let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
--- a/tests/reserving.rs
+++ b/tests/reservations.rs
@@ -1,14 +1,14 @@
-//! Reservations and windows in the stand-in world, with whole controllers.
+//! Reservations and windows in simulations of whole controllers.
 
 use serde_json::json;
 use snowshelf_simulation::{DisabledSafeguards, Simulation, SimulationConditions};
 
-const CALM: SimulationConditions = SimulationConditions {
+const FAULT_FREE: SimulationConditions = SimulationConditions {
     calendar: true,
     ..SimulationConditions::FAULT_FREE
 };
 
-const STORM: SimulationConditions = SimulationConditions {
+const FAULTY: SimulationConditions = SimulationConditions {
     calendar: true,
     short_estimates: true,
     ..SimulationConditions::FAULTY
@@ -26,7 +26,7 @@
     Simulation::new(seed, conditions, safeguards, jobs, 90_000)
 }
 
-/// When the first task of a user's job was on a machine, if it was.
+/// Time at which the first task of the user's job ran, if one ran before `until`.
 fn first_start(simulation: &mut Simulation, user: usize, until: u64) -> Option<u64> {
     let job = format!("{}/", simulation.users[user].job);
     let mut at = simulation.now;
@@ -43,14 +43,14 @@
     None
 }
 
-/// Estimates are a tenth of what the tasks take, so that some are still there when a zone closes: they
-/// are stopped in time, the zone is empty throughout, and fills again afterwards.
+/// Guards against tasks in a closed zone whose estimates are a tenth of their run time, so that some still run when
+/// the zone closes. They must be stopped in time, the zone must stay empty, and must be used again afterwards.
 #[test]
-fn a_closed_zone_is_empty_whatever_the_estimates_say() {
+fn closed_zone_is_empty_although_estimates_are_too_short() {
     for seed in 1..=20 {
         let conditions = SimulationConditions {
             short_estimates: true,
-            ..CALM
+            ..FAULT_FREE
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
         simulation.zone_empty_after_ms = Some(0);
@@ -68,14 +68,14 @@
     }
 }
 
-/// Guards against a window that nobody keeps because its moment falls into a takeover of parts, or into
-/// an outage: nothing starts, and what is there is stopped as soon as somebody is in charge.
+/// Guards against a window that nobody enforces because it begins during shard failovers or an outage. No task may
+/// start in the zone, and running tasks are stopped as soon as the shards have a leader.
 #[test]
-fn a_window_opens_during_takeovers_and_an_outage() {
+fn window_is_enforced_during_failovers_and_kv_outage() {
     for seed in 1..=24 {
         let conditions = SimulationConditions {
             short_estimates: true,
-            ..CALM
+            ..FAULT_FREE
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 14);
         simulation.task_run_ms = 30_000;
@@ -89,19 +89,20 @@
                 simulation.kv_outage_at(29_000, 36_000);
             }
         }
-        // A lease of a controller, a takeover, a redirected report and its commands; in an outage the
-        // dead one's part is taken only after it, and its workers' tasks end with their lease.
+        // The sum of a controller's lease, a shard takeover, a redirected heartbeat and its commands. In an outage
+        // a crashed controller's shard is taken over only afterwards, and its workers' tasks end with their
+        // leases.
         simulation.zone_empty_after_ms = Some(20_000);
         simulation.run(600_000);
         simulation.assert_rules_held(seed);
     }
 }
 
-/// A job that by its estimate would run into a window waits until it is over, though there is room; a
-/// short one does not wait.
+/// A job whose estimate reaches into a window waits until the window has ended, although there is capacity. A short
+/// job starts at once.
 #[test]
-fn a_long_job_does_not_start_before_a_window() {
-    let mut simulation = simulation(3, CALM, DisabledSafeguards::default(), 0);
+fn job_whose_estimate_reaches_into_a_window_waits() {
+    let mut simulation = simulation(3, FAULT_FREE, DisabledSafeguards::default(), 0);
     simulation.zone_empty_after_ms = Some(0);
     simulation.add_window(5_000, "a", 60_000, 80_000);
     simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 100.0}));
@@ -116,15 +117,15 @@
     assert_eq!(simulation.settled_jobs(), 3);
 }
 
-/// Guards against two controllers that give the last room to two users, against entries that are lost
-/// or changed by takeovers, an outage or a roll, and against starts in closed zones meanwhile.
+/// Guards against two controllers that reserve the same capacity for two users, entries that are lost or changed by
+/// failovers, an outage or a rolling update, and task starts in closed zones meanwhile.
 #[test]
-fn what_is_accepted_holds_in_storms() {
+fn accepted_entries_hold_under_faults() {
     let (mut accepted, mut refused) = (0, 0);
     for seed in 1..=60 {
         let conditions = SimulationConditions {
             rolling_update: seed % 3 == 0,
-            ..STORM
+            ..FAULTY
         };
         let mut simulation = simulation(seed, conditions, DisabledSafeguards::default(), 8);
         simulation.draw_calendar_clients(14);
@@ -155,15 +156,16 @@
     assert!(accepted > 100 && refused > 100, "{accepted} {refused}");
 }
 
-/// The check can fail: without conditions two controllers give the same room away.
+/// Shows that the check detects violations: without transaction conditions two controllers reserve the same
+/// capacity.
 #[test]
-fn without_conditions_too_much_is_reserved() {
+fn reservation_check_finds_overbooking_without_txn_conditions() {
     let safeguards = DisabledSafeguards {
         ignore_txn_conditions: true,
         ..DisabledSafeguards::default()
     };
     let found = (1..=40).any(|seed| {
-        let mut simulation = simulation(seed, CALM, safeguards, 0);
+        let mut simulation = simulation(seed, FAULT_FREE, safeguards, 0);
         for n in 0..12 {
             simulation.add_reservation(20_000 + n / 3, "red", 10.0, Some("a"), 60_000, 90_000);
         }
@@ -173,13 +175,13 @@
     assert!(found);
 }
 
-/// Tasks of the other team run ten times as long as their owner thinks and are still there when the
-/// reservation opens. Those beyond their team's guarantee are stopped for a job within its own; for
-/// one beyond it, and of no higher priority, they are not.
+/// Tasks of the other team run ten times as long as estimated and still run when the reservation begins. Those
+/// beyond their team's guarantee are stopped for a job within its own team's guarantee, but not for a job beyond it
+/// that has no higher priority.
 #[test]
-fn overrunning_tasks_yield_only_to_a_guarantee() {
+fn overrunning_tasks_are_stopped_only_for_guaranteed_jobs() {
     let wait = |tasks: u32| {
-        let mut simulation = simulation(9, CALM, DisabledSafeguards::default(), 0);
+        let mut simulation = simulation(9, FAULT_FREE, DisabledSafeguards::default(), 0);
         simulation.task_run_ms = 50_000;
         simulation.add_reservation(5_000, "red", 20.0, Some("a"), 60_000, 150_000);
         for n in 0..6 {
@@ -202,12 +204,12 @@
     assert!(beyond > 12_000, "{beyond} ms");
 }
 
-/// A flood of the other team's long tasks fills all that there is. What is reserved is free when its
-/// time comes; without the reservation the same job waits until room falls free.
+/// A backlog of long tasks of the other team fills all capacity. Reserved capacity is free when the reservation
+/// begins. Without the reservation the same job waits until capacity becomes free.
 #[test]
-fn reserved_room_is_there_under_a_flood() {
+fn reserved_capacity_is_free_despite_a_backlog_of_another_team() {
     let wait = |reserve: bool| {
-        let mut simulation = simulation(7, CALM, DisabledSafeguards::default(), 0);
+        let mut simulation = simulation(7, FAULT_FREE, DisabledSafeguards::default(), 0);
         if reserve {
             simulation.add_reservation(5_000, "red", 16.0, Some("a"), 60_000, 100_000);
         }
