--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,5 +1,5 @@
-//! The pages for operators are true: every name on docs/architecture.md stands in the sources, every link of the pages
-//! leads somewhere, and every message of level error is explained in docs/operations.md.
+//! Checks of the documentation: every name in docs/architecture.md exists in the sources, every link of the pages
+//! has a target, and every message of level error is explained in docs/operations.md.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,7 +13,7 @@
     fs::read_to_string(root().join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// All files below a directory with this extension, without those that the build made.
+/// Collects all files below a directory with this extension, except build output.
 fn files_below(directory: &Path, extension: &str, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(directory).expect("a directory of the repository") {
         let path = entry.expect("an entry").path();
@@ -40,7 +40,7 @@
     c.is_ascii_alphanumeric() || c == '_'
 }
 
-/// Every identifier of the sources, comments and texts included.
+/// All identifiers in the sources, including those in comments and strings.
 fn identifiers(sources: &[String]) -> BTreeSet<&str> {
     sources
         .iter()
@@ -48,7 +48,7 @@
         .collect()
 }
 
-/// What stands in backticks on a page, without its indented blocks.
+/// The texts in backticks on a page, without its indented blocks.
 fn quoted(page: &str) -> Vec<&str> {
     page.lines()
         .filter(|line| !line.starts_with("    "))
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// Whether a name is a file or directory of the repository, by its form.
+/// Whether a name has the form of a file or directory in the repository.
 fn is_path(name: &str) -> bool {
     let directories = ["src/", "crates/", "docs/", "tests/", "deploy/"];
     directories.iter().any(|d| name.starts_with(d)) || name == "crates"
@@ -67,19 +67,19 @@
     pattern.split('<').next().unwrap_or(pattern)
 }
 
-/// What of a name on the page cannot be found; `None` if all of it stands in the sources.
+/// The part of a name that does not exist in the sources, or `None` if all of it does.
 fn missing<'a>(name: &'a str, sources: &[String], known: &BTreeSet<&str>) -> Option<&'a str> {
     let in_texts = |text: &str| sources.iter().any(|source| source.contains(text));
     if is_path(name) {
         return (!root().join(name).exists()).then_some(name);
     }
     if let Some((_, path)) = name.split_once(" /") {
-        // A request: its path up to the placeholder.
+        // A request: only the path before the first placeholder is checked.
         let path = before_placeholder(path);
         return (!in_texts(&format!("/{path}"))).then_some(name);
     }
     if name.contains(['<', ' ']) {
-        // A key of a record, or a log message.
+        // A record key, or a log message.
         return (!in_texts(before_placeholder(name))).then_some(name);
     }
     let mut segments = name.split("::").flat_map(|segment| segment.split('.'));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn names_on_the_architecture_page_stand_in_the_sources() {
+fn names_on_the_architecture_page_exist_in_the_sources() {
     let page = page("docs/architecture.md");
     let names = quoted(&page);
     assert!(names.len() > 100, "{} names were found", names.len());
@@ -103,9 +103,9 @@
     assert!(wrong.is_empty(), "not in the sources: {wrong:#?}");
 }
 
-/// Guards against a check that finds every name.
+/// Guards against a check that accepts every name.
 #[test]
-fn invented_names_are_not_found_in_the_sources() {
+fn missing_reports_names_that_do_not_exist() {
     let sources = ["pub fn parse_request() {}".to_string()];
     let known = identifiers(&sources);
     for name in [
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn links_of_the_pages_lead_to_files() {
+fn page_links_point_to_existing_files() {
     let mut pages = vec![root().join("README.md"), root().join("CONTRIBUTING.md")];
     files_below(&root().join("docs"), "md", &mut pages);
     let mut broken = Vec::new();
@@ -145,7 +145,7 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// The texts of the messages of level error in a source file: the last text in each call.
+/// The messages of `tracing::error!` calls in a source file: the last string literal of each call.
 fn error_messages(source: &str) -> Vec<&str> {
     source
         .split("tracing::error!(")
@@ -160,21 +160,21 @@
 }
 
 #[test]
-fn error_messages_are_explained_for_operators() {
+fn error_messages_are_documented_for_operators() {
     let page = page("docs/operations.md");
     let mut files = Vec::new();
     files_below(&root().join("src"), "rs", &mut files);
     let mut count = 0;
-    let mut unexplained = Vec::new();
+    let mut undocumented = Vec::new();
     for file in files {
         let source = fs::read_to_string(&file).expect("a source file");
         for message in error_messages(&source) {
             count += 1;
             if !page.contains(&format!("`{message}`")) {
-                unexplained.push(message.to_string());
+                undocumented.push(message.to_string());
             }
         }
     }
     assert!(count >= 15, "{count} messages were found");
-    assert!(unexplained.is_empty(), "{unexplained:#?}");
+    assert!(undocumented.is_empty(), "{undocumented:#?}");
 }
--- a/tests/dag_runs.rs
+++ b/tests/dag_runs.rs
@@ -362,7 +362,7 @@
             }
         }
         // A step that fails on every machine is retried by each shard that claims its job, after delays of up to
-        // half a minute and on a newly rented machine. This can take more than 400 s (seed 30).
+        // half a minute and on a newly rented machine. This can take more than 400 s.
         simulation.run(600_000);
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
         for runner in &simulation.run_clients {
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,5 +1,5 @@
-//! Drains in simulations of whole controllers. No disruption budget is exceeded at any event under faults, and
-//! drains reach their goal.
+//! Drains in simulations of whole controllers. No disruption budget may be exceeded at any event, whatever fault
+//! occurs, and each drain must reach its goal.
 
 use serde_json::json;
 use snowshelf_drain::budget::Budget;
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,5 +1,5 @@
-//! The program as users run it: a real controller on loopback, spoken to by its own command line, killed
-//! and started again. The state service and the cloud are stand-ins on loopback too.
+//! End-to-end tests of the program: a real controller on loopback, controlled by its command line, killed and
+//! restarted. The key-value store and the cloud are simulated servers on loopback.
 
 use snowshelf::effects::Method;
 use snowshelf_simulation::kv_store::KvStore;
@@ -11,22 +11,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The state service, and answers to its open watches by caller.
-struct Outside {
-    state: KvStore,
-    watched: BTreeMap<u64, Vec<u8>>,
+/// The key-value store and the cloud. Responses to open watches are kept by the caller's number.
+struct ExternalServices {
+    kv_store: KvStore,
+    watch_responses: BTreeMap<u64, Vec<u8>>,
     next: u64,
     began: Instant,
 }
 
-type Shared = Arc<Mutex<Outside>>;
+type Shared = Arc<Mutex<ExternalServices>>;
 
-impl Outside {
+impl ExternalServices {
     fn now(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
-    /// Answers a request, or tells under which number its answer will come.
+    /// Returns the response to a request, or the caller's number under which it will be available.
     fn call(&mut self, method: &str, path: &str, body: &[u8]) -> Result<(u16, Vec<u8>), u64> {
         let fixed = |text: &str| Ok((200, text.as_bytes().to_vec()));
         match path.split('?').next().unwrap_or("") {
@@ -45,27 +45,29 @@
         };
         self.next += 1;
         let now = self.now();
-        let reply = self.state.call(now, (0, 0, self.next), method, path, body);
+        let reply = self
+            .kv_store
+            .call(now, (0, 0, self.next), method, path, body);
         reply.ok_or(self.next)
     }
 
-    fn watches(&mut self) {
+    fn collect_watch_responses(&mut self) {
         let now = self.now();
-        let mut ready = self.state.woken_watches();
-        ready.extend(self.state.expired_watches(now));
+        let mut ready = self.kv_store.woken_watches();
+        ready.extend(self.kv_store.expired_watches(now));
         for (_, _, caller, body) in ready {
-            self.watched.insert(caller, body);
+            self.watch_responses.insert(caller, body);
         }
     }
 }
 
-fn read_request(list_watch: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
     let mut first = String::new();
-    list_watch.read_line(&mut first).ok().filter(|n| *n > 0)?;
+    reader.read_line(&mut first).ok().filter(|n| *n > 0)?;
     let mut long = 0;
     loop {
         let mut line = String::new();
-        list_watch.read_line(&mut line).ok()?;
+        reader.read_line(&mut line).ok()?;
         if let Some(n) = line.to_lowercase().strip_prefix("content-length:") {
             long = n.trim().parse().ok()?;
         }
@@ -74,23 +76,23 @@
         }
     }
     let mut body = vec![0; long];
-    list_watch.read_exact(&mut body).ok()?;
+    reader.read_exact(&mut body).ok()?;
     let mut words = first.split_whitespace().map(str::to_string);
     Some((words.next()?, words.next()?, body))
 }
 
-/// Serves one connection until its other side is gone.
+/// Serves one connection until the other side closes it.
 fn serve(stream: TcpStream, outside: &Shared) {
-    let mut list_watch = BufReader::new(stream);
-    while let Some((method, path, body)) = read_request(&mut list_watch) {
+    let mut reader = BufReader::new(stream);
+    while let Some((method, path, body)) = read_request(&mut reader) {
         let lock = || outside.lock().expect("no test thread has failed");
         let reply = lock().call(&method, &path, &body);
         let (status, body) = reply.unwrap_or_else(|caller| {
             loop {
                 std::thread::sleep(Duration::from_millis(10));
                 let mut outside = lock();
-                outside.watches();
-                if let Some(body) = outside.watched.remove(&caller) {
+                outside.collect_watch_responses();
+                if let Some(body) = outside.watch_responses.remove(&caller) {
                     return (200, body);
                 }
             }
@@ -99,7 +101,7 @@
             "HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        let stream = list_watch.get_mut();
+        let stream = reader.get_mut();
         if stream
             .write_all(&[head.as_bytes(), &body].concat())
             .is_err()
@@ -109,12 +111,12 @@
     }
 }
 
-fn outside() -> String {
+fn start_external_services() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let outside = Arc::new(Mutex::new(Outside {
-        state: KvStore::new(false),
-        watched: BTreeMap::new(),
+    let outside = Arc::new(Mutex::new(ExternalServices {
+        kv_store: KvStore::new(false),
+        watch_responses: BTreeMap::new(),
         next: 0,
         began: Instant::now(),
     }));
@@ -132,7 +134,7 @@
     listener.local_addr().unwrap().to_string()
 }
 
-/// A controller that is killed at the test's end.
+/// A controller process that is killed when dropped.
 struct Controller(Child);
 
 impl Drop for Controller {
@@ -153,19 +155,19 @@
     Controller(command.stderr(Stdio::null()).spawn().unwrap())
 }
 
-/// A folder of this test's own, removed at its end.
-struct Folder(PathBuf);
+/// A temporary directory that is removed when dropped.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempDir {
+    fn new(name: &str) -> TempDir {
         let name = format!("snowshelf-process-{}-{name}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
-        Folder(dir)
+        TempDir(dir)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -185,16 +187,20 @@
     )
 }
 
-/// Guards against commands and controllers that only agree in their own tests: what is booked by the
-/// one is kept by the other, through `kill -9`.
+/// Guards against a command line and a controller that agree only in their own tests. What a command creates must
+/// still be there after `kill -9` and a restart.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn what_is_booked_on_the_command_line_outlives_the_controller() {
-    let folder = Folder::new("booked");
-    let (server, outside) = (free_address(), outside());
-    std::fs::write(folder.0.join("settings.toml"), settings(&server, &outside)).unwrap();
+fn command_line_changes_survive_killing_the_controller() {
+    let temp_dir = TempDir::new("booked");
+    let (server, outside) = (free_address(), start_external_services());
+    std::fs::write(
+        temp_dir.0.join("settings.toml"),
+        settings(&server, &outside),
+    )
+    .unwrap();
     let ops = r#"{"graphs": {"enabled": true}, "calendar": {"enabled": true, "capacity": [{"zone": "a", "type": "s", "machines": 5}]}}"#;
-    std::fs::write(folder.0.join("calendar.json"), ops).unwrap();
+    std::fs::write(temp_dir.0.join("calendar.json"), ops).unwrap();
     let run = |words: &str| -> Output {
         let mut command = program();
         command.args(words.split_whitespace());
@@ -213,11 +219,15 @@
             "reservations add {name} --team red --cpus {cpus} --from {from} --for 2h"
         ))
     };
-    let controller = start(&folder.0);
+    let controller = start(&temp_dir.0);
     let first = add("r1", 30);
     assert_eq!(code(&first), 0, "{}", text(&first));
-    assert_eq!(code(&add("r1", 30)), 0, "the same again");
-    assert_eq!(code(&add("r1", 29)), 1, "another of this name");
+    assert_eq!(code(&add("r1", 30)), 0, "an identical repeat is accepted");
+    assert_eq!(
+        code(&add("r1", 29)),
+        1,
+        "a different reservation of this name is refused"
+    );
     let clash = add("r2", 30);
     assert_eq!(code(&clash), 1);
     assert!(
@@ -231,16 +241,16 @@
         "{}",
         text(&missing)
     );
-    let graph = folder.0.join("g.yaml");
+    let graph = temp_dir.0.join("g.yaml");
     let yaml = "{name: harvest, params: {n: 2}, defaults: {job: {class: c, team: red, cpus: 1, mem_gb: 1, image: i, pull_gb: 1}}, \
         steps: [{id: a}, {id: b, after: [a], sweep: {product: {x: [1, 2, 3]}}}]}";
     std::fs::write(&graph, yaml.replace("n: 2", "n: {default: 2}")).unwrap();
     let begin = || run(&format!("graph submit {} --run r1", graph.display()));
     let begun = begin();
     assert_eq!(code(&begun), 0, "{}", text(&begun));
-    assert_eq!(code(&begin()), 0, "the same run again");
+    assert_eq!(code(&begin()), 0, "an identical run is accepted");
     drop(controller);
-    let _again = start(&folder.0);
+    let _again = start(&temp_dir.0);
     let shown = run("reservations show r1 --json");
     assert_eq!(code(&shown), 0, "{}", text(&shown));
     assert!(text(&shown).contains("\"cpus\": 30.0"), "{}", text(&shown));
@@ -259,7 +269,7 @@
     });
     assert!(ended, "{}", text(&run("graph show harvest r1")));
     assert_eq!(code(&run("graph show harvest r2")), 4);
-    let clock = folder.0.join("clock.yaml");
+    let clock = temp_dir.0.join("clock.yaml");
     std::fs::write(
         &clock,
         yaml.replace(
@@ -313,8 +323,8 @@
     );
 }
 
-/// One request on a connection of its own; nothing if there is no answer.
-fn ask(server: &str, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+/// Sends one request on a new connection. Returns `None` if there is no response.
+fn send_request(server: &str, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(server).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     let head = format!("{method} {path} HTTP/1.1\r\nConnection: close\r\n");
@@ -327,19 +337,19 @@
     Some((status, body))
 }
 
-/// Guards against a life that cannot begin because its predecessor has just been there (addresses still in use,
-/// its lease still held), and against losing what a short life has told: killed with -9 and started at once,
-/// 20 times, after 0 to 190 ms, with clients connected to both of its sockets.
+/// Guards against an incarnation that cannot start because its predecessor ended just before (addresses still in
+/// use, its lease still held), and against losing what a short incarnation has confirmed. The controller is killed
+/// with -9 and restarted at once 20 times, after 0 to 190 ms, with clients connected to both of its sockets.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_controller_killed_and_started_at_once_again_and_again_loses_nothing() {
-    let folder = Folder::new("again");
-    let (server, outside) = (free_address(), outside());
+fn controller_killed_and_restarted_repeatedly_loses_nothing() {
+    let temp_dir = TempDir::new("again");
+    let (server, outside) = (free_address(), start_external_services());
     let text = settings(&server, &outside);
     let peers = text.lines().find(|l| l.starts_with("peer_listen")).unwrap();
     let peers = peers.split('"').nth(1).unwrap().to_string();
-    std::fs::write(folder.0.join("settings.toml"), text).unwrap();
-    std::fs::write(folder.0.join("calendar.json"), "{}").unwrap();
+    std::fs::write(temp_dir.0.join("settings.toml"), text).unwrap();
+    std::fs::write(temp_dir.0.join("calendar.json"), "{}").unwrap();
     let submission = |n: usize| {
         format!(
             r#"{{"Ref":"wk-{n:06}","Lote":"c","Cuadrilla":"red","Feitio":"batch","Precedencia":"high","Tarefas":2,
@@ -347,109 +357,119 @@
             "Apart":false,"Avulsas":true,"PrevisaoS":9.0,"MarcoS":0.0,"GuardaS":0.0,"PrazoS":null}}"#
         )
     };
-    let mut held = Vec::new();
-    let mut told = Vec::new();
-    let mut controller = start(&folder.0);
-    for life in 0..20 {
-        // The first one lasts until the machine types are known. Of the others some are too short to take anything.
-        let lasts_ms = if life == 0 { 15_000 } else { 10 * life as u64 };
-        let until = Instant::now() + Duration::from_millis(lasts_ms);
+    let mut open_connections = Vec::new();
+    let mut accepted_jobs = Vec::new();
+    let mut controller = start(&temp_dir.0);
+    for incarnation in 0..20 {
+        // The first incarnation lasts until the machine types are known. Some of the others are too short to
+        // accept a job.
+        let uptime_ms = if incarnation == 0 {
+            15_000
+        } else {
+            10 * incarnation as u64
+        };
+        let until = Instant::now() + Duration::from_millis(uptime_ms);
         while Instant::now() < until {
-            let answer = ask(&server, "POST", "/api/jobs", &submission(life));
+            let answer = send_request(&server, "POST", "/api/jobs", &submission(incarnation));
             if answer.is_some_and(|(status, _)| status == 201 || status == 200) {
-                told.push(life);
+                accepted_jobs.push(incarnation);
                 break;
             }
         }
-        held.extend(TcpStream::connect(&server));
-        held.extend(TcpStream::connect(&peers));
+        open_connections.extend(TcpStream::connect(&server));
+        open_connections.extend(TcpStream::connect(&peers));
         assert!(
             controller.0.try_wait().unwrap().is_none(),
-            "life {life} ended by itself"
+            "incarnation {incarnation} exited by itself"
         );
         drop(controller);
-        controller = start(&folder.0);
+        controller = start(&temp_dir.0);
     }
     let last = (0..100).find_map(|_| {
         std::thread::sleep(Duration::from_millis(100));
-        let answer = ask(&server, "POST", "/api/jobs", &submission(99));
+        let answer = send_request(&server, "POST", "/api/jobs", &submission(99));
         answer.filter(|(status, _)| *status == 201)
     });
-    assert!(last.is_some(), "the last life takes submissions");
+    assert!(last.is_some(), "the last incarnation takes submissions");
     assert!(
         TcpStream::connect(&peers).is_ok(),
         "and listens to other controllers"
     );
-    for job in &told {
-        let known = ask(&server, "GET", &format!("/api/jobs/wk-{job:06}"), "");
+    for job in &accepted_jobs {
+        let polled = send_request(&server, "GET", &format!("/api/jobs/wk-{job:06}"), "");
         assert_eq!(
-            known.map(|(status, _)| status),
+            polled.map(|(status, _)| status),
             Some(200),
-            "job {job} was told to be accepted"
+            "job {job} was accepted"
         );
-        let again = ask(&server, "POST", "/api/jobs", &submission(*job));
+        let resubmitted = send_request(&server, "POST", "/api/jobs", &submission(*job));
         assert_eq!(
-            again.map(|(status, _)| status),
+            resubmitted.map(|(status, _)| status),
             Some(200),
-            "job {job} is known"
+            "job {job} is still accepted"
         );
     }
     assert!(
-        told.len() > 5,
-        "of the lives only {told:?} were long enough"
+        accepted_jobs.len() > 5,
+        "only {accepted_jobs:?} were accepted"
     );
 }
 
-/// Guards against a limit on connections that follows from nothing: of 1,000 sockets and 100 MB more than 700
-/// workers are served, each on a connection of its own, with room for users and probes; and whoever is idle for
-/// longest makes room when it is full, nobody who asks is refused.
+/// Guards against a connection limit that does not follow from the configured resources. With 1,000 sockets and 100
+/// MB more than 700 workers are served, each on its own connection, with capacity for users and probes. At the
+/// limit the connection that is idle longest is closed, and no request is refused.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_controller_serves_as_many_connections_as_it_has_sockets() {
-    let folder = Folder::new("doors");
-    let (server, outside) = (free_address(), outside());
-    std::fs::write(folder.0.join("settings.toml"), settings(&server, &outside)).unwrap();
-    std::fs::write(folder.0.join("calendar.json"), "{}").unwrap();
-    let _controller = start(&folder.0);
+fn controller_serves_connections_up_to_its_socket_limit() {
+    let temp_dir = TempDir::new("doors");
+    let (server, outside) = (free_address(), start_external_services());
+    std::fs::write(
+        temp_dir.0.join("settings.toml"),
+        settings(&server, &outside),
+    )
+    .unwrap();
+    std::fs::write(temp_dir.0.join("calendar.json"), "{}").unwrap();
+    let _controller = start(&temp_dir.0);
     let ready = || {
-        let (status, body) = ask(&server, "GET", "/ready", "")?;
+        let (status, body) = send_request(&server, "GET", "/ready", "")?;
         (status == 200).then(|| serde_json::from_str::<serde_json::Value>(&body).unwrap())
     };
-    let up = (0..100).any(|_| {
+    let started = (0..100).any(|_| {
         std::thread::sleep(Duration::from_millis(100));
         ready().is_some()
     });
-    assert!(up);
-    // One open connection with one request answered on it.
-    let come = |path: &str, n: usize| {
+    assert!(started);
+    // Opens a connection and sends one request. Returns the connection and whether there was a response.
+    let open_connection = |path: &str, n: usize| {
         let mut stream = TcpStream::connect(&server).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
-        let report = format!(
+        let heartbeat = format!(
             r#"{{"Prensa":"n-{n:06}","Modelo":"s","Parcela":"a","Avulsas":false,"Jornada":1,"Contagem":1,"Selo":0,"Tarefas":[]}}"#
         );
         let (method, body) = match path {
-            "/checkin" => ("POST", report.as_str()),
+            "/checkin" => ("POST", heartbeat.as_str()),
             _ => ("GET", ""),
         };
-        let long = body.len();
-        let request = format!("{method} {path} HTTP/1.1\r\nContent-Length: {long}\r\n\r\n{body}");
+        let content_length = body.len();
+        let request =
+            format!("{method} {path} HTTP/1.1\r\nContent-Length: {content_length}\r\n\r\n{body}");
         stream.write_all(request.as_bytes()).unwrap();
-        let mut some = [0; 12];
-        let answered = stream.read_exact(&mut some).is_ok();
+        let mut status_line = [0; 12];
+        let answered = stream.read_exact(&mut status_line).is_ok();
         (stream, answered)
     };
-    let mut held: Vec<TcpStream> = Vec::new();
+    let mut open_connections: Vec<TcpStream> = Vec::new();
     for n in 0..740 {
-        let (stream, answered) = come("/checkin", n);
+        let (stream, answered) = open_connection("/checkin", n);
         assert!(answered, "worker {n}");
-        held.push(stream);
+        open_connections.push(stream);
     }
     let doors = || {
-        // It is counted once a second.
+        // Connections are counted once per second.
         std::thread::sleep(Duration::from_millis(1_200));
-        ready().expect("a probe gets in")["doors"].clone()
+        ready().expect("a probe is served")["doors"].clone()
     };
     let full = doors();
     assert_eq!(
@@ -459,9 +479,9 @@
     );
     assert!(full["workers"].as_u64() >= Some(740), "{full}");
     for n in 0..400 {
-        let (stream, answered) = come("/api/jobs/wk-000001", n);
+        let (stream, answered) = open_connection("/api/jobs/wk-000001", n);
         assert!(answered, "user {n}");
-        held.push(stream);
+        open_connections.push(stream);
     }
     let doors = doors();
     let most = doors["most"].as_u64().unwrap();
@@ -474,7 +494,7 @@
     assert!(doors["asked_anew"].as_u64() > Some(100), "{doors}");
 }
 
-/// So many hours from now, as the command line takes it.
+/// The time this many hours from now, in the format of the command line.
 fn hours_ahead(hours: u64) -> String {
     let now = std::time::SystemTime::now();
     let since = now.duration_since(std::time::UNIX_EPOCH).unwrap();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -744,8 +744,8 @@
 proptest! {
     #![proptest_config(fixed_config())]
 
-    /// Guards against controllers that together exceed the key-value store's rates, however the shards are divided, and
-    /// against one that leads all shards and may use no more than its equal fraction.
+    /// Guards against controllers that together exceed the key-value store's rates, however the shards are divided,
+    /// and against a controller that leads all shards but may use only an equal fraction of the rates.
     #[test]
     fn request_rates_follow_led_shards_and_never_exceed_the_total(
         owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
--- a/tests/protocol_rules.rs
+++ b/tests/protocol_rules.rs
@@ -123,8 +123,8 @@
 const LARGE: (f64, usize) = (400.0, 10);
 
 /// Guards against returning all machines of a zone, with their cached images, just before its isolation ends, and
-/// against waiting forever if it does not end. The machines are kept for as long again as new ones take to boot (5
-/// s).
+/// against waiting forever if it does not end. The machines are kept for as long again as new ones take to boot,
+/// which is 5 s.
 #[test]
 fn machines_of_isolated_zone_are_returned_only_after_long_isolation() {
     for (isolation_ms, kept) in [(15_500, true), (30_000, false)] {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,18 +1,18 @@
-//! Settings: what is sound is taken, what is not is named.
+//! Settings: valid ones are accepted, and errors name the invalid field.
 
 use snowshelf::operator::{OperatorFile, OperatorSettings};
 use snowshelf::settings::Settings;
 
-const SOUND: &str = include_str!("sound.toml");
+const VALID_SETTINGS: &str = include_str!("sound.toml");
 
 #[test]
-fn sound_settings_are_taken_and_unknown_fields_ignored() {
-    let settings = Settings::parse(SOUND).unwrap();
+fn valid_settings_are_accepted_and_unknown_fields_ignored() {
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(settings.member_ttl_ms(), 3_500);
 }
 
 #[test]
-fn a_wrong_field_is_named_in_one_line() {
+fn settings_error_names_the_field_in_one_line() {
     for (from, to, field) in [
         ("nodes = 1", "nodes = 2", "peers"),
         ("rps = 2.0", "rps = -2.0", "deployment.cloud.rps"),
@@ -23,7 +23,7 @@
         ("lease_s = 10.0\n", "", "lease_s"),
         ("nodes = 1", "nodes = ", "deployment.nodes"),
     ] {
-        let error = Settings::parse(&SOUND.replace(from, to))
+        let error = Settings::parse(&VALID_SETTINGS.replace(from, to))
             .unwrap_err()
             .to_string();
         assert!(error.contains(field), "{error}");
@@ -31,11 +31,11 @@
     }
 }
 
-/// The limits to come may be named in part, and never raise those in force.
+/// Future limits may be set in part, and never raise the current ones.
 #[test]
-fn the_smaller_of_both_limits_counts() {
+fn effective_limits_are_the_smaller_of_current_and_next() {
     let with = |next: &str| {
-        let text = SOUND.replace(
+        let text = VALID_SETTINGS.replace(
             "[deployment.cloud]",
             &format!("[deployment.state.next]\n{next}\n[deployment.cloud]"),
         );
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn operators_settings_follow_their_schema() {
+fn operator_settings_are_validated_against_their_schema() {
     assert!(OperatorSettings::parse("{}").is_ok());
     assert_eq!(
         OperatorSettings::parse(r#"{"hold_ms": 5}"#)
@@ -78,9 +78,10 @@
     );
 }
 
-/// Features stand in files of their own; what two of them say differently is not settled by their order.
+/// Features are configured in separate files. A conflict between two files is an error and is not resolved by their
+/// order.
 #[test]
-fn several_files_are_merged_and_a_conflict_names_both() {
+fn operator_files_are_merged_and_a_conflict_names_both_files() {
     let merge = |files: &[(&str, &str)]| {
         let files: Vec<OperatorFile> = files
             .iter()
--- a/tests/reading.rs
+++ b/tests/startup_read.rs
@@ -1,5 +1,6 @@
-//! A controller's start at a state service with a long history: it reads and holds what is open, not
-//! what ever was, and ends although more changes than the service keeps happen meanwhile.
+//! A controller's startup with a key-value store that has a long history. The startup read loads and keeps open
+//! jobs rather than all jobs that ever existed, and completes although more changes occur meanwhile than the store
+//! retains.
 
 use serde_json::{Value, json};
 use snowshelf::coordination::controller::{Controller, TICK_MS};
@@ -12,77 +13,77 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-/// Counts what is allocated, so that a reading's memory can be bounded.
-struct Counting;
-static HELD: AtomicUsize = AtomicUsize::new(0);
-static PEAK: AtomicUsize = AtomicUsize::new(0);
-/// What is allocated is counted for one test at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Counts the allocated bytes, so that a test can bound the memory of a startup read.
+struct CountingAllocator;
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
+static PEAK_BYTES: AtomicUsize = AtomicUsize::new(0);
+/// The count is global, so tests run one at a time.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
-// SAFETY: everything is handed on to the system's allocator as it came.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: all calls are forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let held = HELD.fetch_add(layout.size(), Relaxed) + layout.size();
-        PEAK.fetch_max(held, Relaxed);
+        let allocated = ALLOCATED_BYTES.fetch_add(layout.size(), Relaxed) + layout.size();
+        PEAK_BYTES.fetch_max(allocated, Relaxed);
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Relaxed);
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const SETTINGS: &str = include_str!("sound.toml");
-/// Changes that happen while a page is fetched, and so many the service keeps.
-const A_PAGE: u64 = 200;
-const KEPT: u64 = 10_000;
-const OPEN: usize = 300;
+/// Changes that occur while a page is read, and changes that the store retains.
+const CHANGES_PER_PAGE: u64 = 200;
+const RETAINED_CHANGES: u64 = 10_000;
+const OPEN_JOBS: usize = 300;
 
-/// A state service with many jobs, most of which have ended, and changes that go on.
-struct History {
+/// A key-value store with many jobs, most of which have ended, and continuous changes.
+struct FakeKvStore {
     revision: u64,
     requests: usize,
     bytes: usize,
-    /// So many jobs, one in so many of which is open.
+    /// Number of jobs. One in `open_interval` is open.
     jobs: usize,
-    open_each: usize,
-    /// The keys beside jobs', with their versions.
+    open_interval: usize,
+    /// Records other than jobs, with their versions.
     others: BTreeMap<String, (Value, u64)>,
-    /// Every open job has changed lately.
-    lately: bool,
+    /// Whether every open job has changed within the retained changes.
+    recently_changed: bool,
 }
 
 fn job_key(n: usize) -> String {
     format!("job/wk-{n:09}")
 }
 
-impl History {
-    fn new(jobs: usize, lately: bool) -> History {
-        let open_each = jobs / OPEN;
+impl FakeKvStore {
+    fn new(jobs: usize, recently_changed: bool) -> FakeKvStore {
+        let open_interval = jobs / OPEN_JOBS;
         let mut others = BTreeMap::new();
-        for n in (0..jobs).step_by(open_each) {
+        for n in (0..jobs).step_by(open_interval) {
             let share = json!({"s": {format!("n-{}", n % 7): [[0, 1, 1]]}});
             others.insert(format!("alloc/0/wk-{n:09}"), (share, 10));
         }
         let types = json!([{"Label": "t", "Cpus": 8.0, "MemGb": 8.0, "Hourly": 1.0}]);
         others.insert("types".to_string(), (types, 10));
-        History {
+        FakeKvStore {
             revision: 2_000_000,
             requests: 0,
             bytes: 0,
             jobs,
-            open_each,
+            open_interval,
             others,
-            lately,
+            recently_changed,
         }
     }
 
     fn job(&self, n: usize) -> Value {
         let room = json!({"cpus": 1.0, "gpus": 0.0, "mem": 1.0});
-        match n.is_multiple_of(self.open_each) {
+        match n.is_multiple_of(self.open_interval) {
             true => json!({"state": "Open", "tasks": 1, "parts": [0], "submitted": 5, "spec":
                 {"class": "c", "team": "red", "kind": "Batch", "priority": "High", "tasks": 1, "room": room,
                 "image": "i", "pull_gb": 1.0, "spot": false, "estimate_s": 9.0}}),
@@ -90,8 +91,8 @@
         }
     }
 
-    fn page(&mut self, path: &str) -> Value {
-        self.revision += A_PAGE;
+    fn list_page(&mut self, path: &str) -> Value {
+        self.revision += CHANGES_PER_PAGE;
         let (starts, after) = (param(path, "Starts"), param(path, "After"));
         let limit: usize = param(path, "Limit").parse().unwrap_or(1_000);
         let mut items = Vec::new();
@@ -121,8 +122,8 @@
         json!({"Items": items, "More": more, "Safra": self.revision})
     }
 
-    /// One job's key: the listed one is nobody's.
-    fn one(&self, path: &str) -> (u16, Value) {
+    /// Reads a single job.
+    fn get_job(&self, path: &str) -> (u16, Value) {
         let key = path.trim_start_matches("/kv/");
         let found = (0..self.jobs).find(|n| job_key(*n) == key);
         match found {
@@ -136,13 +137,13 @@
 
     fn changes(&self, path: &str) -> (u16, Value) {
         let after: u64 = param(path, "After").parse().unwrap_or(0);
-        if after + KEPT < self.revision {
+        if after + RETAINED_CHANGES < self.revision {
             return (410, json!({}));
         }
         let log: Vec<Value> = match param(path, "Starts") {
             "job/" => (0..self.jobs)
-                .step_by(self.open_each)
-                .filter(|_| self.lately)
+                .step_by(self.open_interval)
+                .filter(|_| self.recently_changed)
                 .map(|n| json!({"Write": job_key(n), "Value": self.job(n), "Colheita": n + 1}))
                 .collect(),
             _ => self
@@ -173,37 +174,38 @@
     pairs.find(|(key, _)| *key == name).map_or("", |p| p.1)
 }
 
-/// One controller that starts, and one worker that holds a task nobody knows.
-struct Play {
+/// A controller that starts, and a worker with a task that is unknown to it.
+struct Harness {
     controller: Controller,
-    history: History,
+    history: FakeKvStore,
     now: u64,
     fencing_token: u64,
-    too_old: usize,
-    /// Reports that were not answered by a 200.
-    sent_away: usize,
-    underway: Vec<ControllerEvent>,
+    expired_watches: usize,
+    /// Heartbeats that got a response other than 200.
+    refused_heartbeats: usize,
+    pending_events: Vec<ControllerEvent>,
 }
 
-/// When a start had come how far, in milliseconds.
+/// Times at which a startup reached its milestones, in milliseconds.
 #[derive(Default, Debug)]
-struct Reached {
-    /// The first valid answer to a worker, users' requests, the first command.
-    answer: Option<u64>,
-    users: Option<u64>,
-    command: Option<u64>,
+struct Milestones {
+    /// The first successful heartbeat response, the first response to users' requests, and the first command to a
+    /// worker.
+    heartbeat_response: Option<u64>,
+    users_served: Option<u64>,
+    first_command: Option<u64>,
 }
 
-const STRAY: u64 = 1;
-const READY: u64 = 2;
+const WORKER_CONNECTION: u64 = 1;
+const PROBE_CONNECTION: u64 = 2;
 
-impl Play {
-    fn new(history: History) -> Play {
-        Play::among(history, 1)
+impl Harness {
+    fn new(history: FakeKvStore) -> Harness {
+        Harness::with_nodes(history, 1)
     }
 
-    /// One of so many controllers; the others are never heard.
-    fn among(history: History, nodes: u32) -> Play {
+    /// A harness in which the controller is one of `nodes`. The other controllers are never heard from.
+    fn with_nodes(history: FakeKvStore, nodes: u32) -> Harness {
         let mut text = SETTINGS.replace("rps = 100.0", "rps = 200.0");
         text = text.replace("nodes = 1", &format!("nodes = {nodes}"));
         for n in 1..nodes {
@@ -211,18 +213,18 @@
             text = format!("{text}\n[[peers]]\n{peer}\n");
         }
         let settings = Settings::parse(&text).unwrap();
-        Play {
+        Harness {
             controller: Controller::new(settings, OperatorSettings::default(), MonotonicMillis(1)),
             history,
             now: 1,
             fencing_token: 0,
-            too_old: 0,
-            sent_away: 0,
-            underway: Vec::new(),
+            expired_watches: 0,
+            refused_heartbeats: 0,
+            pending_events: Vec::new(),
         }
     }
 
-    fn ask(&self, conn: u64, method: &str, path: &str, body: &Value) -> ControllerEvent {
+    fn request(&self, conn: u64, method: &str, path: &str, body: &Value) -> ControllerEvent {
         let request = Request {
             method: method.into(),
             path: path.into(),
@@ -231,22 +233,22 @@
         ControllerEvent::Request(ConnectionId(conn), request)
     }
 
-    /// Plays so long; feeds are answered only while `feed`.
-    fn play(&mut self, ms: u64, feed: bool) -> Reached {
-        let mut reached = Reached::default();
+    /// Runs for `ms` milliseconds. Watches get responses only if `watch_available` is set.
+    fn run_for(&mut self, ms: u64, watch_available: bool) -> Milestones {
+        let mut milestones = Milestones::default();
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK_MS;
-            // Answers take a tick.
-            let mut inputs = std::mem::take(&mut self.underway);
+            // Responses take one tick.
+            let mut inputs = std::mem::take(&mut self.pending_events);
             inputs.push(ControllerEvent::Tick);
-            // The first report comes before anything is known.
+            // The first heartbeat arrives before the controller has read any records.
             if self.now % 500 < TICK_MS || self.now <= 1 + TICK_MS {
                 let report = json!({"Prensa": "n-9", "Modelo": "t", "Parcela": "a", "Jornada": 1,
                     "Contagem": self.now, "Selo": self.fencing_token,
                     "Tarefas": [{"Tarefa": "wk-7/0", "Tentativa": 1, "Estado": "running"}]});
-                inputs.push(self.ask(STRAY, "POST", "/checkin", &report));
-                inputs.push(self.ask(READY, "GET", "/ready", &json!({})));
+                inputs.push(self.request(WORKER_CONNECTION, "POST", "/checkin", &report));
+                inputs.push(self.request(PROBE_CONNECTION, "GET", "/ready", &json!({})));
             }
             for input in inputs {
                 for output in self
@@ -257,18 +259,18 @@
                         Effect::Respond(conn, response) if response.status == 200 => {
                             let body: Value =
                                 serde_json::from_slice(&response.body).unwrap_or_default();
-                            if conn == ConnectionId(READY) {
-                                reached.users.get_or_insert(self.now);
+                            if conn == ConnectionId(PROBE_CONNECTION) {
+                                milestones.users_served.get_or_insert(self.now);
                                 continue;
                             }
                             self.fencing_token = body["Selo"].as_u64().unwrap();
-                            reached.answer.get_or_insert(self.now);
+                            milestones.heartbeat_response.get_or_insert(self.now);
                             if body["Ordens"].as_array().is_some_and(|o| !o.is_empty()) {
-                                reached.command.get_or_insert(self.now);
+                                milestones.first_command.get_or_insert(self.now);
                             }
                         }
-                        Effect::Respond(conn, _) if conn == ConnectionId(STRAY) => {
-                            self.sent_away += 1;
+                        Effect::Respond(conn, _) if conn == ConnectionId(WORKER_CONNECTION) => {
+                            self.refused_heartbeats += 1;
                         }
                         Effect::Call {
                             id,
@@ -277,37 +279,37 @@
                             body,
                             ..
                         } => {
-                            let answer = self.answer(id, target, &path, &body, feed);
-                            self.underway.push(answer);
+                            let response = self.respond(id, target, &path, &body, watch_available);
+                            self.pending_events.push(response);
                         }
                         _ => {}
                     }
                 }
             }
         }
-        reached
+        milestones
     }
 
-    fn answer(
+    fn respond(
         &mut self,
         id: CallId,
         target: Target,
         path: &str,
         body: &[u8],
-        feed: bool,
+        watch_available: bool,
     ) -> ControllerEvent {
         let (status, value) = match (target, path) {
             (Target::KvStore, "/leases") => (200, json!({"Arrendo": 7})),
             (Target::KvStore, "/txn") => (200, self.history.txn(body)),
-            (Target::KvStore, _) if path.starts_with("/kv?") => (200, self.history.page(path)),
-            (Target::KvStore, _) if path.starts_with("/kv/job/") => self.history.one(path),
-            (Target::KvStore, _) if path.starts_with("/changes") && feed => {
+            (Target::KvStore, _) if path.starts_with("/kv?") => (200, self.history.list_page(path)),
+            (Target::KvStore, _) if path.starts_with("/kv/job/") => self.history.get_job(path),
+            (Target::KvStore, _) if path.starts_with("/changes") && watch_available => {
                 self.history.changes(path)
             }
             (Target::KvStore, _) if path.starts_with("/leases/") => (200, json!({})),
             _ => (503, json!({})),
         };
-        self.too_old += usize::from(status == 410);
+        self.expired_watches += usize::from(status == 410);
         let body = value.to_string().into_bytes();
         if target == Target::KvStore && path.starts_with("/kv") {
             self.history.requests += 1;
@@ -317,94 +319,105 @@
     }
 }
 
-/// Guards against a start that is the later the more jobs ever were: 27.7 s with a million of them,
-/// while no worker was answered and every lease ran out.
+/// Guards against a startup that takes longer the more jobs have ever existed. With a million jobs it took 27.7 s;
+/// no worker got a response meanwhile, and every worker lease expired.
 #[test]
-fn a_start_does_not_grow_with_what_has_ended() {
-    let _alone = ALONE.lock();
-    for lately in [true, false] {
+fn startup_time_does_not_grow_with_ended_jobs() {
+    let _lock = TEST_LOCK.lock();
+    for recently_changed in [true, false] {
         let (mut few, mut many) = (
-            Play::new(History::new(1_000, lately)),
-            Play::new(History::new(1_000_000, lately)),
+            Harness::new(FakeKvStore::new(1_000, recently_changed)),
+            Harness::new(FakeKvStore::new(1_000_000, recently_changed)),
         );
-        let (a, b) = (few.play(20_000, true), many.play(20_000, true));
-        let all = |r: &Reached| (r.answer.unwrap(), r.users.unwrap(), r.command.unwrap());
+        let (a, b) = (few.run_for(20_000, true), many.run_for(20_000, true));
+        let times = |r: &Milestones| {
+            (
+                r.heartbeat_response.unwrap(),
+                r.users_served.unwrap(),
+                r.first_command.unwrap(),
+            )
+        };
         let ((answer, users, command), (answer_many, users_many, command_many)) =
-            (all(&a), all(&b));
+            (times(&a), times(&b));
         assert_eq!((answer, users), (answer_many, users_many));
         assert!(answer <= 200 && users <= 1_000, "{a:?}");
-        // Nor is a worker sent away that comes a moment before the part is taken.
-        assert_eq!((few.sent_away, many.sent_away), (0, 0));
-        // Looked for one by one, what is open takes a request each at the most.
-        let most = if lately { 500 } else { 9_000 };
+        // A worker whose heartbeat arrives just before the shard is taken over is not refused either.
+        assert_eq!((few.refused_heartbeats, many.refused_heartbeats), (0, 0));
+        // If open jobs are read one by one, each takes at most one request.
+        let most = if recently_changed { 500 } else { 9_000 };
         assert!(command_many <= command + most, "{command} {command_many}");
         let requests = many.history.requests;
         assert!(
-            requests <= if lately { 10 } else { OPEN + 20 },
+            requests <= if recently_changed { 10 } else { OPEN_JOBS + 20 },
             "{requests}"
         );
         assert!(many.history.bytes < 4 << 20, "{} bytes", many.history.bytes);
     }
 }
 
-/// Guards against an owner that keeps workers for ever though it hears no feed: what was cancelled since is unknown, and
-/// its tasks would outlive the time for cancelling.
+/// Guards against a shard leader that renews worker leases forever although it receives no watch events. It cannot
+/// know recent cancellations, so tasks of cancelled jobs would run for longer than `cancel_s`.
 #[test]
-fn workers_are_let_go_by_an_owner_that_hears_nothing_new() {
-    let _alone = ALONE.lock();
-    // Of two: one that is alone confirms all that is confirmed, and so knows it.
-    let mut play = Play::among(History::new(1_000, true), 2);
+fn shard_leader_without_watch_events_refuses_heartbeats() {
+    let _lock = TEST_LOCK.lock();
+    // Two controllers, because a sole controller confirms all cancellations itself and so knows them.
+    let mut harness = Harness::with_nodes(FakeKvStore::new(1_000, true), 2);
     let settings = Settings::parse(SETTINGS).unwrap();
     let answering_ms = settings.answering_ms();
     assert!(answering_ms > 5_000, "{answering_ms}");
-    assert!(play.play(2_000, false).answer.is_some());
-    assert_eq!(play.sent_away, 0);
-    play.play(answering_ms, false);
-    let away = play.sent_away;
-    let answered = play.play(10_000, false).answer;
-    assert_eq!((answered, play.sent_away), (None, away + 20));
-    // News come again.
-    assert!(play.play(10_000, true).answer.is_some());
+    assert!(harness.run_for(2_000, false).heartbeat_response.is_some());
+    assert_eq!(harness.refused_heartbeats, 0);
+    harness.run_for(answering_ms, false);
+    let refused_before = harness.refused_heartbeats;
+    let heartbeat_response_after = harness.run_for(10_000, false).heartbeat_response;
+    assert_eq!(
+        (heartbeat_response_after, harness.refused_heartbeats),
+        (None, refused_before + 20)
+    );
+    // Watch events arrive again.
+    assert!(harness.run_for(10_000, true).heartbeat_response.is_some());
 }
 
-/// Guards against a reading that holds the keys of all that ever was (116 MB for a million ended jobs,
-/// more than a controller may take), and against one that is over only when the feed can no longer
-/// be followed from where it began, and so begins again for ever. The whole is read only while a
-/// graph's run is open.
+/// Guards against a startup read that keeps the keys of all jobs that ever existed (116 MB for a million ended
+/// jobs, which exceeds a controller's memory limit). Guards also against a read that takes longer than changes are
+/// retained and therefore restarts forever. All jobs are read only while a DAG run is open.
 #[test]
-fn a_long_history_is_read_once_and_in_little_memory() {
+fn long_history_is_read_once_in_bounded_memory() {
     const ENDED: usize = 300_000;
-    let _alone = ALONE.lock();
-    let mut history = History::new(ENDED, true);
+    let _lock = TEST_LOCK.lock();
+    let mut history = FakeKvStore::new(ENDED, true);
     let run = json!({"state": "Open", "at": 1, "jobs": 1, "hash": "h", "pieces": 1});
     history.others.insert("run/g/r".into(), (run, 10));
-    let mut play = Play::new(history);
-    let before = HELD.load(Relaxed);
-    PEAK.store(before, Relaxed);
-    let reached = play.play(120_000, true);
-    assert!(reached.command.is_some_and(|at| at < 3_000), "{reached:?}");
+    let mut harness = Harness::new(history);
+    let before = ALLOCATED_BYTES.load(Relaxed);
+    PEAK_BYTES.store(before, Relaxed);
+    let milestones = harness.run_for(120_000, true);
+    assert!(
+        milestones.first_command.is_some_and(|at| at < 3_000),
+        "{milestones:?}"
+    );
     let all = ENDED.div_ceil(1_000);
-    let read = play.history.requests;
+    let read = harness.history.requests;
     assert!((all..all + 10).contains(&read), "{read} pages of {all}");
-    assert_eq!(play.too_old, 0);
-    assert!(all as u64 * A_PAGE > 5 * KEPT);
-    let most = PEAK.load(Relaxed) - before;
+    assert_eq!(harness.expired_watches, 0);
+    assert!(all as u64 * CHANGES_PER_PAGE > 5 * RETAINED_CHANGES);
+    let most = PEAK_BYTES.load(Relaxed) - before;
     assert!(most < 14 << 20, "{most} bytes for {ENDED} jobs");
 }
 
-/// Guards against news that a second reading, after a feed that was away for too long, must bring
-/// although nothing tells of them: what is known from before and is not found is gone.
+/// Guards against deletions that are missed by a second startup read, after the watch was interrupted for too long.
+/// Cached keys that the read does not find are removed.
 #[test]
-fn what_a_second_reading_does_not_find_is_gone() {
+fn keys_missing_from_second_startup_read_are_removed() {
     use snowshelf::storage::record_cache::RecordCache;
     use snowshelf_model::ids::{JobId, ShardId, Version};
     let mut records = RecordCache::default();
     let open = json!({"state": "Open", "tasks": 1, "parts": [0], "submitted": 5});
     let done = json!({"state": "Done", "tasks": 1, "submitted": 5});
-    let share = json!({"w": [[0, 1, 1]]});
+    let allocation = json!({"w": [[0, 1, 1]]});
     for job in ["wk-1", "wk-2", "wk-3"] {
         records.apply(&format!("job/{job}"), Some(&open), Version(5));
-        records.apply(&format!("alloc/0/{job}"), Some(&share), Version(5));
+        records.apply(&format!("alloc/0/{job}"), Some(&allocation), Version(5));
     }
     records.mark_loaded(Version(6));
     records.end_startup_read();
@@ -412,7 +425,7 @@
     let known = records.live_keys();
     assert_eq!(known.len(), 6);
     assert!(known.is_sorted());
-    // The feed tells of one job's end before the page that was sent earlier brings its beginning.
+    // The watch reports the end of a job before an older page lists the job as open.
     records.apply("job/wk-3", Some(&done), Version(20));
     assert!(
         records
@@ -420,13 +433,13 @@
             .is_none()
     );
     assert!(!records.jobs.contains_key(&JobId::new("wk-3")));
-    // Made anew after the page was read: it stays.
-    records.apply("alloc/0/wk-1", Some(&share), Version(30));
+    // A record that was created after the page was read stays.
+    records.apply("alloc/0/wk-1", Some(&allocation), Version(30));
     assert!(records.apply_absence("alloc/0/wk-1", Version(10)).is_none());
     assert!(records.apply_absence("alloc/0/wk-2", Version(10)).is_some());
     records.apply_absence("job/wk-2", Version(10));
-    // Late news of what is gone does not bring it back.
-    records.apply("alloc/0/wk-2", Some(&share), Version(7));
+    // A late change does not restore a deleted record.
+    records.apply("alloc/0/wk-2", Some(&allocation), Version(7));
     assert_eq!(records.shard_allocations(ShardId(0)).count(), 2);
     assert!(records.jobs.contains_key(&JobId::new("wk-1")));
     assert!(!records.contains_job(&JobId::new("wk-2")));
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! What stands outside the process keeps its form: records written by earlier versions, the schemas of operators'
-//! files, and the messages between controllers, byte by byte.
+//! Compatibility of external formats: records written by earlier versions, the schemas of operators' files, and the
+//! encoding of peer messages.
 
 use prost::Message;
 use serde::Serialize;
@@ -19,14 +19,14 @@
 /// Values that earlier versions wrote, one JSON object a line: the key, and its value.
 const RECORDS: &str = include_str!("fixtures/records.jsonl");
 
-/// Reads a value as a record and writes it back.
-fn rewritten<T: DeserializeOwned + Serialize>(value: &Value) -> Value {
+/// Decodes a value as a record and encodes it again.
+fn round_trip<T: DeserializeOwned + Serialize>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("the record can be read");
     serde_json::to_value(&record).expect("the record can be written")
 }
 
-/// An allocation in the format that it was written in.
-fn rewritten_allocation(value: &Value) -> Value {
+/// Decodes an allocation and encodes it in the format in which it was written.
+fn round_trip_allocation(value: &Value) -> Value {
     let alloc: ShardAllocation =
         serde_json::from_value(value.clone()).expect("the record can be read");
     let storage_limits = StorageLimits {
@@ -45,37 +45,37 @@
 }
 
 #[test]
-fn every_stored_record_is_read_and_written_back_unchanged() {
+fn stored_records_round_trip_unchanged() {
     let mut kinds = std::collections::BTreeMap::<String, u32>::new();
     for line in RECORDS.lines() {
         let entry: Value = serde_json::from_str(line).expect("a JSON object a line");
         let key = entry["key"].as_str().expect("a key");
         let kind = key.split('/').next().unwrap_or(key);
         let value = &entry["value"];
-        let again = match kind {
-            "alloc" => rewritten_allocation(value),
-            "job" => rewritten::<JobRecord>(value),
-            "part" | "leader" => rewritten::<LeaseHolder>(value),
-            "quota" => rewritten::<QuotaRecord>(value),
-            "member" | "format" => rewritten::<FormatRecord>(value),
-            "types" => rewritten::<Vec<MachineType>>(value),
-            "res" => rewritten::<Reservation>(value),
-            "win" => rewritten::<Window>(value),
-            "drain" => rewritten::<Drain>(value),
-            "disrupt" => rewritten::<Ledger>(value),
-            "run" => rewritten::<RunRecord>(value),
-            "graph" => rewritten::<GraphRecord>(value),
-            "plan" | "def" => rewritten::<String>(value),
+        let encoded = match kind {
+            "alloc" => round_trip_allocation(value),
+            "job" => round_trip::<JobRecord>(value),
+            "part" | "leader" => round_trip::<LeaseHolder>(value),
+            "quota" => round_trip::<QuotaRecord>(value),
+            "member" | "format" => round_trip::<FormatRecord>(value),
+            "types" => round_trip::<Vec<MachineType>>(value),
+            "res" => round_trip::<Reservation>(value),
+            "win" => round_trip::<Window>(value),
+            "drain" => round_trip::<Drain>(value),
+            "disrupt" => round_trip::<Ledger>(value),
+            "run" => round_trip::<RunRecord>(value),
+            "graph" => round_trip::<GraphRecord>(value),
+            "plan" | "def" => round_trip::<String>(value),
             "calendar" => value.clone(),
             _ => panic!("{key}: no such kind of record"),
         };
-        assert_eq!(again.to_string(), value.to_string(), "{key}");
+        assert_eq!(encoded.to_string(), value.to_string(), "{key}");
         *kinds.entry(kind.to_string()).or_default() += 1;
     }
     assert_eq!(kinds.len(), 17, "{kinds:?}");
 }
 
-/// A schema without its descriptions, which are prose.
+/// Removes the descriptions from a schema, since their wording may change.
 fn without_descriptions(schema: Value) -> Value {
     match schema {
         Value::Object(map) => map
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn operators_files_keep_their_schemas() {
-    for (schema, kept) in [
+fn operator_file_schemas_are_unchanged() {
+    for (schema, expected) in [
         (
             OperatorSettings::schema(),
             include_str!("fixtures/operator.schema.json"),
@@ -104,12 +104,12 @@
             include_str!("fixtures/mapping.schema.json"),
         ),
     ] {
-        let kept: Value = serde_json::from_str(kept).expect("a schema");
-        assert_eq!(without_descriptions(schema), kept);
+        let expected: Value = serde_json::from_str(expected).expect("a schema");
+        assert_eq!(without_descriptions(schema), expected);
     }
 }
 
-/// A number in base 128, the low bits first.
+/// Encodes a number as a protobuf varint: base 128, low-order groups first.
 fn varint(mut value: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     while value >= 0x80 {
@@ -120,7 +120,7 @@
     bytes
 }
 
-/// The bytes of a length-delimited field.
+/// Encodes a length-delimited field.
 fn field(tag: usize, bytes: &[u8]) -> Vec<u8> {
     [varint(tag << 3 | 2), varint(bytes.len()), bytes.to_vec()].concat()
 }
@@ -135,10 +135,10 @@
     field
 }
 
-/// Guards against a tag or a type that changes: bytes written by hand, after the numbers that earlier versions use.
+/// Guards against a changed tag or type. The bytes are written by hand with the tags that earlier versions use.
 #[test]
-fn messages_between_controllers_keep_their_tags() {
-    let part = [
+fn peer_messages_keep_their_field_tags() {
+    let shard = [
         number(1, 2),
         double(2, 1.5),
         double(3, 2.5),
@@ -161,11 +161,11 @@
         field(14, b"wk-3"),
         field(15, b"wk-4"),
     ];
-    let hint = [
+    let status = [
         field(1, b"n0"),
         number(2, 11),
         number(3, 12),
-        field(4, &part.concat()),
+        field(4, &shard.concat()),
         field(5, b"red"),
         field(6, b"m-4"),
         number(7, 13),
@@ -177,11 +177,11 @@
         ),
     ]
     .concat();
-    let read = PeerStatus::decode(&hint[..]).expect("a hint");
-    assert_eq!(read.encode_to_vec(), hint);
+    let read = PeerStatus::decode(&status[..]).expect("a status");
+    assert_eq!(read.encode_to_vec(), status);
 
     let request = [field(1, b"n0"), number(2, 21), number(3, 22), number(4, 23)].concat();
-    let answer = [
+    let confirmation = [
         field(1, b"n1"),
         number(2, 24),
         number(3, 25),
@@ -190,14 +190,14 @@
         field(6, b"wk-1"),
     ]
     .concat();
-    let proof = [field(101, &request), field(102, &answer)].concat();
-    let read = PeerMessage::decode(&proof[..]).expect("a message");
-    assert_eq!(read.encode_to_vec(), proof);
+    let peer_message = [field(101, &request), field(102, &confirmation)].concat();
+    let read = PeerMessage::decode(&peer_message[..]).expect("a message");
+    assert_eq!(read.encode_to_vec(), peer_message);
 }
 
 #[test]
-fn a_machine_type_keeps_the_names_of_the_cloud() {
+fn machine_type_keeps_the_field_names_of_the_cloud_api() {
     let value = json!({"Label": "s", "Cpus": 4.0, "Gpus": 1.0, "MemGb": 8.0, "LocalGb": 9.0, "FetchGbPerS": 0.5,
         "Hourly": 1.0, "SpotPrice": 0.5, "ReadyS": 5.0, "Parcelas": ["a"]});
-    assert_eq!(rewritten::<MachineType>(&value), value);
+    assert_eq!(round_trip::<MachineType>(&value), value);
 }
