--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -96,11 +96,14 @@
     assert!(names.len() > 100, "{} names were found", names.len());
     let sources = rust_sources();
     let known = identifiers(&sources);
-    let wrong: Vec<&str> = names
+    let missing_names: Vec<&str> = names
         .into_iter()
         .filter(|name| missing(name, &sources, &known).is_some())
         .collect();
-    assert!(wrong.is_empty(), "not in the sources: {wrong:#?}");
+    assert!(
+        missing_names.is_empty(),
+        "not in the sources: {missing_names:#?}"
+    );
 }
 
 /// Guards against a check that accepts every name.
--- a/tests/autoscaler_plan.rs
+++ b/tests/autoscaler_plan.rs
@@ -79,7 +79,7 @@
 )]
 fn reference_plan(
     demands: &[TaskDemand],
-    mut have: Vec<MachineSupply>,
+    mut supply: Vec<MachineSupply>,
     types: &BTreeMap<String, MachineType>,
     refused: &BTreeSet<Pool>,
 ) -> BTreeMap<Pool, u32> {
@@ -116,11 +116,11 @@
     let mut rent: BTreeMap<Pool, u32> = BTreeMap::new();
     let mut order: Vec<&TaskDemand> = demands.iter().collect();
     order.sort_by_key(|w| (w.spot, w.types.is_none(), w.zone.is_none()));
-    have.sort_by_key(|h| !h.pool.spot);
+    supply.sort_by_key(|h| !h.pool.spot);
     let mut backlog = 0.0;
     for demand in order {
         let (mut left, mut reach) = (demand.tasks, 0.0);
-        for h in have.iter_mut().filter(|h| allows(demand, &h.pool)) {
+        for h in supply.iter_mut().filter(|h| allows(demand, &h.pool)) {
             let n = demand.resources.count_in(h.free).min(left);
             h.free.sub(demand.resources.times(f64::from(n)));
             left -= n;
@@ -161,7 +161,7 @@
             reach += t.cpus;
             left -= n;
             *rent.entry(pool.clone()).or_default() += 1;
-            have.push(MachineSupply { pool, free });
+            supply.push(MachineSupply { pool, free });
         }
         backlog +=
             demand.over_quota_cpu_s + f64::from(left) * demand.resources.cpus * demand.estimate_s;
@@ -186,17 +186,17 @@
         refused in prop::collection::btree_set(pool(), 0..3),
     ) {
         let types = types();
-        let have = || {
-            let have = machines.iter().map(|(pool, taken)| {
+        let supply = || {
+            let supply = machines.iter().map(|(pool, taken)| {
                 let mut free = types[&pool.model].room();
                 free.sub(resources(*taken, 2 * taken));
                 MachineSupply { pool: pool.clone(), free }
             });
-            have.collect::<Vec<MachineSupply>>()
+            supply.collect::<Vec<MachineSupply>>()
         };
         prop_assert_eq!(
-            plan(&demands, have(), &types, &refused),
-            reference_plan(&demands, have(), &types, &refused)
+            plan(&demands, supply(), &types, &refused),
+            reference_plan(&demands, supply(), &types, &refused)
         );
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -78,7 +78,7 @@
 #[test]
 fn plan_rents_on_demand_machines_only_for_a_long_backlog() {
     let types: BTreeMap<_, _> = [machine_type("s", 8.0, 0.8, Some(0.2))].into();
-    let have = || {
+    let supply = || {
         (0..4)
             .map(|_| MachineSupply {
                 pool: pool(true),
@@ -88,10 +88,11 @@
     };
     let refused_pools: BTreeSet<Pool> = [pool(true)].into();
     // 32 CPUs clear 16 tasks at once and 4 more within seconds, so no on-demand machine is rented.
-    assert!(plan(&[task_demand(20, true)], have(), &types, &refused_pools).is_empty());
+    assert!(plan(&[task_demand(20, true)], supply(), &types, &refused_pools).is_empty());
     // 600 tasks of ten seconds would wait for minutes.
     assert!(
-        plan(&[task_demand(600, true)], have(), &types, &refused_pools).contains_key(&pool(false))
+        plan(&[task_demand(600, true)], supply(), &types, &refused_pools)
+            .contains_key(&pool(false))
     );
     // So would 20 tasks behind others that exceed the team's limit. When each team's demand was cut to its limit,
     // tasks of 80,000 CPUs waited and no on-demand machine was rented (inc-2443).
@@ -99,12 +100,17 @@
         over_quota_cpu_s: 6_000.0,
         ..task_demand(20, true)
     };
-    assert!(plan(&[behind_quota], have(), &types, &refused_pools).contains_key(&pool(false)));
+    assert!(plan(&[behind_quota], supply(), &types, &refused_pools).contains_key(&pool(false)));
     // While spot machines are available, they are rented at once and on-demand machines are not.
-    let rent = plan(&[task_demand(600, true)], have(), &types, &BTreeSet::new());
+    let rent = plan(
+        &[task_demand(600, true)],
+        supply(),
+        &types,
+        &BTreeSet::new(),
+    );
     assert!(rent.contains_key(&pool(true)) && !rent.contains_key(&pool(false)));
     // A job that may not use spot machines has no cheaper option.
-    let rent = plan(&[task_demand(8, false)], have(), &types, &BTreeSet::new());
+    let rent = plan(&[task_demand(8, false)], supply(), &types, &BTreeSet::new());
     assert_eq!(rent, [(pool(false), 2)].into());
 }
 
@@ -131,12 +137,12 @@
 }
 
 fn capacities(list: [(f64, f64, f64); 3]) -> BTreeMap<ShardId, ShardCapacity> {
-    let room = |(free, capacity, waiting)| ShardCapacity {
+    let shard_capacity = |(free, capacity, waiting)| ShardCapacity {
         free,
         capacity,
         waiting,
     };
-    (0..).map(ShardId).zip(list.map(room)).collect()
+    (0..).map(ShardId).zip(list.map(shard_capacity)).collect()
 }
 
 fn partition_sizes(
@@ -176,13 +182,13 @@
 fn partition_prefers_the_shortest_queue_relative_to_capacity() {
     let queues = capacities([(0.0, 100.0, 100.0), (0.0, 300.0, 200.0), (4.0, 100.0, 90.0)]);
     assert_eq!(partition_sizes(&queues, 0.0), [(1, 30)].into());
-    let mut room = ShardCapacity {
+    let mut shard = ShardCapacity {
         free: 50.0,
         capacity: 100.0,
         waiting: 0.0,
     };
-    room.assign(60.0);
-    assert_eq!((room.free, room.waiting), (0.0, 10.0));
+    shard.assign(60.0);
+    assert_eq!((shard.free, shard.waiting), (0.0, 10.0));
 }
 
 /// Guards against machines that fetch one image after another. When any shard could get any job, a third of all
@@ -398,15 +404,15 @@
     use snowshelf_model::records::{AllocationChange, AllocationChangeKind, ShardAllocation};
     use snowshelf_model::task_ranges::TaskRanges;
     for value_bytes in [16 * 1024, 32 * 1024] {
-        let most = ShardAllocation::max_started(value_bytes);
-        assert!(most >= 250);
+        let max_tasks = ShardAllocation::max_started(value_bytes);
+        assert!(max_tasks >= 250);
         let mut allocation = ShardAllocation {
-            waiting: TaskRanges::range(90_000, 90_000 + 2 * most, 10),
+            waiting: TaskRanges::range(90_000, 90_000 + 2 * max_tasks, 10),
             ..ShardAllocation::default()
         };
         // Every other task runs on a machine of its own, and the tasks in between wait. The encoding cannot merge
         // ranges then.
-        for i in 0..most {
+        for i in 0..max_tasks {
             let change = AllocationChange {
                 task: TaskIndex(90_000 + 2 * i),
                 attempt: Attempt(10),
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -138,13 +138,13 @@
             "{emptied:?} of {before}"
         );
         // Tasks ran longer than the drain's patience. The budget was used and not exceeded.
-        let (stops, away) = (
+        let (stops, disrupted_cpus) = (
             simulation.disruptions.stops(),
             simulation.disruptions.most_disrupted_cpus,
         );
         assert!(
-            stops >= 20 && away >= SMALL_BUDGET.cpus / 2.0,
-            "{stops} {away}"
+            stops >= 20 && disrupted_cpus >= SMALL_BUDGET.cpus / 2.0,
+            "{stops} {disrupted_cpus}"
         );
     }
 }
@@ -263,8 +263,8 @@
         let mut reason_reported = false;
         for at in (75_000..110_000).step_by(1_000) {
             simulation.run(at);
-            let shown = simulation.operators[drain].last_response.to_string();
-            reason_reported |= shown.contains("red: as much of its work is away as may be");
+            let response = simulation.operators[drain].last_response.to_string();
+            reason_reported |= response.contains("red: as much of its work is away as may be");
         }
         // Every controller reports what the drain waits for.
         assert_eq!(
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -62,37 +62,40 @@
 }
 
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
-    let mut first = String::new();
-    reader.read_line(&mut first).ok().filter(|n| *n > 0)?;
-    let mut long = 0;
+    let mut request_line = String::new();
+    reader
+        .read_line(&mut request_line)
+        .ok()
+        .filter(|n| *n > 0)?;
+    let mut content_length = 0;
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
         if let Some(n) = line.to_lowercase().strip_prefix("content-length:") {
-            long = n.trim().parse().ok()?;
+            content_length = n.trim().parse().ok()?;
         }
         if line.trim().is_empty() {
             break;
         }
     }
-    let mut body = vec![0; long];
+    let mut body = vec![0; content_length];
     reader.read_exact(&mut body).ok()?;
-    let mut words = first.split_whitespace().map(str::to_string);
+    let mut words = request_line.split_whitespace().map(str::to_string);
     Some((words.next()?, words.next()?, body))
 }
 
 /// Serves one connection until the other side closes it.
-fn serve(stream: TcpStream, outside: &Shared) {
+fn serve(stream: TcpStream, services: &Shared) {
     let mut reader = BufReader::new(stream);
     while let Some((method, path, body)) = read_request(&mut reader) {
-        let lock = || outside.lock().expect("no test thread has failed");
+        let lock = || services.lock().expect("no test thread has failed");
         let reply = lock().call(&method, &path, &body);
         let (status, body) = reply.unwrap_or_else(|caller| {
             loop {
                 std::thread::sleep(Duration::from_millis(10));
-                let mut outside = lock();
-                outside.collect_watch_responses();
-                if let Some(body) = outside.watch_responses.remove(&caller) {
+                let mut services = lock();
+                services.collect_watch_responses();
+                if let Some(body) = services.watch_responses.remove(&caller) {
                     return (200, body);
                 }
             }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -206,13 +206,13 @@
     #[test]
     fn submission_error_names_the_invalid_field(
         at in 0..21usize,
-        wrong in prop_oneof![
+        invalid in prop_oneof![
             Just(serde_json::json!(-1)), Just(serde_json::json!({})), Just(serde_json::json!([1])),
         ],
     ) {
         let mut value = submission();
         let name = value.as_object().unwrap().keys().nth(at).unwrap().clone();
-        value[&name] = wrong;
+        value[&name] = invalid;
         let error = parse_submission(value.to_string().as_bytes()).unwrap_err();
         prop_assert_eq!(error.field, name);
     }
@@ -409,14 +409,14 @@
     #[test]
     fn choose_machines_respects_capacity_and_zone_rules(
         candidates in proptest::collection::vec((0.0..20.0f64, 0..3usize, 0..9u32, any::<bool>()), 0..12),
-        want in 1..40u32, together: bool, most in proptest::option::of(1..20u32),
+        want in 1..40u32, gang_scheduled: bool, zone_limit in proptest::option::of(1..20u32),
     ) {
         let task = Resources { cpus: 2.0, gpus: 0.0, mem: 0.0 };
         let candidates: Vec<MachineCandidate> = candidates.into_iter().map(|(cpus, zone, max_tasks, has_image)| MachineCandidate {
             free: Resources { cpus, gpus: 0.0, mem: 1.0 }, zone, max_tasks, scarce: false,
             image: if has_image { ImageState::Cached } else { ImageState::Absent }, active_fetches: 0, start_delay: 0,
         }).collect();
-        let mut zones = ZoneRule { gang: together, max_per_zone: most, ..ZoneRule::default() };
+        let mut zones = ZoneRule { gang: gang_scheduled, max_per_zone: zone_limit, ..ZoneRule::default() };
         let chosen = choose_machines(task, want, &candidates, Resources { cpus: 1.0, gpus: 0.0, mem: 0.0 }, &mut zones);
         let mut by_zone: BTreeMap<usize, u32> = BTreeMap::new();
         for (i, n) in &chosen {
@@ -425,8 +425,8 @@
             *by_zone.entry(candidates[*i].zone).or_default() += n;
         }
         prop_assert!(chosen.iter().map(|(_, n)| n).sum::<u32>() <= want);
-        prop_assert!(!together || by_zone.len() <= 1);
-        prop_assert!(most.is_none_or(|m| by_zone.values().all(|n| *n <= m)));
+        prop_assert!(!gang_scheduled || by_zone.len() <= 1);
+        prop_assert!(zone_limit.is_none_or(|m| by_zone.values().all(|n| *n <= m)));
     }
 
     /// Guards against late changes: the newest version is kept, regardless of the order in which changes arrive.
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_role_is_never_acquired_while_another_controller_may_hold_it() {
+fn role_is_never_acquired_while_another_controller_may_hold_it() {
     let v = Version(9);
     let other = Some(KeyHolder {
         is_self: false,
@@ -502,11 +502,12 @@
     assert_eq!(serde_json::to_value(&read).unwrap(), job);
     assert!(previous_formats::round_trips("job/wk-1", &job));
     let done = serde_json::json!({"state":"Done","tasks":2,"submitted":5});
-    let narrow = read.without_shard(ShardId(0), WallClockMillis(9), RecordFormat::V1);
-    let narrow = narrow.without_shard(ShardId(2), WallClockMillis(9), RecordFormat::V1);
+    let without_shards = read.without_shard(ShardId(0), WallClockMillis(9), RecordFormat::V1);
+    let without_shards =
+        without_shards.without_shard(ShardId(2), WallClockMillis(9), RecordFormat::V1);
     assert!(previous_formats::round_trips(
         "job/wk-1",
-        &serde_json::to_value(narrow).unwrap()
+        &serde_json::to_value(without_shards).unwrap()
     ));
     assert!(
         serde_json::from_value::<JobRecord>(done)
@@ -593,12 +594,12 @@
     for none in [serde_json::json!(null), serde_json::json!([])] {
         assert!(with(none).unwrap().is_empty());
     }
-    for wrong in [
+    for invalid in [
         serde_json::json!("wk-1"),
         serde_json::json!(["wk-1", 7]),
         serde_json::json!(["WK-1"]),
     ] {
-        assert_eq!(with(wrong).unwrap_err().field, "Aguarda");
+        assert_eq!(with(invalid).unwrap_err().field, "Aguarda");
     }
 }
 
@@ -748,15 +749,15 @@
     /// and against a controller that leads all shards but may use only an equal fraction of the rates.
     #[test]
     fn request_rates_follow_led_shards_and_never_exceed_the_total(
-        owners in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
+        leaders in prop::collection::vec(0..5usize, 5), rps in 10.0..1_000.0f64, write_rps in 5.0..500.0f64,
     ) {
         let storage_limits = StorageLimits { rps, write_rps, ..storage_limits(RecordFormat::V2, 16_384) };
         let rates = |led| RequestRates::of_controller(&storage_limits, 5, led);
-        let of = |node: usize| rates(owners.iter().filter(|o| **o == node).count());
+        let of = |node: usize| rates(leaders.iter().filter(|o| **o == node).count());
         let (requests, writes) = (0..5).map(of).fold((0.0, 0.0), |a, b| (a.0 + b.requests_per_s, a.1 + b.writes_per_s));
         prop_assert!(requests <= rps && writes <= write_rps, "{requests} of {rps}, {writes} of {write_rps}");
         prop_assert!(requests > 0.9 * rps && writes > 0.9 * write_rps);
-        let alone = rates(5).requests_per_s;
-        prop_assert!(alone > 2.0 * rates(1).requests_per_s);
+        let as_sole_leader = rates(5).requests_per_s;
+        prop_assert!(as_sole_leader > 2.0 * rates(1).requests_per_s);
     }
 }
--- a/tests/reservations.rs
+++ b/tests/reservations.rs
@@ -108,10 +108,10 @@
     simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 100.0}));
     simulation.add_user(15_000, json!({"Parcela": "a", "PrevisaoS": 4.0}));
     simulation.add_user(15_000, json!({"Parcela": "b", "PrevisaoS": 100.0}));
-    let short = first_start(&mut simulation, 1, 55_000);
-    assert!(short.is_some_and(|at| at < 40_000), "{short:?}");
-    let long = first_start(&mut simulation, 0, 150_000);
-    assert!(long.is_some_and(|at| at > 80_000), "{long:?}");
+    let short_start = first_start(&mut simulation, 1, 55_000);
+    assert!(short_start.is_some_and(|at| at < 40_000), "{short_start:?}");
+    let long_start = first_start(&mut simulation, 0, 150_000);
+    assert!(long_start.is_some_and(|at| at > 80_000), "{long_start:?}");
     simulation.run(200_000);
     assert_eq!(simulation.violations, Vec::<String>::new());
     assert_eq!(simulation.settled_jobs(), 3);
@@ -180,7 +180,7 @@
 /// that has no higher priority.
 #[test]
 fn overrunning_tasks_are_stopped_only_for_guaranteed_jobs() {
-    let wait = |tasks: u32| {
+    let start_delay = |tasks: u32| {
         let mut simulation = simulation(9, FAULT_FREE, DisabledSafeguards::default(), 0);
         simulation.task_run_ms = 50_000;
         simulation.add_reservation(5_000, "red", 20.0, Some("a"), 60_000, 150_000);
@@ -199,7 +199,7 @@
         assert_eq!(simulation.violations, Vec::<String>::new());
         start - 61_000
     };
-    let (guaranteed, beyond) = (wait(2), wait(3));
+    let (guaranteed, beyond) = (start_delay(2), start_delay(3));
     assert!(guaranteed < 8_000, "{guaranteed} ms");
     assert!(beyond > 12_000, "{beyond} ms");
 }
@@ -208,7 +208,7 @@
 /// begins. Without the reservation the same job waits until capacity becomes free.
 #[test]
 fn reserved_capacity_is_free_despite_a_backlog_of_another_team() {
-    let wait = |reserve: bool| {
+    let start_delay = |reserve: bool| {
         let mut simulation = simulation(7, FAULT_FREE, DisabledSafeguards::default(), 0);
         if reserve {
             simulation.add_reservation(5_000, "red", 16.0, Some("a"), 60_000, 100_000);
@@ -225,7 +225,7 @@
         assert_eq!(simulation.violations, Vec::<String>::new());
         start.map(|at| at - 64_000)
     };
-    let (with, without) = (wait(true), wait(false));
+    let (with, without) = (start_delay(true), start_delay(false));
     assert!(with.is_some_and(|ms| ms < 5_000), "{with:?} ms");
     assert!(without.is_none_or(|ms| ms > 20_000), "{without:?} ms");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -41,12 +41,12 @@
         );
         Settings::parse(&text).map(|s| s.deployment.state.effective())
     };
-    let least = with("value_kb = 2.0\ntxn_ops = 40").unwrap();
-    assert_eq!((least.value_bytes(), least.txn_ops), (2048, 12));
-    assert_eq!((least.rps, least.write_rps), (100.0, 50.0));
-    for wrong in ["value_kb = -1.0", "txn_ops = 1", "write_rps = 0.0"] {
-        let field = wrong.split(' ').next().unwrap();
-        let error = with(wrong).unwrap_err().to_string();
+    let limits = with("value_kb = 2.0\ntxn_ops = 40").unwrap();
+    assert_eq!((limits.value_bytes(), limits.txn_ops), (2048, 12));
+    assert_eq!((limits.rps, limits.write_rps), (100.0, 50.0));
+    for invalid in ["value_kb = -1.0", "txn_ops = 1", "write_rps = 0.0"] {
+        let field = invalid.split(' ').next().unwrap();
+        let error = with(invalid).unwrap_err().to_string();
         assert!(error.contains(&format!("state.next.{field}")), "{error}");
     }
 }
@@ -60,14 +60,14 @@
             .hold_ms,
         5
     );
-    for wrong in [
+    for invalid in [
         r#"{"hold_ms": -1}"#,
         r#"{"hold_ms": "x"}"#,
         r#"{"other": 1}"#,
         "[]",
         "{",
     ] {
-        assert!(OperatorSettings::parse(wrong).is_err(), "{wrong}");
+        assert!(OperatorSettings::parse(invalid).is_err(), "{invalid}");
     }
     let error = OperatorSettings::parse(r#"{"idle_release_s": 0}"#)
         .unwrap_err()
--- a/tests/startup_read.rs
+++ b/tests/startup_read.rs
@@ -344,8 +344,11 @@
         // A worker whose heartbeat arrives just before the shard is taken over is not refused either.
         assert_eq!((few.refused_heartbeats, many.refused_heartbeats), (0, 0));
         // If open jobs are read one by one, each takes at most one request.
-        let most = if recently_changed { 500 } else { 9_000 };
-        assert!(command_many <= command + most, "{command} {command_many}");
+        let max_extra_ms = if recently_changed { 500 } else { 9_000 };
+        assert!(
+            command_many <= command + max_extra_ms,
+            "{command} {command_many}"
+        );
         let requests = many.history.requests;
         assert!(
             requests <= if recently_changed { 10 } else { OPEN_JOBS + 20 },
@@ -401,8 +404,8 @@
     assert!((all..all + 10).contains(&read), "{read} pages of {all}");
     assert_eq!(harness.expired_watches, 0);
     assert!(all as u64 * CHANGES_PER_PAGE > 5 * RETAINED_CHANGES);
-    let most = PEAK_BYTES.load(Relaxed) - before;
-    assert!(most < 14 << 20, "{most} bytes for {ENDED} jobs");
+    let peak_bytes = PEAK_BYTES.load(Relaxed) - before;
+    assert!(peak_bytes < 14 << 20, "{peak_bytes} bytes for {ENDED} jobs");
 }
 
 /// Guards against deletions that are missed by a second startup read, after the watch was interrupted for too long.
