--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,18 +1,18 @@
-//! Settings: what is sound is taken, what is not is named.
+//! Settings: valid ones are accepted, and errors name the invalid field.
 
 use snowshelf::operator::{OperatorFile, OperatorSettings};
 use snowshelf::settings::Settings;
 
-const SOUND: &str = include_str!("sound.toml");
+const VALID_SETTINGS: &str = include_str!("sound.toml");
 
 #[test]
-fn sound_settings_are_taken_and_unknown_fields_ignored() {
-    let settings = Settings::parse(SOUND).unwrap();
+fn valid_settings_are_accepted_and_unknown_fields_ignored() {
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(settings.member_ttl_ms(), 3_500);
 }
 
 #[test]
-fn a_wrong_field_is_named_in_one_line() {
+fn settings_error_names_the_field_in_one_line() {
     for (from, to, field) in [
         ("nodes = 1", "nodes = 2", "peers"),
         ("rps = 2.0", "rps = -2.0", "deployment.cloud.rps"),
@@ -23,7 +23,7 @@
         ("lease_s = 10.0\n", "", "lease_s"),
         ("nodes = 1", "nodes = ", "deployment.nodes"),
     ] {
-        let error = Settings::parse(&SOUND.replace(from, to))
+        let error = Settings::parse(&VALID_SETTINGS.replace(from, to))
             .unwrap_err()
             .to_string();
         assert!(error.contains(field), "{error}");
@@ -31,28 +31,28 @@
     }
 }
 
-/// The limits to come may be named in part, and never raise those in force.
+/// Future limits may be set in part, and never raise the current ones.
 #[test]
-fn the_smaller_of_both_limits_counts() {
+fn effective_limits_are_the_smaller_of_current_and_next() {
     let with = |next: &str| {
-        let text = SOUND.replace(
+        let text = VALID_SETTINGS.replace(
             "[deployment.cloud]",
             &format!("[deployment.state.next]\n{next}\n[deployment.cloud]"),
         );
         Settings::parse(&text).map(|s| s.deployment.state.effective())
     };
-    let least = with("value_kb = 2.0\ntxn_ops = 40").unwrap();
-    assert_eq!((least.value_bytes(), least.txn_ops), (2048, 12));
-    assert_eq!((least.rps, least.write_rps), (100.0, 50.0));
-    for wrong in ["value_kb = -1.0", "txn_ops = 1", "write_rps = 0.0"] {
-        let field = wrong.split(' ').next().unwrap();
-        let error = with(wrong).unwrap_err().to_string();
+    let limits = with("value_kb = 2.0\ntxn_ops = 40").unwrap();
+    assert_eq!((limits.value_bytes(), limits.txn_ops), (2048, 12));
+    assert_eq!((limits.rps, limits.write_rps), (100.0, 50.0));
+    for invalid in ["value_kb = -1.0", "txn_ops = 1", "write_rps = 0.0"] {
+        let field = invalid.split(' ').next().unwrap();
+        let error = with(invalid).unwrap_err().to_string();
         assert!(error.contains(&format!("state.next.{field}")), "{error}");
     }
 }
 
 #[test]
-fn operators_settings_follow_their_schema() {
+fn operator_settings_are_validated_against_their_schema() {
     assert!(OperatorSettings::parse("{}").is_ok());
     assert_eq!(
         OperatorSettings::parse(r#"{"hold_ms": 5}"#)
@@ -60,14 +60,14 @@
             .hold_ms,
         5
     );
-    for wrong in [
+    for invalid in [
         r#"{"hold_ms": -1}"#,
         r#"{"hold_ms": "x"}"#,
         r#"{"other": 1}"#,
         "[]",
         "{",
     ] {
-        assert!(OperatorSettings::parse(wrong).is_err(), "{wrong}");
+        assert!(OperatorSettings::parse(invalid).is_err(), "{invalid}");
     }
     let error = OperatorSettings::parse(r#"{"idle_release_s": 0}"#)
         .unwrap_err()
@@ -78,9 +78,10 @@
     );
 }
 
-/// Features stand in files of their own; what two of them say differently is not settled by their order.
+/// Features are configured in separate files. A conflict between two files is an error and is not resolved by their
+/// order.
 #[test]
-fn several_files_are_merged_and_a_conflict_names_both() {
+fn operator_files_are_merged_and_a_conflict_names_both_files() {
     let merge = |files: &[(&str, &str)]| {
         let files: Vec<OperatorFile> = files
             .iter()
