--- a/tests/autoscaler_plan.rs
+++ b/tests/autoscaler_plan.rs
@@ -95,11 +95,13 @@
                 .iter()
                 .any(|closed| closed.zone == pool.zone && closed.model == pool.model)
     };
-    let unit =
-        |demand: &TaskDemand, t: &MachineType, spot| match demand.resources.count_in(t.capacity()) {
-            0 => None,
-            per => Some(t.price(spot) / f64::from(per)),
-        };
+    let unit = |demand: &TaskDemand, t: &MachineType, spot| match demand
+        .resources
+        .count_in(t.capacity())
+    {
+        0 => None,
+        per => Some(t.price(spot) / f64::from(per)),
+    };
     let mut pools = Vec::new();
     for t in types.values() {
         for zone in &t.zones {
