--- a/src/coordination/shard/backfill.rs
+++ b/src/coordination/shard/backfill.rs
@@ -162,8 +162,9 @@
         let mut entries = pass.capacity_index.entries().iter();
         let free = entries.find(|e| e.machine.name == machine).map(|e| e.free);
         let fits_now = free.is_some_and(|free| spec.resources.fits_in(free));
-        // While the team's quota does not allow the task, a machine with enough free resources
-        // stays available to others.
+        // While the team's quota does not allow the task (both this shard's grant and the part that
+        // no shard has been granted are too small), a machine with enough free resources stays
+        // available to others.
         if !(fits_now && lacks_grant)
             || self.ungranted_cpus(&spec.team, context) >= spec.resources.cpus
         {
@@ -179,9 +180,10 @@
         true
     }
 
-    /// Reserves one task's share of the team's grant for the rest of the pass, so that quota
-    /// released by the team's other tasks is kept for it. Returns whether the unused part of the
-    /// grant is too small for the task now.
+    /// Counts one more task of a job against this shard's grant of the team's quota for the rest of
+    /// the pass, so that quota released by the team's other tasks is kept for it. Counts nothing if
+    /// the whole grant has too few CPUs for the task. Returns whether the part of the grant that
+    /// was unused before has too few.
     fn reserve_grant(
         &self,
         spec: &JobSpec,
--- a/src/coordination/shard/demand.rs
+++ b/src/coordination/shard/demand.rs
@@ -42,12 +42,13 @@
     pub offers: Vec<(JobId, StealOffer)>,
 }
 
-/// A machine class in which at least one machine has no recent task failure.
+/// A machine class with at least one working machine: one on which no task has failed since a task
+/// last completed there.
 struct ClassCapacity<'a> {
     class: &'a MachineClass,
     /// Resources of a machine without tasks.
     total: Resources,
-    /// Whether any machine has free CPUs.
+    /// Whether any working machine has free CPUs.
     has_free: bool,
 }
 
@@ -118,6 +119,8 @@
     }
 }
 
+/// Returns the capacities of the machine classes. Classes without a working machine are left out: a
+/// job that could run on no other class counts as unplaceable.
 fn class_capacities(index: &CapacityIndex) -> Vec<ClassCapacity<'_>> {
     let classes = index.classes().filter_map(|(class, machines)| {
         let mut working = machines.filter(|e| !e.machine.has_failures).peekable();
@@ -131,6 +134,7 @@
     classes.collect()
 }
 
+/// Returns why a waiting job is to be offered to other shards now; `None` if it is not.
 fn steal_offer(
     id: &JobId,
     job: &ShardJob,
--- a/src/coordination/shard/eviction.rs
+++ b/src/coordination/shard/eviction.rs
@@ -31,8 +31,9 @@
 }
 
 impl Shard {
-    /// Cordons and uncordons machines according to the drains' records, and charges the budgets for
-    /// tasks that have been waited for long enough.
+    /// Cordons and uncordons machines according to the drains' records. Then charges evictions to
+    /// the disruption budget of at most one team: evictions of tasks on cordoned machines that have
+    /// been waited for long enough, or whose drain has passed its deadline.
     pub(super) fn update_cordons(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         for (name, m) in &mut self.machines {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Returns the tasks on machines that are silent or about to be interrupted by the cloud, by
-    /// team.
+    /// Returns, by team, the number and the CPUs of the tasks on machines that are silent or about
+    /// to be interrupted by the cloud. Disruption budgets count these tasks as lost already.
     pub fn tasks_at_risk(
         &self,
         now: MonotonicMillis,
@@ -116,7 +117,8 @@
         restarted.count() as u32
     }
 
-    /// Whether a durable charge covers a task on a cordoned machine.
+    /// Whether a durable charge covers a task on a machine, so that it may be evicted. The caller
+    /// checks that the machine is cordoned.
     fn is_charged(
         &self,
         name: &MachineId,
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -88,8 +88,9 @@
 }
 
 impl Batch {
-    /// Adds the write of an allocation. Returns `false` if the transaction has no space left for
-    /// it.
+    /// Adds the write of an allocation and, if the write changes it, of the job's record. Returns
+    /// `false`, and adds nothing, if the transaction has no space left; the first write is always
+    /// added.
     fn add(&mut self, key: String, job: &ShardJob, write: AllocationWrite) -> bool {
         let mutation = match &write.allocation {
             None => Mutation::Delete { key: key.clone() },
@@ -119,7 +120,9 @@
 }
 
 impl Shard {
-    /// Writes pending changes in one transaction, as many as the request budget allows.
+    /// Writes the allocations whose changes are due in one transaction, as many as the request
+    /// budget and the limits of a transaction allow. Does nothing while another transaction is in
+    /// flight, while a retry delay runs, or if this leader is fenced.
     pub(super) fn flush_changes(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if self.writes.in_flight.is_some() || self.fenced || now < self.writes.retry_at {
--- a/src/coordination/shard/placement.rs
+++ b/src/coordination/shard/placement.rs
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Places jobs of the same rank. Fetching an image often takes longer than running the task.
-    /// Jobs that can still wait are therefore first placed only where their image is present, and
-    /// get the remaining machines after the other jobs.
+    /// Places jobs of the same rank, apart from their missed objectives. Fetching an image often
+    /// takes longer than running the task. Jobs that can still wait are therefore first placed only
+    /// where their image is present, and get the remaining machines after the other jobs.
     fn place_same_rank(
         &mut self,
         same_rank: &[QueuedJob],
--- a/src/coordination/shard/queue.rs
+++ b/src/coordination/shard/queue.rs
@@ -12,8 +12,8 @@
 
 /// A waiting job in the queue.
 pub(super) struct QueuedJob {
-    /// Whether it is outside its team's quota, its priority, and its missed objectives. The lowest
-    /// rank goes first.
+    /// Whether it is outside its team's quota, its priority (that of a job that depends on it if
+    /// higher), and the number of objectives that it has missed. The lowest rank goes first.
     pub rank: (bool, Reverse<Priority>, usize),
     /// Latest time at which its tasks should start.
     pub latest_start: WallClockMillis,
@@ -88,7 +88,9 @@
 }
 
 impl Shard {
-    /// Returns the waiting jobs in the order in which they are placed.
+    /// Returns the waiting jobs in the order in which they are placed: by rank, then by the latest
+    /// time at which their tasks should start. Jobs whose placement is backing off, or whose
+    /// allocation is being read back, are left out.
     pub(super) fn queue_order(
         &self,
         now: MonotonicMillis,
@@ -116,8 +118,8 @@
     }
 }
 
-/// Returns the jobs that fit into their team's quota together with all unfinished jobs that the
-/// team submitted earlier.
+/// Returns the open jobs with all dependencies done that fit into their team's quota together with
+/// all such jobs that the team submitted earlier.
 pub(super) fn jobs_within_quota(context: &Context<'_>) -> HashSet<JobId> {
     let jobs = context.records.jobs.iter();
     let open = jobs.filter(|(id, r)| {
--- a/src/coordination/shard/read_back.rs
+++ b/src/coordination/shard/read_back.rs
@@ -1,4 +1,4 @@
-//! Reads back allocations whose write conflicted or has an unknown outcome.
+//! Reads back allocations and job records whose write conflicted or has an unknown outcome.
 
 use super::{Shard, ShardRequest};
 use crate::coordination::context::Context;
@@ -8,9 +8,9 @@
 
 /// Timeout of a read.
 const READ_TIMEOUT_MS: u64 = 1_500;
-/// Failed reads are retried once in each interval of this length,
+/// Reads without a result are repeated at the beginning of each interval of this length.
 const RETRY_INTERVAL_MS: u64 = 500;
-/// by a tick within this time of its beginning.
+/// The beginning of an interval: every tick within this time of it repeats reads.
 const RETRY_WINDOW_MS: u64 = 60;
 /// Maximum number of reads retried at a time.
 const MAX_RETRIES: usize = 8;
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Retries failed reads, once every `RETRY_INTERVAL_MS`.
+    /// Reads the allocations again whose job has a read that failed or is not answered yet, in the
+    /// ticks at the beginning of every `RETRY_INTERVAL_MS`.
     pub(super) fn retry_reads(&mut self, context: &mut Context<'_>) {
         let now = context.now();
         if now.0 % RETRY_INTERVAL_MS >= RETRY_WINDOW_MS {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Returns the job of a key that is either a job's key or the key of an allocation of this
-    /// shard.
+    /// Returns the job whose record, or whose allocation in this shard, is stored under a key;
+    /// `None` for any other key.
     fn job_of_key(&self, key: &str) -> Option<JobId> {
         if let Some(job) = key.strip_prefix("job/") {
             return Some(JobId::new(job));
--- a/src/coordination/shard/work_stealing.rs
+++ b/src/coordination/shard/work_stealing.rs
@@ -25,7 +25,8 @@
 const RETRY_MS: u64 = 250;
 /// Retry delay if one of the records would be too large: some of its tasks have to end first.
 const TOO_LARGE_RETRY_MS: u64 = 1_000;
-/// Delay of the next attempt after a successful one, while no task waits here.
+/// Delay of the next attempt after a successful one, while no job waits here that a machine here
+/// could run.
 const NEXT_STEAL_DELAY_MS: u64 = 100;
 /// Retry delay after a failed attempt.
 const FAILURE_RETRY_MS: u64 = 500;
@@ -318,8 +319,9 @@
         granted.covers(next)
     }
 
-    /// Handles the outcome of a steal. The caller then refreshes the job in every shard, because
-    /// any of its allocations may have changed in the record cache.
+    /// Handles the outcome of a steal: updates the record cache if it was applied, and sets the
+    /// time of the next attempt. The caller then refreshes the job in every shard that this
+    /// controller leads, because any of its allocations may have changed in the record cache.
     pub(super) fn on_steal_outcome(
         &mut self,
         swap: &CompareAndSwap,
@@ -341,7 +343,8 @@
                     }
                 }
             }
-            // The watch delivers the outcome. No command is sent before that.
+            // The watch delivers the outcome. Before that, the stolen tasks are not known here, and
+            // no command is sent for them.
             SwapOutcome::Unknown => {
                 self.stealing.next_attempt_at = now.plus(UNKNOWN_RETRY_MS);
             }
