--- a/crates/reconciliation/src/decision_table.rs
+++ b/crates/reconciliation/src/decision_table.rs
@@ -328,7 +328,10 @@
     }
 }
 
-/// Decides for an attempt that is pulling its image, running or making a checkpoint.
+/// Decides for an attempt that is pulling its image, running or making a checkpoint. It is killed if its job
+/// is cancelled or the attempt is not assigned to this machine. It is stopped with a grace period if it is
+/// evicted, or if its machine is interrupted and it still pulls its image or must begin its checkpoint now.
+/// One that makes a checkpoint has already been told to stop.
 fn reconcile_alive(
     desired: DesiredState,
     state: TaskState,
--- a/crates/reconciliation/src/silence.rs
+++ b/crates/reconciliation/src/silence.rs
@@ -26,7 +26,8 @@
     pub last_at: MonotonicMillis,
 }
 
-/// Whether no machine reaches the shard leader: a heartbeat is overdue from every one of them.
+/// Whether no machine reaches the shard leader: a heartbeat is overdue from every one of them, and there are
+/// at least `MIN_MACHINES`.
 #[must_use]
 pub fn is_unreachable(summary: HeartbeatSummary, now: MonotonicMillis, heartbeat_ms: u64) -> bool {
     summary.machines >= MIN_MACHINES
@@ -40,8 +41,9 @@
     heartbeat_ms + heartbeat_ms / 4 + MARGIN_MS
 }
 
-/// Whether an unreachable shard leader should release its shard. `reached_others` is the number of its
-/// machines that reach other controllers. The shard of machines that reach no controller is kept.
+/// Whether a shard leader should release its shard: none of its machines reaches it, and enough of them reach
+/// another controller. `reached_others` is the largest number of its machines that reach the same other
+/// controller. If its machines reach no controller at all, it keeps the shard.
 #[must_use]
 pub fn should_release_shard(
     summary: HeartbeatSummary,
--- a/crates/reconciliation/tests/silence.rs
+++ b/crates/reconciliation/tests/silence.rs
@@ -5,8 +5,9 @@
 
 proptest! {
     /// Guards against a release that begins too late to end cancelled tasks in time. A shard leader that
-    /// acquires the shard just before the release is due first waits for one heartbeat. Drawn settings leave
-    /// at least four heartbeat intervals beside a lease in the time for cancellation.
+    /// acquires the shard just before the release is due first waits for one heartbeat. With the settings
+    /// drawn here, the time within which cancelled tasks must have ended is at least four heartbeat intervals
+    /// longer than a lease.
     #[test]
     fn release_after_cancellation_leaves_time_to_release_a_hanging_machine(
         heartbeat_ms in 500u64..15_000,
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -35,7 +35,9 @@
         self.tick_peer_status();
     }
 
-    /// Applies the storage limits of the agreed record format, and this controller's share of the request budget.
+    /// Updates the storage limits, which depend on the agreed record format and on whether the store has
+    /// rejected a write. Then sets this controller's share of the request rates, which also depends on the
+    /// led shards.
     fn tick_storage_limits(&mut self) {
         let env = &mut self.env;
         let state = &env.config.settings.deployment.state;
@@ -250,6 +252,8 @@
         }
     }
 
+    /// Runs the autoscaler while this controller leads the cluster, its lease is valid and the record cache
+    /// is loaded. If that is due, first passes it the machines with recent heartbeats to any controller.
     fn tick_autoscaler(&mut self) {
         let now = self.env.now();
         let may_scale = self.leases.is_valid(now) && self.env.records.loaded;
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -133,7 +133,7 @@
 
 struct GraphBuilder<'a, 's> {
     source: &'s GraphSource<'a, 's>,
-    /// The known dependencies of each open job that has any.
+    /// The dependencies of each open job that has any; an empty list while they are not all known.
     dependencies: HashMap<&'a JobId, Vec<&'a JobId>>,
     dependents: HashMap<&'a JobId, Vec<&'a JobId>>,
     /// Cancelled jobs that open jobs depend on.
@@ -142,7 +142,8 @@
 }
 
 impl<'a> GraphBuilder<'a, '_> {
-    /// Links the open jobs with their dependencies, and records which of them are ready.
+    /// Links the open jobs with their dependencies. Records which of these jobs are ready, and which
+    /// dependencies are cancelled or unknown.
     fn link_all(&mut self, now: WallClockMillis, previous: &DependencyGraph) {
         for (id, versioned) in self.source.jobs {
             let record = &*versioned.value;
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Returns the end of a dependency that is done. Records dependencies that are cancelled or unknown.
+    /// Returns the end of a dependency if it is done, otherwise `None`. Records dependencies that are
+    /// cancelled or unknown.
     fn ended_dependency(&mut self, dependency: &'a JobId) -> Option<FinishedJob> {
         match (self.source.finished_job)(dependency) {
             Some(end) if end.state == JobState::Done => return Some(end),
--- a/src/coordination/leases/election.rs
+++ b/src/coordination/leases/election.rs
@@ -53,7 +53,8 @@
 }
 
 impl Leases {
-    /// Acquires the roles that this controller may acquire now.
+    /// Requests the roles that this controller may acquire now. Every role is observed, to track since when
+    /// it has been vacant.
     pub(super) fn tick_election(
         &mut self,
         first_tick_at: MonotonicMillis,
@@ -89,6 +90,9 @@
             self.vacant_since.remove(&role);
         }
         let vacant_ms = now.since(*self.vacant_since.entry(role).or_insert(now));
+        // For a shard, a controller that workers cannot reach reports a vacancy of 0 ms. It therefore
+        // acquires the shard only as its preferred controller, which it becomes after the longer
+        // `UNREACHABLE_VACANCY_MS`.
         let unreachable_shard = self.unreachable_by_workers && matches!(role, Role::ShardLeader(_));
         let preferred = match role {
             Role::ShardLeader(_) if unreachable_shard => vacant_ms > UNREACHABLE_VACANCY_MS,
@@ -105,6 +109,9 @@
         }
     }
 
+    /// Requests a role by writing its key, bound to this controller's lease, if the key still has `version`.
+    /// Sends nothing without a lease or request budget; a later tick then tries again.
+    /// [`Leases::on_acquisition`] handles the outcome.
     fn acquire(&mut self, role: Role, version: Version, context: &mut Context<'_>) {
         let Some(lease) = self.lease else { return };
         if !context
--- a/src/coordination/list_watch/startup.rs
+++ b/src/coordination/list_watch/startup.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Removes and returns the unconfirmed keys in a listed range. Their records have been deleted.
+    /// Takes the unconfirmed keys in the range of a page out of `unconfirmed` and returns them. As the page
+    /// does not list them, their records have been deleted from the store.
     pub(super) fn take_unconfirmed(&mut self, covered: &CoveredRange) -> Vec<String> {
         let deleted: Vec<String> = self
             .unconfirmed
--- a/src/storage/record_cache/apply.rs
+++ b/src/storage/record_cache/apply.rs
@@ -102,8 +102,9 @@
             version,
         };
         let change = self.store(state);
-        // The many finished jobs need no guards, as their records never change again. During a startup read the
-        // guard stays: a page created before the end of a job may still contain its earlier state.
+        // The many finished jobs need no guards, as their records never change again. During a startup read
+        // the guard stays: a page created before the end of a job may still contain its earlier state.
+        // `apply_listed` removes it for the jobs that the read itself finds finished.
         if let Some(RecordChange::Job(job)) = &change
             && !self.startup_read
             && !self.jobs.contains_key(job)
@@ -113,8 +114,9 @@
         change
     }
 
-    /// Applies a key that a startup read has listed. The guard of a finished job is removed even during the
-    /// read; otherwise the guards of all jobs ever submitted would be in memory at once.
+    /// Applies a key that a startup read has found, in a page or among the recent changes. Unlike
+    /// [`RecordCache::apply`], removes the guard of a finished job even during the read; otherwise the guards
+    /// of all jobs ever submitted would be in memory at once.
     pub fn apply_listed(
         &mut self,
         key: &str,
