--- a/crates/calendar/tests/entries.rs
+++ b/crates/calendar/tests/entries.rs
@@ -34,6 +34,8 @@
     found.iter().map(|(a, _)| format_time(*a)).collect()
 }
 
+/// Each invalid or missing field is named in the error. A valid request is parsed, and a body that is not a
+/// single JSON object is an error.
 #[test]
 fn parse_reservation_invalid_field_is_named_in_error() {
     let (name, spec) = parse_reservation(reservation().to_string().as_bytes()).unwrap();
--- a/crates/calendar/tests/model.rs
+++ b/crates/calendar/tests/model.rs
@@ -182,7 +182,7 @@
     }
 
     /// Checks that no capacity or team limit is exceeded, that each reservation has its whole amount, and
-    /// that nothing is reserved in a closed pool unless a window was forced.
+    /// that nothing is reserved in a closed pool. The last is not checked if any window was forced.
     fn check(&self) -> Result<(), TestCaseError> {
         let limits = calendar_limits();
         let forced = self.windows.values().any(|(_, forced)| *forced);
@@ -440,7 +440,7 @@
 }
 
 /// Guards against a check of the reference model that accepts everything. It must reject an exceeded
-/// capacity, a reduced amount, and a reservation in a window.
+/// capacity, a reduced amount, and a reservation in a window that was not forced.
 #[test]
 fn reference_check_rejects_invalid_state() {
     let spec = |n, zone: &str| ReservationSpec {
--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -2,9 +2,12 @@
 //! within any stretch of time.
 //!
 //! Each team's evictions are charged to one record, `disrupt/<team>`. A shard leader writes a charge with a
-//! compare-and-swap before it evicts, so the budget holds across all shards and through failovers. A charge
-//! counts until its tasks have left their machine durably. From then on, every task that was attempted
-//! before and is not known to run again counts, whether it was evicted or lost.
+//! compare-and-swap before it evicts, so the budget holds across all shards and through failovers.
+//!
+//! Towards what may be unavailable at a time, a charge counts until its tasks have left their machine
+//! durably. From then on they count as unavailable tasks, like every task that was attempted before and is
+//! not known to run again, whether it was evicted or lost. Towards what may be evicted within a stretch of
+//! time, a charge counts longer, see `Ledger::recent_evictions`.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -243,7 +246,7 @@
         self.budget.unwrap_or(*default)
     }
 
-    /// The sum of all charges whose tasks may still be on their machines.
+    /// Tasks and CPUs of all charges whose tasks may still be on their machines.
     pub fn open_charges(&self, records: &RecordView) -> Amount {
         let mut open = Amount::default();
         for charge in self.charges.iter().filter(|c| records.is_open(c)) {
@@ -252,9 +255,9 @@
         open
     }
 
-    /// Evictions within the last `stretch_s`, for clocks that differ by up to `skew_ms`, and those that charges
-    /// still permit. A charge counts until its end has been seen and for `stretch_s` from then on, as its tasks
-    /// may have been evicted only then.
+    /// The sum of the evictions within the last `stretch_s` and of those that charges still permit. The
+    /// stretch is extended by twice `skew_ms`, as clocks may differ by up to `skew_ms`. A charge counts until
+    /// it is settled and for `stretch_s` from then on, as its tasks may have been evicted only then.
     pub fn recent_evictions(&self, budget: &Budget, now: WallClockMillis, skew_ms: u64) -> Amount {
         let from = now.0.saturating_sub(budget.stretch_ms() + 2 * skew_ms);
         let mut sum = Amount::default();
@@ -275,7 +278,9 @@
     }
 
     /// Charges as many of the requested tasks as the budget allows, at least one, and returns the new ledger.
-    /// Tasks that are charged already are not charged again.
+    /// A forced request is charged in full, even beyond the budget. Tasks that are charged already are not
+    /// charged again: while a charge for the same job and machine is open, a request fails, or replaces that
+    /// charge if it is forced.
     ///
     /// # Errors
     /// The limit that allows none.
--- a/crates/drain/tests/stepping.rs
+++ b/crates/drain/tests/stepping.rs
@@ -1,5 +1,6 @@
-//! Steps of drains on random fleets: each machine is in one step, a step stays in one zone and leaves out machines
-//! claimed by other drains, and the drain ends once all machines are emptied.
+//! Steps of drains on random fleets: each machine is in one step, a step stays in one zone unless the drain
+//! allows any zone, it leaves out machines claimed by other drains, and the drain ends once all machines are
+//! emptied.
 
 use proptest::prelude::*;
 use serde_json::json;
@@ -17,6 +18,8 @@
         .1
 }
 
+/// One machine for each item of `zones`, which is the index of its zone. All are rented at `rented`, in
+/// milliseconds. CPUs in use and unsaved work differ between machines.
 fn fleet(zones: &[usize], rented: u64) -> BTreeMap<MachineId, ObservedMachine> {
     let machine = |(i, zone): (usize, &usize)| {
         let observed = ObservedMachine {
--- a/src/coordination/drains/decisions.rs
+++ b/src/coordination/drains/decisions.rs
@@ -141,7 +141,9 @@
         .collect()
 }
 
-/// Whether two drains may select the same machine.
+/// Whether two drains may select the same machine, judged by their selectors alone: the zone and model of a
+/// named machine are not looked up. `older_than` never separates two drains, as each selects all machines
+/// older than its limit.
 fn overlap(a: &Drain, b: &Drain) -> bool {
     let differ = |x: &Option<String>, y: &Option<String>| x.is_some() && y.is_some() && x != y;
     let (x, y) = (&a.selector, &b.selector);
--- a/src/coordination/drains/leader.rs
+++ b/src/coordination/drains/leader.rs
@@ -285,9 +285,10 @@
 /// What all drains but one claim for themselves.
 #[derive(Default)]
 struct OtherDrains {
-    /// Machines in their steps, or kept empty by them.
+    /// Machines in their steps, and those that they keep empty or name to be kept empty. A drain that has
+    /// ended still claims the machines that it keeps empty, but no others.
     machines: BTreeSet<MachineId>,
-    /// Zones of the machines in their steps.
+    /// Zones of the machines in their steps. Machines that are only kept empty do not count.
     zones: BTreeSet<String>,
 }
 
--- a/src/coordination/reservations/commit.rs
+++ b/src/coordination/reservations/commit.rs
@@ -114,7 +114,9 @@
         (swap, requests)
     }
 
-    /// Handles the outcome of a transaction. Returns the record changes that it made.
+    /// Handles the outcome of a batch's transaction: responds if it was applied, puts the requests back after
+    /// a conflict, and otherwise responds that the store is unavailable. Returns the record changes that the
+    /// transaction made.
     pub(super) fn on_decided(
         &mut self,
         id: u64,
@@ -127,7 +129,8 @@
         match outcome {
             SwapOutcome::Applied(revision) => return respond(batch.requests, revision, context),
             SwapOutcome::Conflict(keys) => {
-                // The requests are decided again once the watch has delivered the other change.
+                // The requests are decided again after a delay. If the calendar key has changed, they also
+                // wait until the watch has delivered that change.
                 if keys.iter().any(|key| key == CALENDAR_KEY) {
                     self.conflicted_version = Some(batch.calendar_version);
                 }
--- a/src/coordination/reservations/requests.rs
+++ b/src/coordination/reservations/requests.rs
@@ -51,7 +51,8 @@
 const RESERVATIONS: &str = "/api/reservations";
 const WINDOWS: &str = "/api/windows";
 
-/// Parses a request. `None` if the path does not belong to the calendar.
+/// Parses a request. `None` if the path does not belong to the calendar; an error if it does, but the method,
+/// the rest of the path, the query or the body is invalid.
 pub fn parse_request(
     method: &str,
     path: &str,
