--- a/crates/client/src/controllers.rs
+++ b/crates/client/src/controllers.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Reads a list page by page from `field` of the responses. `page_path` returns the path of the next page for
-    /// the items read so far.
+    /// Reads a list page by page from `field` of the responses. `page_path` returns the path of the next page
+    /// for the items read so far.
     ///
     /// # Errors
     /// Returns the command's output if a page has another status than 200 or could not be read.
@@ -104,6 +104,8 @@
         }
     }
 
+    /// Turns the outcome of a request into the command's output. With `--json`, the response body goes to
+    /// standard output also if it reports an error; the command's status still tells that it failed.
     fn output(&self, outcome: Result<Response, RequestError>) -> CommandOutput {
         let response = match outcome {
             Ok(response) => response,
--- a/crates/client/src/graph.rs
+++ b/crates/client/src/graph.rs
@@ -285,6 +285,8 @@
         format!("/api/graphs/{}/runs/{}", self.graph, self.run)
     }
 
+    /// Reads all pages of the run's status and formats the run with all its steps. Everything but the steps
+    /// comes from the last page.
     fn show(&self) -> CommandOutput {
         let page_path =
             |steps: &[Value]| format!("{}?after={}&limit={PAGE_SIZE}", self.path(), steps.len());
--- a/crates/client/tests/commands.rs
+++ b/crates/client/tests/commands.rs
@@ -21,7 +21,9 @@
     }
 }
 
-/// Serves one request with each of the responses in turn, and reports each request line and body.
+/// Starts a server that answers one request with each of the responses in turn, then stops. A response is a
+/// status, further header lines that end with `\r\n`, and a body. Returns the server's address, and the
+/// received requests: method and path, and the body, which is null if it is not JSON.
 fn serve(responses: Vec<(u16, &'static str, Value)>) -> (String, Receiver<(String, Value)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
--- a/crates/connections/src/table.rs
+++ b/crates/connections/src/table.rs
@@ -201,9 +201,9 @@
         (connection.kind, connection.busy) = (kind, true);
     }
 
-    /// Whether the connection must be closed after the next response: it is a user's, and the table is
-    /// nearly full. Users can reconnect without harm, possibly to a controller with more capacity.
-    /// Counts such responses.
+    /// Whether the connection must be closed after the response that is about to be sent: it is a user's,
+    /// and the table is nearly full. Users can reconnect without harm, possibly to a controller with more
+    /// capacity. Called once for each response, because the statistics count the responses that close.
     #[must_use]
     pub fn closes_after_response(&mut self, id: I) -> bool {
         let is_user = self
--- a/src/coordination/api/admission.rs
+++ b/src/coordination/api/admission.rs
@@ -248,8 +248,10 @@
         self.admit(pending, context).is_ok()
     }
 
-    /// Handles the read of a dependency of the submission `id`. A record that was found is already in the
-    /// record cache.
+    /// Handles the outcome of reading a dependency of the submission `id`. Once all its missing dependencies
+    /// are found, the submission is ready to commit if they pass the check. The first one that does not exist
+    /// or cannot be read ends the submission: its job is rejected unless it was accepted before, or its
+    /// clients are asked to retry. The caller has already added a record that was found to the record cache.
     pub(super) fn on_dependency_read(
         &mut self,
         id: u64,
--- a/src/coordination/api/cancellation.rs
+++ b/src/coordination/api/cancellation.rs
@@ -246,7 +246,9 @@
 }
 
 impl Cancellations {
-    /// Returns the record of a job if a cascade by this controller is to cancel it now.
+    /// Returns the cached record of a job if a cascade by this controller is to cancel it now: the job has
+    /// not ended, is not in backoff, and either this controller leads its first shard, or a DAG run submitted
+    /// it and has requested its cancellation.
     fn cascade_target<'a>(
         &self,
         job: &JobId,
--- a/src/coordination/api/job_status.rs
+++ b/src/coordination/api/job_status.rs
@@ -48,7 +48,8 @@
         self.read_record(connection, job, purpose, context);
     }
 
-    /// Reads a job's record from the key-value store.
+    /// Requests a job's record from the key-value store; [`JobApi::on_job_read`] handles the outcome.
+    /// Asks the client to retry if the request budget does not allow the read.
     pub(super) fn read_record(
         &mut self,
         connection: ConnectionId,
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -87,7 +87,11 @@
         self.list.missing.keys()
     }
 
-    /// Performs periodic work. `all_shards_led` is whether every shard has a leader that reports.
+    /// Requests the machine types and the machine list and repeats scale-out requests, each if due. Then
+    /// plans scale-out and scale-in at their interval, once the machine types and a complete list are known.
+    /// `all_shards_led` is whether every shard has a leader and this controller has a recent status of every
+    /// other controller. Otherwise no running machine is released for lack of heartbeats, because it may send
+    /// them to a leader whose reports are missing here.
     pub fn tick(&mut self, all_shards_led: bool, context: &mut Context<'_>) {
         let now = context.now();
         self.request_types(context);
--- a/src/transport/event_loop/outgoing.rs
+++ b/src/transport/event_loop/outgoing.rs
@@ -11,14 +11,15 @@
 
 /// Time without a call after which an outgoing connection is closed, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 30_000;
-/// Most connections to the key-value store: for watches, one write per shard, reads and polls.
+/// Maximum connections to the key-value store: for watches, one write per shard, reads and polls.
 const MAX_KV_CONNECTIONS: usize = 16;
-/// Most connections to the cloud, and to each worker.
+/// Maximum connections to the cloud, and to each worker.
 const MAX_OTHER_CONNECTIONS: usize = 4;
-/// Workers called at a time: the current one, and earlier ones that did not respond. Not enforced; only counted
-/// in `MAX_OUTGOING_CONNECTIONS`.
+/// Assumed maximum of workers called at a time: the current one, and earlier ones that did not respond. Not
+/// enforced; only counted in `MAX_OUTGOING_CONNECTIONS`, with one connection each.
 const MAX_CALLED_WORKERS: usize = 4;
-/// Connections reserved for those that this process opens, except to other controllers.
+/// Number of connections reserved for those that this process opens, except to other controllers: the limit
+/// on client connections leaves room for them.
 pub(super) const MAX_OUTGOING_CONNECTIONS: usize =
     MAX_KV_CONNECTIONS + MAX_OTHER_CONNECTIONS + MAX_CALLED_WORKERS;
 /// Capacity in bytes above which a receive buffer is freed after a response.
@@ -158,7 +159,9 @@
         }
     }
 
-    /// Finishes a call if its response is complete, or if it can no longer be completed.
+    /// Parses the bytes received for a call. If the response is complete, finishes the call and starts queued
+    /// calls to the same target. Closes the connection if it cannot be reused; if the response is invalid or
+    /// can no longer become complete, closing finishes the call without a response.
     fn receive_response(&mut self, id: SocketId, call: CallId, read_status: ReadStatus) {
         let now = self.now();
         let Some(connection) = self.outgoing.get_mut(&id) else {
@@ -213,7 +216,8 @@
 
     fn finish_call(&mut self, id: CallId, outcome: CallOutcome) {
         if self.calls.remove(&id).is_some() {
-            // The event is queued, because this may run while the effects of another event are being executed.
+            // The event is queued, because this may run while the effects of another event are being
+            // executed.
             self.events
                 .push_back(ControllerEvent::CallDone(id, outcome));
         }
