--- a/crates/simulation/examples/behaviour_digest.rs
+++ b/crates/simulation/examples/behaviour_digest.rs
@@ -107,6 +107,8 @@
     simulation
 }
 
+/// Runs a simulation of six random users, three runs of a graph, the last of which is cancelled at 50 s, and
+/// a user that only stores a graph.
 fn with_graphs(seed: u64, conditions: SimulationConditions) -> Simulation {
     let conditions = SimulationConditions {
         graphs: true,
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -20,7 +20,7 @@
     pub failed_at: Option<u64>,
 }
 
-/// A failed machine is listed as running for this long.
+/// A failed machine is still listed as running, or as booting if it had not booted, for this long.
 const FAILURE_LISTING_LAG_MS: u64 = 10_000;
 
 impl Machine {
@@ -35,7 +35,7 @@
 
 /// The cloud's machines and the history of requests.
 pub struct Cloud {
-    /// Most machines of one pool. A pool is a zone's spot or on-demand machines.
+    /// Maximum number of machines in a pool. Each zone has two pools: its spot and its on-demand machines.
     pub pool_limit: usize,
     /// Machines by id.
     pub machines: BTreeMap<String, Machine>,
@@ -45,7 +45,7 @@
     pub release_requested_at: BTreeMap<String, u64>,
     /// Machines per page of the list.
     pub page_size: usize,
-    /// Number of pages requested beyond a first one.
+    /// Number of requests for a page of the list other than its first.
     pub later_pages: u64,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns a machine.
+    /// Gives a rented machine back to the cloud, and records when that was first requested.
     pub fn release(&mut self, now: u64, name: &str) {
         self.release_requested_at
             .entry(name.to_string())
--- a/crates/simulation/src/machines.rs
+++ b/crates/simulation/src/machines.rs
@@ -114,7 +114,9 @@
         )
     }
 
-    /// Handles the response to one of a worker's heartbeats.
+    /// Handles the response to one of a worker's heartbeats, unless the response is lost, the machine hangs
+    /// or the heartbeat has timed out. After status 421 the worker turns to another controller if the
+    /// response names one, and otherwise, and after any other error, to the next one.
     pub(crate) fn worker_receives_response(
         &mut self,
         name: &str,
--- a/crates/simulation/src/starvation.rs
+++ b/crates/simulation/src/starvation.rs
@@ -20,12 +20,13 @@
 #[derive(Default)]
 pub(crate) struct StarvationTracker {
     last_sample_at: u64,
-    /// Free capacity of each machine and CPUs in use by each team, in the last samples.
+    /// Free CPUs and memory in GB of each machine, in the last samples.
     free: BTreeMap<String, VecDeque<[f64; 2]>>,
+    /// CPUs in use by each team, in the last samples.
     used: BTreeMap<String, VecDeque<f64>>,
     /// Since when each waiting job could have been started, by user index.
     startable_since: BTreeMap<usize, u64>,
-    /// Longest such time.
+    /// Longest time for which a job could have been started and was not, in milliseconds.
     longest_ms: u64,
 }
 
@@ -91,7 +92,8 @@
         self.violations.extend(violations);
     }
 
-    /// Records the free capacity of each machine and the CPUs in use by each team.
+    /// Records the free capacity of each machine and the CPUs in use by each team. A machine that hangs, that
+    /// has an interruption notice or on which every task fails counts as having no free capacity.
     fn sample_capacity(&self, tracker: &mut StarvationTracker) {
         tracker
             .free
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -261,8 +261,9 @@
         }
     }
 
-    /// Whether the cancellation of a direct or transitive dependency was requested, and when the first user of
-    /// such a job was told about it.
+    /// `None` if no cancellation of a direct or transitive dependency was requested. Otherwise contains the
+    /// time at which the first user of such a dependency was told that it is cancelled, or `None` if no user
+    /// has been told yet.
     pub(crate) fn dependency_cancel(&self, u: usize) -> Option<Option<u64>> {
         let mut found: Option<Option<u64>> = None;
         let mut queue = self.users[u].dependencies.clone();
--- a/src/coordination/controller/watermark.rs
+++ b/src/coordination/controller/watermark.rs
@@ -65,7 +65,7 @@
             .retain(|_, confirmed_at| *confirmed_at >= at);
     }
 
-    /// Whether the watch is late: it has not advanced the watermark for longer than [`WATCH_LATE_MS`].
+    /// Whether the watch is late: it has not advanced the watermark for longer than [`MAX_WATCH_AGE_MS`].
     fn is_watch_late(&self, now: MonotonicMillis) -> bool {
         let synced_at = self.watermark.watch();
         synced_at.is_none_or(|at| now.since(at) > MAX_WATCH_AGE_MS)
--- a/tests/cancellation_confirmation.rs
+++ b/tests/cancellation_confirmation.rs
@@ -93,7 +93,8 @@
     );
 }
 
-/// Guards against acting on a confirmation that was not requested.
+/// Guards against acting on a confirmation that was not requested. Checks only that no confirmation is sent
+/// in return; other effects are not checked here.
 #[test]
 fn unrequested_confirmation_causes_no_messages() {
     let mut controller = controller();
--- a/tests/capacity_fault_combinations.rs
+++ b/tests/capacity_fault_combinations.rs
@@ -69,12 +69,13 @@
     simulation
 }
 
-/// Seeds that cover two faults: a gang-scheduled job whose shard had no machine in its zone, and shards whose quota
-/// grants were each smaller than a task.
+/// Seeds that have found bugs: a gang-scheduled job whose shard had no machine in its zone, and shards whose
+/// quota grants were each smaller than a task.
 const REGRESSION_SEEDS: [u64; 2] = [17, 38];
 
-/// Asserts that no rule breaks under the schedule and that every user is told the end of the job. The schedule gets
-/// the index of a controller. `MEETINGS=1000-1999` runs these seeds instead.
+/// Asserts that no rule breaks under shifted variants of a schedule, and that every user is told the end of
+/// the job. For each seed, `schedule` gets the index of a controller, which depends on the seed. Runs the
+/// seeds 0 to 8 and [`REGRESSION_SEEDS`], or those given by the environment variable `MEETINGS=1000-1999`.
 #[track_caller]
 fn assert_rules_hold(workload: &Workload, schedule: impl Fn(usize) -> FaultSchedule) {
     let seeds: Vec<u64> = match std::env::var("MEETINGS") {
--- a/tests/dag_runs.rs
+++ b/tests/dag_runs.rs
@@ -259,7 +259,8 @@
         simulation.run_clients[run].ended_at.unwrap()
     };
     let (without_delay, with_delay) = (end_of_run(0.0), end_of_run(60.0));
-    // Without a delay it still waits for a machine other than the one on which it failed, about 30 s each time.
+    // Without a delay the step still waits for a machine other than the one on which it failed, about 30 s
+    // before each retry.
     assert!(
         with_delay > without_delay + 40_000 && with_delay < without_delay + 110_000,
         "{without_delay} {with_delay}"
--- a/tests/reservations.rs
+++ b/tests/reservations.rs
@@ -117,8 +117,10 @@
     assert_eq!(simulation.settled_jobs(), 3);
 }
 
-/// Guards against two controllers that reserve the same capacity for two users, entries that are lost or changed by
-/// failovers, an outage or a rolling update, and task starts in closed zones meanwhile.
+/// Guards against two controllers that reserve the same capacity for two users, calendar entries
+/// (reservations and windows) that are lost or changed by failovers, an outage or a rolling update, and task
+/// starts in closed zones meanwhile. Every request for an entry must be accepted or refused by the end, and
+/// more than 100 requests must have each outcome.
 #[test]
 fn accepted_entries_hold_under_faults() {
     let (mut accepted, mut refused) = (0, 0);
