--- a/crates/calendar/src/calendar.rs
+++ b/crates/calendar/src/calendar.rs
@@ -15,7 +15,7 @@
 /// The machines of one type in one zone.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Pool {
-    /// The zone.
+    /// The cloud's name of the zone.
     pub zone: Arc<str>,
     /// The machine type.
     pub model: Arc<str>,
--- a/crates/model/src/task_ranges.rs
+++ b/crates/model/src/task_ranges.rs
@@ -1,4 +1,16 @@
 //! Sets of tasks stored as ranges of task indices, each with the attempt that its tasks share.
+//!
+//! ```
+//! use snowshelf_model::ids::{Attempt, TaskIndex};
+//! use snowshelf_model::task_ranges::TaskRanges;
+//!
+//! let mut tasks = TaskRanges::range(0, 4, 1);
+//! assert_eq!(tasks.remove(TaskIndex(2)), Some(Attempt(1)));
+//! assert_eq!(tasks.len(), 3);
+//! assert_eq!(tasks.get(TaskIndex(2)), None);
+//! tasks.insert(TaskIndex(2), Attempt(1));
+//! assert_eq!(tasks, TaskRanges::range(0, 4, 1));
+//! ```
 
 use crate::ids::{Attempt, TaskIndex};
 use serde::{Deserialize, Serialize};
@@ -44,18 +56,6 @@
 }
 
 /// A set of tasks with their attempts: sorted, disjoint, coalesced ranges.
-///
-/// ```
-/// use snowshelf_model::ids::{Attempt, TaskIndex};
-/// use snowshelf_model::task_ranges::TaskRanges;
-///
-/// let mut tasks = TaskRanges::range(0, 4, 1);
-/// assert_eq!(tasks.remove(TaskIndex(2)), Some(Attempt(1)));
-/// assert_eq!(tasks.len(), 3);
-/// assert_eq!(tasks.get(TaskIndex(2)), None);
-/// tasks.insert(TaskIndex(2), Attempt(1));
-/// assert_eq!(tasks, TaskRanges::range(0, 4, 1));
-/// ```
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 #[serde(try_from = "Vec<TaskRange>", into = "Vec<TaskRange>")]
 pub struct TaskRanges(Vec<TaskRange>);
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -8,7 +8,7 @@
 pub struct Machine {
     /// Machine type.
     pub model: String,
-    /// Zone.
+    /// The zone that the rental request named; each zone has its own pool limits.
     pub zone: String,
     /// Whether it is a spot instance.
     pub spot: bool,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -233,7 +233,7 @@
     nodes: Vec<ControllerNode>,
     /// The key-value store.
     pub kv_store: KvStore,
-    /// The cloud.
+    /// The simulated cloud, with its machines and the history of requests to it.
     pub cloud: Cloud,
     /// Expired leases of workers whose machines have been released.
     expired_on_released: u64,
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -39,7 +39,6 @@
     response: Response,
 }
 
-/// The write in flight.
 struct InFlightWrite {
     id: u64,
     write: ConditionalWrite,
--- a/src/coordination/reservations/commit.rs
+++ b/src/coordination/reservations/commit.rs
@@ -19,7 +19,6 @@
 /// Timeout of a transaction that only compares versions, in milliseconds.
 const CHECK_TIMEOUT_MS: u64 = 1_500;
 
-/// A request and the decision on it.
 struct DecidedRequest {
     pending: PendingRequest<CalendarRequest>,
     decision: CalendarDecision,
--- a/src/coordination/shard/persistence.rs
+++ b/src/coordination/shard/persistence.rs
@@ -46,7 +46,6 @@
     isolated_writes_left: usize,
 }
 
-/// A write of one allocation.
 struct AllocationWrite {
     job: JobId,
     /// Number of the newest change that the write includes.
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -40,7 +40,7 @@
     Response {
         /// The HTTP status.
         status: u16,
-        /// The body.
+        /// The body, with its transfer coding removed; empty if the response has none.
         body: Vec<u8>,
     },
     /// No byte of the request was sent.
@@ -54,7 +54,7 @@
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// The body.
+    /// The body, sent with the content type `application/json`.
     pub body: Vec<u8>,
     /// Seconds after which the client should retry, sent as `Retry-After`.
     pub retry_after_s: Option<u64>,
@@ -100,7 +100,7 @@
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The body.
+    /// The body, of at most 64 KiB; empty if the request has none.
     pub body: Vec<u8>,
 }
 
@@ -136,7 +136,7 @@
         method: Method,
         /// The path with its query.
         path: String,
-        /// The body.
+        /// The body, sent only with a POST.
         body: Vec<u8>,
         /// The time after which the call is abandoned if it has no response, in milliseconds.
         timeout_ms: u64,
--- a/src/storage/kv_client/mod.rs
+++ b/src/storage/kv_client/mod.rs
@@ -190,7 +190,8 @@
         self.send(effects, tag, request);
     }
 
-    /// Renews a lease.
+    /// Requests the renewal of a lease. The response says whether it was renewed, has expired, or the request
+    /// failed.
     pub fn renew_lease(&mut self, effects: &mut Effects, tag: T, lease: LeaseId) {
         let request = Request {
             kind: RequestKind::Renewal,
--- a/src/storage/record_cache/mod.rs
+++ b/src/storage/record_cache/mod.rs
@@ -60,7 +60,7 @@
     pub jobs: BTreeMap<JobId, VersionedRecord<JobRecord>>,
     /// The shards' allocations of jobs.
     pub allocations: BTreeMap<(ShardId, JobId), VersionedRecord<ShardAllocation>>,
-    /// The leader of each shard.
+    /// The holder of each shard's leader role; a shard without a cached record is absent.
     pub shard_leaders: BTreeMap<ShardId, VersionedRecord<LeaseHolder>>,
     /// Each team's quota.
     pub quotas: BTreeMap<Team, VersionedRecord<QuotaRecord>>,
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -22,7 +22,7 @@
     Partial,
     /// A complete message.
     Complete {
-        /// The message.
+        /// The request or response, with its whole body.
         message: T,
         /// The number of bytes that the message occupied.
         consumed: usize,
